--- a/internal/gateway/clock.go
+++ b/internal/gateway/clock.go
@@ -11,9 +11,9 @@
 	"guavapier/internal/prepaid"
 )
 
-// bootClock returns a clock that also counts the time for which the host was
+// newBootClock returns a clock that also counts the time for which the host was
 // suspended; Go's monotonic clock does not.
-func bootClock() func() time.Duration {
+func newBootClock() func() time.Duration {
 	origin := bootTime()
 	return func() time.Duration { return bootTime() - origin }
 }
--- a/internal/gateway/counted.go
+++ b/internal/gateway/counted.go
@@ -9,38 +9,38 @@
 	"guavapier/internal/metrics"
 )
 
-// countedStore counts the calls to the store by outcome.
-type countedStore struct {
+// instrumentedStore counts the calls to the store by outcome.
+type instrumentedStore struct {
 	logstore.Keyed
 	metrics *metrics.Registry
 }
 
 // Newest implements logstore.Keyed.
-func (c countedStore) Newest(ctx context.Context, topic logstore.Topic) (logstore.KeyedPage, error) {
+func (c instrumentedStore) Newest(ctx context.Context, topic logstore.Topic) (logstore.KeyedPage, error) {
 	page, err := c.Keyed.Newest(ctx, topic)
-	c.count(err)
+	c.countOutcome(err)
 	return page, err
 }
 
 // Follow implements logstore.Keyed.
-func (c countedStore) Follow(ctx context.Context, topic logstore.Topic, from uint64, wait time.Duration) (logstore.KeyedPage, error) {
+func (c instrumentedStore) Follow(ctx context.Context, topic logstore.Topic, from uint64, wait time.Duration) (logstore.KeyedPage, error) {
 	page, err := c.Keyed.Follow(ctx, topic, from, wait)
-	c.count(err)
+	c.countOutcome(err)
 	return page, err
 }
 
 // Put implements logstore.Keyed.
-func (c countedStore) Put(ctx context.Context, topic logstore.Topic, w logstore.Write, records []logstore.KeyedRecord) error {
+func (c instrumentedStore) Put(ctx context.Context, topic logstore.Topic, w logstore.Write, records []logstore.KeyedRecord) error {
 	err := c.Keyed.Put(ctx, topic, w, records)
-	c.count(err)
+	c.countOutcome(err)
 	return err
 }
 
-func (c countedStore) count(err error) {
-	c.metrics.Counter(metrics.GatewayStore + outcomeOf(err)).Inc(1)
+func (c instrumentedStore) countOutcome(err error) {
+	c.metrics.Counter(metrics.GatewayStore + storeOutcome(err)).Inc(1)
 }
 
-func outcomeOf(err error) string {
+func storeOutcome(err error) string {
 	switch {
 	case err == nil:
 		return "ok"
--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -15,163 +15,163 @@
 )
 
 const (
-	// endpointsWait is the longest wait of one read. Heartbeats end it long before.
-	endpointsWait = 800 * time.Millisecond
-	// endpointsLeastPause keeps the calls few where the time is short.
-	endpointsLeastPause = 400 * time.Millisecond
+	// endpointsPollTimeout is the longest wait of one read. Heartbeats end it long before.
+	endpointsPollTimeout = 800 * time.Millisecond
+	// minEndpointsPollPause keeps the calls few where the time is short.
+	minEndpointsPollPause = 400 * time.Millisecond
 )
 
-// endpointsPause spaces the reads of the endpoint list: every heartbeat of every
+// endpointsPollPause spaces the reads of the endpoint list: every heartbeat of every
 // endpoint ends a read. A connection that fell silent costs endpointsWait and a call's
 // timeout, the next one another, and a leaving endpoint is still noticed in time.
-func endpointsPause(leavingWithin, timeout time.Duration) time.Duration {
-	left := leavingWithin - endpointsWait - 2*timeout - readSpare
-	return max(endpointsLeastPause, min(left, leavingWithin/5))
+func endpointsPollPause(leavingTimeout, callTimeout time.Duration) time.Duration {
+	remaining := leavingTimeout - endpointsPollTimeout - 2*callTimeout - readDeadlineMargin
+	return max(minEndpointsPollPause, min(remaining, leavingTimeout/5))
 }
 
-// endpoints keeps the endpoint table current and hands it to the placement.
-type endpoints struct {
-	platform Platform
-	placed   *placement.Table
-	pool     *upstream.Pool
-	clock    func() time.Duration
-	log      zerolog.Logger // For lines of single endpoints; thinned.
-	lifeLog  zerolog.Logger
-	pause    time.Duration // Between two reads.
-	loaded   atomic.Bool
-	fresh    *freshness
-
-	mu    sync.Mutex // Guards what follows.
-	table *discovery.Table
-	seen  map[string]bool // Since the last reset.
-	added int             // Since they were last told.
-	away  bool
+// endpointTracker keeps the endpoint table current and hands it to the placement.
+type endpointTracker struct {
+	platform       Platform
+	placementTable *placement.Table
+	pool           *upstream.Pool
+	clock          func() time.Duration
+	sampledLog     zerolog.Logger // For lines of single endpoints; thinned.
+	lifecycleLog   zerolog.Logger
+	pollPause      time.Duration // Between two reads.
+	isLoaded       atomic.Bool
+	freshness      *freshness
+
+	mu               sync.Mutex // Guards what follows.
+	table            *discovery.Table
+	listed           map[string]bool // Since the last reset.
+	unloggedAdds     int             // Since they were last told.
+	storeUnavailable bool
 }
 
-func newEndpoints(p Platform, store settings.Store, placed *placement.Table, pool *upstream.Pool, clock func() time.Duration, log, lifeLog zerolog.Logger) *endpoints {
-	within := store.LeavingWithin.D()
-	return &endpoints{
-		platform: p, placed: placed, pool: pool, clock: clock, log: log, lifeLog: lifeLog, pause: endpointsPause(within, store.Timeout.D()),
-		fresh: newFreshness(within, clock), table: discovery.New(), seen: map[string]bool{},
+func newEndpointTracker(p Platform, store settings.Store, placementTable *placement.Table, pool *upstream.Pool, clock func() time.Duration, sampledLog, lifecycleLog zerolog.Logger) *endpointTracker {
+	leavingTimeout := store.LeavingWithin.D()
+	return &endpointTracker{
+		platform: p, placementTable: placementTable, pool: pool, clock: clock, sampledLog: sampledLog, lifecycleLog: lifecycleLog, pollPause: endpointsPollPause(leavingTimeout, store.Timeout.D()),
+		freshness: newFreshness(leavingTimeout, clock), table: discovery.New(), listed: map[string]bool{},
 	}
 }
 
-func (e *endpoints) follower() *logstore.Follower {
+func (e *endpointTracker) follower() *logstore.Follower {
 	return &logstore.Follower{
-		Log: e.platform.Store, Topic: logstore.TopicEndpoints, Wait: endpointsWait, Pause: e.pause,
-		Begin: e.fresh.begin, Came: e.fresh.came, Current: e.fresh.confirm,
-		Reset: e.reset, Record: e.record, Loaded: e.complete, Outcome: e.outcome,
+		Log: e.platform.Store, Topic: logstore.TopicEndpoints, Wait: endpointsPollTimeout, Pause: e.pollPause,
+		Begin: e.freshness.onReadStart, Came: e.freshness.onReceive, Current: e.freshness.onCaughtUp,
+		Reset: e.onReset, Record: e.onRecord, Loaded: e.onListed, Outcome: e.onReadOutcome,
 	}
 }
 
-func (e *endpoints) reset() {
+func (e *endpointTracker) onReset() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.seen = map[string]bool{}
+	e.listed = map[string]bool{}
 }
 
-func (e *endpoints) record(r logstore.KeyedRecord) {
+func (e *endpointTracker) onRecord(r logstore.KeyedRecord) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if r.Value == nil {
-		e.ended(r.Key, e.table.Remove(r.Key, e.clock()))
+		e.applyRemoval(r.Key, e.table.Remove(r.Key, e.clock()))
 		return
 	}
 	decoded, err := e.platform.DecodeEndpoint(r.Key, r.Value)
 	if err != nil {
-		e.log.Warn().Err(err).Str("endpoint", r.Key).Msg("gateway: entry names no endpoint to use")
-		e.ended(r.Key, e.table.Remove(r.Key, e.clock()))
+		e.sampledLog.Warn().Err(err).Str("endpoint", r.Key).Msg("gateway: entry names no endpoint to use")
+		e.applyRemoval(r.Key, e.table.Remove(r.Key, e.clock()))
 		return
 	}
-	e.seen[r.Key] = true
-	e.put(decoded)
+	e.listed[r.Key] = true
+	e.update(decoded)
 }
 
-func (e *endpoints) put(decoded discovery.Endpoint) {
+func (e *endpointTracker) update(decoded discovery.Endpoint) {
 	change := e.table.Put(decoded)
 	if change == discovery.Unchanged {
 		return
 	}
-	e.placed.Put(decoded)
+	e.placementTable.Put(decoded)
 	switch change {
 	case discovery.Reborn:
 		e.pool.Forget(decoded.ID)
-		e.told(decoded.ID, "endpoint started again")
+		e.logEndpoint(decoded.ID, "endpoint started again")
 	case discovery.Added:
-		e.added++
+		e.unloggedAdds++
 	case discovery.LeavingNow:
-		e.told(decoded.ID, "endpoint leaves")
+		e.logEndpoint(decoded.ID, "endpoint leaves")
 	}
 }
 
-// ended follows the end of an entry.
-func (e *endpoints) ended(id string, change discovery.Change) {
+// applyRemoval follows the end of an entry.
+func (e *endpointTracker) applyRemoval(id string, change discovery.Change) {
 	switch change {
 	case discovery.Lapsed:
-		e.told(id, "entry lapsed around an outage; the endpoint stays in use")
+		e.logEndpoint(id, "entry lapsed around an outage; the endpoint stays in use")
 	case discovery.Gone:
-		e.drop(id)
+		e.removeEndpoint(id)
 	}
 }
 
-func (e *endpoints) drop(id string) {
-	e.placed.Remove(id)
+func (e *endpointTracker) removeEndpoint(id string) {
+	e.placementTable.Remove(id)
 	e.pool.Forget(id)
-	e.told(id, "endpoint gone")
+	e.logEndpoint(id, "endpoint gone")
 }
 
-func (e *endpoints) told(id, what string) {
-	e.log.Info().Str("endpoint", id).Msg("gateway: " + what)
+func (e *endpointTracker) logEndpoint(id, event string) {
+	e.sampledLog.Info().Str("endpoint", id).Msg("gateway: " + event)
 }
 
-// complete ends what a full listing does not name.
-func (e *endpoints) complete() {
+// onListed ends what a full listing does not name.
+func (e *endpointTracker) onListed() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	for _, id := range e.table.Retain(e.seen, e.clock()) {
+	for _, id := range e.table.Retain(e.listed, e.clock()) {
 		if !e.table.Has(id) {
-			e.drop(id)
+			e.removeEndpoint(id)
 		}
 	}
-	if !e.loaded.Swap(true) {
-		e.lifeLog.Info().Int("endpoints", len(e.seen)).Msg("gateway: endpoints listed")
+	if !e.isLoaded.Swap(true) {
+		e.lifecycleLog.Info().Int("endpoints", len(e.listed)).Msg("gateway: endpoints listed")
 	}
 }
 
-// tellAdded writes one line for all endpoints that have come since the last one:
+// logAdded writes one line for all endpoints that have come since the last one:
 // hundreds of lines at the start of a fleet would crowd out all others.
-func (e *endpoints) tellAdded() {
-	if e.added > 0 {
-		e.lifeLog.Info().Int("added", e.added).Int("endpoints", e.table.Len()).Msg("gateway: endpoints added")
-		e.added = 0
+func (e *endpointTracker) logAdded() {
+	if e.unloggedAdds > 0 {
+		e.lifecycleLog.Info().Int("added", e.unloggedAdds).Int("endpoints", e.table.Len()).Msg("gateway: endpoints added")
+		e.unloggedAdds = 0
 	}
 }
 
-func (e *endpoints) outcome(err error) {
+func (e *endpointTracker) onReadOutcome(err error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if err != nil {
 		e.table.StoreFailed()
-		e.fresh.fail()
+		e.freshness.onReadFailure()
 	} else {
 		e.table.StoreAnswered(e.clock())
 	}
 	switch {
-	case err != nil && !e.away:
-		e.lifeLog.Warn().Err(err).Msg("gateway: endpoint list lost; the last one stays in use")
-	case err == nil && e.away:
-		e.lifeLog.Info().Msg("gateway: endpoint list regained")
+	case err != nil && !e.storeUnavailable:
+		e.lifecycleLog.Warn().Err(err).Msg("gateway: endpoint list lost; the last one stays in use")
+	case err == nil && e.storeUnavailable:
+		e.lifecycleLog.Info().Msg("gateway: endpoint list regained")
 	}
-	e.away = err != nil
+	e.storeUnavailable = err != nil
 }
 
 // sweep ends lapsed endpoints that did not come back, and forgets old parts.
-func (e *endpoints) sweep() {
+func (e *endpointTracker) sweep() {
 	e.mu.Lock()
 	for _, id := range e.table.Expire(e.clock()) {
-		e.drop(id)
+		e.removeEndpoint(id)
 	}
-	e.tellAdded()
+	e.logAdded()
 	e.mu.Unlock()
-	e.placed.Sweep(e.clock())
+	e.placementTable.Sweep(e.clock())
 }
--- a/internal/gateway/freshness_test.go
+++ b/internal/gateway/freshness_test.go
@@ -6,81 +6,81 @@
 )
 
 func TestWhenAFollowedTopicIsTooOld(t *testing.T) {
-	const within = 3 * time.Second
+	const maxAge = 3 * time.Second
 	for name, c := range map[string]struct {
-		play    func(f *freshness, now *time.Duration)
-		crowded bool
-		want    bool
+		events        func(f *freshness, now *time.Duration)
+		linkCongested bool
+		want          bool
 	}{
-		"never read": {play: func(f *freshness, now *time.Duration) {
-			f.begin()
-			f.came()
-			*now += 2 * within
+		"never read": {events: func(f *freshness, now *time.Duration) {
+			f.onReadStart()
+			f.onReceive()
+			*now += 2 * maxAge
 		}},
-		"current": {crowded: true, play: func(f *freshness, now *time.Duration) {
-			f.begin()
-			f.came()
-			f.confirm()
-			*now += within / 2
+		"current": {linkCongested: true, events: func(f *freshness, now *time.Duration) {
+			f.onReadStart()
+			f.onReceive()
+			f.onCaughtUp()
+			*now += maxAge / 2
 		}},
-		"out of reach": {play: func(f *freshness, now *time.Duration) {
-			f.begin()
-			f.confirm()
-			f.begin()
-			*now += 2 * within
+		"out of reach": {events: func(f *freshness, now *time.Duration) {
+			f.onReadStart()
+			f.onCaughtUp()
+			f.onReadStart()
+			*now += 2 * maxAge
 		}},
-		"out of reach in the middle of an answer": {play: func(f *freshness, now *time.Duration) {
-			f.begin()
-			f.confirm()
-			f.begin()
-			f.came()
-			*now += 2 * within
-			f.fail()
+		"out of reach in the middle of an answer": {events: func(f *freshness, now *time.Duration) {
+			f.onReadStart()
+			f.onCaughtUp()
+			f.onReadStart()
+			f.onReceive()
+			*now += 2 * maxAge
+			f.onReadFailure()
 		}},
-		"an answer on its way": {want: true, play: func(f *freshness, now *time.Duration) {
-			f.begin()
-			f.confirm()
-			f.begin()
-			f.came()
-			*now += within
+		"an answer on its way": {want: true, events: func(f *freshness, now *time.Duration) {
+			f.onReadStart()
+			f.onCaughtUp()
+			f.onReadStart()
+			f.onReceive()
+			*now += maxAge
 		}},
-		"behind after a whole answer": {want: true, play: func(f *freshness, now *time.Duration) {
-			f.begin()
-			f.confirm()
-			f.begin()
-			f.came()
-			*now += within
-			f.begin()
+		"behind after a whole answer": {want: true, events: func(f *freshness, now *time.Duration) {
+			f.onReadStart()
+			f.onCaughtUp()
+			f.onReadStart()
+			f.onReceive()
+			*now += maxAge
+			f.onReadStart()
 		}},
-		"own link full": {crowded: true, want: true, play: func(f *freshness, now *time.Duration) {
-			f.begin()
-			f.confirm()
-			f.begin()
-			*now += within
-			f.fail()
+		"own link full": {linkCongested: true, want: true, events: func(f *freshness, now *time.Duration) {
+			f.onReadStart()
+			f.onCaughtUp()
+			f.onReadStart()
+			*now += maxAge
+			f.onReadFailure()
 		}},
-		"confirmed by an answer that came long": {want: true, play: func(f *freshness, now *time.Duration) {
-			f.begin()
-			f.came()
-			*now += within
-			f.came()
-			f.confirm()
-			f.begin()
-			f.came()
+		"confirmed by an answer that came long": {want: true, events: func(f *freshness, now *time.Duration) {
+			f.onReadStart()
+			f.onReceive()
+			*now += maxAge
+			f.onReceive()
+			f.onCaughtUp()
+			f.onReadStart()
+			f.onReceive()
 		}},
-		"confirmed by a read that waited long": {crowded: true, play: func(f *freshness, now *time.Duration) {
-			f.begin()
-			*now += within
-			f.came()
-			f.confirm()
-			f.begin()
+		"confirmed by a read that waited long": {linkCongested: true, events: func(f *freshness, now *time.Duration) {
+			f.onReadStart()
+			*now += maxAge
+			f.onReceive()
+			f.onCaughtUp()
+			f.onReadStart()
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			now := time.Minute
-			f := newFreshness(within, func() time.Duration { return now })
-			c.play(f, &now)
-			if got := f.outdated(c.crowded); got != c.want {
+			f := newFreshness(maxAge, func() time.Duration { return now })
+			c.events(f, &now)
+			if got := f.isOutdated(c.linkCongested); got != c.want {
 				t.Errorf("outdated %v at age %s, want %v", got, f.age(), c.want)
 			}
 		})
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -49,162 +49,162 @@
 }
 
 const (
-	// dialWithin is how long a request waits for a connection to an endpoint: round
+	// requestDialTimeout is how long a request waits for a connection to an endpoint: round
 	// trips take under 10 ms, and one that takes longer is refused faster elsewhere.
-	dialWithin = 300 * time.Millisecond
-	// dialLast bounds the connection itself: a full link may hold packets for half a
+	requestDialTimeout = 300 * time.Millisecond
+	// maxDialDuration bounds the connection itself: a full link may hold packets for half a
 	// second each way.
-	dialLast = 1200 * time.Millisecond
-	// idleFor is how long a connection to an endpoint is kept where it
+	maxDialDuration = 1200 * time.Millisecond
+	// endpointIdleTimeout is how long a connection to an endpoint is kept where it
 	// announces nothing.
-	idleFor = 2 * time.Second
-	// silentFor is how long an endpoint's host may leave our bytes
+	endpointIdleTimeout = 2 * time.Second
+	// endpointAckTimeout is how long an endpoint's host may leave our bytes
 	// unacknowledged.
-	silentFor = time.Second
-	// headerWithin bounds a caller's head; the desired state's limit is lower
+	endpointAckTimeout = time.Second
+	// headerReadTimeout bounds a caller's head; the desired state's limit is lower
 	// and callers keep to it.
-	headerWithin = 10 * time.Second
-	// headerBytes bounds a caller's head.
-	headerBytes = 64 << 10
-	// idleCallers closes callers' connections where the desired state says nothing.
-	idleCallers = 2 * time.Minute
-	// assumedInstances shares the retry budget until the others are known.
-	assumedInstances = 16
-	// sweepEvery is the pause between two rounds of housekeeping.
-	sweepEvery = 250 * time.Millisecond
-	// memoryShare is the share of the memory limit above which the collector
+	headerReadTimeout = 10 * time.Second
+	// maxHeaderBytes bounds a caller's head.
+	maxHeaderBytes = 64 << 10
+	// defaultCallerIdleTimeout closes callers' connections where the desired state says nothing.
+	defaultCallerIdleTimeout = 2 * time.Minute
+	// initialInstanceCount shares the retry budget until the others are known.
+	initialInstanceCount = 16
+	// housekeepingInterval is the pause between two rounds of housekeeping.
+	housekeepingInterval = 250 * time.Millisecond
+	// memoryLimitRatio is the share of the memory limit above which the collector
 	// runs more often; the rest is for buffers outside the heap.
-	memoryShare = 0.8
+	memoryLimitRatio = 0.8
 )
 
 // Gateway is one instance.
 type Gateway struct {
-	settings settings.Gateway
-	platform Platform
-	log      zerolog.Logger
-	busyLog  zerolog.Logger // For lines that come with load; thinned.
-	clock    func() time.Duration
-
-	config     atomic.Pointer[route.Config]
-	stateFresh *freshness
-	endpoints  *endpoints
-	keeper     *prepaid.Keeper
-	loads      *loads
-	calls      *peer.Pool   // To other instances.
-	answers    *peer.Server // Their calls.
-	retries    *retry.Keeper
-	held       *quarantine.Keeper // Requests that are not to be sent.
-	meter      linkload.Meter
-	shedder    *linkload.Shedder
-	pool       *upstream.Pool
-	conns      *callers.Connections // Those of callers.
-	gone       time.Time            // When the process is to be gone; set by end.
-	draining   atomic.Bool
-	ends       atomic.Pointer[time.Time] // Set in the last part of a drain.
-	cut        atomic.Bool               // Callers' connections are being closed under way.
-	underWay   atomic.Int64              // Callers' requests.
-	metrics    *metrics.Registry
-	tables     *state.Registry
-
-	callers, ready, operators, peers net.Listener
+	settings   settings.Gateway
+	platform   Platform
+	log        zerolog.Logger
+	sampledLog zerolog.Logger // For lines that come with load; thinned.
+	clock      func() time.Duration
+
+	config           atomic.Pointer[route.Config]
+	stateFreshness   *freshness
+	endpoints        *endpointTracker
+	budgets          *prepaid.Keeper
+	loadReporter     *loadReporter
+	peerPool         *peer.Pool   // To other instances.
+	peerServer       *peer.Server // Their calls.
+	retryLimiter     *retry.Keeper
+	quarantine       *quarantine.Keeper // Requests that are not to be sent.
+	linkMeter        linkload.Meter
+	linkShedder      *linkload.Shedder
+	upstreamPool     *upstream.Pool
+	callerConns      *callers.Connections // Those of callers.
+	exitDeadline     time.Time            // When the process is to be gone; set by end.
+	isDraining       atomic.Bool
+	requestCutoff    atomic.Pointer[time.Time] // Set in the last part of a drain.
+	abortingRequests atomic.Bool               // Callers' connections are being closed under way.
+	inFlight         atomic.Int64              // Callers' requests.
+	metrics          *metrics.Registry
+	tables           *state.Registry
+
+	callersListener, readyListener, operatorsListener, peersListener net.Listener
 }
 
 // New puts an instance together and binds its addresses.
 func New(s settings.Gateway, p Platform, log zerolog.Logger) (*Gateway, error) {
-	debug.SetMemoryLimit(int64(float64(s.Gateway.MemoryMB<<20) * memoryShare))
-	clock := bootClock()
+	debug.SetMemoryLimit(int64(float64(s.Gateway.MemoryMB<<20) * memoryLimitRatio))
+	clock := newBootClock()
 	g := &Gateway{
-		settings: s, platform: p, log: log, busyLog: log.Sample(p.Thin), clock: clock, metrics: metrics.New(), tables: state.New(),
-		shedder: linkload.NewShedder(s.Gateway.LinkMbps),
-		retries: retry.NewKeeper(retry.Budget{
+		settings: s, platform: p, log: log, sampledLog: log.Sample(p.Thin), clock: clock, metrics: metrics.New(), tables: state.New(),
+		linkShedder: linkload.NewShedder(s.Gateway.LinkMbps),
+		retryLimiter: retry.NewKeeper(retry.Budget{
 			Ratio: s.Retries.Ratio, Extra: float64(s.Retries.Extra), Window: s.Retries.Window.D(),
-		}, assumedInstances),
+		}, initialInstanceCount),
 	}
-	g.stateFresh = newFreshness(s.Store.StateWithin.D(), clock)
+	g.stateFreshness = newFreshness(s.Store.StateWithin.D(), clock)
 	if err := g.listen(); err != nil {
 		return nil, err
 	}
-	g.pool = upstream.NewPool(upstream.Options{
-		DialWithin: dialWithin, DialLast: dialLast, IdleFor: idleFor, Dial: g.meter.Dial(upstream.TCP(silentFor)),
+	g.upstreamPool = upstream.NewPool(upstream.Options{
+		DialWithin: requestDialTimeout, DialLast: maxDialDuration, IdleFor: endpointIdleTimeout, Dial: g.linkMeter.Dial(upstream.TCP(endpointAckTimeout)),
 	})
-	g.conns = callers.New(g.callers.(*net.TCPListener), idleCallers, &g.meter)
-	p.Store = countedStore{p.Store, g.metrics}
+	g.callerConns = callers.New(g.callersListener.(*net.TCPListener), defaultCallerIdleTimeout, &g.linkMeter)
+	p.Store = instrumentedStore{p.Store, g.metrics}
 	g.platform = p
-	g.endpoints = newEndpoints(p, s.Store, placement.New(uint64(time.Now().UnixNano())), g.pool, clock, g.busyLog, log)
-	peers := g.peers.Addr().String()
+	g.endpoints = newEndpointTracker(p, s.Store, placement.New(uint64(time.Now().UnixNano())), g.upstreamPool, clock, g.sampledLog, log)
+	peersAddr := g.peersListener.Addr().String()
 	self := prepaid.Identity{
-		Key: record.NewInstanceID(s.Gateway.Name), Node: s.Gateway.Name + "@" + peers,
-		Started: time.Now().UnixMilli(), Peer: peers, Zone: s.Gateway.Zone,
+		Key: record.NewInstanceID(s.Gateway.Name), Node: s.Gateway.Name + "@" + peersAddr,
+		Started: time.Now().UnixMilli(), Peer: peersAddr, Zone: s.Gateway.Zone,
 	}
-	book := prepaid.NewBook(self, prepaid.DefaultPolicy(), hostClocks(log))
-	zone := allocator.New(allocator.Self{Key: self.Key, Peer: peers, Zone: self.Zone, LinkMbps: s.Gateway.LinkMbps})
-	g.calls = peer.NewPool(self.Key, book, peer.Options{})
-	g.keeper = prepaid.NewKeeper(book, zone, prepaid.NewPeers(g.calls, g.busyLog), p.Store, clock, log)
-	g.held = quarantine.NewKeeper(quarantine.Options{
-		Self: self.Key, Log: p.Store, Probe: g.pool.Probe, Caller: g.calls, Neighbours: book.Neighbours, Logs: log, Busy: g.busyLog,
+	accounts := prepaid.NewBook(self, prepaid.DefaultPolicy(), hostClocks(log))
+	zone := allocator.New(allocator.Self{Key: self.Key, Peer: peersAddr, Zone: self.Zone, LinkMbps: s.Gateway.LinkMbps})
+	g.peerPool = peer.NewPool(self.Key, accounts, peer.Options{})
+	g.budgets = prepaid.NewKeeper(accounts, zone, prepaid.NewPeers(g.peerPool, g.sampledLog), p.Store, clock, log)
+	g.quarantine = quarantine.NewKeeper(quarantine.Options{
+		Self: self.Key, Log: p.Store, Probe: g.upstreamPool.Probe, Caller: g.peerPool, Neighbours: accounts.Neighbours, Logs: log, Busy: g.sampledLog,
 	})
-	g.answers = peer.NewServer(self.Key)
-	if err := g.answers.Register(quarantine.ServiceName, quarantine.NewExchange(g.held)); err != nil {
+	g.peerServer = peer.NewServer(self.Key)
+	if err := g.peerServer.Register(quarantine.ServiceName, quarantine.NewExchange(g.quarantine)); err != nil {
 		return nil, err
 	}
-	if err := g.answers.Register(prepaid.ServiceName, prepaid.NewTransfers(g.keeper)); err != nil {
+	if err := g.peerServer.Register(prepaid.ServiceName, prepaid.NewTransfers(g.budgets)); err != nil {
 		return nil, err
 	}
-	g.loads = newLoads(g.calls, book, g.endpoints.placed, clock)
-	if err := g.answers.Register(loadsService, g.loads); err != nil {
+	g.loadReporter = newLoadReporter(g.peerPool, accounts, g.endpoints.placementTable, clock)
+	if err := g.peerServer.Register(loadsServiceName, g.loadReporter); err != nil {
 		return nil, err
 	}
-	g.registerTables()
+	g.registerTablesAndMetrics()
 	return g, nil
 }
 
 // CallersAddr returns the bound callers' address.
-func (g *Gateway) CallersAddr() string { return g.callers.Addr().String() }
+func (g *Gateway) CallersAddr() string { return g.callersListener.Addr().String() }
 
 // ReadyAddr returns the bound address of the balancer's question.
-func (g *Gateway) ReadyAddr() string { return g.ready.Addr().String() }
+func (g *Gateway) ReadyAddr() string { return g.readyListener.Addr().String() }
 
 // OperatorsAddr returns the bound operators' address.
-func (g *Gateway) OperatorsAddr() string { return g.operators.Addr().String() }
+func (g *Gateway) OperatorsAddr() string { return g.operatorsListener.Addr().String() }
 
 func (g *Gateway) listen() error {
-	in := g.settings.Gateway
+	addresses := g.settings.Gateway
 	for _, l := range []struct {
-		addr string
-		into *net.Listener
-	}{{in.Callers, &g.callers}, {in.Ready, &g.ready}, {in.Operators, &g.operators}, {in.Peers, &g.peers}} {
-		config := net.ListenConfig{KeepAliveConfig: callerProbes}
+		addr     string
+		listener *net.Listener
+	}{{addresses.Callers, &g.callersListener}, {addresses.Ready, &g.readyListener}, {addresses.Operators, &g.operatorsListener}, {addresses.Peers, &g.peersListener}} {
+		config := net.ListenConfig{KeepAliveConfig: keepAliveConfig}
 		listener, err := config.Listen(context.Background(), "tcp", l.addr)
 		if err != nil {
 			return eris.Wrap(err, "gateway: listen; give another address if this one is taken")
 		}
-		*l.into = listener
+		*l.listener = listener
 	}
 	return nil
 }
 
-// callerProbes end callers' connections that fell silent, but outlast a cut of
+// keepAliveConfig end callers' connections that fell silent, but outlast a cut of
 // some seconds: a ready answer is still delivered after it.
-var callerProbes = net.KeepAliveConfig{Enable: true, Idle: 10 * time.Second, Interval: 5 * time.Second, Count: 3}
+var keepAliveConfig = net.KeepAliveConfig{Enable: true, Idle: 10 * time.Second, Interval: 5 * time.Second, Count: 3}
 
-func (g *Gateway) callersServer() *http.Server {
+func (g *Gateway) newCallersServer() *http.Server {
 	handler := &forward.Forwarder{
-		Zone: g.settings.Gateway.Zone, Codec: g.platform.Codec, State: g.config.Load, Budgets: budgets{g.keeper},
-		Endpoints: g.endpoints.placed, Retries: g.retries, Quarantine: g.held, Pool: g.pool, Clock: g.clock,
-		SendsAway: g.sendsAway, Outdated: g.outdated, Ends: g.endsAt, Cut: g.cut.Load, Log: g.busyLog, Observe: g.observer(), Placed: g.loads.placed,
+		Zone: g.settings.Gateway.Zone, Codec: g.platform.Codec, State: g.config.Load, Budgets: budgetAdapter{g.budgets},
+		Endpoints: g.endpoints.placementTable, Retries: g.retryLimiter, Quarantine: g.quarantine, Pool: g.upstreamPool, Clock: g.clock,
+		SendsAway: g.closesCallerConns, Outdated: g.isOutdated, Ends: g.requestCutoffTime, Cut: g.abortingRequests.Load, Log: g.sampledLog, Observe: g.requestObserver(), Placed: g.loadReporter.reportPlacement,
 	}
-	server := &http.Server{Handler: g.counting(handler), MaxHeaderBytes: headerBytes, ConnState: g.conns.ConnState}
+	server := &http.Server{Handler: g.countInFlight(handler), MaxHeaderBytes: maxHeaderBytes, ConnState: g.callerConns.ConnState}
 	server.DisableGeneralOptionsHandler = true
 	return server
 }
 
-func (g *Gateway) prober() *probes {
-	return &probes{table: g.endpoints.placed, pool: g.pool, log: g.busyLog}
+func (g *Gateway) newProber() *prober {
+	return &prober{endpoints: g.endpoints.placementTable, pool: g.upstreamPool, log: g.sampledLog}
 }
 
-// endsAt is when the instance ends, in the last part of a drain; else zero.
-func (g *Gateway) endsAt() time.Time {
-	if at := g.ends.Load(); at != nil {
+// requestCutoffTime is when the instance ends, in the last part of a drain; else zero.
+func (g *Gateway) requestCutoffTime() time.Time {
+	if at := g.requestCutoff.Load(); at != nil {
 		return *at
 	}
 	return time.Time{}
@@ -213,26 +213,26 @@
 // isReady says whether the instance takes callers. Once it was ready it stays
 // so while the store is away: it goes on from what it knows.
 func (g *Gateway) isReady() bool {
-	return !g.draining.Load() && !g.shedder.Sheds() && !g.outdated() && g.config.Load() != nil && g.endpoints.loaded.Load() && g.keeper.Loaded() && g.held.Loaded()
+	return !g.isDraining.Load() && !g.linkShedder.Sheds() && !g.isOutdated() && g.config.Load() != nil && g.endpoints.isLoaded.Load() && g.budgets.Loaded() && g.quarantine.Loaded()
 }
 
-// sendsAway says whether answers ask callers to leave their connections.
-func (g *Gateway) sendsAway() bool {
-	return g.draining.Load() || g.outdated() || g.shedder.SendsAway(g.clock())
+// closesCallerConns says whether answers ask callers to leave their connections.
+func (g *Gateway) closesCallerConns() bool {
+	return g.isDraining.Load() || g.isOutdated() || g.linkShedder.SendsAway(g.clock())
 }
 
-// outdated says whether this instance knows less than others that its callers can reach.
-func (g *Gateway) outdated() bool {
-	crowded := g.shedder.Crowded()
-	return g.stateFresh.outdated(crowded) || g.endpoints.fresh.outdated(crowded)
+// isOutdated says whether this instance knows less than others that its callers can reach.
+func (g *Gateway) isOutdated() bool {
+	linkCongested := g.linkShedder.Crowded()
+	return g.stateFreshness.isOutdated(linkCongested) || g.endpoints.freshness.isOutdated(linkCongested)
 }
 
-// budgets gives the keeper's reservations their interface.
-type budgets struct{ keeper *prepaid.Keeper }
+// budgetAdapter gives the keeper's reservations their interface.
+type budgetAdapter struct{ controller *prepaid.Keeper }
 
 // Reserve implements forward.Budgets.
-func (b budgets) Reserve(ctx context.Context, team record.Team, tokens int64) (forward.Reservation, error) {
-	r, err := b.keeper.Reserve(ctx, team, tokens)
+func (b budgetAdapter) Reserve(ctx context.Context, team record.Team, tokens int64) (forward.Reservation, error) {
+	r, err := b.controller.Reserve(ctx, team, tokens)
 	if err != nil {
 		return nil, err
 	}
@@ -240,6 +240,6 @@
 }
 
 // Explain implements forward.Budgets.
-func (b budgets) Explain(team record.Team) prepaid.Balance {
-	return b.keeper.Book.Balance(team, b.keeper.Clock())
+func (b budgetAdapter) Explain(team record.Team) prepaid.Balance {
+	return b.controller.Book.Balance(team, b.controller.Clock())
 }
--- a/internal/gateway/loads_test.go
+++ b/internal/gateway/loads_test.go
@@ -13,64 +13,64 @@
 	"guavapier/internal/record"
 )
 
-// fleetmate is the loads of one instance with the endpoints that it knows.
-type fleetmate struct {
-	*loads
-	table *placement.Table
+// testInstance is the loads of one instance with the endpoints that it knows.
+type testInstance struct {
+	*loadReporter
+	endpoints *placement.Table
 }
 
-// newFleetmate starts an instance's service of loads; its book knows the others.
-func newFleetmate(t *testing.T, key record.InstanceID) (*fleetmate, *prepaid.Statement, *prepaid.Book) {
+// newTestInstance starts an instance's service of loads; its book knows the others.
+func newTestInstance(t *testing.T, key record.InstanceID) (*testInstance, *prepaid.Statement, *prepaid.Book) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	clock := bootClock()
+	clock := newBootClock()
 	address := listener.Addr().String()
 	self := prepaid.Identity{Key: key, Node: string(key), Started: 1, Peer: address}
-	book := prepaid.NewBook(self, prepaid.DefaultPolicy(), prepaid.Clocks{Boot: bootTime, Wall: func() int64 { return 1 }})
-	pool := peer.NewPool(key, book, peer.Options{})
-	table := placement.New(1)
+	accounts := prepaid.NewBook(self, prepaid.DefaultPolicy(), prepaid.Clocks{Boot: bootTime, Wall: func() int64 { return 1 }})
+	pool := peer.NewPool(key, accounts, peer.Options{})
+	endpoints := placement.New(1)
 	for _, id := range []string{"e1", "e2"} {
-		table.Put(discovery.Endpoint{ID: id, Service: "s", Address: id + ":1"})
+		endpoints.Put(discovery.Endpoint{ID: id, Service: "s", Address: id + ":1"})
 	}
-	mate := &fleetmate{loads: newLoads(pool, book, table, clock), table: table}
+	instance := &testInstance{loadReporter: newLoadReporter(pool, accounts, endpoints, clock), endpoints: endpoints}
 	server := peer.NewServer(key)
-	if err := server.Register(loadsService, mate.loads); err != nil {
+	if err := server.Register(loadsServiceName, instance.loadReporter); err != nil {
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	ended := make(chan struct{})
-	go func() { _ = server.Serve(listener); close(ended) }()
-	go mate.run(ctx)
-	t.Cleanup(func() { stop(); _ = listener.Close(); server.Close(); pool.Close(); <-ended })
-	return mate, &prepaid.Statement{Node: string(key), Started: 1, Peer: address}, book
+	done := make(chan struct{})
+	go func() { _ = server.Serve(listener); close(done) }()
+	go instance.run(ctx)
+	t.Cleanup(func() { stop(); _ = listener.Close(); server.Close(); pool.Close(); <-done })
+	return instance, &prepaid.Statement{Node: string(key), Started: 1, Peer: address}, accounts
 }
 
 // Where one instance sent a session's prompt, another one finds its shared parts,
 // although they are few enough to be read before the word is round.
 func TestInstancesTellWhereTheySentSharedParts(t *testing.T) {
-	one, _, book := newFleetmate(t, "one")
-	other, statement, _ := newFleetmate(t, "other")
-	book.Apply("other", statement, time.Second)
-	book.Fresh(time.Second)
-	q := placement.Query{Service: "s", Parts: []placement.Part{{ID: "shared", Tokens: 400}, {ID: "own", Tokens: 100}}}
-	k := one.table.Place(q, one.clock())
-	if k.Work >= worthTelling {
-		t.Fatalf("reading takes %s: told for that alone", k.Work)
+	sender, _, accounts := newTestInstance(t, "one")
+	receiver, claimRecord, _ := newTestInstance(t, "other")
+	accounts.Apply("other", claimRecord, time.Second)
+	accounts.Fresh(time.Second)
+	query := placement.Query{Service: "s", Parts: []placement.Part{{ID: "shared", Tokens: 400}, {ID: "own", Tokens: 100}}}
+	ticket := sender.endpoints.Place(query, sender.clock())
+	if ticket.Work >= minReportedWork {
+		t.Fatalf("reading takes %s: told for that alone", ticket.Work)
 	}
-	one.placed(k)
-	knows := func() bool {
-		for _, row := range other.table.View() {
-			if row.ID == k.Endpoint.ID {
+	sender.reportPlacement(ticket)
+	isObserved := func() bool {
+		for _, row := range receiver.endpoints.View() {
+			if row.ID == ticket.Endpoint.ID {
 				return row.Parts > 0
 			}
 		}
 		return false
 	}
-	for limit := time.Now().Add(20 * time.Second); !knows(); time.Sleep(5 * time.Millisecond) {
-		if time.Now().After(limit) {
+	for deadline := time.Now().Add(20 * time.Second); !isObserved(); time.Sleep(5 * time.Millisecond) {
+		if time.Now().After(deadline) {
 			t.Fatal("never heard")
 		}
 	}
--- a/internal/gateway/observe.go
+++ b/internal/gateway/observe.go
@@ -14,20 +14,20 @@
 	"guavapier/internal/prepaid"
 )
 
-func (g *Gateway) registerTables() {
-	g.tables.Register("budgets", func() any { return g.keeper.Book.View(g.clock()) })
-	g.tables.Register("endpoints", func() any { return g.endpoints.placed.View() })
+func (g *Gateway) registerTablesAndMetrics() {
+	g.tables.Register("budgets", func() any { return g.budgets.Book.View(g.clock()) })
+	g.tables.Register("endpoints", func() any { return g.endpoints.placementTable.View() })
 	g.tables.Register("zone", func() any { return g.zoneView() })
-	g.tables.Register("quarantine", func() any { return g.held.Table.View(time.Now()) })
+	g.tables.Register("quarantine", func() any { return g.quarantine.Table.View(time.Now()) })
 	g.tables.Register("state", func() any {
-		return map[string]int64{"version": g.version(), "age_ms": g.stateFresh.age().Milliseconds()}
+		return map[string]int64{"version": g.stateVersion(), "age_ms": g.stateFreshness.age().Milliseconds()}
 	})
-	g.metrics.Gauge(metrics.GatewayInstances, func() int64 { return int64(g.keeper.Book.Instances()) })
-	g.metrics.Gauge(metrics.GatewayState, g.version)
-	g.metrics.Gauge(metrics.GatewayStateAge, func() int64 { return g.stateFresh.age().Milliseconds() })
-	g.metrics.Gauge(metrics.GatewayListAge, func() int64 { return g.endpoints.fresh.age().Milliseconds() })
-	g.metrics.Gauge(metrics.GatewayHeldBack, func() int64 { return g.held.Table.Held(time.Now()) })
-	g.budgetGauges()
+	g.metrics.Gauge(metrics.GatewayInstances, func() int64 { return int64(g.budgets.Book.Instances()) })
+	g.metrics.Gauge(metrics.GatewayState, g.stateVersion)
+	g.metrics.Gauge(metrics.GatewayStateAge, func() int64 { return g.stateFreshness.age().Milliseconds() })
+	g.metrics.Gauge(metrics.GatewayListAge, func() int64 { return g.endpoints.freshness.age().Milliseconds() })
+	g.metrics.Gauge(metrics.GatewayHeldBack, func() int64 { return g.quarantine.Table.Held(time.Now()) })
+	g.registerBudgetGauges()
 	if g.platform.LinesDropped != nil {
 		g.metrics.Gauge(metrics.GatewayDropped, g.platform.LinesDropped)
 	}
@@ -42,48 +42,48 @@
 }
 
 func (g *Gateway) zoneView() zoneView {
-	zone := g.keeper.Zone
+	zone := g.budgets.Zone
 	return zoneView{
-		Role: g.keeper.Book.Role().String(), Instances: g.keeper.Book.Instances(),
+		Role: g.budgets.Book.Role().String(), Instances: g.budgets.Book.Instances(),
 		Allocators: zone.Announced(), Reached: zone.Usable(),
 	}
 }
 
-// budgetGauges publish sums over all budgets.
-func (g *Gateway) budgetGauges() {
-	for name, of := range map[string]func(prepaid.Balance) int64{
+// registerBudgetGauges publish sums over all budgets.
+func (g *Gateway) registerBudgetGauges() {
+	for name, value := range map[string]func(prepaid.Balance) int64{
 		metrics.GatewayHeld: func(b prepaid.Balance) int64 { return b.Claimed + b.Taken - b.Given - b.Settled - b.Reserved },
 		metrics.GatewayUsed: func(b prepaid.Balance) int64 { return b.Settled + b.Reserved },
 		metrics.GatewayLost: func(b prepaid.Balance) int64 { return b.Lost },
 	} {
 		g.metrics.Gauge(name, func() int64 {
 			sum := int64(0)
-			for _, b := range g.keeper.Book.View(g.clock()) {
-				sum += of(b)
+			for _, b := range g.budgets.Book.View(g.clock()) {
+				sum += value(b)
 			}
 			return sum
 		})
 	}
-	g.metrics.Gauge(metrics.GatewayReadAge, func() int64 { return g.keeper.Book.Balance("", g.clock()).ReadAgeMS })
-	g.metrics.Gauge(metrics.GatewayTouchAge, func() int64 { return g.keeper.Book.Balance("", g.clock()).TouchAgeMS })
-	g.metrics.Gauge(metrics.GatewayReclaimed, g.keeper.Reclaimed)
-	g.metrics.Gauge(metrics.GatewayRepeats, func() int64 { allowed, _ := g.retries.Counts(); return allowed })
-	g.metrics.Gauge(metrics.GatewayLinkLoad, func() int64 { return int64(100 * g.shedder.Load()) })
-	g.metrics.Gauge(metrics.GatewayRepeatsDenied, func() int64 { _, denied := g.retries.Counts(); return denied })
+	g.metrics.Gauge(metrics.GatewayReadAge, func() int64 { return g.budgets.Book.Balance("", g.clock()).ReadAgeMS })
+	g.metrics.Gauge(metrics.GatewayTouchAge, func() int64 { return g.budgets.Book.Balance("", g.clock()).TouchAgeMS })
+	g.metrics.Gauge(metrics.GatewayReclaimed, g.budgets.Reclaimed)
+	g.metrics.Gauge(metrics.GatewayRepeats, func() int64 { allowed, _ := g.retryLimiter.Counts(); return allowed })
+	g.metrics.Gauge(metrics.GatewayLinkLoad, func() int64 { return int64(100 * g.linkShedder.Load()) })
+	g.metrics.Gauge(metrics.GatewayRepeatsDenied, func() int64 { _, denied := g.retryLimiter.Counts(); return denied })
 }
 
-// observer counts requests' ends.
-func (g *Gateway) observer() func(forward.Event) {
+// requestObserver counts requests' ends.
+func (g *Gateway) requestObserver() func(forward.Event) {
 	requests := g.metrics.Counter(metrics.GatewayRequests)
 	attempts := g.metrics.Counter(metrics.GatewayAttempts)
 	latency := g.metrics.Histogram(metrics.GatewayLatency)
-	first := g.metrics.Histogram(metrics.GatewayFirst)
+	firstByte := g.metrics.Histogram(metrics.GatewayFirst)
 	return func(e forward.Event) {
 		requests.Inc(1)
 		attempts.Inc(int64(e.Attempts))
 		latency.Update(e.Took.Microseconds())
 		if e.First > 0 {
-			first.Update(e.First.Microseconds())
+			firstByte.Update(e.First.Microseconds())
 		}
 		if e.Reason != "" {
 			g.metrics.Counter(metrics.GatewayEnds + strings.ReplaceAll(string(e.Reason), " ", "_")).Inc(1)
@@ -113,11 +113,11 @@
 	return r
 }
 
-// counting counts callers' requests while they are under way.
-func (g *Gateway) counting(next http.Handler) http.Handler {
+// countInFlight counts callers' requests while they are under way.
+func (g *Gateway) countInFlight(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		g.underWay.Add(1)
-		defer g.underWay.Add(-1)
+		g.inFlight.Add(1)
+		defer g.inFlight.Add(-1)
 		next.ServeHTTP(w, r)
 	})
 }
--- a/internal/gateway/probes_test.go
+++ b/internal/gateway/probes_test.go
@@ -22,13 +22,13 @@
 	}
 	address := listener.Addr().String()
 	_ = listener.Close()
-	table := placement.New(1)
-	table.Put(discovery.Endpoint{ID: "e", Service: "s", Address: address})
-	table.Place(placement.Query{Service: "s"}, 0).Done(placement.Unreachable, 0)
+	endpoints := placement.New(1)
+	endpoints.Put(discovery.Endpoint{ID: "e", Service: "s", Address: address})
+	endpoints.Place(placement.Query{Service: "s"}, 0).Done(placement.Unreachable, 0)
 	pool := upstream.NewPool(upstream.Options{DialWithin: time.Second, IdleFor: time.Second, Dial: upstream.TCP(time.Second)})
-	p := &probes{table: table, pool: pool, log: zerolog.Nop()}
-	p.probe(t.Context(), table.Unreachable()[0])
-	if len(table.Unreachable()) != 1 {
+	p := &prober{endpoints: endpoints, pool: pool, log: zerolog.Nop()}
+	p.probe(t.Context(), endpoints.Unreachable()[0])
+	if len(endpoints.Unreachable()) != 1 {
 		t.Fatal("taken for reachable although nothing listens")
 	}
 	if listener, err = net.Listen("tcp", address); err != nil {
@@ -36,13 +36,13 @@
 	}
 	defer listener.Close()
 	ctx, stop := context.WithCancel(t.Context())
-	ended := make(chan struct{})
-	go func() { p.run(ctx); close(ended) }()
-	for limit := time.Now().Add(20 * time.Second); len(table.Unreachable()) > 0; time.Sleep(5 * time.Millisecond) {
-		if time.Now().After(limit) {
+	done := make(chan struct{})
+	go func() { p.run(ctx); close(done) }()
+	for deadline := time.Now().Add(20 * time.Second); len(endpoints.Unreachable()) > 0; time.Sleep(5 * time.Millisecond) {
+		if time.Now().After(deadline) {
 			t.Fatal("not found again")
 		}
 	}
 	stop()
-	<-ended
+	<-done
 }
--- a/internal/gateway/reload.go
+++ b/internal/gateway/reload.go
@@ -9,7 +9,7 @@
 // budget. Addresses and the like hold until the next start, and a change of
 // them is logged.
 func (g *Gateway) Reload(s settings.Gateway) {
-	g.retries.SetBudget(retry.Budget{Ratio: s.Retries.Ratio, Extra: float64(s.Retries.Extra), Window: s.Retries.Window.D()})
-	fixed := s.Gateway != g.settings.Gateway || s.Store != g.settings.Store || s.Log != g.settings.Log || s.Drain != g.settings.Drain
-	g.log.Info().Bool("needs_restart", fixed).Msg("gateway: settings reloaded")
+	g.retryLimiter.SetBudget(retry.Budget{Ratio: s.Retries.Ratio, Extra: float64(s.Retries.Extra), Window: s.Retries.Window.D()})
+	needsRestart := s.Gateway != g.settings.Gateway || s.Store != g.settings.Store || s.Log != g.settings.Log || s.Drain != g.settings.Drain
+	g.log.Info().Bool("needs_restart", needsRestart).Msg("gateway: settings reloaded")
 }
