--- a/internal/gateway/counted.go
+++ b/internal/gateway/counted.go
@@ -9,7 +9,8 @@
 	"guavapier/internal/metrics"
 )
 
-// instrumentedStore counts the calls to the store by outcome.
+// instrumentedStore wraps a store and counts each call under a metric that names its
+// outcome.
 type instrumentedStore struct {
 	logstore.Keyed
 	metrics *metrics.Registry
@@ -36,10 +37,12 @@
 	return err
 }
 
+// countOutcome increments the counter of the outcome that err stands for.
 func (c instrumentedStore) countOutcome(err error) {
 	c.metrics.Counter(metrics.GatewayStore + storeOutcome(err)).Inc(1)
 }
 
+// storeOutcome returns the suffix of the metric that counts calls with this result.
 func storeOutcome(err error) string {
 	switch {
 	case err == nil:
--- a/internal/gateway/end.go
+++ b/internal/gateway/end.go
@@ -10,27 +10,29 @@
 	"guavapier/internal/logstore"
 )
 
-// The end of an instance, counted back from the moment at which its process is
-// killed:
+// Shutdown deadlines, as time remaining until the process is killed:
 //
-//	forExit + forBudgets  requests still under way are cut off, and settle
-//	forExit               tokens were given back; work and servers end
-//	forProcess            the log's last lines were written; the process ends
+//	exitReserve + budgetReserve  requests still in flight are aborted, and settle
+//	exitReserve                  unused tokens are returned; background work and servers stop
+//	finalLogReserve              the last log lines are written; the process exits
 const (
-	// exitReserve and budgetReserve are kept of the drain's time for ending the process
-	// and, before that, for giving back tokens.
+	// exitReserve is kept at the end of the drain timeout for stopping the process, and
+	// budgetReserve before that for returning tokens.
 	exitReserve, budgetReserve = 200 * time.Millisecond, 300 * time.Millisecond
-	// settleTimeout is the part of forBudgets for requests that were cut off to end;
-	// settlePollInterval is how often it is looked whether they have.
+	// settleTimeout is the part of budgetReserve in which aborted requests finish;
+	// settlePollInterval is the interval at which their number is checked.
 	settleTimeout, settlePollInterval = 120 * time.Millisecond, 2 * time.Millisecond
-	// stopTimeout is the part of forExit for what is left of the background work
-	// and for closing the other servers.
+	// stopTimeout is the part of exitReserve for stopping the remaining background work
+	// and closing the servers for operators and other instances.
 	stopTimeout = 100 * time.Millisecond
-	// finalLogReserve is the last part of forExit, for the process itself to end.
+	// finalLogReserve is the last part of exitReserve, left to the caller of Run for
+	// flushing the log and exiting.
 	finalLogReserve = 30 * time.Millisecond
 )
 
-// shutdown drains and stops what Run has started, each step within a time of its own.
+// shutdown drains the instance and stops everything that Run has started. Each step has
+// its own deadline, so that one that hangs does not delay the others. It returns the first
+// error of a server, or nil if the servers have not stopped in time.
 func (g *Gateway) shutdown(servers []*http.Server, stopBackground func(), budgetWork, backgroundWork, serving *errgroup.Group) error {
 	g.exitDeadline = time.Now().Add(g.settings.Drain.Within.D())
 	tokensDeadline := g.exitDeadline.Add(-exitReserve)
@@ -42,7 +44,7 @@
 	g.awaitSettlement(tokensDeadline.Add(settleTimeout - budgetReserve))
 	steps.logDone("settling")
 	stopBackground()
-	// Tokens go first: nothing else of the end is of use to callers.
+	// Tokens are returned first: no later step is of use to callers.
 	if steps.run("budgets", tokensDeadline, func() { _ = budgetWork.Wait() }) {
 		steps.run("tokens", tokensDeadline, func() { g.returnTokens(tokensDeadline) })
 	}
@@ -51,16 +53,18 @@
 	steps.run("connections", stopDeadline, func() { g.closeServers(servers[1:]) })
 	var err error
 	if !steps.run("servers", stopDeadline, func() { err = serving.Wait() }) {
-		return nil // The log has the step; err may still be written to.
+		return nil // The step is logged; err may still be written to.
 	}
 	g.log.Info().Msg("gateway: stopped")
 	return err
 }
 
-// TimeLeft is how long the process may go on after Run: for the last lines of its log.
+// TimeLeft returns how long the process may take to flush its log after Run has returned,
+// before it is killed.
 func (g *Gateway) TimeLeft() time.Duration { return time.Until(g.exitDeadline) - finalLogReserve }
 
-// closeServers ends the connections of operators and other instances.
+// closeServers closes the given servers, the listener for other instances and the
+// connections from and to them.
 func (g *Gateway) closeServers(servers []*http.Server) {
 	for _, server := range servers {
 		_ = server.Close()
@@ -70,15 +74,15 @@
 	g.peerPool.Close()
 }
 
-// drain leaves the balancer's rotation, goes on serving until it has noticed,
-// and finishes what is under way, until limit.
+// drain reports the instance as not ready, keeps serving until the load balancer has
+// noticed, and then waits until deadline for requests in flight. Those left are aborted.
 func (g *Gateway) drain(server *http.Server, deadline time.Time) {
 	g.isDraining.Store(true)
 	g.log.Info().Int64("under_way", g.inFlight.Load()).Msg("gateway: draining")
 	lastCallers := g.settings.Drain.LastCallers.D()
 	logstore.Pause(context.Background(), g.settings.Drain.Unready.D()-lastCallers, nil)
 	g.requestCutoff.Store(&deadline)
-	g.log.Info().Time("ends", deadline).Msg("gateway: refusing what may outlast the drain")
+	g.log.Info().Time("ends", deadline).Msg("gateway: refusing requests that may outlast the drain")
 	logstore.Pause(context.Background(), lastCallers, nil)
 	drainCtx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
@@ -89,19 +93,20 @@
 	}
 }
 
-// awaitSettlement waits, until limit, until the requests that were cut off have ended: what
-// still runs when the last statement is written counts as used for good.
+// awaitSettlement waits until deadline for aborted requests to end and settle their
+// reservations: the tokens of those that have not ended when the last claim record is
+// written count as used permanently.
 func (g *Gateway) awaitSettlement(deadline time.Time) {
 	for g.inFlight.Load() > 0 && time.Now().Before(deadline) {
 		logstore.Pause(context.Background(), settlePollInterval, nil)
 	}
 	if unfinished := g.inFlight.Load(); unfinished > 0 {
-		g.log.Warn().Int64("under_way", unfinished).Msg("gateway: requests not ended, their tokens count as used")
+		g.log.Warn().Int64("under_way", unfinished).Msg("gateway: requests not ended; their reserved tokens count as used")
 	}
 }
 
-// returnTokens gives back the tokens that are not used. Behind a cut that may take
-// all the time that is left.
+// returnTokens returns the unused tokens to the log or to another instance. If the network
+// is partitioned this may take until deadline.
 func (g *Gateway) returnTokens(deadline time.Time) {
 	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -15,39 +15,44 @@
 )
 
 const (
-	// endpointsPollTimeout is the longest wait of one read. Heartbeats end it long before.
+	// endpointsPollTimeout bounds how long one read waits for a change. Heartbeats of the
+	// endpoints end it long before.
 	endpointsPollTimeout = 800 * time.Millisecond
-	// minEndpointsPollPause keeps the calls few where the time is short.
+	// minEndpointsPollPause limits the call rate if store.leaving_within is short.
 	minEndpointsPollPause = 400 * time.Millisecond
 )
 
-// endpointsPollPause spaces the reads of the endpoint list: every heartbeat of every
-// endpoint ends a read. A connection that fell silent costs endpointsWait and a call's
-// timeout, the next one another, and a leaving endpoint is still noticed in time.
+// endpointsPollPause returns the pause between two reads of the endpoint list, each of which
+// ends at the next heartbeat of any endpoint. It is short enough for a leaving endpoint to be
+// noticed within leavingTimeout even after two reads in a row whose connections went silent:
+// the first costs endpointsPollTimeout and callTimeout, the second another callTimeout.
 func endpointsPollPause(leavingTimeout, callTimeout time.Duration) time.Duration {
 	remaining := leavingTimeout - endpointsPollTimeout - 2*callTimeout - readDeadlineMargin
 	return max(minEndpointsPollPause, min(remaining, leavingTimeout/5))
 }
 
-// endpointTracker keeps the endpoint table current and hands it to the placement.
+// endpointTracker follows the store's endpoint list and applies each change to the
+// placement table and the connection pool.
 type endpointTracker struct {
 	platform       Platform
 	placementTable *placement.Table
 	pool           *upstream.Pool
 	clock          func() time.Duration
-	sampledLog     zerolog.Logger // For lines of single endpoints; thinned.
+	sampledLog     zerolog.Logger // For lines about single endpoints; rate limited.
 	lifecycleLog   zerolog.Logger
-	pollPause      time.Duration // Between two reads.
+	pollPause      time.Duration // Between two reads of the list.
 	isLoaded       atomic.Bool
 	freshness      *freshness
 
-	mu               sync.Mutex // Guards what follows.
+	mu               sync.Mutex // Guards the fields below.
 	table            *discovery.Table
-	listed           map[string]bool // Since the last reset.
-	unloggedAdds     int             // Since they were last told.
+	listed           map[string]bool // Endpoint IDs read since the last onReset.
+	unloggedAdds     int             // Endpoints added since logAdded last wrote a line.
 	storeUnavailable bool
 }
 
+// newEndpointTracker returns a tracker with an empty list; follower returns what keeps it
+// current.
 func newEndpointTracker(p Platform, store settings.Store, placementTable *placement.Table, pool *upstream.Pool, clock func() time.Duration, sampledLog, lifecycleLog zerolog.Logger) *endpointTracker {
 	leavingTimeout := store.LeavingWithin.D()
 	return &endpointTracker{
@@ -56,6 +61,7 @@
 	}
 }
 
+// follower returns a Follower that reads the endpoint list into the tracker.
 func (e *endpointTracker) follower() *logstore.Follower {
 	return &logstore.Follower{
 		Log: e.platform.Store, Topic: logstore.TopicEndpoints, Wait: endpointsPollTimeout, Pause: e.pollPause,
@@ -64,12 +70,15 @@
 	}
 }
 
+// onReset is called before the whole list is read again.
 func (e *endpointTracker) onReset() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.listed = map[string]bool{}
 }
 
+// onRecord applies one entry of the list. An entry without a value, or one that can't be
+// decoded, removes the endpoint.
 func (e *endpointTracker) onRecord(r logstore.KeyedRecord) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -79,7 +88,7 @@
 	}
 	decoded, err := e.platform.DecodeEndpoint(r.Key, r.Value)
 	if err != nil {
-		e.sampledLog.Warn().Err(err).Str("endpoint", r.Key).Msg("gateway: entry names no endpoint to use")
+		e.sampledLog.Warn().Err(err).Str("endpoint", r.Key).Msg("gateway: endpoint entry not decodable; treated as removed")
 		e.applyRemoval(r.Key, e.table.Remove(r.Key, e.clock()))
 		return
 	}
@@ -87,6 +96,8 @@
 	e.update(decoded)
 }
 
+// update adds or changes an endpoint. The pooled connections to one that has restarted are
+// closed.
 func (e *endpointTracker) update(decoded discovery.Endpoint) {
 	change := e.table.Put(decoded)
 	if change == discovery.Unchanged {
@@ -96,7 +107,7 @@
 	switch change {
 	case discovery.Reborn:
 		e.pool.Forget(decoded.ID)
-		e.logEndpoint(decoded.ID, "endpoint started again")
+		e.logEndpoint(decoded.ID, "endpoint restarted")
 	case discovery.Added:
 		e.unloggedAdds++
 	case discovery.LeavingNow:
@@ -104,27 +115,30 @@
 	}
 }
 
-// applyRemoval follows the end of an entry.
+// applyRemoval acts on the outcome of removing an entry from the table.
 func (e *endpointTracker) applyRemoval(id string, change discovery.Change) {
 	switch change {
 	case discovery.Lapsed:
-		e.logEndpoint(id, "entry lapsed around an outage; the endpoint stays in use")
+		e.logEndpoint(id, "endpoint entry lapsed around a store outage; the endpoint stays in use")
 	case discovery.Gone:
 		e.removeEndpoint(id)
 	}
 }
 
+// removeEndpoint takes an endpoint out of placement and closes its pooled connections.
 func (e *endpointTracker) removeEndpoint(id string) {
 	e.placementTable.Remove(id)
 	e.pool.Forget(id)
 	e.logEndpoint(id, "endpoint gone")
 }
 
+// logEndpoint logs an event of one endpoint.
 func (e *endpointTracker) logEndpoint(id, event string) {
 	e.sampledLog.Info().Str("endpoint", id).Msg("gateway: " + event)
 }
 
-// onListed ends what a full listing does not name.
+// onListed is called after the whole list has been read. It removes the endpoints that
+// the list does not contain.
 func (e *endpointTracker) onListed() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -138,8 +152,9 @@
 	}
 }
 
-// logAdded writes one line for all endpoints that have come since the last one:
-// hundreds of lines at the start of a fleet would crowd out all others.
+// logAdded writes one line for all endpoints added since the last call. One line each
+// would be hundreds at the start of a fleet, and rate limiting would drop other lines for
+// them.
 func (e *endpointTracker) logAdded() {
 	if e.unloggedAdds > 0 {
 		e.lifecycleLog.Info().Int("added", e.unloggedAdds).Int("endpoints", e.table.Len()).Msg("gateway: endpoints added")
@@ -147,6 +162,8 @@
 	}
 }
 
+// onReadOutcome is called after each read with its error. It records whether the store is
+// available and logs when that changes.
 func (e *endpointTracker) onReadOutcome(err error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -160,12 +177,14 @@
 	case err != nil && !e.storeUnavailable:
 		e.lifecycleLog.Warn().Err(err).Msg("gateway: endpoint list lost; the last one stays in use")
 	case err == nil && e.storeUnavailable:
-		e.lifecycleLog.Info().Msg("gateway: endpoint list regained")
+		e.lifecycleLog.Info().Msg("gateway: endpoint list readable again")
 	}
 	e.storeUnavailable = err != nil
 }
 
-// sweep ends lapsed endpoints that did not come back, and forgets old parts.
+// sweep removes lapsed endpoints whose entries were not published again in time, logs the
+// endpoints added and runs the placement table's own housekeeping. It is called
+// periodically.
 func (e *endpointTracker) sweep() {
 	e.mu.Lock()
 	for _, id := range e.table.Expire(e.clock()) {
--- a/internal/gateway/freshness.go
+++ b/internal/gateway/freshness.go
@@ -5,27 +5,29 @@
 	"time"
 )
 
-// maxResponseDelay is how long a full link may hold the begin of an answer.
+// maxResponseDelay is how long a congested link may delay the first byte of a response.
 const maxResponseDelay = 500 * time.Millisecond
 
-// freshness knows how current a followed topic is, and whether that is too old to act on.
-// It is safe for concurrent use.
+// freshness tracks how current the local copy of a followed topic is, and reports whether
+// it is too old to serve callers from. It is safe for concurrent use.
 //
-// A topic that can't be read because the store is out of reach is never too old: a zone
-// that is cut off goes on from what it knows. An instance is behind where the answer is on
-// its way, or where its own link is too full to carry one. Others then know more, and
-// callers are better served there.
+// A copy is never outdated because the store is unreachable: a zone that is partitioned
+// from the store keeps serving from its last copy. It is outdated if a response is still
+// being received, or if the instance's own link is too congested to carry one. Other
+// instances then have a newer copy, and callers are better served there.
 type freshness struct {
-	maxAge time.Duration // After which a change has to be known.
+	maxAge time.Duration // Time within which a change must be known here.
 	clock  func() time.Duration
 
-	// Times are those of clock, in nanoseconds.
-	readStartedAt      atomic.Int64 // When the last read began.
-	responseStartedAt  atomic.Int64 // When its answer began to come; 0 before.
-	confirmedAt        atomic.Int64 // When the last answer was made that reached the topic's end; 0 for none.
-	responseInProgress atomic.Bool  // More is to be read, and the last read has not failed.
+	// Readings of clock, in nanoseconds.
+	readStartedAt      atomic.Int64 // Start of the last read.
+	responseStartedAt  atomic.Int64 // First byte of its response; 0 before that.
+	confirmedAt        atomic.Int64 // When the store sent the last response that reached the topic's end; 0 for none.
+	responseInProgress atomic.Bool  // Set by the first byte; cleared at the topic's end or by a failed read.
 }
 
+// newFreshness returns the state of a topic that has not been read. Its changes must be
+// known within maxAge.
 func newFreshness(maxAge time.Duration, clock func() time.Duration) *freshness {
 	return &freshness{maxAge: maxAge, clock: clock}
 }
@@ -36,25 +38,27 @@
 	f.readStartedAt.Store(int64(f.clock()))
 }
 
-// onReceive is called when a part of an answer has come.
+// onReceive is called whenever a part of a response has arrived.
 func (f *freshness) onReceive() {
 	f.responseStartedAt.CompareAndSwap(0, int64(f.clock()))
 	f.responseInProgress.Store(true)
 }
 
-// onReadFailure is called after a read that failed: the store may be out of reach.
+// onReadFailure is called after a read that failed: the store may be unreachable.
 func (f *freshness) onReadFailure() { f.responseInProgress.Store(false) }
 
-// onCaughtUp is called after a read that reached the topic's end: every change that was
-// acknowledged before the answer was made is known. A read may wait long for a change
-// before that, and the answer may take long to come.
+// onCaughtUp is called after a read that reached the topic's end: every change acknowledged
+// before the store sent the response is now known. The time of sending is estimated from
+// the first byte, since a read may wait long for a change before, and the rest of the
+// response may take long to arrive after.
 func (f *freshness) onCaughtUp() {
 	sentAt := max(f.readStartedAt.Load(), f.responseStartedAt.Load()-int64(maxResponseDelay))
 	f.confirmedAt.Store(sentAt)
 	f.responseInProgress.Store(false)
 }
 
-// age is how long a change may have gone unseen; 0 before the first read.
+// age returns for how long a change may have gone unseen; 0 until a read has reached the
+// topic's end.
 func (f *freshness) age() time.Duration {
 	confirmed := f.confirmedAt.Load()
 	if confirmed == 0 {
@@ -63,8 +67,8 @@
 	return f.clock() - time.Duration(confirmed)
 }
 
-// isOutdated says whether a change may have gone unseen for too long though the store is in
-// reach; crowded says that the own link is nearly full.
+// isOutdated reports whether a change may have gone unseen for too long although the store
+// is reachable. linkCongested means that the instance's own link is nearly full.
 func (f *freshness) isOutdated(linkCongested bool) bool {
 	return f.age() > f.maxAge-readDeadlineMargin && (linkCongested || f.responseInProgress.Load())
 }
--- a/internal/gateway/freshness_test.go
+++ b/internal/gateway/freshness_test.go
@@ -5,6 +5,8 @@
 	"time"
 )
 
+// A copy of a topic is outdated if it is too old and the reason is a response still on its
+// way or a congested link, but not if the store is unreachable.
 func TestWhenAFollowedTopicIsTooOld(t *testing.T) {
 	const maxAge = 3 * time.Second
 	for name, c := range map[string]struct {
@@ -81,7 +83,7 @@
 			f := newFreshness(maxAge, func() time.Duration { return now })
 			c.events(f, &now)
 			if got := f.isOutdated(c.linkCongested); got != c.want {
-				t.Errorf("outdated %v at age %s, want %v", got, f.age(), c.want)
+				t.Errorf("isOutdated returned %v at age %s, want %v", got, f.age(), c.want)
 			}
 		})
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,6 +1,6 @@
-// Package gateway is one instance that serves an outside platform's callers
-// and endpoints: its parts put together, its start and its drain. The
-// platform's names and calls come in through Platform.
+// Package gateway assembles, runs and drains one instance that serves the callers and
+// endpoints of an outside platform. What is specific to the platform, such as its store and
+// its headers, is passed in as Platform.
 package gateway
 
 import (
@@ -33,56 +33,62 @@
 	"guavapier/internal/upstream"
 )
 
-// Platform is what the adapter of the outside platform brings.
+// Platform is what the adapter of the outside platform provides.
 type Platform struct {
 	Store          logstore.Keyed
 	DecodeState    func(value []byte) (route.State, error)
 	DecodeEndpoint func(id string, value []byte) (discovery.Endpoint, error)
 	Codec          forward.Codec
-	// LinesDropped returns how many log lines were dropped; nil for none.
+	// LinesDropped returns how many log lines were dropped or rate limited since the start.
+	// If nil, they are not reported.
 	LinesDropped func() int64
-	// Thin passes over lines that come too fast; nil for none. Lines of the
-	// instance's own life and of its dependencies always pass.
+	// Thin drops log lines that exceed a rate; if nil, none are dropped. Lines about the
+	// instance's own lifecycle and its dependencies are not passed to it.
 	Thin zerolog.Sampler
-	// ReadyPath is where the balancer asks whether the instance takes callers.
+	// ReadyPath is the URL path on which the load balancer asks whether the instance is
+	// ready: 200 if so, else 503.
 	ReadyPath string
 }
 
 const (
-	// requestDialTimeout is how long a request waits for a connection to an endpoint: round
-	// trips take under 10 ms, and one that takes longer is refused faster elsewhere.
+	// requestDialTimeout bounds how long a request waits for a connection to an endpoint.
+	// Round trips take under 10 ms; if a connection takes this long, trying another endpoint
+	// is faster.
 	requestDialTimeout = 300 * time.Millisecond
-	// maxDialDuration bounds the connection itself: a full link may hold packets for half a
-	// second each way.
+	// maxDialDuration bounds making the connection itself, which continues after the request
+	// has given up on it: a congested link may delay packets by half a second each way.
 	maxDialDuration = 1200 * time.Millisecond
-	// endpointIdleTimeout is how long a connection to an endpoint is kept where it
-	// announces nothing.
+	// endpointIdleTimeout is how long an idle connection to an endpoint is kept if the
+	// endpoint announces no keep-alive timeout.
 	endpointIdleTimeout = 2 * time.Second
-	// endpointAckTimeout is how long an endpoint's host may leave our bytes
-	// unacknowledged.
+	// endpointAckTimeout closes a connection to an endpoint whose host leaves sent bytes
+	// unacknowledged for this long.
 	endpointAckTimeout = time.Second
-	// headerReadTimeout bounds a caller's head; the desired state's limit is lower
-	// and callers keep to it.
+	// headerReadTimeout bounds reading a request's header. The desired state sets a lower
+	// limit, which callers keep to.
 	headerReadTimeout = 10 * time.Second
-	// maxHeaderBytes bounds a caller's head.
+	// maxHeaderBytes bounds a request's header.
 	maxHeaderBytes = 64 << 10
-	// defaultCallerIdleTimeout closes callers' connections where the desired state says nothing.
+	// defaultCallerIdleTimeout closes idle connections of callers if the desired state sets
+	// no limit.
 	defaultCallerIdleTimeout = 2 * time.Minute
-	// initialInstanceCount shares the retry budget until the others are known.
+	// initialInstanceCount is the fleet size that divides the retry budget until the other
+	// instances are known.
 	initialInstanceCount = 16
 	// housekeepingInterval is the pause between two rounds of housekeeping.
 	housekeepingInterval = 250 * time.Millisecond
-	// memoryLimitRatio is the share of the memory limit above which the collector
-	// runs more often; the rest is for buffers outside the heap.
+	// memoryLimitRatio is the share of gateway.memory_mb that becomes the Go runtime's soft
+	// memory limit; the rest is for buffers outside the heap.
 	memoryLimitRatio = 0.8
 )
 
-// Gateway is one instance.
+// Gateway is one instance: its listeners, its connections and its copies of the fleet's
+// shared state.
 type Gateway struct {
 	settings   settings.Gateway
 	platform   Platform
 	log        zerolog.Logger
-	sampledLog zerolog.Logger // For lines that come with load; thinned.
+	sampledLog zerolog.Logger // For lines whose number grows with the load; rate limited.
 	clock      func() time.Duration
 
 	config           atomic.Pointer[route.Config]
@@ -90,26 +96,27 @@
 	endpoints        *endpointTracker
 	budgets          *prepaid.Keeper
 	loadReporter     *loadReporter
-	peerPool         *peer.Pool   // To other instances.
-	peerServer       *peer.Server // Their calls.
+	peerPool         *peer.Pool   // Calls to other instances.
+	peerServer       *peer.Server // Calls from other instances.
 	retryLimiter     *retry.Keeper
-	quarantine       *quarantine.Keeper // Requests that are not to be sent.
+	quarantine       *quarantine.Keeper // Requests that must not be sent to endpoints.
 	linkMeter        linkload.Meter
 	linkShedder      *linkload.Shedder
 	upstreamPool     *upstream.Pool
-	callerConns      *callers.Connections // Those of callers.
-	exitDeadline     time.Time            // When the process is to be gone; set by end.
+	callerConns      *callers.Connections // Open connections of callers.
+	exitDeadline     time.Time            // When the process is killed; set by shutdown.
 	isDraining       atomic.Bool
-	requestCutoff    atomic.Pointer[time.Time] // Set in the last part of a drain.
-	abortingRequests atomic.Bool               // Callers' connections are being closed under way.
-	inFlight         atomic.Int64              // Callers' requests.
+	requestCutoff    atomic.Pointer[time.Time] // End of the drain; set in its last part.
+	abortingRequests atomic.Bool               // Requests in flight are being aborted at the end of the drain.
+	inFlight         atomic.Int64              // Number of callers' requests being served.
 	metrics          *metrics.Registry
 	tables           *state.Registry
 
 	callersListener, readyListener, operatorsListener, peersListener net.Listener
 }
 
-// New puts an instance together and binds its addresses.
+// New returns an instance that is bound to its addresses; Run starts it. It fails if an
+// address can't be bound.
 func New(s settings.Gateway, p Platform, log zerolog.Logger) (*Gateway, error) {
 	debug.SetMemoryLimit(int64(float64(s.Gateway.MemoryMB<<20) * memoryLimitRatio))
 	clock := newBootClock()
@@ -158,15 +165,16 @@
 	return g, nil
 }
 
-// CallersAddr returns the bound callers' address.
+// CallersAddr returns the bound address for callers, as IP:port.
 func (g *Gateway) CallersAddr() string { return g.callersListener.Addr().String() }
 
-// ReadyAddr returns the bound address of the balancer's question.
+// ReadyAddr returns the bound address for the load balancer's readiness checks, as IP:port.
 func (g *Gateway) ReadyAddr() string { return g.readyListener.Addr().String() }
 
-// OperatorsAddr returns the bound operators' address.
+// OperatorsAddr returns the bound address for operators, as IP:port.
 func (g *Gateway) OperatorsAddr() string { return g.operatorsListener.Addr().String() }
 
+// listen binds the addresses for callers, readiness checks, operators and other instances.
 func (g *Gateway) listen() error {
 	addresses := g.settings.Gateway
 	for _, l := range []struct {
@@ -176,17 +184,20 @@
 		config := net.ListenConfig{KeepAliveConfig: keepAliveConfig}
 		listener, err := config.Listen(context.Background(), "tcp", l.addr)
 		if err != nil {
-			return eris.Wrap(err, "gateway: listen; give another address if this one is taken")
+			return eris.Wrap(err, "gateway: listen; configure another address if this one is in use")
 		}
 		*l.listener = listener
 	}
 	return nil
 }
 
-// keepAliveConfig end callers' connections that fell silent, but outlast a cut of
-// some seconds: a ready answer is still delivered after it.
+// keepAliveConfig closes connections whose peer has gone silent, but only after more than a
+// network outage of some seconds, so that a finished response can still be delivered after
+// it.
 var keepAliveConfig = net.KeepAliveConfig{Enable: true, Idle: 10 * time.Second, Interval: 5 * time.Second, Count: 3}
 
+// newCallersServer returns the server for callers, which forwards their requests to
+// endpoints.
 func (g *Gateway) newCallersServer() *http.Server {
 	handler := &forward.Forwarder{
 		Zone: g.settings.Gateway.Zone, Codec: g.platform.Codec, State: g.config.Load, Budgets: budgetAdapter{g.budgets},
@@ -198,11 +209,13 @@
 	return server
 }
 
+// newProber returns the prober of the endpoints in the placement table.
 func (g *Gateway) newProber() *prober {
 	return &prober{endpoints: g.endpoints.placementTable, pool: g.upstreamPool, log: g.sampledLog}
 }
 
-// requestCutoffTime is when the instance ends, in the last part of a drain; else zero.
+// requestCutoffTime returns when requests in flight are aborted, in the last part of a
+// drain; before it, the zero time.
 func (g *Gateway) requestCutoffTime() time.Time {
 	if at := g.requestCutoff.Load(); at != nil {
 		return *at
@@ -210,24 +223,27 @@
 	return time.Time{}
 }
 
-// isReady says whether the instance takes callers. Once it was ready it stays
-// so while the store is away: it goes on from what it knows.
+// isReady reports whether the load balancer should send callers to this instance. Losing
+// the store does not end readiness: the instance keeps serving from its last copies.
 func (g *Gateway) isReady() bool {
 	return !g.isDraining.Load() && !g.linkShedder.Sheds() && !g.isOutdated() && g.config.Load() != nil && g.endpoints.isLoaded.Load() && g.budgets.Loaded() && g.quarantine.Loaded()
 }
 
-// closesCallerConns says whether answers ask callers to leave their connections.
+// closesCallerConns reports whether responses ask callers to close their connections and so
+// to move to another instance.
 func (g *Gateway) closesCallerConns() bool {
 	return g.isDraining.Load() || g.isOutdated() || g.linkShedder.SendsAway(g.clock())
 }
 
-// isOutdated says whether this instance knows less than others that its callers can reach.
+// isOutdated reports whether this instance's copy of the desired state or of the endpoint
+// list is older than those of other instances that its callers can reach.
 func (g *Gateway) isOutdated() bool {
 	linkCongested := g.linkShedder.Crowded()
 	return g.stateFreshness.isOutdated(linkCongested) || g.endpoints.freshness.isOutdated(linkCongested)
 }
 
-// budgetAdapter gives the keeper's reservations their interface.
+// budgetAdapter implements forward.Budgets on the controller of prepaid budgets, whose
+// reservations have a concrete type.
 type budgetAdapter struct{ controller *prepaid.Keeper }
 
 // Reserve implements forward.Budgets.
--- a/internal/gateway/loads.go
+++ b/internal/gateway/loads.go
@@ -13,48 +13,52 @@
 )
 
 const (
-	// loadsServiceName is under which loads is registered, see peer.Server.
+	// loadsServiceName is the name under which peer.Server registers a loadReporter.
 	loadsServiceName = "Loads"
-	// minReportedWork is the reading time from which a prompt is told to the other
-	// instances: an endpoint reads one of 60,000 tokens for 0.65 s, and what they
-	// send there meanwhile comes late. Shorter ones are done before the word is round.
+	// minReportedWork is the shortest prefill time of a prompt that is reported to the other
+	// instances. An endpoint takes 0.65 s for a prompt of 60,000 tokens, and delays what they
+	// send it meanwhile. Shorter prompts are done before a report would arrive.
 	minReportedWork = 30 * time.Millisecond
-	// reportBatchDelay gathers what is told at once.
+	// reportBatchDelay is how long reports are collected for one call.
 	reportBatchDelay = 5 * time.Millisecond
-	// reportTimeout bounds one call: older news is useless.
+	// reportTimeout bounds one call; an older report is useless.
 	reportTimeout = 100 * time.Millisecond
-	// maxQueuedReports bounds what waits to be told; the rest is dropped.
+	// maxQueuedReports bounds the reports that wait for a call; further ones are dropped.
 	maxQueuedReports = 64
 )
 
-// SentPrompt says that an endpoint was sent a prompt.
+// SentPrompt reports that an instance has sent a prompt to an endpoint.
 type SentPrompt struct {
-	Endpoint string
-	// Work is how long reading takes; 0 if that is not worth telling.
+	Endpoint string // Its ID.
+	// Work is how long the endpoint takes for the prefill; 0 if that is below
+	// minReportedWork.
 	Work time.Duration
-	// Parts are shared parts of prompts that it then has.
+	// Parts are the IDs of the prompt's shared parts, which the endpoint then has cached;
+	// empty if it was sent them recently.
 	Parts []string
 }
 
-// TellArgs is what one instance tells another.
+// TellArgs are the arguments of Loads.Tell.
 type TellArgs struct{ Sent []SentPrompt }
 
-// TellReply is empty.
+// TellReply is the empty reply of Loads.Tell.
 type TellReply struct{}
 
-// loadReporter tells other instances which prompts went where, long ones and those with
-// shared parts that are news, and hears of theirs. It is a hint: what is lost or
-// late costs a worse placement and nothing else.
+// loadReporter reports to the other instances which endpoints were sent long prompts, or
+// prompts with shared parts that it was not sent recently, and receives their reports.
+// Reports are hints: one that is lost or late makes a placement worse and has no other effect.
 type loadReporter struct {
 	caller        peer.Caller
-	accounts      *prepaid.Book // Knows the other instances.
+	accounts      *prepaid.Book // Lists the other instances.
 	endpoints     *placement.Table
 	clock         func() time.Duration
 	queue         chan SentPrompt
 	mu            sync.Mutex
-	callsInFlight map[record.InstanceID]bool // One call to each at a time.
+	callsInFlight map[record.InstanceID]bool // At most one call to each at a time.
 }
 
+// newLoadReporter returns a reporter that applies received reports to endpoints. Register
+// it at a peer.Server and call run.
 func newLoadReporter(caller peer.Caller, accounts *prepaid.Book, endpoints *placement.Table, clock func() time.Duration) *loadReporter {
 	return &loadReporter{
 		caller: caller, accounts: accounts, endpoints: endpoints, clock: clock, queue: make(chan SentPrompt, maxQueuedReports),
@@ -62,7 +66,7 @@
 	}
 }
 
-// Tell is called by other instances.
+// Tell applies the reports of another instance, which calls it as Loads.Tell.
 func (l *loadReporter) Tell(args TellArgs, _ *TellReply) error {
 	now := l.clock()
 	for _, prompt := range args.Sent {
@@ -72,9 +76,9 @@
 	return nil
 }
 
-// reportPlacement notes an attempt that is about to be sent. In a large fleet nothing is told:
-// calls would grow with the square of its size, and each instance sends too little for
-// its news to matter.
+// reportPlacement queues a report of an attempt that is about to be sent. Nothing is
+// reported in a large fleet: the number of calls would grow with the square of its size, and
+// each instance sends too little for its reports to matter.
 func (l *loadReporter) reportPlacement(ticket *placement.Ticket) {
 	if l.accounts.Pooled() {
 		return
@@ -88,11 +92,11 @@
 	}
 	select {
 	case l.queue <- report:
-	default: // Too much to tell: the others place without it.
+	default: // The queue is full: the others place without this report.
 	}
 }
 
-// run tells the news until ctx ends.
+// run sends queued reports in batches until ctx ends.
 func (l *loadReporter) run(ctx context.Context) {
 	for {
 		select {
@@ -105,6 +109,7 @@
 	}
 }
 
+// collectBatch returns first and all other queued reports.
 func (l *loadReporter) collectBatch(first SentPrompt) []SentPrompt {
 	sent := []SentPrompt{first}
 	for {
@@ -117,6 +122,7 @@
 	}
 }
 
+// broadcast sends a batch to every other instance that can be called.
 func (l *loadReporter) broadcast(sent []SentPrompt) {
 	for _, other := range l.accounts.Heirs() {
 		if l.tryStartCall(other.Key) {
@@ -125,8 +131,8 @@
 	}
 }
 
-// tryStartCall says whether the instance can be called: a silent one is not called
-// again before its call has ended.
+// tryStartCall marks a call to an instance as started and reports whether it may be made: an
+// instance that does not answer is not called again before the previous call has ended.
 func (l *loadReporter) tryStartCall(to record.InstanceID) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -137,10 +143,11 @@
 	return true
 }
 
+// sendReport makes one call and marks it as ended.
 func (l *loadReporter) sendReport(to record.InstanceID, sent []SentPrompt) {
 	ctx, cancel := context.WithTimeout(context.Background(), reportTimeout)
 	defer cancel()
-	// A hint that is lost needs no word: the next one follows.
+	// The error is ignored: a lost hint is harmless, and the next report follows.
 	_ = l.caller.Call(ctx, to, loadsServiceName+".Tell", TellArgs{Sent: sent}, &TellReply{})
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/gateway/loads_test.go
+++ b/internal/gateway/loads_test.go
@@ -13,13 +13,14 @@
 	"guavapier/internal/record"
 )
 
-// testInstance is the loads of one instance with the endpoints that it knows.
+// testInstance is the loadReporter of one instance and its placement table.
 type testInstance struct {
 	*loadReporter
 	endpoints *placement.Table
 }
 
-// newTestInstance starts an instance's service of loads; its book knows the others.
+// newTestInstance starts a loadReporter and its RPC server on a free port. It returns the
+// claim record under which other instances find it, and its accounts, which take theirs.
 func newTestInstance(t *testing.T, key record.InstanceID) (*testInstance, *prepaid.Statement, *prepaid.Book) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -48,8 +49,8 @@
 	return instance, &prepaid.Statement{Node: string(key), Started: 1, Peer: address}, accounts
 }
 
-// Where one instance sent a session's prompt, another one finds its shared parts,
-// although they are few enough to be read before the word is round.
+// An instance reports to which endpoint it sent a prompt with shared parts, also if the
+// prompt is too short to be reported for its prefill time.
 func TestInstancesTellWhereTheySentSharedParts(t *testing.T) {
 	sender, _, accounts := newTestInstance(t, "one")
 	receiver, claimRecord, _ := newTestInstance(t, "other")
@@ -58,7 +59,7 @@
 	query := placement.Query{Service: "s", Parts: []placement.Part{{ID: "shared", Tokens: 400}, {ID: "own", Tokens: 100}}}
 	ticket := sender.endpoints.Place(query, sender.clock())
 	if ticket.Work >= minReportedWork {
-		t.Fatalf("reading takes %s: told for that alone", ticket.Work)
+		t.Fatalf("prefill takes %s, so the prompt is reported for that alone", ticket.Work)
 	}
 	sender.reportPlacement(ticket)
 	isObserved := func() bool {
@@ -71,7 +72,7 @@
 	}
 	for deadline := time.Now().Add(20 * time.Second); !isObserved(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatal("never heard")
+			t.Fatal("the other instance has not recorded the shared parts in time")
 		}
 	}
 }
--- a/internal/gateway/observe.go
+++ b/internal/gateway/observe.go
@@ -14,6 +14,8 @@
 	"guavapier/internal/prepaid"
 )
 
+// registerTablesAndMetrics registers the tables of the state dump and the gauges of the
+// metrics page.
 func (g *Gateway) registerTablesAndMetrics() {
 	g.tables.Register("budgets", func() any { return g.budgets.Book.View(g.clock()) })
 	g.tables.Register("endpoints", func() any { return g.endpoints.placementTable.View() })
@@ -33,7 +35,8 @@
 	}
 }
 
-// zoneView is the instance's part in its availability zone as a state dump shows it.
+// zoneView is what a state dump shows of the instance's role in its availability zone and
+// of the zone's allocators: those announced, and those of them that answer.
 type zoneView struct {
 	Role       string                   `json:"role"`
 	Instances  int                      `json:"instances"`
@@ -41,6 +44,7 @@
 	Reached    []allocator.Announcement `json:"reached"`
 }
 
+// zoneView reads the row of the state dump's zone table.
 func (g *Gateway) zoneView() zoneView {
 	zone := g.budgets.Zone
 	return zoneView{
@@ -49,7 +53,8 @@
 	}
 }
 
-// registerBudgetGauges publish sums over all budgets.
+// registerBudgetGauges registers gauges of sums over all budgets, in tokens, and of the
+// age of what is known about them, in milliseconds.
 func (g *Gateway) registerBudgetGauges() {
 	for name, value := range map[string]func(prepaid.Balance) int64{
 		metrics.GatewayHeld: func(b prepaid.Balance) int64 { return b.Claimed + b.Taken - b.Given - b.Settled - b.Reserved },
@@ -72,7 +77,7 @@
 	g.metrics.Gauge(metrics.GatewayRepeatsDenied, func() int64 { _, denied := g.retryLimiter.Counts(); return denied })
 }
 
-// requestObserver counts requests' ends.
+// requestObserver returns the callback that records a finished request in the metrics.
 func (g *Gateway) requestObserver() func(forward.Event) {
 	requests := g.metrics.Counter(metrics.GatewayRequests)
 	attempts := g.metrics.Counter(metrics.GatewayAttempts)
@@ -91,6 +96,7 @@
 	}
 }
 
+// readyHandler answers readiness checks: 200 if the instance is ready, else 503.
 func (g *Gateway) readyHandler() http.Handler {
 	r := chi.NewRouter()
 	r.Get(g.platform.ReadyPath, func(w http.ResponseWriter, _ *http.Request) {
@@ -103,6 +109,7 @@
 	return r
 }
 
+// operatorsHandler serves the metrics as text and the state dump as JSON.
 func (g *Gateway) operatorsHandler() http.Handler {
 	r := chi.NewRouter()
 	r.Get("/metrics", g.metrics.ServeText)
@@ -113,7 +120,7 @@
 	return r
 }
 
-// countInFlight counts callers' requests while they are under way.
+// countInFlight counts callers' requests while next serves them.
 func (g *Gateway) countInFlight(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		g.inFlight.Add(1)
--- a/internal/gateway/pace_test.go
+++ b/internal/gateway/pace_test.go
@@ -5,26 +5,27 @@
 	"time"
 )
 
-// Two reads in a row whose connections fall silent must leave time for a third one,
-// where the deployment gives time enough. Where it doesn't, reads are as frequent as
-// calls allow.
+// Two reads in a row whose connections go silent must leave time for a third one if the
+// settings allow enough time. If not, reads are as frequent as the limit on the call rate
+// permits.
 func TestSilentReadsLeaveTimeForTheNext(t *testing.T) {
 	const timeout = time.Second
 	for _, changeTimeout := range []time.Duration{2 * time.Second, 3 * time.Second, 4 * time.Second, 10 * time.Second} {
 		wait, pause := statePollTimeout(changeTimeout, timeout), endpointsPollPause(changeTimeout, timeout)
 		if wait > minStatePollTimeout && wait+2*timeout >= changeTimeout {
-			t.Errorf("desired state: noticed after %s, in force within %s", wait+2*timeout, changeTimeout)
+			t.Errorf("desired state: a change is noticed after %s, must be in force within %s", wait+2*timeout, changeTimeout)
 		}
 		if noticedAfter := pause + endpointsPollTimeout + 2*timeout; pause > minEndpointsPollPause && noticedAfter >= changeTimeout {
-			t.Errorf("endpoint list: noticed after %s, left within %s", noticedAfter, changeTimeout)
+			t.Errorf("endpoint list: a leaving endpoint is noticed after %s, must be unused within %s", noticedAfter, changeTimeout)
 		}
 		if wait < minStatePollTimeout || wait+timeout >= changeTimeout || pause < minEndpointsPollPause || pause > changeTimeout/5 {
-			t.Errorf("within %s the state is waited for %s, the endpoint list read each %s", changeTimeout, wait, pause)
+			t.Errorf("with a limit of %s a read of the state waits %s and reads of the endpoint list pause %s", changeTimeout, wait, pause)
 		}
 	}
 }
 
-// What is read without a fault is never too old, however long its reads wait for news.
+// A topic that is read without failures is never outdated, however long its reads wait for
+// a change.
 func TestReadsThatWaitForNewsKeepATopicFresh(t *testing.T) {
 	const timeout, roundTrip = time.Second, 50 * time.Millisecond
 	for _, changeTimeout := range []time.Duration{2 * time.Second, 3 * time.Second, 4 * time.Second, 10 * time.Second} {
@@ -39,7 +40,7 @@
 				now += timing.wait + roundTrip
 				f.onReceive()
 				if read > 0 && f.isOutdated(true) {
-					t.Errorf("%s within %s: too old at the age of %s", name, changeTimeout, f.age())
+					t.Errorf("%s with a limit of %s is outdated at age %s", name, changeTimeout, f.age())
 				}
 				f.onCaughtUp()
 				now += timing.pause
--- a/internal/gateway/probes.go
+++ b/internal/gateway/probes.go
@@ -14,22 +14,22 @@
 )
 
 const (
-	// probeInterval is the pause between two rounds of connections to endpoints
-	// that could not be reached: callers are back at one that is within it.
+	// probeInterval is the pause between two rounds of probes. An endpoint that has become
+	// reachable gets requests again within about this time.
 	probeInterval = 250 * time.Millisecond
-	// maxConcurrentProbes bounds the connections that are tried at once.
+	// maxConcurrentProbes bounds the connections being tried at the same time.
 	maxConcurrentProbes = 16
 )
 
-// prober finds out when endpoints that could not be reached can be again, so
-// that no caller's request has to.
+// prober tries to connect to unreachable endpoints, so that no caller's request has to find
+// out whether they are reachable again.
 type prober struct {
 	endpoints *placement.Table
 	pool      *upstream.Pool
 	log       zerolog.Logger
 }
 
-// run probes until ctx ends.
+// run probes all unreachable endpoints in rounds until ctx ends.
 func (p *prober) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		logstore.Pause(ctx, probeInterval, nil)
@@ -42,9 +42,11 @@
 	}
 }
 
+// probe tries to connect to one endpoint. On success the endpoint is used again and the
+// connection is kept for requests.
 func (p *prober) probe(ctx context.Context, e discovery.Endpoint) {
 	if err := p.pool.Probe(ctx, e.ID, e.Address); err != nil {
-		return // Still so; the log has the attempt that found out.
+		return // Still unreachable; the attempt that found out was logged.
 	}
 	p.endpoints.Reached(e.ID)
 	p.log.Info().Str("endpoint", e.ID).Str("address", e.Address).Msg("gateway: endpoint reachable again")
--- a/internal/gateway/probes_test.go
+++ b/internal/gateway/probes_test.go
@@ -13,8 +13,8 @@
 	"guavapier/internal/upstream"
 )
 
-// An endpoint that could not be reached is used again once it takes connections,
-// without a caller's request having tried.
+// An endpoint that was unreachable is used again once it accepts connections, without a
+// caller's request having tried it.
 func TestProbesFindAnEndpointThatIsBack(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -29,7 +29,7 @@
 	p := &prober{endpoints: endpoints, pool: pool, log: zerolog.Nop()}
 	p.probe(t.Context(), endpoints.Unreachable()[0])
 	if len(endpoints.Unreachable()) != 1 {
-		t.Fatal("taken for reachable although nothing listens")
+		t.Fatal("the endpoint counts as reachable although nothing listens on its address")
 	}
 	if listener, err = net.Listen("tcp", address); err != nil {
 		t.Fatal(err)
@@ -40,7 +40,7 @@
 	go func() { p.run(ctx); close(done) }()
 	for deadline := time.Now().Add(20 * time.Second); len(endpoints.Unreachable()) > 0; time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatal("not found again")
+			t.Fatal("the endpoint has not become reachable again in time")
 		}
 	}
 	stop()
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -11,8 +11,9 @@
 	"guavapier/internal/logstore"
 )
 
-// Run serves until ctx ends, then drains. It returns within the drain's time
-// whatever hangs; what still runs then ends with the process.
+// Run serves until ctx ends or one of its HTTP servers fails, then drains. It returns within the drain
+// timeout even if a step hangs; what is still running then ends with the process. The error
+// is that of a server that failed.
 func (g *Gateway) Run(ctx context.Context) error {
 	backgroundCtx, stopBackground := context.WithCancel(context.WithoutCancel(ctx))
 	defer stopBackground()
@@ -24,7 +25,7 @@
 	for i, server := range servers {
 		server.ReadHeaderTimeout = headerReadTimeout
 		serving.Go(func() error {
-			defer cancelServing() // An instance that can't serve one of its addresses ends.
+			defer cancelServing() // An instance that can't serve one of its addresses shuts down.
 			return ignoreServerClosed(server.Serve(listeners[i]))
 		})
 	}
@@ -42,7 +43,8 @@
 	return g.shutdown(servers, stopBackground, &budgetWork, &backgroundWork, &serving)
 }
 
-// runHousekeeping does the housekeeping that time alone brings.
+// runHousekeeping runs the periodic work until ctx ends: log lines about changed conditions,
+// expiry of connections and endpoints, and the instance's share of the retry budget.
 func (g *Gateway) runHousekeeping(ctx context.Context) {
 	droppedLines, outdated := int64(0), false
 	for ctx.Err() == nil {
@@ -57,7 +59,8 @@
 	}
 }
 
-// updateLinkLoad sends callers elsewhere while the link is nearly full.
+// updateLinkLoad samples the link's load, which decides whether callers are sent to other
+// instances, and logs when that decision changes.
 func (g *Gateway) updateLinkLoad() {
 	if !g.linkShedder.Look(g.linkMeter.Total(), g.clock()) {
 		return
@@ -66,7 +69,8 @@
 		Msg("gateway: callers sent elsewhere, or taken again, for the load of the link")
 }
 
-// logOutdatedChange writes a line when the instance becomes outdated or is so no more.
+// logOutdatedChange logs when the instance has become outdated or current again, and returns
+// whether it is outdated.
 func (g *Gateway) logOutdatedChange(wasOutdated bool) bool {
 	outdated := g.isOutdated()
 	if outdated != wasOutdated {
@@ -76,6 +80,7 @@
 	return outdated
 }
 
+// ignoreServerClosed returns err, or nil if it says that the server was closed.
 func ignoreServerClosed(err error) error {
 	if errors.Is(err, http.ErrServerClosed) {
 		return nil
@@ -83,8 +88,8 @@
 	return err
 }
 
-// logDroppedLines writes a line when log lines were lost since it was last told; it is
-// an error so that it passes itself.
+// logDroppedLines logs how many more log lines than logged were dropped or rate limited, and
+// returns the new total. The level is error because errors are never rate limited.
 func (g *Gateway) logDroppedLines(logged int64) int64 {
 	if g.platform.LinesDropped == nil {
 		return logged
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -9,23 +9,23 @@
 )
 
 const (
-	// statePollPause spaces the reads while changes come in quick succession.
+	// statePollPause separates two reads while changes follow each other quickly.
 	statePollPause = 50 * time.Millisecond
-	// minStatePollTimeout keeps the calls few where the time is short.
+	// minStatePollTimeout limits the call rate if store.state_within is short.
 	minStatePollTimeout = 800 * time.Millisecond
-	// readDeadlineMargin is what is left of the time for a change or a leaving endpoint after
-	// two reads in a row that fell silent.
+	// readDeadlineMargin is how long before its deadline a change of the desired state or a
+	// leaving endpoint is noticed after two reads in a row whose connections went silent.
 	readDeadlineMargin = 200 * time.Millisecond
 )
 
-// statePollTimeout is the longest wait of one read of the desired state. A connection that
-// fell silent without an error delays a change by it and the call's timeout, and the
-// next one may be silent too.
+// statePollTimeout returns how long one read of the desired state waits for a change. A
+// connection that goes silent without an error delays a change by this and callTimeout, and
+// the next connection may be silent too.
 func statePollTimeout(changeTimeout, callTimeout time.Duration) time.Duration {
 	return max(minStatePollTimeout, changeTimeout-2*callTimeout-readDeadlineMargin)
 }
 
-// stateFollower keeps the desired state in force current.
+// stateFollower returns a Follower that puts each new desired state in force.
 func (g *Gateway) stateFollower() *logstore.Follower {
 	storeUnavailable := false
 	fresh := g.stateFreshness
@@ -48,15 +48,15 @@
 			case err != nil:
 				g.log.Info().Err(err).Int64("state", g.stateVersion()).Dur("unconfirmed", fresh.age()).Msg("gateway: desired state not read")
 			case storeUnavailable:
-				g.log.Info().Int64("state", g.stateVersion()).Dur("unconfirmed", fresh.age()).Msg("gateway: desired state regained")
+				g.log.Info().Int64("state", g.stateVersion()).Dur("unconfirmed", fresh.age()).Msg("gateway: desired state readable again")
 			}
 			storeUnavailable = err != nil
 		},
 	}
 }
 
-// applyState puts a newer desired state in force. One that can't be read, or is
-// older, changes nothing.
+// applyState puts an encoded desired state in force. One that can't be decoded, or is not
+// newer than the current one, changes nothing.
 func (g *Gateway) applyState(value []byte) {
 	decoded, err := g.platform.DecodeState(value)
 	if err != nil {
@@ -74,6 +74,7 @@
 		Int("organisations", len(decoded.Organisations)).Msg("gateway: desired state in force")
 }
 
+// stateVersion returns the version of the desired state in force, or 0 before the first.
 func (g *Gateway) stateVersion() int64 {
 	if c := g.config.Load(); c != nil {
 		return c.Version
@@ -81,7 +82,7 @@
 	return 0
 }
 
-// callerIdleTimeout is how long callers' kept connections may idle.
+// callerIdleTimeout returns how long a keep-alive connection of a caller may be idle.
 func callerIdleTimeout(state route.State) time.Duration {
 	if state.Limits.Idle <= 0 {
 		return defaultCallerIdleTimeout
@@ -89,6 +90,7 @@
 	return state.Limits.Idle
 }
 
+// prepaidTotals returns the prepaid total of each organisation that has one, in tokens.
 func prepaidTotals(s route.State) map[record.Team]int64 {
 	totals := map[record.Team]int64{}
 	for _, org := range s.Organisations {
--- a/internal/gateway/steps.go
+++ b/internal/gateway/steps.go
@@ -6,15 +6,16 @@
 	"github.com/rs/zerolog"
 )
 
-// minStepTimeout is what a step has when those before it took all the time: enough if
-// it has nothing to wait for.
+// minStepTimeout is what a step gets if earlier steps have used up the time: enough for
+// one that has nothing to wait for.
 const minStepTimeout = 5 * time.Millisecond
 
-// shutdownSteps bounds the steps of an instance's end and tells how long each took.
+// shutdownSteps runs the steps of a shutdown, each with a deadline, and logs how long each
+// took.
 type shutdownSteps struct {
 	log        zerolog.Logger
 	startedAt  time.Time
-	lastStepAt time.Time
+	lastStepAt time.Time // When the previous step ended or timed out; at first startedAt.
 }
 
 func newShutdownSteps(log zerolog.Logger) *shutdownSteps {
@@ -22,16 +23,16 @@
 	return &shutdownSteps{log: log, startedAt: now, lastStepAt: now}
 }
 
-// logDone writes the line of a step that has ended.
+// logDone logs a step that has ended, with its duration.
 func (s *shutdownSteps) logDone(step string) {
 	now := time.Now()
 	s.log.Info().Str("step", step).Dur("took", now.Sub(s.lastStepAt)).Dur("since_signal", now.Sub(s.startedAt)).Msg("gateway: ended")
 	s.lastStepAt = now
 }
 
-// run does a step and waits for it, until limit at the latest, and says whether
-// it has ended. A call that does not end with its context must not keep the
-// process past its kill.
+// run runs work as a step and reports whether it has ended by deadline. If not, work keeps
+// running in its goroutine: a call that ignores its context must not delay the exit until
+// the process is killed.
 func (s *shutdownSteps) run(step string, deadline time.Time, work func()) bool {
 	done := make(chan struct{})
 	go func() {
@@ -50,7 +51,7 @@
 	}
 }
 
-// logTimeout writes the line of a step that has not ended in its time.
+// logTimeout logs a step that has not ended by its deadline.
 func (s *shutdownSteps) logTimeout(step string) {
 	now := time.Now()
 	s.log.Error().Str("step", step).Dur("waited", now.Sub(s.lastStepAt)).Dur("since_signal", now.Sub(s.startedAt)).Msg("gateway: not ended in time")
