--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -28,9 +28,9 @@
 	Warming time.Duration
 }
 
-// ReturnWithin is how long after the store's return a lapsed entry is waited
+// LapsedGracePeriod is how long after the store's return a lapsed entry is waited
 // for; the platform promises them back within about two seconds.
-const ReturnWithin = 2 * time.Second
+const LapsedGracePeriod = 2 * time.Second
 
 // Change says what an update did to an endpoint.
 type Change uint8
@@ -40,58 +40,58 @@
 	Unchanged Change = iota
 	Added
 	Updated
-	LeavingNow
-	Reborn
+	StartedLeaving
+	Restarted
 	Lapsed // The entry vanished around an outage; the endpoint is still used.
-	Gone
+	Removed
 )
 
-type row struct {
+type entry struct {
 	Endpoint
 	lapsed bool
 }
 
 // Table holds the endpoints. It is not safe for concurrent use.
 type Table struct {
-	rows map[string]*row
-	// trouble is when the store last failed a call; recovered when it first
+	entries map[string]*entry
+	// trouble is when the store last storeFailing a call; recovered when it first
 	// answered after that. Both in the caller's time; unset before the first failure.
-	failed      bool
-	troubled    bool
-	recoveredAt time.Duration
+	storeFailing bool
+	hasFailed    bool
+	recoveredAt  time.Duration
 }
 
 // New returns an empty table.
-func New() *Table { return &Table{rows: map[string]*row{}} }
+func New() *Table { return &Table{entries: map[string]*entry{}} }
 
-// StoreFailed tells that a call to the store failed.
-func (t *Table) StoreFailed() { t.failed, t.troubled = true, true }
+// RecordStoreFailure tells that a call to the store failed.
+func (t *Table) RecordStoreFailure() { t.storeFailing, t.hasFailed = true, true }
 
-// StoreAnswered tells that the store answered.
-func (t *Table) StoreAnswered(now time.Duration) {
-	if t.failed {
-		t.failed, t.recoveredAt = false, now
+// RecordStoreSuccess tells that the store answered.
+func (t *Table) RecordStoreSuccess(now time.Duration) {
+	if t.storeFailing {
+		t.storeFailing, t.recoveredAt = false, now
 	}
 }
 
-// lapsing says whether an entry that vanishes now may be of a living endpoint.
-func (t *Table) lapsing(now time.Duration) bool {
-	return t.troubled && (t.failed || now < t.recoveredAt+ReturnWithin)
+// mayLapse says whether an entry that vanishes now may be of a living endpoint.
+func (t *Table) mayLapse(now time.Duration) bool {
+	return t.hasFailed && (t.storeFailing || now < t.recoveredAt+LapsedGracePeriod)
 }
 
 // Put takes an entry.
 func (t *Table) Put(e Endpoint) Change {
-	old, known := t.rows[e.ID]
+	old, known := t.entries[e.ID]
 	if !known {
-		t.rows[e.ID] = &row{Endpoint: e}
+		t.entries[e.ID] = &entry{Endpoint: e}
 		return Added
 	}
 	change := Unchanged
 	switch {
 	case e.Born != old.Born:
-		change = Reborn
+		change = Restarted
 	case e.Leaving && !old.Leaving:
-		change = LeavingNow
+		change = StartedLeaving
 	case e != old.Endpoint:
 		change = Updated
 	}
@@ -101,23 +101,23 @@
 
 // Remove takes the end of an entry.
 func (t *Table) Remove(id string, now time.Duration) Change {
-	r, known := t.rows[id]
+	r, known := t.entries[id]
 	if !known {
 		return Unchanged
 	}
-	if t.lapsing(now) {
+	if t.mayLapse(now) {
 		r.lapsed = true
 		return Lapsed
 	}
-	delete(t.rows, id)
-	return Gone
+	delete(t.entries, id)
+	return Removed
 }
 
 // Retain removes every endpoint that is not in ids: a full listing names the
 // living ones only. It returns those removed or lapsed.
 func (t *Table) Retain(ids map[string]bool, now time.Duration) []string {
 	var missing []string
-	for id := range t.rows {
+	for id := range t.entries {
 		if !ids[id] && t.Remove(id, now) != Unchanged {
 			missing = append(missing, id)
 		}
@@ -127,23 +127,23 @@
 
 // Expire removes lapsed endpoints whose entries did not come back in time.
 func (t *Table) Expire(now time.Duration) []string {
-	if t.lapsing(now) {
+	if t.mayLapse(now) {
 		return nil
 	}
-	var gone []string
-	for id, r := range t.rows {
+	var expired []string
+	for id, r := range t.entries {
 		if r.lapsed {
-			delete(t.rows, id)
-			gone = append(gone, id)
+			delete(t.entries, id)
+			expired = append(expired, id)
 		}
 	}
-	return gone
+	return expired
 }
 
 // List returns all endpoints, ordered by ID.
 func (t *Table) List() []Endpoint {
-	list := make([]Endpoint, 0, len(t.rows))
-	for _, r := range t.rows {
+	list := make([]Endpoint, 0, len(t.entries))
+	for _, r := range t.entries {
 		list = append(list, r.Endpoint)
 	}
 	slices.SortFunc(list, func(a, b Endpoint) int {
@@ -156,10 +156,10 @@
 }
 
 // Len is the number of endpoints.
-func (t *Table) Len() int { return len(t.rows) }
+func (t *Table) Len() int { return len(t.entries) }
 
 // Has says whether the endpoint is in the table.
 func (t *Table) Has(id string) bool {
-	_, known := t.rows[id]
+	_, known := t.entries[id]
 	return known
 }
--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -105,12 +105,12 @@
 	}
 	e.placementTable.Put(decoded)
 	switch change {
-	case discovery.Reborn:
+	case discovery.Restarted:
 		e.pool.Forget(decoded.ID)
 		e.logEndpoint(decoded.ID, "endpoint restarted")
 	case discovery.Added:
 		e.unloggedAdds++
-	case discovery.LeavingNow:
+	case discovery.StartedLeaving:
 		e.logEndpoint(decoded.ID, "endpoint leaves")
 	}
 }
@@ -120,7 +120,7 @@
 	switch change {
 	case discovery.Lapsed:
 		e.logEndpoint(id, "endpoint entry lapsed around a store outage; the endpoint stays in use")
-	case discovery.Gone:
+	case discovery.Removed:
 		e.removeEndpoint(id)
 	}
 }
@@ -168,10 +168,10 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if err != nil {
-		e.table.StoreFailed()
+		e.table.RecordStoreFailure()
 		e.freshness.onReadFailure()
 	} else {
-		e.table.StoreAnswered(e.clock())
+		e.table.RecordStoreSuccess(e.clock())
 	}
 	switch {
 	case err != nil && !e.storeUnavailable:
