--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -1,10 +1,10 @@
-// Package discovery keeps the table of endpoints from what the platform's
-// store says of them. It has no clock and does no input or output.
+// Package discovery keeps the table of endpoints that the platform's store lists. It has no
+// clock and does no I/O; callers pass the time as a duration since any fixed origin.
 //
-// An endpoint's entry that vanishes means that the endpoint leaves, except
-// around an outage of the store: entries lapse then while their endpoints live,
-// and come back soon after it. The table keeps such endpoints for ReturnWithin
-// after the store answers again.
+// An entry that disappears normally means that its endpoint has ended. Around an outage of
+// the store, however, entries expire although their endpoints are alive, and are published
+// again soon after it. The table marks such entries as lapsed and keeps their endpoints until
+// LapsedGracePeriod after the store has answered again.
 package discovery
 
 import (
@@ -12,74 +12,81 @@
 	"time"
 )
 
-// Endpoint is one entry as it was last published.
+// Endpoint is one endpoint as its entry was last published. State dumps encode its fields
+// under their Go names.
 type Endpoint struct {
-	// ID names one process start, or several if the endpoint starts again
-	// under the same identity; then Born differs.
+	// ID identifies the endpoint. One that restarts under the same ID has another Born.
 	ID      string
 	Service string
 	Address string // IP:port.
 	Zone    string
-	Slots   int
-	Leaving bool
-	// Born is when the process started, in Unix milliseconds; 0 if unknown.
+	Slots   int  // Requests that it runs concurrently.
+	Leaving bool // It is about to end and must get no more requests.
+	// Born is the start time of the process, in Unix milliseconds; 0 if unknown. It
+	// identifies the incarnation of an endpoint that restarts under the same ID.
 	Born int64
-	// Warming is how much longer the endpoint is slow after its start.
+	// Warming is the warm-up time, during which an endpoint is slow after its start, that was
+	// left when the entry was published.
 	Warming time.Duration
 }
 
-// LapsedGracePeriod is how long after the store's return a lapsed entry is waited
-// for; the platform promises them back within about two seconds.
+// LapsedGracePeriod is how long a lapsed entry is kept after the store has recovered. The
+// platform promises that the entries of living endpoints are published again within about
+// two seconds.
 const LapsedGracePeriod = 2 * time.Second
 
-// Change says what an update did to an endpoint.
+// Change is the effect of an update on an endpoint.
 type Change uint8
 
-// The changes that matter to others than the table.
+// The kinds of change. Where several apply, Put returns the first of Restarted,
+// StartedLeaving and Updated.
 const (
-	Unchanged Change = iota
+	Unchanged Change = iota // Also if an entry is merely no longer lapsed.
 	Added
 	Updated
 	StartedLeaving
 	Restarted
-	Lapsed // The entry vanished around an outage; the endpoint is still used.
+	Lapsed // The entry disappeared around an outage; the endpoint stays in use.
 	Removed
 )
 
+// entry is the row of one endpoint.
 type entry struct {
 	Endpoint
 	lapsed bool
 }
 
-// Table holds the endpoints. It is not safe for concurrent use.
+// Table holds the endpoints by their IDs. It is not safe for concurrent use.
 type Table struct {
 	entries map[string]*entry
-	// trouble is when the store last storeFailing a call; recovered when it first
-	// answered after that. Both in the caller's time; unset before the first failure.
-	storeFailing bool
-	hasFailed    bool
-	recoveredAt  time.Duration
+
+	storeFailing bool          // The last call to the store has failed.
+	hasFailed    bool          // Any call has ever failed.
+	recoveredAt  time.Duration // When the store first answered after the last failure, in the caller's time.
 }
 
 // New returns an empty table.
 func New() *Table { return &Table{entries: map[string]*entry{}} }
 
-// RecordStoreFailure tells that a call to the store failed.
+// RecordStoreFailure records that a call to the store has failed.
 func (t *Table) RecordStoreFailure() { t.storeFailing, t.hasFailed = true, true }
 
-// RecordStoreSuccess tells that the store answered.
+// RecordStoreSuccess records that the store has answered a call; the first answer after a
+// failure starts the grace period of lapsed entries.
 func (t *Table) RecordStoreSuccess(now time.Duration) {
 	if t.storeFailing {
 		t.storeFailing, t.recoveredAt = false, now
 	}
 }
 
-// mayLapse says whether an entry that vanishes now may be of a living endpoint.
+// mayLapse reports whether the endpoint of an entry that disappears at this time may be
+// alive: during an outage and the grace period after it.
 func (t *Table) mayLapse(now time.Duration) bool {
 	return t.hasFailed && (t.storeFailing || now < t.recoveredAt+LapsedGracePeriod)
 }
 
-// Put takes an entry.
+// Put adds or replaces an endpoint and returns what has changed. An entry that had lapsed is
+// valid again.
 func (t *Table) Put(e Endpoint) Change {
 	old, known := t.entries[e.ID]
 	if !known {
@@ -99,7 +106,8 @@
 	return change
 }
 
-// Remove takes the end of an entry.
+// Remove records that an endpoint's entry has disappeared. It returns Lapsed if the endpoint
+// stays in the table for now, Removed if not, and Unchanged if it is unknown.
 func (t *Table) Remove(id string, now time.Duration) Change {
 	r, known := t.entries[id]
 	if !known {
@@ -113,8 +121,8 @@
 	return Removed
 }
 
-// Retain removes every endpoint that is not in ids: a full listing names the
-// living ones only. It returns those removed or lapsed.
+// Retain applies Remove to every endpoint that is not in ids, the IDs of a full listing. It
+// returns the IDs of those removed or lapsed, in no order.
 func (t *Table) Retain(ids map[string]bool, now time.Duration) []string {
 	var missing []string
 	for id := range t.entries {
@@ -125,7 +133,8 @@
 	return missing
 }
 
-// Expire removes lapsed endpoints whose entries did not come back in time.
+// Expire removes the lapsed endpoints whose entries were not published again within
+// LapsedGracePeriod, and returns their IDs.
 func (t *Table) Expire(now time.Duration) []string {
 	if t.mayLapse(now) {
 		return nil
@@ -155,10 +164,10 @@
 	return list
 }
 
-// Len is the number of endpoints.
+// Len returns the number of endpoints, lapsed ones included.
 func (t *Table) Len() int { return len(t.entries) }
 
-// Has says whether the endpoint is in the table.
+// Has reports whether the endpoint is in the table, lapsed or not.
 func (t *Table) Has(id string) bool {
 	_, known := t.entries[id]
 	return known
