--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -31,19 +31,19 @@
 // two tables may be some milliseconds apart.
 func (r *Registry) Dump() map[string]any {
 	dump := map[string]any{}
-	for name, read := range r.readers() {
+	for name, read := range r.copyTables() {
 		dump[name] = read()
 	}
 	return dump
 }
 
-// readers copies the table list, so that no table is read under r.mu.
-func (r *Registry) readers() map[string]func() any {
+// copyTables copies the table list, so that no table is read under r.mu.
+func (r *Registry) copyTables() map[string]func() any {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	readers := make(map[string]func() any, len(r.tables))
+	tables := make(map[string]func() any, len(r.tables))
 	for name, read := range r.tables {
-		readers[name] = read
+		tables[name] = read
 	}
-	return readers
+	return tables
 }
