--- a/internal/cli/report.go
+++ b/internal/cli/report.go
@@ -38,13 +38,13 @@
 	if err != nil {
 		return err
 	}
-	if len(log.Ended) == 0 {
+	if len(log.Requests) == 0 {
 		return eris.New("cli: the log tells of no request's end; was an instance's log read?")
 	}
-	over := log.Over(span)
+	over := log.GroupByTime(span)
 	tables := []report.Table{
-		log.By("route", func(e report.Ended) string { return e.Route }),
-		log.By("availability zone", func(e report.Ended) string { return e.Zone }),
+		log.GroupBy("route", func(e report.Request) string { return e.Route }),
+		log.GroupBy("availability zone", func(e report.Request) string { return e.Zone }),
 		over,
 	}
 	for _, t := range tables {
@@ -53,8 +53,8 @@
 		}
 		fmt.Fprintln(o.out)
 	}
-	if log.Missing > 0 {
-		fmt.Fprintf(o.out, "%d lines of any kind were thinned or dropped: the counts lack some of them\n", log.Missing)
+	if log.MissingLines > 0 {
+		fmt.Fprintf(o.out, "%d lines of any kind were thinned or dropped: the counts lack some of them\n", log.MissingLines)
 	}
 	if svg == "" {
 		return nil
--- a/internal/report/report.go
+++ b/internal/report/report.go
@@ -18,12 +18,12 @@
 	"guavapier/internal/forward"
 )
 
-// maxLine bounds one line of a log, in bytes.
-const maxLine = 1 << 20
+// maxLineBytes bounds one line of a log, in bytes.
+const maxLineBytes = 1 << 20
 
-// endedMessage is the message of the line that each request ends with, as the
+// requestEndedMessage is the message of the line that each request ends with, as the
 // forwarder writes it.
-const endedMessage = "forward: request ended"
+const requestEndedMessage = "forward: request ended"
 
 // Outcome is what became of a request.
 type Outcome string
@@ -34,16 +34,16 @@
 	Late   Outcome = "late"
 )
 
-// Ended is one request's end as its log line tells it.
-type Ended struct {
-	At      time.Time
+// Request is one request's end as its log line tells it.
+type Request struct {
+	EndedAt time.Time
 	Route   string
 	Zone    string
 	Outcome Outcome
 }
 
-// line is the part of a log line that is read here.
-type line struct {
+// logLine is the part of a log logLine that is read here.
+type logLine struct {
 	Message string    `json:"message"`
 	Time    time.Time `json:"time"`
 	Route   string    `json:"route"`
@@ -55,52 +55,52 @@
 	Lines int64 `json:"lines"`
 }
 
-// Log is what was read.
-type Log struct {
-	Ended []Ended // By time.
-	// Missing is how many lines the instances did not write, as they say.
-	Missing int64
+// RequestLog is what was read.
+type RequestLog struct {
+	Requests []Request // By time.
+	// MissingLines is how many lines the instances did not write, as they say.
+	MissingLines int64
 }
 
 // Read reads log lines; each may have something in front of its JSON object,
 // such as the name of a host. Lines of other kinds are passed over.
-func Read(r io.Reader) (Log, error) {
-	var log Log
+func Read(r io.Reader) (RequestLog, error) {
+	var log RequestLog
 	scanner := bufio.NewScanner(r)
-	scanner.Buffer(nil, maxLine)
+	scanner.Buffer(nil, maxLineBytes)
 	for scanner.Scan() {
 		_, object, ok := strings.Cut(scanner.Text(), "{")
 		if !ok {
 			continue
 		}
-		var l line
+		var l logLine
 		if err := json.Unmarshal([]byte("{"+object), &l); err != nil {
 			continue // Not a line of an instance's.
 		}
-		log.Missing += l.Lines
-		if l.Message == endedMessage {
-			log.Ended = append(log.Ended, l.ended())
+		log.MissingLines += l.Lines
+		if l.Message == requestEndedMessage {
+			log.Requests = append(log.Requests, l.request())
 		}
 	}
 	if err := scanner.Err(); err != nil {
 		return log, eris.Wrap(err, "report: read log")
 	}
-	slices.SortStableFunc(log.Ended, func(a, b Ended) int { return a.At.Compare(b.At) })
+	slices.SortStableFunc(log.Requests, func(a, b Request) int { return a.EndedAt.Compare(b.EndedAt) })
 	return log, nil
 }
 
-func (l line) ended() Ended {
-	return Ended{At: l.Time, Route: l.Route, Zone: l.Zone, Outcome: l.outcome()}
+func (l logLine) request() Request {
+	return Request{EndedAt: l.Time, Route: l.Route, Zone: l.Zone, Outcome: l.outcome()}
 }
 
 // outcome is the reason where the caller got no success. A request that was
 // answered after an attempt had failed keeps the attempt's reason in its line.
-func (l line) outcome() Outcome {
-	const firstNoSuccess = 300
+func (l logLine) outcome() Outcome {
+	const firstNonSuccessStatus = 300
 	switch {
-	case (l.Status == 0 || l.Status >= firstNoSuccess) && l.Reason != "":
+	case (l.Status == 0 || l.Status >= firstNonSuccessStatus) && l.Reason != "":
 		return l.Reason
-	case l.Status == 0 || l.Status >= firstNoSuccess:
+	case l.Status == 0 || l.Status >= firstNonSuccessStatus:
 		return Outcome(forward.ReasonBroken)
 	case l.Late:
 		return Late
@@ -124,11 +124,11 @@
 	Rows     []Row
 }
 
-// By groups the log's requests, the groups in order of their names.
-func (l Log) By(name string, group func(Ended) string) Table {
-	t := Table{Name: name, Outcomes: l.outcomes()}
+// GroupBy groups the log's requests, the groups in order of their names.
+func (l RequestLog) GroupBy(name string, group func(Request) string) Table {
+	t := Table{Name: name, Outcomes: l.outcomeColumns()}
 	index := map[string]int{}
-	for _, e := range l.Ended {
+	for _, e := range l.Requests {
 		key := group(e)
 		i, known := index[key]
 		if !known {
@@ -143,16 +143,16 @@
 	return t
 }
 
-// Over groups the log's requests by spans of time from its first one on; spans
+// GroupByTime groups the log's requests by spans of time from its first one on; spans
 // without a request have a row of zeros.
-func (l Log) Over(span time.Duration) Table {
-	t := Table{Name: "from", Outcomes: l.outcomes()}
-	if len(l.Ended) == 0 {
+func (l RequestLog) GroupByTime(span time.Duration) Table {
+	t := Table{Name: "from", Outcomes: l.outcomeColumns()}
+	if len(l.Requests) == 0 {
 		return t
 	}
-	start := l.Ended[0].At
-	for _, e := range l.Ended {
-		i := int(e.At.Sub(start) / span)
+	start := l.Requests[0].EndedAt
+	for _, e := range l.Requests {
+		i := int(e.EndedAt.Sub(start) / span)
 		for len(t.Rows) <= i {
 			at := time.Duration(len(t.Rows)) * span
 			t.Rows = append(t.Rows, Row{Group: at.String(), Counts: map[Outcome]int{}})
@@ -163,10 +163,10 @@
 	return t
 }
 
-// outcomes lists the log's outcomes as columns.
-func (l Log) outcomes() []Outcome {
+// outcomeColumns lists the log's outcomeColumns as columns.
+func (l RequestLog) outcomeColumns() []Outcome {
 	counts := map[Outcome]int{}
-	for _, e := range l.Ended {
+	for _, e := range l.Requests {
 		counts[e.Outcome]++
 	}
 	delete(counts, InTime)
--- a/internal/report/report_test.go
+++ b/internal/report/report_test.go
@@ -8,7 +8,7 @@
 	"guavapier/internal/report"
 )
 
-const log = `entry-1 {"level":"info","route":"chat","zone":"a","status":200,"reason":"","late":false,"time":"2026-01-01T00:00:00.1Z","message":"forward: request ended"}
+const logText = `entry-1 {"level":"info","route":"chat","zone":"a","status":200,"reason":"","late":false,"time":"2026-01-01T00:00:00.1Z","message":"forward: request ended"}
 entry-2 {"level":"info","route":"chat","zone":"b","status":200,"reason":"endpoint unreachable","late":true,"time":"2026-01-01T00:00:04.5Z","message":"forward: request ended"}
 not a line of ours
 {"level":"warn","route":"chat","zone":"a","status":503,"reason":"budget not at hand","late":false,"time":"2026-01-01T00:00:00.9Z","message":"forward: request ended"}
@@ -18,7 +18,7 @@
 {"broken
 `
 
-func read(t *testing.T, text string) report.Log {
+func readLog(t *testing.T, text string) report.RequestLog {
 	t.Helper()
 	l, err := report.Read(strings.NewReader(text))
 	if err != nil {
@@ -30,12 +30,12 @@
 // Each request counts once, under what its caller got; what the instances did not
 // write is told.
 func TestOutcomesAreCountedByGroup(t *testing.T) {
-	l := read(t, log)
-	if len(l.Ended) != 4 || l.Missing != 7 {
-		t.Fatalf("%d ends, %d missing lines", len(l.Ended), l.Missing)
+	l := readLog(t, logText)
+	if len(l.Requests) != 4 || l.MissingLines != 7 {
+		t.Fatalf("%d ends, %d missing lines", len(l.Requests), l.MissingLines)
 	}
 	var text strings.Builder
-	if err := l.By("route", func(e report.Ended) string { return e.Route }).WriteText(&text); err != nil {
+	if err := l.GroupBy("route", func(e report.Request) string { return e.Route }).WriteText(&text); err != nil {
 		t.Fatal(err)
 	}
 	want := `  route  all  in time  late  answer broken off  budget not at hand
@@ -49,21 +49,21 @@
 
 // Spans without requests keep their place, so that a gap shows.
 func TestSpansHaveNoHoles(t *testing.T) {
-	over := read(t, log).Over(2 * time.Second)
-	totals := []int{3, 0, 1}
-	if len(over.Rows) != len(totals) {
-		t.Fatalf("%d rows", len(over.Rows))
+	table := readLog(t, logText).GroupByTime(2 * time.Second)
+	wantTotals := []int{3, 0, 1}
+	if len(table.Rows) != len(wantTotals) {
+		t.Fatalf("%d rows", len(table.Rows))
 	}
-	for i, want := range totals {
-		if over.Rows[i].Total != want {
-			t.Errorf("row %s has %d, want %d", over.Rows[i].Group, over.Rows[i].Total, want)
+	for i, want := range wantTotals {
+		if table.Rows[i].Total != want {
+			t.Errorf("row %s has %d, want %d", table.Rows[i].Group, table.Rows[i].Total, want)
 		}
 	}
 }
 
 func TestAPlotNamesItsOutcomes(t *testing.T) {
 	var svg strings.Builder
-	if err := read(t, log).Over(time.Second).WriteSVG(&svg, time.Second); err != nil {
+	if err := readLog(t, logText).GroupByTime(time.Second).WriteSVG(&svg, time.Second); err != nil {
 		t.Fatal(err)
 	}
 	for _, want := range []string{"<svg", "in time", "late", "budget not at hand", "seconds"} {
@@ -71,7 +71,7 @@
 			t.Errorf("the plot lacks %q", want)
 		}
 	}
-	if err := read(t, "").Over(time.Second).WriteSVG(&svg, time.Second); err == nil {
+	if err := readLog(t, "").GroupByTime(time.Second).WriteSVG(&svg, time.Second); err == nil {
 		t.Error("an empty log was drawn")
 	}
 }
--- a/internal/report/write.go
+++ b/internal/report/write.go
@@ -31,22 +31,22 @@
 	return eris.Wrap(tabs.Flush(), "report: write table")
 }
 
-// plotWidth and plotHeight are the size of a plot in pixels, plotTop the room
+// plotWidth and plotHeight are the size of a plot in pixels, plotTopPadding the room
 // above it.
-const plotWidth, plotHeight, plotTop = 1000, 400, 40
+const plotWidth, plotHeight, plotTopPadding = 1000, 400, 40
 
-// fewestPoints is how many spans a line needs.
-const fewestPoints = 2
+// minPlotPoints is how many spans a line needs.
+const minPlotPoints = 2
 
 // WriteSVG draws a line for each outcome over a table that Over made with the
 // same span.
 func (t Table) WriteSVG(w io.Writer, span time.Duration) error {
-	if len(t.Rows) < fewestPoints {
-		return eris.Errorf("report: %d spans of %s in the log, a plot needs %d", len(t.Rows), span, fewestPoints)
+	if len(t.Rows) < minPlotPoints {
+		return eris.Errorf("report: %d spans of %s in the log, a plot needs %d", len(t.Rows), span, minPlotPoints)
 	}
 	plot := chart.Chart{
 		Width: plotWidth, Height: plotHeight,
-		Background: chart.Style{Padding: chart.Box{Top: plotTop}},
+		Background: chart.Style{Padding: chart.Box{Top: plotTopPadding}},
 		XAxis:      chart.XAxis{Name: "seconds"},
 		YAxis:      chart.YAxis{Name: fmt.Sprintf("requests in %s", span)},
 	}
