--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -1,13 +1,13 @@
-// Package state collects the tables of one instance for its state dump. Each
-// part registers its tables when it is put together; the operators' interface
-// shows them all as JSON.
+// Package state collects the tables of one instance for its state dump. Each component
+// registers its tables when it is constructed; the operators' interface serves all of them
+// as JSON.
 package state
 
 import (
 	"sync"
 )
 
-// Registry names the tables of one instance. It is safe for concurrent use.
+// Registry holds the tables of one instance by name. It is safe for concurrent use.
 type Registry struct {
 	mu     sync.Mutex
 	tables map[string]func() any
@@ -18,17 +18,16 @@
 	return &Registry{tables: map[string]func() any{}}
 }
 
-// Register adds a table. read returns a copy that can be encoded as JSON; it
-// is called for each dump and takes the locks that it needs. A name that is
-// registered again shows the later table.
+// Register adds a table, replacing one of the same name. read is called for each dump and
+// returns a copy that can be encoded as JSON; it takes the locks that it needs.
 func (r *Registry) Register(name string, read func() any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.tables[name] = read
 }
 
-// Dump reads every table. The tables are read one after the other, so rows of
-// two tables may be some milliseconds apart.
+// Dump returns a copy of every table by name. The tables are read one after the other, so
+// rows of two tables may be some milliseconds apart.
 func (r *Registry) Dump() map[string]any {
 	dump := map[string]any{}
 	for name, read := range r.copyTables() {
@@ -37,7 +36,7 @@
 	return dump
 }
 
-// copyTables copies the table list, so that no table is read under r.mu.
+// copyTables copies the map of tables, so that r.mu is not held while they are read.
 func (r *Registry) copyTables() map[string]func() any {
 	r.mu.Lock()
 	defer r.mu.Unlock()
