--- a/internal/report/report.go
+++ b/internal/report/report.go
@@ -1,7 +1,7 @@
-// Package report sums up what became of callers' requests from the logs of any
-// instances: answered in time or late, refused or failed and why, by route, by
-// availability zone and over time. It is for operators who ask where an hour's
-// requests were lost; one request's story is `guavapier explain`.
+// Package report summarises the outcomes of callers' requests from the logs of any number
+// of instances: answered in time or late, or refused or failed for a reason, by route, by
+// availability zone and over time. It shows operators where requests were lost; `guavapier
+// explain` shows what happened to a single request.
 package report
 
 import (
@@ -18,23 +18,23 @@
 	"guavapier/internal/forward"
 )
 
-// maxLineBytes bounds one line of a log, in bytes.
+// maxLineBytes bounds one line of a log; Read fails on a longer one.
 const maxLineBytes = 1 << 20
 
-// requestEndedMessage is the message of the line that each request ends with, as the
-// forwarder writes it.
+// requestEndedMessage is the message of the line that the forwarder logs at the end of each
+// request.
 const requestEndedMessage = "forward: request ended"
 
-// Outcome is what became of a request.
+// Outcome is how a request ended: InTime, Late or a forward.Reason.
 type Outcome string
 
-// The outcomes besides reasons of forward.Reason.
+// The outcomes of requests that succeeded; all others are values of forward.Reason.
 const (
 	InTime Outcome = "in time"
-	Late   Outcome = "late"
+	Late   Outcome = "late" // The response began after the route's target latency.
 )
 
-// Request is one request's end as its log line tells it.
+// Request is one finished request as its log line describes it.
 type Request struct {
 	EndedAt time.Time
 	Route   string
@@ -42,7 +42,7 @@
 	Outcome Outcome
 }
 
-// logLine is the part of a log logLine that is read here.
+// logLine holds those fields of a log line that a report uses.
 type logLine struct {
 	Message string    `json:"message"`
 	Time    time.Time `json:"time"`
@@ -51,19 +51,21 @@
 	Reason  Outcome   `json:"reason"`
 	Status  int       `json:"status"`
 	Late    bool      `json:"late"`
-	// Lines tells how many lines were dropped or thinned before.
+	// Lines is how many log lines were dropped or rate limited before this one.
 	Lines int64 `json:"lines"`
 }
 
-// RequestLog is what was read.
+// RequestLog is the content of the logs that were read.
 type RequestLog struct {
-	Requests []Request // By time.
-	// MissingLines is how many lines the instances did not write, as they say.
+	Requests []Request // Ordered by EndedAt.
+	// MissingLines is how many lines of any kind the instances reported as dropped or rate
+	// limited.
 	MissingLines int64
 }
 
-// Read reads log lines; each may have something in front of its JSON object,
-// such as the name of a host. Lines of other kinds are passed over.
+// Read reads log lines. Each may have a prefix before its JSON object, such as the name of a
+// host. Lines that are not an instance's are skipped. It fails if r does, or on a line longer
+// than maxLineBytes.
 func Read(r io.Reader) (RequestLog, error) {
 	var log RequestLog
 	scanner := bufio.NewScanner(r)
@@ -75,7 +77,7 @@
 		}
 		var l logLine
 		if err := json.Unmarshal([]byte("{"+object), &l); err != nil {
-			continue // Not a line of an instance's.
+			continue // Not a log line of an instance.
 		}
 		log.MissingLines += l.Lines
 		if l.Message == requestEndedMessage {
@@ -89,12 +91,13 @@
 	return log, nil
 }
 
+// request returns the request whose end the line describes.
 func (l logLine) request() Request {
 	return Request{EndedAt: l.Time, Route: l.Route, Zone: l.Zone, Outcome: l.outcome()}
 }
 
-// outcome is the reason where the caller got no success. A request that was
-// answered after an attempt had failed keeps the attempt's reason in its line.
+// outcome returns the logged reason only if the caller got no success: a request that
+// succeeded after a failed attempt has that attempt's reason in its line.
 func (l logLine) outcome() Outcome {
 	const firstNonSuccessStatus = 300
 	switch {
@@ -108,23 +111,24 @@
 	return InTime
 }
 
-// Row counts the outcomes of one group.
+// Row holds how many requests of one group had each outcome.
 type Row struct {
 	Group  string
 	Counts map[Outcome]int
 	Total  int
 }
 
-// Table holds the groups of a log.
+// Table is a table of outcome counts with one row per group.
 type Table struct {
-	Name string
-	// Outcomes are the columns: in time, late, then the reasons, the most
-	// frequent first.
+	Name string // Header of the column of groups.
+	// Outcomes are the columns: in time, late, then the reasons, the most frequent in the
+	// whole log first.
 	Outcomes []Outcome
 	Rows     []Row
 }
 
-// GroupBy groups the log's requests, the groups in order of their names.
+// GroupBy counts the requests by the group that each belongs to. The rows are ordered by
+// group; name is the header of their column.
 func (l RequestLog) GroupBy(name string, group func(Request) string) Table {
 	t := Table{Name: name, Outcomes: l.outcomeColumns()}
 	index := map[string]int{}
@@ -143,8 +147,9 @@
 	return t
 }
 
-// GroupByTime groups the log's requests by spans of time from its first one on; spans
-// without a request have a row of zeros.
+// GroupByTime counts the requests by consecutive time spans of the given length, which
+// begin with the first request. Each row's group is the offset at which its span begins; a
+// span without requests has a row of zeros.
 func (l RequestLog) GroupByTime(span time.Duration) Table {
 	t := Table{Name: "from", Outcomes: l.outcomeColumns()}
 	if len(l.Requests) == 0 {
@@ -163,7 +168,7 @@
 	return t
 }
 
-// outcomeColumns lists the log's outcomeColumns as columns.
+// outcomeColumns returns the columns of the log's tables; see Table.Outcomes.
 func (l RequestLog) outcomeColumns() []Outcome {
 	counts := map[Outcome]int{}
 	for _, e := range l.Requests {
--- a/internal/report/report_test.go
+++ b/internal/report/report_test.go
@@ -27,12 +27,12 @@
 	return l
 }
 
-// Each request counts once, under what its caller got; what the instances did not
-// write is told.
+// Each request counts once, under the outcome that its caller got. Lines that the instances
+// report as dropped are counted as missing.
 func TestOutcomesAreCountedByGroup(t *testing.T) {
 	l := readLog(t, logText)
 	if len(l.Requests) != 4 || l.MissingLines != 7 {
-		t.Fatalf("%d ends, %d missing lines", len(l.Requests), l.MissingLines)
+		t.Fatalf("%d requests and %d missing lines, want 4 and 7", len(l.Requests), l.MissingLines)
 	}
 	var text strings.Builder
 	if err := l.GroupBy("route", func(e report.Request) string { return e.Route }).WriteText(&text); err != nil {
@@ -47,20 +47,22 @@
 	}
 }
 
-// Spans without requests keep their place, so that a gap shows.
+// A time span without requests has a row of zeros, so that gaps are visible.
 func TestSpansHaveNoHoles(t *testing.T) {
 	table := readLog(t, logText).GroupByTime(2 * time.Second)
 	wantTotals := []int{3, 0, 1}
 	if len(table.Rows) != len(wantTotals) {
-		t.Fatalf("%d rows", len(table.Rows))
+		t.Fatalf("%d rows, want one for each span of 2 s", len(table.Rows))
 	}
 	for i, want := range wantTotals {
 		if table.Rows[i].Total != want {
-			t.Errorf("row %s has %d, want %d", table.Rows[i].Group, table.Rows[i].Total, want)
+			t.Errorf("row %s has %d requests, want %d", table.Rows[i].Group, table.Rows[i].Total, want)
 		}
 	}
 }
 
+// A plot has a legend with its outcomes and a label for the time axis; a log without
+// requests can't be plotted.
 func TestAPlotNamesItsOutcomes(t *testing.T) {
 	var svg strings.Builder
 	if err := readLog(t, logText).GroupByTime(time.Second).WriteSVG(&svg, time.Second); err != nil {
@@ -72,6 +74,6 @@
 		}
 	}
 	if err := readLog(t, "").GroupByTime(time.Second).WriteSVG(&svg, time.Second); err == nil {
-		t.Error("an empty log was drawn")
+		t.Error("a log without requests was plotted")
 	}
 }
--- a/internal/report/write.go
+++ b/internal/report/write.go
@@ -10,10 +10,10 @@
 	"github.com/wcharczuk/go-chart/v2"
 )
 
-// cellPadding is the space between two columns.
+// cellPadding is the number of spaces between two columns.
 const cellPadding = 2
 
-// WriteText writes the table in columns.
+// WriteText writes the table as text with aligned columns. It fails if w does.
 func (t Table) WriteText(w io.Writer) error {
 	tabs := tabwriter.NewWriter(w, 0, 0, cellPadding, ' ', tabwriter.AlignRight)
 	fmt.Fprintf(tabs, "%s\tall\t", t.Name)
@@ -31,18 +31,18 @@
 	return eris.Wrap(tabs.Flush(), "report: write table")
 }
 
-// plotWidth and plotHeight are the size of a plot in pixels, plotTopPadding the room
-// above it.
+// plotWidth and plotHeight are the size of a plot, plotTopPadding the space above its
+// curves, all in pixels.
 const plotWidth, plotHeight, plotTopPadding = 1000, 400, 40
 
-// minPlotPoints is how many spans a line needs.
+// minPlotPoints is the least number of spans that can be plotted as lines.
 const minPlotPoints = 2
 
-// WriteSVG draws a line for each outcome over a table that Over made with the
-// same span.
+// WriteSVG plots one line per outcome as an SVG image, over the time in seconds. The table
+// must come from GroupByTime with the same span. It fails if there are fewer than two spans.
 func (t Table) WriteSVG(w io.Writer, span time.Duration) error {
 	if len(t.Rows) < minPlotPoints {
-		return eris.Errorf("report: %d spans of %s in the log, a plot needs %d", len(t.Rows), span, minPlotPoints)
+		return eris.Errorf("report: the log covers %d spans of %s, a plot needs at least %d", len(t.Rows), span, minPlotPoints)
 	}
 	plot := chart.Chart{
 		Width: plotWidth, Height: plotHeight,
@@ -62,5 +62,5 @@
 		plot.Series = append(plot.Series, chart.ContinuousSeries{Name: string(o), XValues: seconds, YValues: counts})
 	}
 	plot.Elements = []chart.Renderable{chart.LegendThin(&plot)}
-	return eris.Wrap(plot.Render(chart.SVG, w), "report: draw")
+	return eris.Wrap(plot.Render(chart.SVG, w), "report: plot")
 }
