--- a/internal/gateway/end.go
+++ b/internal/gateway/end.go
@@ -19,7 +19,7 @@
 	// exitReserve is kept at the end of the drain timeout for stopping the process, and
 	// budgetReserve before that for returning tokens.
 	exitReserve, budgetReserve = 200 * time.Millisecond, 300 * time.Millisecond
-	// settleTimeout is the part of budgetReserve in which aborted requests finish;
+	// settleTimeout is the part of budgetReserve in which aborted requests end;
 	// settlePollInterval is the interval at which their number is checked.
 	settleTimeout, settlePollInterval = 120 * time.Millisecond, 2 * time.Millisecond
 	// stopTimeout is the part of exitReserve for stopping the remaining background work
@@ -76,6 +76,8 @@
 
 // drain reports the instance as not ready, keeps serving until the load balancer has
 // noticed, and then waits until deadline for requests in flight. Those left are aborted.
+// From drain.last_callers before the end of serving, new requests that may outlast deadline
+// are refused.
 func (g *Gateway) drain(server *http.Server, deadline time.Time) {
 	g.isDraining.Store(true)
 	g.log.Info().Int64("under_way", g.inFlight.Load()).Msg("gateway: draining")
--- a/internal/gateway/freshness.go
+++ b/internal/gateway/freshness.go
@@ -22,7 +22,7 @@
 	// Readings of clock, in nanoseconds.
 	readStartedAt      atomic.Int64 // Start of the last read.
 	responseStartedAt  atomic.Int64 // First byte of its response; 0 before that.
-	confirmedAt        atomic.Int64 // When the store sent the last response that reached the topic's end; 0 for none.
+	confirmedAt        atomic.Int64 // When the last response that reached the topic's end was sent; 0 for none.
 	responseInProgress atomic.Bool  // Set by the first byte; cleared at the topic's end or by a failed read.
 }
 
--- a/internal/gateway/observe.go
+++ b/internal/gateway/observe.go
@@ -54,7 +54,8 @@
 }
 
 // registerBudgetGauges registers gauges of sums over all budgets, in tokens, and of the
-// age of what is known about them, in milliseconds.
+// age of what is known about them, in milliseconds. It also registers those of repeated
+// sends and of the link's load, in percent.
 func (g *Gateway) registerBudgetGauges() {
 	for name, value := range map[string]func(prepaid.Balance) int64{
 		metrics.GatewayHeld: func(b prepaid.Balance) int64 { return b.Claimed + b.Taken - b.Given - b.Settled - b.Reserved },
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -11,9 +11,9 @@
 	"guavapier/internal/logstore"
 )
 
-// Run serves until ctx ends or one of its HTTP servers fails, then drains. It returns within the drain
-// timeout even if a step hangs; what is still running then ends with the process. The error
-// is that of a server that failed.
+// Run serves until ctx ends or one of its HTTP servers fails, then drains. It returns within
+// the drain timeout even if a step hangs; what is still running then ends with the process.
+// The error is that of a server that failed.
 func (g *Gateway) Run(ctx context.Context) error {
 	backgroundCtx, stopBackground := context.WithCancel(context.WithoutCancel(ctx))
 	defer stopBackground()
