--- a/internal/gateway/counted.go
+++ b/internal/gateway/counted.go
@@ -9,38 +9,41 @@
 	"guavapier/internal/metrics"
 )
 
-// countedStore counts the calls to the store by outcome.
-type countedStore struct {
+// instrumentedStore wraps a store and counts each call under a metric that names its
+// outcome.
+type instrumentedStore struct {
 	logstore.Keyed
 	metrics *metrics.Registry
 }
 
 // Newest implements logstore.Keyed.
-func (c countedStore) Newest(ctx context.Context, topic logstore.Topic) (logstore.KeyedPage, error) {
+func (c instrumentedStore) Newest(ctx context.Context, topic logstore.Topic) (logstore.KeyedPage, error) {
 	page, err := c.Keyed.Newest(ctx, topic)
-	c.count(err)
+	c.countOutcome(err)
 	return page, err
 }
 
 // Follow implements logstore.Keyed.
-func (c countedStore) Follow(ctx context.Context, topic logstore.Topic, from uint64, wait time.Duration) (logstore.KeyedPage, error) {
+func (c instrumentedStore) Follow(ctx context.Context, topic logstore.Topic, from uint64, wait time.Duration) (logstore.KeyedPage, error) {
 	page, err := c.Keyed.Follow(ctx, topic, from, wait)
-	c.count(err)
+	c.countOutcome(err)
 	return page, err
 }
 
 // Put implements logstore.Keyed.
-func (c countedStore) Put(ctx context.Context, topic logstore.Topic, w logstore.Write, records []logstore.KeyedRecord) error {
+func (c instrumentedStore) Put(ctx context.Context, topic logstore.Topic, w logstore.Write, records []logstore.KeyedRecord) error {
 	err := c.Keyed.Put(ctx, topic, w, records)
-	c.count(err)
+	c.countOutcome(err)
 	return err
 }
 
-func (c countedStore) count(err error) {
-	c.metrics.Counter(metrics.GatewayStore + outcomeOf(err)).Inc(1)
+// countOutcome increments the counter of the outcome that err stands for.
+func (c instrumentedStore) countOutcome(err error) {
+	c.metrics.Counter(metrics.GatewayStore + storeOutcome(err)).Inc(1)
 }
 
-func outcomeOf(err error) string {
+// storeOutcome returns the suffix of the metric that counts calls with this result.
+func storeOutcome(err error) string {
 	switch {
 	case err == nil:
 		return "ok"
--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -15,163 +15,182 @@
 )
 
 const (
-	// endpointsWait is the longest wait of one read. Heartbeats end it long before.
-	endpointsWait = 800 * time.Millisecond
-	// endpointsLeastPause keeps the calls few where the time is short.
-	endpointsLeastPause = 400 * time.Millisecond
+	// endpointsPollTimeout bounds how long one read waits for a change. Heartbeats of the
+	// endpoints end it long before.
+	endpointsPollTimeout = 800 * time.Millisecond
+	// minEndpointsPollPause limits the call rate if store.leaving_within is short.
+	minEndpointsPollPause = 400 * time.Millisecond
 )
 
-// endpointsPause spaces the reads of the endpoint list: every heartbeat of every
-// endpoint ends a read. A connection that fell silent costs endpointsWait and a call's
-// timeout, the next one another, and a leaving endpoint is still noticed in time.
-func endpointsPause(leavingWithin, timeout time.Duration) time.Duration {
-	left := leavingWithin - endpointsWait - 2*timeout - readSpare
-	return max(endpointsLeastPause, min(left, leavingWithin/5))
+// endpointsPollPause returns the pause between two reads of the endpoint list, each of which
+// ends at the next heartbeat of any endpoint. It is short enough for a leaving endpoint to be
+// noticed within leavingTimeout even after two reads in a row whose connections went silent:
+// the first costs endpointsPollTimeout and callTimeout, the second another callTimeout.
+func endpointsPollPause(leavingTimeout, callTimeout time.Duration) time.Duration {
+	remaining := leavingTimeout - endpointsPollTimeout - 2*callTimeout - readDeadlineMargin
+	return max(minEndpointsPollPause, min(remaining, leavingTimeout/5))
 }
 
-// endpoints keeps the endpoint table current and hands it to the placement.
-type endpoints struct {
-	platform Platform
-	placed   *placement.Table
-	pool     *upstream.Pool
-	clock    func() time.Duration
-	log      zerolog.Logger // For lines of single endpoints; thinned.
-	lifeLog  zerolog.Logger
-	pause    time.Duration // Between two reads.
-	loaded   atomic.Bool
-	fresh    *freshness
-
-	mu    sync.Mutex // Guards what follows.
-	table *discovery.Table
-	seen  map[string]bool // Since the last reset.
-	added int             // Since they were last told.
-	away  bool
+// endpointTracker follows the store's endpoint list and applies each change to the
+// placement table and the connection pool.
+type endpointTracker struct {
+	platform       Platform
+	placementTable *placement.Table
+	pool           *upstream.Pool
+	clock          func() time.Duration
+	sampledLog     zerolog.Logger // For lines about single endpoints; rate limited.
+	lifecycleLog   zerolog.Logger
+	pollPause      time.Duration // Between two reads of the list.
+	isLoaded       atomic.Bool
+	freshness      *freshness
+
+	mu               sync.Mutex // Guards the fields below.
+	table            *discovery.Table
+	listed           map[string]bool // Endpoint IDs read since the last onReset.
+	unloggedAdds     int             // Endpoints added since logAdded last wrote a line.
+	storeUnavailable bool
 }
 
-func newEndpoints(p Platform, store settings.Store, placed *placement.Table, pool *upstream.Pool, clock func() time.Duration, log, lifeLog zerolog.Logger) *endpoints {
-	within := store.LeavingWithin.D()
-	return &endpoints{
-		platform: p, placed: placed, pool: pool, clock: clock, log: log, lifeLog: lifeLog, pause: endpointsPause(within, store.Timeout.D()),
-		fresh: newFreshness(within, clock), table: discovery.New(), seen: map[string]bool{},
+// newEndpointTracker returns a tracker with an empty list; follower returns what keeps it
+// current.
+func newEndpointTracker(p Platform, store settings.Store, placementTable *placement.Table, pool *upstream.Pool, clock func() time.Duration, sampledLog, lifecycleLog zerolog.Logger) *endpointTracker {
+	leavingTimeout := store.LeavingWithin.D()
+	return &endpointTracker{
+		platform: p, placementTable: placementTable, pool: pool, clock: clock, sampledLog: sampledLog, lifecycleLog: lifecycleLog, pollPause: endpointsPollPause(leavingTimeout, store.Timeout.D()),
+		freshness: newFreshness(leavingTimeout, clock), table: discovery.New(), listed: map[string]bool{},
 	}
 }
 
-func (e *endpoints) follower() *logstore.Follower {
+// follower returns a Follower that reads the endpoint list into the tracker.
+func (e *endpointTracker) follower() *logstore.Follower {
 	return &logstore.Follower{
-		Log: e.platform.Store, Topic: logstore.TopicEndpoints, Wait: endpointsWait, Pause: e.pause,
-		Begin: e.fresh.begin, Came: e.fresh.came, Current: e.fresh.confirm,
-		Reset: e.reset, Record: e.record, Loaded: e.complete, Outcome: e.outcome,
+		Log: e.platform.Store, Topic: logstore.TopicEndpoints, Wait: endpointsPollTimeout, Pause: e.pollPause,
+		Begin: e.freshness.onReadStart, Came: e.freshness.onReceive, Current: e.freshness.onCaughtUp,
+		Reset: e.onReset, Record: e.onRecord, Loaded: e.onListed, Outcome: e.onReadOutcome,
 	}
 }
 
-func (e *endpoints) reset() {
+// onReset is called before the whole list is read again.
+func (e *endpointTracker) onReset() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.seen = map[string]bool{}
+	e.listed = map[string]bool{}
 }
 
-func (e *endpoints) record(r logstore.KeyedRecord) {
+// onRecord applies one entry of the list. An entry without a value, or one that can't be
+// decoded, removes the endpoint.
+func (e *endpointTracker) onRecord(r logstore.KeyedRecord) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if r.Value == nil {
-		e.ended(r.Key, e.table.Remove(r.Key, e.clock()))
+		e.applyRemoval(r.Key, e.table.Remove(r.Key, e.clock()))
 		return
 	}
 	decoded, err := e.platform.DecodeEndpoint(r.Key, r.Value)
 	if err != nil {
-		e.log.Warn().Err(err).Str("endpoint", r.Key).Msg("gateway: entry names no endpoint to use")
-		e.ended(r.Key, e.table.Remove(r.Key, e.clock()))
+		e.sampledLog.Warn().Err(err).Str("endpoint", r.Key).Msg("gateway: endpoint entry not decodable; treated as removed")
+		e.applyRemoval(r.Key, e.table.Remove(r.Key, e.clock()))
 		return
 	}
-	e.seen[r.Key] = true
-	e.put(decoded)
+	e.listed[r.Key] = true
+	e.update(decoded)
 }
 
-func (e *endpoints) put(decoded discovery.Endpoint) {
+// update adds or changes an endpoint. The pooled connections to one that has restarted are
+// closed.
+func (e *endpointTracker) update(decoded discovery.Endpoint) {
 	change := e.table.Put(decoded)
 	if change == discovery.Unchanged {
 		return
 	}
-	e.placed.Put(decoded)
+	e.placementTable.Put(decoded)
 	switch change {
-	case discovery.Reborn:
+	case discovery.Restarted:
 		e.pool.Forget(decoded.ID)
-		e.told(decoded.ID, "endpoint started again")
+		e.logEndpoint(decoded.ID, "endpoint restarted")
 	case discovery.Added:
-		e.added++
-	case discovery.LeavingNow:
-		e.told(decoded.ID, "endpoint leaves")
+		e.unloggedAdds++
+	case discovery.StartedLeaving:
+		e.logEndpoint(decoded.ID, "endpoint leaves")
 	}
 }
 
-// ended follows the end of an entry.
-func (e *endpoints) ended(id string, change discovery.Change) {
+// applyRemoval acts on the outcome of removing an entry from the table.
+func (e *endpointTracker) applyRemoval(id string, change discovery.Change) {
 	switch change {
 	case discovery.Lapsed:
-		e.told(id, "entry lapsed around an outage; the endpoint stays in use")
-	case discovery.Gone:
-		e.drop(id)
+		e.logEndpoint(id, "endpoint entry lapsed around a store outage; the endpoint stays in use")
+	case discovery.Removed:
+		e.removeEndpoint(id)
 	}
 }
 
-func (e *endpoints) drop(id string) {
-	e.placed.Remove(id)
+// removeEndpoint takes an endpoint out of placement and closes its pooled connections.
+func (e *endpointTracker) removeEndpoint(id string) {
+	e.placementTable.Remove(id)
 	e.pool.Forget(id)
-	e.told(id, "endpoint gone")
+	e.logEndpoint(id, "endpoint gone")
 }
 
-func (e *endpoints) told(id, what string) {
-	e.log.Info().Str("endpoint", id).Msg("gateway: " + what)
+// logEndpoint logs an event of one endpoint.
+func (e *endpointTracker) logEndpoint(id, event string) {
+	e.sampledLog.Info().Str("endpoint", id).Msg("gateway: " + event)
 }
 
-// complete ends what a full listing does not name.
-func (e *endpoints) complete() {
+// onListed is called after the whole list has been read. It removes the endpoints that
+// the list does not contain.
+func (e *endpointTracker) onListed() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	for _, id := range e.table.Retain(e.seen, e.clock()) {
+	for _, id := range e.table.Retain(e.listed, e.clock()) {
 		if !e.table.Has(id) {
-			e.drop(id)
+			e.removeEndpoint(id)
 		}
 	}
-	if !e.loaded.Swap(true) {
-		e.lifeLog.Info().Int("endpoints", len(e.seen)).Msg("gateway: endpoints listed")
+	if !e.isLoaded.Swap(true) {
+		e.lifecycleLog.Info().Int("endpoints", len(e.listed)).Msg("gateway: endpoints listed")
 	}
 }
 
-// tellAdded writes one line for all endpoints that have come since the last one:
-// hundreds of lines at the start of a fleet would crowd out all others.
-func (e *endpoints) tellAdded() {
-	if e.added > 0 {
-		e.lifeLog.Info().Int("added", e.added).Int("endpoints", e.table.Len()).Msg("gateway: endpoints added")
-		e.added = 0
+// logAdded writes one line for all endpoints added since the last call. One line each
+// would be hundreds at the start of a fleet, and rate limiting would drop other lines for
+// them.
+func (e *endpointTracker) logAdded() {
+	if e.unloggedAdds > 0 {
+		e.lifecycleLog.Info().Int("added", e.unloggedAdds).Int("endpoints", e.table.Len()).Msg("gateway: endpoints added")
+		e.unloggedAdds = 0
 	}
 }
 
-func (e *endpoints) outcome(err error) {
+// onReadOutcome is called after each read with its error. It records whether the store is
+// available and logs when that changes.
+func (e *endpointTracker) onReadOutcome(err error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if err != nil {
-		e.table.StoreFailed()
-		e.fresh.fail()
+		e.table.RecordStoreFailure()
+		e.freshness.onReadFailure()
 	} else {
-		e.table.StoreAnswered(e.clock())
+		e.table.RecordStoreSuccess(e.clock())
 	}
 	switch {
-	case err != nil && !e.away:
-		e.lifeLog.Warn().Err(err).Msg("gateway: endpoint list lost; the last one stays in use")
-	case err == nil && e.away:
-		e.lifeLog.Info().Msg("gateway: endpoint list regained")
+	case err != nil && !e.storeUnavailable:
+		e.lifecycleLog.Warn().Err(err).Msg("gateway: endpoint list lost; the last one stays in use")
+	case err == nil && e.storeUnavailable:
+		e.lifecycleLog.Info().Msg("gateway: endpoint list readable again")
 	}
-	e.away = err != nil
+	e.storeUnavailable = err != nil
 }
 
-// sweep ends lapsed endpoints that did not come back, and forgets old parts.
-func (e *endpoints) sweep() {
+// sweep removes lapsed endpoints whose entries were not published again in time, logs the
+// endpoints added and runs the placement table's own housekeeping. It is called
+// periodically.
+func (e *endpointTracker) sweep() {
 	e.mu.Lock()
 	for _, id := range e.table.Expire(e.clock()) {
-		e.drop(id)
+		e.removeEndpoint(id)
 	}
-	e.tellAdded()
+	e.logAdded()
 	e.mu.Unlock()
-	e.placed.Sweep(e.clock())
+	e.placementTable.Sweep(e.clock())
 }
--- a/internal/gateway/loads.go
+++ b/internal/gateway/loads.go
@@ -13,136 +13,143 @@
 )
 
 const (
-	// loadsService is under which loads is registered, see peer.Server.
-	loadsService = "Loads"
-	// worthTelling is the reading time from which a prompt is told to the other
-	// instances: an endpoint reads one of 60,000 tokens for 0.65 s, and what they
-	// send there meanwhile comes late. Shorter ones are done before the word is round.
-	worthTelling = 30 * time.Millisecond
-	// tellEvery gathers what is told at once.
-	tellEvery = 5 * time.Millisecond
-	// tellWithin bounds one call: older news is useless.
-	tellWithin = 100 * time.Millisecond
-	// mostTold bounds what waits to be told; the rest is dropped.
-	mostTold = 64
+	// loadsServiceName is the name under which peer.Server registers a loadReporter.
+	loadsServiceName = "Loads"
+	// minReportedWork is the shortest prefill time of a prompt that is reported to the other
+	// instances. An endpoint takes 0.65 s for a prompt of 60,000 tokens, and delays what they
+	// send it meanwhile. Shorter prompts are done before a report would arrive.
+	minReportedWork = 30 * time.Millisecond
+	// reportBatchDelay is how long reports are collected for one call.
+	reportBatchDelay = 5 * time.Millisecond
+	// reportTimeout bounds one call; an older report is useless.
+	reportTimeout = 100 * time.Millisecond
+	// maxQueuedReports bounds the reports that wait for a call; further ones are dropped.
+	maxQueuedReports = 64
 )
 
-// SentPrompt says that an endpoint was sent a prompt.
+// SentPrompt reports that an instance has sent a prompt to an endpoint.
 type SentPrompt struct {
-	Endpoint string
-	// Work is how long reading takes; 0 if that is not worth telling.
+	Endpoint string // Its ID.
+	// Work is how long the endpoint takes for the prefill; 0 if that is below
+	// minReportedWork.
 	Work time.Duration
-	// Parts are shared parts of prompts that it then has.
+	// Parts are the IDs of the prompt's shared parts, which the endpoint then has cached;
+	// empty if it was sent them recently.
 	Parts []string
 }
 
-// TellArgs is what one instance tells another.
+// TellArgs are the arguments of Loads.Tell.
 type TellArgs struct{ Sent []SentPrompt }
 
-// TellReply is empty.
+// TellReply is the empty reply of Loads.Tell.
 type TellReply struct{}
 
-// loads tells other instances which prompts went where, long ones and those with
-// shared parts that are news, and hears of theirs. It is a hint: what is lost or
-// late costs a worse placement and nothing else.
-type loads struct {
-	caller  peer.Caller
-	book    *prepaid.Book // Knows the other instances.
-	table   *placement.Table
-	clock   func() time.Duration
-	news    chan SentPrompt
-	mu      sync.Mutex
-	calling map[record.InstanceID]bool // One call to each at a time.
+// loadReporter reports to the other instances which endpoints were sent long prompts, or
+// prompts with shared parts that it was not sent recently, and receives their reports.
+// Reports are hints: one that is lost or late makes a placement worse and has no other effect.
+type loadReporter struct {
+	caller        peer.Caller
+	accounts      *prepaid.Book // Lists the other instances.
+	endpoints     *placement.Table
+	clock         func() time.Duration
+	queue         chan SentPrompt
+	mu            sync.Mutex
+	callsInFlight map[record.InstanceID]bool // At most one call to each at a time.
 }
 
-func newLoads(caller peer.Caller, book *prepaid.Book, table *placement.Table, clock func() time.Duration) *loads {
-	return &loads{
-		caller: caller, book: book, table: table, clock: clock, news: make(chan SentPrompt, mostTold),
-		calling: map[record.InstanceID]bool{},
+// newLoadReporter returns a reporter that applies received reports to endpoints. Register
+// it at a peer.Server and call run.
+func newLoadReporter(caller peer.Caller, accounts *prepaid.Book, endpoints *placement.Table, clock func() time.Duration) *loadReporter {
+	return &loadReporter{
+		caller: caller, accounts: accounts, endpoints: endpoints, clock: clock, queue: make(chan SentPrompt, maxQueuedReports),
+		callsInFlight: map[record.InstanceID]bool{},
 	}
 }
 
-// Tell is called by other instances.
-func (l *loads) Tell(args TellArgs, _ *TellReply) error {
+// Tell applies the reports of another instance, which calls it as Loads.Tell.
+func (l *loadReporter) Tell(args TellArgs, _ *TellReply) error {
 	now := l.clock()
-	for _, b := range args.Sent {
-		l.table.Busy(b.Endpoint, min(max(b.Work, 0), time.Minute), now)
-		l.table.Sent(b.Endpoint, b.Parts, now)
+	for _, prompt := range args.Sent {
+		l.endpoints.Busy(prompt.Endpoint, min(max(prompt.Work, 0), time.Minute), now)
+		l.endpoints.Sent(prompt.Endpoint, prompt.Parts, now)
 	}
 	return nil
 }
 
-// placed notes an attempt that is about to be sent. In a large fleet nothing is told:
-// calls would grow with the square of its size, and each instance sends too little for
-// its news to matter.
-func (l *loads) placed(k *placement.Ticket) {
-	if l.book.Pooled() {
+// reportPlacement queues a report of an attempt that is about to be sent. Nothing is
+// reported in a large fleet: the number of calls would grow with the square of its size, and
+// each instance sends too little for its reports to matter.
+func (l *loadReporter) reportPlacement(ticket *placement.Ticket) {
+	if l.accounts.Pooled() {
 		return
 	}
-	told := SentPrompt{Endpoint: k.Endpoint.ID, Parts: k.News}
-	if k.Work >= worthTelling {
-		told.Work = k.Work
+	report := SentPrompt{Endpoint: ticket.Endpoint.ID, Parts: ticket.News}
+	if ticket.Work >= minReportedWork {
+		report.Work = ticket.Work
 	}
-	if told.Work == 0 && len(told.Parts) == 0 {
+	if report.Work == 0 && len(report.Parts) == 0 {
 		return
 	}
 	select {
-	case l.news <- told:
-	default: // Too much to tell: the others place without it.
+	case l.queue <- report:
+	default: // The queue is full: the others place without this report.
 	}
 }
 
-// run tells the news until ctx ends.
-func (l *loads) run(ctx context.Context) {
+// run sends queued reports in batches until ctx ends.
+func (l *loadReporter) run(ctx context.Context) {
 	for {
 		select {
-		case first := <-l.news:
-			logstore.Pause(ctx, tellEvery, nil)
-			l.tell(l.gather(first))
+		case first := <-l.queue:
+			logstore.Pause(ctx, reportBatchDelay, nil)
+			l.broadcast(l.collectBatch(first))
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-func (l *loads) gather(first SentPrompt) []SentPrompt {
+// collectBatch returns first and all other queued reports.
+func (l *loadReporter) collectBatch(first SentPrompt) []SentPrompt {
 	sent := []SentPrompt{first}
 	for {
 		select {
-		case b := <-l.news:
-			sent = append(sent, b)
+		case prompt := <-l.queue:
+			sent = append(sent, prompt)
 		default:
 			return sent
 		}
 	}
 }
 
-func (l *loads) tell(sent []SentPrompt) {
-	for _, other := range l.book.Heirs() {
-		if l.begin(other.Key) {
-			go l.call(other.Key, sent)
+// broadcast sends a batch to every other instance that can be called.
+func (l *loadReporter) broadcast(sent []SentPrompt) {
+	for _, other := range l.accounts.Heirs() {
+		if l.tryStartCall(other.Key) {
+			go l.sendReport(other.Key, sent)
 		}
 	}
 }
 
-// begin says whether the instance can be called: a silent one is not called
-// again before its call has ended.
-func (l *loads) begin(to record.InstanceID) bool {
+// tryStartCall marks a call to an instance as started and reports whether it may be made: an
+// instance that does not answer is not called again before the previous call has ended.
+func (l *loadReporter) tryStartCall(to record.InstanceID) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.calling[to] {
+	if l.callsInFlight[to] {
 		return false
 	}
-	l.calling[to] = true
+	l.callsInFlight[to] = true
 	return true
 }
 
-func (l *loads) call(to record.InstanceID, sent []SentPrompt) {
-	ctx, cancel := context.WithTimeout(context.Background(), tellWithin)
+// sendReport makes one call and marks it as ended.
+func (l *loadReporter) sendReport(to record.InstanceID, sent []SentPrompt) {
+	ctx, cancel := context.WithTimeout(context.Background(), reportTimeout)
 	defer cancel()
-	// A hint that is lost needs no word: the next one follows.
-	_ = l.caller.Call(ctx, to, loadsService+".Tell", TellArgs{Sent: sent}, &TellReply{})
+	// The error is ignored: a lost hint is harmless, and the next report follows.
+	_ = l.caller.Call(ctx, to, loadsServiceName+".Tell", TellArgs{Sent: sent}, &TellReply{})
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	delete(l.calling, to)
+	delete(l.callsInFlight, to)
 }
--- a/internal/report/report.go
+++ b/internal/report/report.go
@@ -1,7 +1,7 @@
-// Package report sums up what became of callers' requests from the logs of any
-// instances: answered in time or late, refused or failed and why, by route, by
-// availability zone and over time. It is for operators who ask where an hour's
-// requests were lost; one request's story is `guavapier explain`.
+// Package report summarises the outcomes of callers' requests from the logs of any number
+// of instances: answered in time or late, or refused or failed for a reason, by route, by
+// availability zone and over time. It shows operators where requests were lost; `guavapier
+// explain` shows what happened to a single request.
 package report
 
 import (
@@ -18,32 +18,32 @@
 	"guavapier/internal/forward"
 )
 
-// maxLine bounds one line of a log, in bytes.
-const maxLine = 1 << 20
+// maxLineBytes bounds one line of a log; Read fails on a longer one.
+const maxLineBytes = 1 << 20
 
-// endedMessage is the message of the line that each request ends with, as the
-// forwarder writes it.
-const endedMessage = "forward: request ended"
+// requestEndedMessage is the message of the line that the forwarder logs at the end of each
+// request.
+const requestEndedMessage = "forward: request ended"
 
-// Outcome is what became of a request.
+// Outcome is how a request ended: InTime, Late or a forward.Reason.
 type Outcome string
 
-// The outcomes besides reasons of forward.Reason.
+// The outcomes of requests that succeeded; all others are values of forward.Reason.
 const (
 	InTime Outcome = "in time"
-	Late   Outcome = "late"
+	Late   Outcome = "late" // The response began after the route's target latency.
 )
 
-// Ended is one request's end as its log line tells it.
-type Ended struct {
-	At      time.Time
+// Request is one finished request as its log line describes it.
+type Request struct {
+	EndedAt time.Time
 	Route   string
 	Zone    string
 	Outcome Outcome
 }
 
-// line is the part of a log line that is read here.
-type line struct {
+// logLine holds those fields of a log line that a report uses.
+type logLine struct {
 	Message string    `json:"message"`
 	Time    time.Time `json:"time"`
 	Route   string    `json:"route"`
@@ -51,56 +51,59 @@
 	Reason  Outcome   `json:"reason"`
 	Status  int       `json:"status"`
 	Late    bool      `json:"late"`
-	// Lines tells how many lines were dropped or thinned before.
+	// Lines is how many log lines were dropped or rate limited before this one.
 	Lines int64 `json:"lines"`
 }
 
-// Log is what was read.
-type Log struct {
-	Ended []Ended // By time.
-	// Missing is how many lines the instances did not write, as they say.
-	Missing int64
+// RequestLog is the content of the logs that were read.
+type RequestLog struct {
+	Requests []Request // Ordered by EndedAt.
+	// MissingLines is how many lines of any kind the instances reported as dropped or rate
+	// limited.
+	MissingLines int64
 }
 
-// Read reads log lines; each may have something in front of its JSON object,
-// such as the name of a host. Lines of other kinds are passed over.
-func Read(r io.Reader) (Log, error) {
-	var log Log
+// Read reads log lines. Each may have a prefix before its JSON object, such as the name of a
+// host. Lines that are not an instance's are skipped. It fails if r does, or on a line longer
+// than maxLineBytes.
+func Read(r io.Reader) (RequestLog, error) {
+	var log RequestLog
 	scanner := bufio.NewScanner(r)
-	scanner.Buffer(nil, maxLine)
+	scanner.Buffer(nil, maxLineBytes)
 	for scanner.Scan() {
 		_, object, ok := strings.Cut(scanner.Text(), "{")
 		if !ok {
 			continue
 		}
-		var l line
+		var l logLine
 		if err := json.Unmarshal([]byte("{"+object), &l); err != nil {
-			continue // Not a line of an instance's.
+			continue // Not a log line of an instance.
 		}
-		log.Missing += l.Lines
-		if l.Message == endedMessage {
-			log.Ended = append(log.Ended, l.ended())
+		log.MissingLines += l.Lines
+		if l.Message == requestEndedMessage {
+			log.Requests = append(log.Requests, l.request())
 		}
 	}
 	if err := scanner.Err(); err != nil {
 		return log, eris.Wrap(err, "report: read log")
 	}
-	slices.SortStableFunc(log.Ended, func(a, b Ended) int { return a.At.Compare(b.At) })
+	slices.SortStableFunc(log.Requests, func(a, b Request) int { return a.EndedAt.Compare(b.EndedAt) })
 	return log, nil
 }
 
-func (l line) ended() Ended {
-	return Ended{At: l.Time, Route: l.Route, Zone: l.Zone, Outcome: l.outcome()}
+// request returns the request whose end the line describes.
+func (l logLine) request() Request {
+	return Request{EndedAt: l.Time, Route: l.Route, Zone: l.Zone, Outcome: l.outcome()}
 }
 
-// outcome is the reason where the caller got no success. A request that was
-// answered after an attempt had failed keeps the attempt's reason in its line.
-func (l line) outcome() Outcome {
-	const firstNoSuccess = 300
+// outcome returns the logged reason only if the caller got no success: a request that
+// succeeded after a failed attempt has that attempt's reason in its line.
+func (l logLine) outcome() Outcome {
+	const firstNonSuccessStatus = 300
 	switch {
-	case (l.Status == 0 || l.Status >= firstNoSuccess) && l.Reason != "":
+	case (l.Status == 0 || l.Status >= firstNonSuccessStatus) && l.Reason != "":
 		return l.Reason
-	case l.Status == 0 || l.Status >= firstNoSuccess:
+	case l.Status == 0 || l.Status >= firstNonSuccessStatus:
 		return Outcome(forward.ReasonBroken)
 	case l.Late:
 		return Late
@@ -108,27 +111,28 @@
 	return InTime
 }
 
-// Row counts the outcomes of one group.
+// Row holds how many requests of one group had each outcome.
 type Row struct {
 	Group  string
 	Counts map[Outcome]int
 	Total  int
 }
 
-// Table holds the groups of a log.
+// Table is a table of outcome counts with one row per group.
 type Table struct {
-	Name string
-	// Outcomes are the columns: in time, late, then the reasons, the most
-	// frequent first.
+	Name string // Header of the column of groups.
+	// Outcomes are the columns: in time, late, then the reasons, the most frequent in the
+	// whole log first.
 	Outcomes []Outcome
 	Rows     []Row
 }
 
-// By groups the log's requests, the groups in order of their names.
-func (l Log) By(name string, group func(Ended) string) Table {
-	t := Table{Name: name, Outcomes: l.outcomes()}
+// GroupBy counts the requests by the group that each belongs to. The rows are ordered by
+// group; name is the header of their column.
+func (l RequestLog) GroupBy(name string, group func(Request) string) Table {
+	t := Table{Name: name, Outcomes: l.outcomeColumns()}
 	index := map[string]int{}
-	for _, e := range l.Ended {
+	for _, e := range l.Requests {
 		key := group(e)
 		i, known := index[key]
 		if !known {
@@ -143,16 +147,17 @@
 	return t
 }
 
-// Over groups the log's requests by spans of time from its first one on; spans
-// without a request have a row of zeros.
-func (l Log) Over(span time.Duration) Table {
-	t := Table{Name: "from", Outcomes: l.outcomes()}
-	if len(l.Ended) == 0 {
+// GroupByTime counts the requests by consecutive time spans of the given length, which
+// begin with the first request. Each row's group is the offset at which its span begins; a
+// span without requests has a row of zeros.
+func (l RequestLog) GroupByTime(span time.Duration) Table {
+	t := Table{Name: "from", Outcomes: l.outcomeColumns()}
+	if len(l.Requests) == 0 {
 		return t
 	}
-	start := l.Ended[0].At
-	for _, e := range l.Ended {
-		i := int(e.At.Sub(start) / span)
+	start := l.Requests[0].EndedAt
+	for _, e := range l.Requests {
+		i := int(e.EndedAt.Sub(start) / span)
 		for len(t.Rows) <= i {
 			at := time.Duration(len(t.Rows)) * span
 			t.Rows = append(t.Rows, Row{Group: at.String(), Counts: map[Outcome]int{}})
@@ -163,10 +168,10 @@
 	return t
 }
 
-// outcomes lists the log's outcomes as columns.
-func (l Log) outcomes() []Outcome {
+// outcomeColumns returns the columns of the log's tables; see Table.Outcomes.
+func (l RequestLog) outcomeColumns() []Outcome {
 	counts := map[Outcome]int{}
-	for _, e := range l.Ended {
+	for _, e := range l.Requests {
 		counts[e.Outcome]++
 	}
 	delete(counts, InTime)
