--- a/internal/decide/admit.go
+++ b/internal/decide/admit.go
@@ -11,20 +11,20 @@
 // waits in vain can not. The share is half for a team that has its fair part of
 // the work, and moves with the square of what it has: in a queue of a few
 // requests the order alone can't share slots between teams, admission must.
-const admitMargin, leastMargin, mostMargin = 0.5, 0.15, 0.7
+const fairWaitShare, minWaitShare, maxWaitShare = 0.5, 0.15, 0.7
 
-// contended is the wait, in seconds, from which teams are in each other's way.
+// contentionWaitSeconds is the wait, in seconds, from which teams are in each other's way.
 // Below it no team is refused for what it had.
-const contended = 0.1
+const contentionWaitSeconds = 0.1
 
-func (p *pool) margin(team record.Team, weight float64, now Time) float64 {
-	over := p.usage.over(team, weight, now)
-	return min(max(admitMargin/max(over*over, 0.01), leastMargin), mostMargin)
+func (p *pool) waitShare(team record.Team, weight float64, now Time) float64 {
+	ratio := p.usage.fairShareRatio(team, weight, now)
+	return min(max(fairWaitShare/max(ratio*ratio, 0.01), minWaitShare), maxWaitShare)
 }
 
-// startReserve is the share of the caller's patience kept for the time after
+// postStartShare is the share of the caller's patience kept for the time after
 // the start: a queue is no place to spend all of it.
-const startReserve = 0.25
+const postStartShare = 0.25
 
 // admit serves a queue that grows faster than it drains. It refuses at once
 // each new request whose predicted wait its deadline can't meet, and queues
@@ -35,7 +35,7 @@
 	for i, row := range d.incoming {
 		d.incoming[i] = nil
 		if row.cancelled {
-			d.freeRow(row)
+			d.releaseRow(row)
 			continue
 		}
 		d.admitRow(row)
@@ -44,117 +44,117 @@
 }
 
 func (d *Decider) admitRow(row *requestRow) {
-	row.submitted = d.now
-	p := d.find(&row.Request)
-	if p == nil && d.unknownModel(&row.Request) {
+	row.submittedAt = d.now
+	p := d.poolFor(&row.Request)
+	if p == nil && d.isUnknownModel(&row.Request) {
 		d.refuseRow(row, CodeUnknownModel)
 		return
 	}
-	if p == nil || !d.anyFor(p, row) {
+	if p == nil || !d.hasCandidate(p, row) {
 		d.refuseRow(row, CodeNoEndpoint)
 		return
 	}
 	row.pool = p
-	p.lastSeen[row.class] = d.now
-	if !d.retry.allow(row.attempt(), p) {
+	p.lastArrival[row.class] = d.now
+	if !d.retries.allow(row.attemptNumber(), p) {
 		row.pool = nil
-		d.refuseNew(row, p, CodeRetryBudget, 0)
+		d.refuseUnqueued(row, p, CodeRetryBudget, 0)
 		return
 	}
-	d.rankRow(p, row)
-	row.home = d.home(p, row)
-	first := d.expectedFirst(row)
-	ahead := p.ahead(row, d.teamWeight(row.Team))
+	d.rankEndpoints(p, row)
+	row.preferred = d.preferredEndpoint(p, row)
+	firstToken := d.expectedFirstToken(row)
+	ahead := p.requestsAhead(row, d.teamWeight(row.Team))
 	wait := p.predictedWait(row.class, ahead)
 	remaining := row.Deadline - d.now
-	if remaining <= first {
+	if remaining <= firstToken {
 		row.pool = nil
-		d.refuseNew(row, p, CodeDeadline, wait)
+		d.refuseUnqueued(row, p, CodeDeadline, wait)
 		return
 	}
-	margin := p.margin(row.Team, d.teamWeight(row.Team), d.now)
-	if wait > 0 && float64(wait+first) > margin*float64(remaining) {
+	waitShare := p.waitShare(row.Team, d.teamWeight(row.Team), d.now)
+	if wait > 0 && float64(wait+firstToken) > waitShare*float64(remaining) {
 		row.pool = nil
-		d.refuseNew(row, p, CodeOverloaded, wait)
+		d.refuseUnqueued(row, p, CodeOverloaded, wait)
 		return
 	}
-	if !d.homeInTime(row, margin*remaining.Seconds()) {
+	if !d.preferredInTime(row, waitShare*remaining.Seconds()) {
 		row.pool = nil
-		d.refuseNew(row, p, CodeOverloaded, wait)
+		d.refuseUnqueued(row, p, CodeOverloaded, wait)
 		return
 	}
-	row.latestStart = row.Deadline - max(first, seconds(startReserve*remaining.Seconds()))
-	row.ahead, row.startedThen = ahead, p.startedFrom(row.class)
+	row.latestStart = row.Deadline - max(firstToken, seconds(postStartShare*remaining.Seconds()))
+	row.aheadAtAdmission, row.startsAtAdmission = ahead, p.startsFromClass(row.class)
 	d.enqueue(row)
 }
 
-// anyFor tells whether an endpoint of the pool may take the request at all.
-func (d *Decider) anyFor(p *pool, row *requestRow) bool {
+// hasCandidate tells whether an endpoint of the pool may take the request at all.
+func (d *Decider) hasCandidate(p *pool, row *requestRow) bool {
 	for _, e := range p.endpoints {
-		if !e.out() && !row.avoids(e) {
+		if !e.isClosed() && !row.avoids(e) {
 			return true
 		}
 	}
 	return false
 }
 
-// homeInTime tells whether the row's own endpoint is expected to answer it in
+// preferredInTime tells whether the row's own endpoint is expected to answer it in
 // time, or another one may. Near the fleet's limit sessions wait for their own
 // endpoint, so it is that one's queue which decides.
-func (d *Decider) homeInTime(row *requestRow, bound float64) bool {
-	home := row.home
-	if home == nil {
+func (d *Decider) preferredInTime(row *requestRow, bound float64) bool {
+	preferred := row.preferred
+	if preferred == nil {
 		return true
 	}
-	wait := home.slotWait(d.now, float64(home.homeQueue), known(row.pool.hold, unknownHold))
-	if wait+home.delayNow(d.now) < contended {
-		bound = mostMargin * (row.Deadline - d.now).Seconds()
+	wait := preferred.slotWait(d.now, float64(preferred.queuedPreferring), valueOr(row.pool.slotTime, defaultSlotTime))
+	if wait+preferred.currentDelay(d.now) < contentionWaitSeconds {
+		bound = maxWaitShare * (row.Deadline - d.now).Seconds()
 	}
-	wait += home.firstTokenFree(d, row)
+	wait += preferred.predictFirstTokenWithSlot(d, row)
 	if wait <= bound {
 		return true
 	}
-	other, _ := d.sample(row.pool, row, home, false)
+	other, _ := d.bestAlternative(row.pool, row, preferred, false)
 	return other != nil
 }
 
-// expectedFirst returns the learned time from start to first token.
-func (d *Decider) expectedFirst(row *requestRow) time.Duration {
-	if row.home != nil {
-		return seconds(row.home.firstTokenFree(d, row))
+// expectedFirstToken returns the learned time from start to first token.
+func (d *Decider) expectedFirstToken(row *requestRow) time.Duration {
+	if row.preferred != nil {
+		return seconds(row.preferred.predictFirstTokenWithSlot(d, row))
 	}
 	p := row.pool
-	return seconds(known(p.base, 0) + float64(max(0, row.PromptTokens))*known(p.perTok, 0))
+	return seconds(valueOr(p.baseFirstToken, 0) + float64(max(0, row.PromptTokens))*valueOr(p.prefillPerToken, 0))
 }
 
-// ahead returns how many requests of the pool start before the row: of its own
+// requestsAhead returns how many requests of the pool start before the row: of its own
 // class what its team's share allows, and of higher ones at most as many as go
 // first by the rule of ageing.
-func (p *pool) ahead(row *requestRow, weight float64) float64 {
-	ahead := p.classes[row.class].shareAhead(row.Team, weight)
+func (p *pool) requestsAhead(row *requestRow, weight float64) float64 {
+	ahead := p.classes[row.class].fairShareAhead(row.Team, weight)
 	higher := 0
 	for class := row.class + 1; class < classCount; class++ {
 		higher += p.classes[class].count
 	}
-	return ahead + min(float64(higher), (ahead+1)/ageingCredit)
+	return ahead + min(float64(higher), (ahead+1)/agingCreditPerStart)
 }
 
 // predictedWait returns the wait for a slot with so many requests ahead.
 func (p *pool) predictedWait(class int, ahead float64) time.Duration {
-	if ahead < p.free[class] {
+	if ahead < p.freeSlots[class] {
 		return 0
 	}
-	if p.drain <= 0 {
-		return seconds(known(p.hold, unknownHold) * (ahead + 1))
+	if p.startRate <= 0 {
+		return seconds(valueOr(p.slotTime, defaultSlotTime) * (ahead + 1))
 	}
-	return seconds((ahead - p.free[class] + 1) / p.drain)
+	return seconds((ahead - p.freeSlots[class] + 1) / p.startRate)
 }
 
-// startedFrom counts the pool's starts of the class and those above.
-func (p *pool) startedFrom(class int) uint64 {
+// startsFromClass counts the pool's starts of the class and those above.
+func (p *pool) startsFromClass(class int) uint64 {
 	n := uint64(0)
 	for ; class < classCount; class++ {
-		n += p.started[class]
+		n += p.startsByClass[class]
 	}
 	return n
 }
--- a/internal/decide/baselines_test.go
+++ b/internal/decide/baselines_test.go
@@ -9,64 +9,64 @@
 	pick      func(b *baseline, r *Request) int
 	rng       *rand.Rand
 	endpoints []Endpoint
-	own       map[string]int
-	reports   map[string]Report
+	inFlight  map[string]int
+	reports   map[string]LoadReport
 	running   map[RequestID]string
-	out       []Decision
-	next      int
+	decisions []Decision
+	nextIndex int
 }
 
 func newBaseline(seed uint64, pick func(*baseline, *Request) int) *baseline {
 	return &baseline{
-		pick: pick, rng: rand.New(rand.NewPCG(seed, 2)), own: map[string]int{},
-		reports: map[string]Report{}, running: map[RequestID]string{},
+		pick: pick, rng: rand.New(rand.NewPCG(seed, 2)), inFlight: map[string]int{},
+		reports: map[string]LoadReport{}, running: map[RequestID]string{},
 	}
 }
 
-func (b *baseline) SetEndpoints(e []Endpoint)           { b.endpoints = e }
-func (b *baseline) SetReport(endpoint string, r Report) { b.reports[endpoint] = r }
-func (b *baseline) SetLeaving(string)                   {}
-func (b *baseline) Cancel(RequestID)                    {}
-func (b *baseline) Finish(id RequestID, _ Result)       { b.own[b.running[id]]--; delete(b.running, id) }
+func (b *baseline) SetEndpoints(e []Endpoint)                   { b.endpoints = e }
+func (b *baseline) SetLoadReport(endpoint string, r LoadReport) { b.reports[endpoint] = r }
+func (b *baseline) SetLeaving(string)                           {}
+func (b *baseline) Cancel(RequestID)                            {}
+func (b *baseline) Finish(id RequestID, _ Result)               { b.inFlight[b.running[id]]--; delete(b.running, id) }
 func (b *baseline) load(i int) float64 {
 	e := b.endpoints[i]
 	r := b.reports[e.Name]
-	return float64(max(b.own[e.Name], r.Running+r.Queued)) / float64(e.Slots)
+	return float64(max(b.inFlight[e.Name], r.Running+r.Queued)) / float64(e.Slots)
 }
 
-func (b *baseline) room(i int, r *Request) bool {
+func (b *baseline) hasRoom(i int, r *Request) bool {
 	e := b.endpoints[i]
 	avoided := false
 	for _, a := range r.Avoid {
 		avoided = avoided || a == e.Name
 	}
 	rep := b.reports[e.Name]
-	return !avoided && !e.Leaving && max(b.own[e.Name], rep.Running+rep.Queued) < e.Slots+defaultQueue
+	return !avoided && !e.Leaving && max(b.inFlight[e.Name], rep.Running+rep.Queued) < e.Slots+defaultMaxQueued
 }
 
 func (b *baseline) Submit(r Request) {
 	i := b.pick(b, &r)
 	if i < 0 {
-		b.out = append(b.out, Decision{Kind: Refuse, Request: r.ID, Code: CodeOverloaded, RetryAfter: seconds(0.5 + b.rng.Float64())})
+		b.decisions = append(b.decisions, Decision{Kind: Refuse, Request: r.ID, Code: CodeOverloaded, RetryAfter: seconds(0.5 + b.rng.Float64())})
 		return
 	}
 	name := b.endpoints[i].Name
-	b.own[name]++
+	b.inFlight[name]++
 	b.running[r.ID] = name
-	b.out = append(b.out, Decision{Kind: Start, Request: r.ID, Endpoint: name})
+	b.decisions = append(b.decisions, Decision{Kind: Start, Request: r.ID, Endpoint: name})
 }
 
 func (b *baseline) Tick(Time) []Decision {
-	out := b.out
-	b.out = nil
+	out := b.decisions
+	b.decisions = nil
 	return out
 }
 
-// best returns the endpoint with room of the lowest value, or -1.
-func (b *baseline) best(r *Request, value func(i int) float64) int {
+// lowest returns the endpoint with room of the lowest value, or -1.
+func (b *baseline) lowest(r *Request, value func(i int) float64) int {
 	best, bestValue := -1, 0.0
 	for i := range b.endpoints {
-		if !b.room(i, r) {
+		if !b.hasRoom(i, r) {
 			continue
 		}
 		if v := value(i); best < 0 || v < bestValue {
@@ -77,17 +77,17 @@
 }
 
 func roundRobin(b *baseline, r *Request) int {
-	b.next++
-	return b.best(r, func(i int) float64 {
-		return float64((i - b.next%len(b.endpoints) + len(b.endpoints)) % len(b.endpoints))
+	b.nextIndex++
+	return b.lowest(r, func(i int) float64 {
+		return float64((i - b.nextIndex%len(b.endpoints) + len(b.endpoints)) % len(b.endpoints))
 	})
 }
 
-func leastInFlight(b *baseline, r *Request) int { return b.best(r, b.load) }
+func leastInFlight(b *baseline, r *Request) int { return b.lowest(r, b.load) }
 
 func powerOfTwo(b *baseline, r *Request) int {
 	one, two := b.rng.IntN(len(b.endpoints)), b.rng.IntN(len(b.endpoints))
-	return b.best(r, func(i int) float64 {
+	return b.lowest(r, func(i int) float64 {
 		if i == one || i == two {
 			return b.load(i)
 		}
@@ -97,12 +97,12 @@
 
 func plainAffinity(b *baseline, r *Request) int {
 	key := hashString(string(r.Session))
-	return b.best(r, func(i int) float64 { return -rendezvous(key, hashString(b.endpoints[i].Name), 1) })
+	return b.lowest(r, func(i int) float64 { return -rendezvous(key, hashString(b.endpoints[i].Name), 1) })
 }
 
 func weightedAffinity(b *baseline, r *Request) int {
 	key := hashString(string(r.Session))
-	return b.best(r, func(i int) float64 {
+	return b.lowest(r, func(i int) float64 {
 		return -rendezvous(key, hashString(b.endpoints[i].Name), b.endpoints[i].Weight)
 	})
 }
--- a/internal/decide/decider.go
+++ b/internal/decide/decider.go
@@ -15,41 +15,41 @@
 	rng  *rand.Rand
 	now  Time // Of the last Tick.
 
-	endpoints  []*endpointRow // Sorted by name.
-	generation uint64         // Counts the changes of the endpoint table.
-	pools      []*pool        // In the order of their keys.
-	poolByKey  map[poolKey]*pool
-	served     map[poolKey]bool // Every key that had a pool since the start.
-	weights    map[record.Team]float64
-	prefixes   prefixTable
+	endpoints   []*endpointRow // Sorted by name.
+	generation  uint64         // Counts the changes of the endpoint table.
+	pools       []*pool        // In the order of their keys.
+	poolByKey   map[poolKey]*pool
+	servedKeys  map[poolKey]bool // Every key that had a pool since the start.
+	teamWeights map[record.Team]float64
+	prefixes    prefixTable
 
-	incoming   []*requestRow // Submitted since the last Tick.
-	queued     map[RequestID]*requestRow
-	expiry     rowHeap // All queued rows, the latest useful start first.
-	running    map[RequestID]*requestRow
-	parkedRows fifo
-	woken      []*endpointRow
-	spare      []*requestRow
+	incoming         []*requestRow // Submitted since the last Tick.
+	queued           map[RequestID]*requestRow
+	expiry           rowHeap // All queued rows, the latest useful start first.
+	running          map[RequestID]*requestRow
+	blockedQueue     fifo
+	changedEndpoints []*endpointRow
+	freeRows         []*requestRow
 
-	retry  retryBudget
-	cursor int // Where system refuse goes on in the expiry heap.
-	out    []Decision
+	retries       retryBudget
+	recheckCursor int // Where system refuse goes on in the expiry heap.
+	decisions     []Decision
 }
 
 // New returns a Decider with empty tables.
 func New(opts Options) *Decider {
 	opts = opts.withDefaults()
 	return &Decider{
-		opts:      opts,
-		rng:       rand.New(rand.NewPCG(opts.Seed, seedStream)),
-		poolByKey: map[poolKey]*pool{},
-		served:    map[poolKey]bool{},
-		weights:   map[record.Team]float64{},
-		prefixes:  newPrefixTable(),
-		queued:    map[RequestID]*requestRow{},
-		expiry:    rowHeap{index: expiryIndex},
-		running:   map[RequestID]*requestRow{},
-		retry:     newRetryBudget(),
+		opts:        opts,
+		rng:         rand.New(rand.NewPCG(opts.Seed, seedStream)),
+		poolByKey:   map[poolKey]*pool{},
+		servedKeys:  map[poolKey]bool{},
+		teamWeights: map[record.Team]float64{},
+		prefixes:    newPrefixTable(),
+		queued:      map[RequestID]*requestRow{},
+		expiry:      rowHeap{indexField: expiryIndex},
+		running:     map[RequestID]*requestRow{},
+		retries:     newRetryBudget(),
 	}
 }
 
@@ -63,40 +63,40 @@
 // a weight that is not positive restores it.
 func (d *Decider) SetTeamWeight(team record.Team, weight float64) {
 	if weight <= 0 {
-		delete(d.weights, team)
+		delete(d.teamWeights, team)
 		return
 	}
-	d.weights[team] = min(max(weight, minTeamWeight), maxTeamWeight)
+	d.teamWeights[team] = min(max(weight, minTeamWeight), maxTeamWeight)
 }
 
 func (d *Decider) teamWeight(team record.Team) float64 {
-	if w, ok := d.weights[team]; ok {
+	if w, ok := d.teamWeights[team]; ok {
 		return w
 	}
 	return 1
 }
 
-// SetReport takes an endpoint's load report. Reports may lag, be lost or come
+// SetLoadReport takes an endpoint's load report. Reports may lag, be lost or come
 // out of order; an older one than the last is dropped.
-func (d *Decider) SetReport(endpoint string, r Report) {
-	if e := d.endpoint(endpoint); e != nil {
-		e.setReport(r, d.now, d.rng.Float64())
-		d.changed(e)
+func (d *Decider) SetLoadReport(endpoint string, r LoadReport) {
+	if e := d.endpointByName(endpoint); e != nil {
+		e.applyLoadReport(r, d.now, d.rng.Float64())
+		d.markChanged(e)
 	}
 }
 
 // SetLeaving takes an endpoint out of placement on its own word, at once. The
 // word outlives a lagging list that does not know of it yet.
 func (d *Decider) SetLeaving(endpoint string) {
-	if e := d.endpoint(endpoint); e != nil {
-		e.leavingSaid, e.leavingSaidAt = true, d.now
+	if e := d.endpointByName(endpoint); e != nil {
+		e.selfLeaving, e.selfLeavingAt = true, d.now
 	}
 }
 
 // SetCached takes a cache event: endpoint holds so many tokens of the
 // session's prefix, or none. It is a hint; events may be late or missing.
 func (d *Decider) SetCached(endpoint string, session record.SessionID, tokens int) {
-	if e := d.endpoint(endpoint); e != nil && session != "" {
+	if e := d.endpointByName(endpoint); e != nil && session != "" {
 		d.prefixes.set(hashString(string(session)), e, tokens)
 	}
 }
@@ -124,20 +124,20 @@
 		return
 	}
 	d.dequeue(row)
-	d.freeRow(row)
+	d.releaseRow(row)
 }
 
-// FirstToken tells that a started model request has its first token, so long
+// ObserveFirstToken tells that a started model request has its first token, so long
 // after its start. Finish alone tells it seconds later, when a queue of prompts
 // has grown. An unknown identity has no effect.
-func (d *Decider) FirstToken(id RequestID, after time.Duration) {
+func (d *Decider) ObserveFirstToken(id RequestID, after time.Duration) {
 	row, ok := d.running[id]
-	if !ok || row.answered {
+	if !ok || row.firstTokenSeen {
 		return
 	}
-	row.endpoint.answered(row)
-	row.endpoint.learnDelay(row, after.Seconds(), d.now)
-	row.endpoint.learned.learnFirst(row, after.Seconds())
+	row.endpoint.endFirstTokenWait(row)
+	row.endpoint.observeDelay(row, after.Seconds(), d.now)
+	row.endpoint.estimates.observeFirstToken(row, after.Seconds())
 }
 
 // Finish ends a started request, gives back its slot and learns from the
@@ -149,22 +149,22 @@
 	}
 	delete(d.running, id)
 	e := row.endpoint
-	seen := row.answered
-	e.answered(row)
-	e.followOwn(d.now)
+	firstTokenSeen := row.firstTokenSeen
+	e.endFirstTokenWait(row)
+	e.updateOwnLagged(d.now)
 	e.inFlight--
-	e.startsSum -= row.startedAt
-	e.spanSum -= row.span
-	e.grants++
-	d.changed(e)
-	e.inFlightBy[row.class]--
-	if e.probe == id {
-		e.probe = 0
+	e.startTimeSum -= row.startedAt
+	e.expectedDurationSum -= row.expectedDuration
+	e.startQuota++
+	d.markChanged(e)
+	e.inFlightByClass[row.class]--
+	if e.probeID == id {
+		e.probeID = 0
 	}
 	if result != (Result{}) { // The zero Result gives back an unused slot.
-		d.learn(row, result, seen)
+		d.observeResult(row, result, firstTokenSeen)
 	}
-	d.freeRow(row)
+	d.releaseRow(row)
 }
 
 // Tick runs all systems once, in fixed order, and returns their decisions. The
@@ -172,15 +172,15 @@
 // counts as the last one.
 func (d *Decider) Tick(now Time) []Decision {
 	d.now = max(d.now, now)
-	d.out = d.out[:0]
+	d.decisions = d.decisions[:0]
 	d.refreshPools()
 	d.expire()
 	d.admit()
 	d.order()
 	d.place()
-	d.shift()
+	d.detectOutliers()
 	d.refuse()
-	return d.out
+	return d.decisions
 }
 
 // Queued returns how many requests wait.
@@ -189,47 +189,47 @@
 // Running returns how many requests were started and not finished.
 func (d *Decider) Running() int { return len(d.running) }
 
-func (d *Decider) start(row *requestRow, e *endpointRow) {
+func (d *Decider) startRow(row *requestRow, e *endpointRow) {
 	p := row.pool
-	p.usage.add(row.Team, row.team.weight, row.cost(), d.now)
+	p.usage.add(row.Team, row.queue.weight, row.cost(), d.now)
 	d.dequeue(row)
-	p.started[row.class]++
-	for class := range p.free {
-		p.free[class] = max(0, p.free[class]-1)
+	p.startsByClass[row.class]++
+	for class := range p.freeSlots {
+		p.freeSlots[class] = max(0, p.freeSlots[class]-1)
 	}
-	p.charge(row)
-	e.start(row, d)
-	d.changed(e)
+	p.creditLowerClasses(row)
+	e.addRequest(row, d)
+	d.markChanged(e)
 	d.running[row.ID] = row
 	d.prefixes.set(row.sessionHash, e, row.PromptTokens+row.MaxTokens)
-	d.out = append(d.out, Decision{Kind: Start, Request: row.ID, Endpoint: e.Name})
+	d.decisions = append(d.decisions, Decision{Kind: Start, Request: row.ID, Endpoint: e.Name})
 }
 
 func (d *Decider) newRow() *requestRow {
-	n := len(d.spare)
+	n := len(d.freeRows)
 	if n == 0 {
 		return &requestRow{}
 	}
-	row := d.spare[n-1]
-	d.spare = d.spare[:n-1]
+	row := d.freeRows[n-1]
+	d.freeRows = d.freeRows[:n-1]
 	return row
 }
 
-// maxSpareRows bounds the rows kept for use again after a burst.
-const maxSpareRows = 1 << 14
+// maxFreeRows bounds the rows kept for use again after a burst.
+const maxFreeRows = 1 << 14
 
-func (d *Decider) freeRow(row *requestRow) {
+func (d *Decider) releaseRow(row *requestRow) {
 	*row = requestRow{}
-	if len(d.spare) < maxSpareRows {
-		d.spare = append(d.spare, row)
+	if len(d.freeRows) < maxFreeRows {
+		d.freeRows = append(d.freeRows, row)
 	}
 }
 
 // enqueue puts an admitted row into its pool's queue.
 func (d *Decider) enqueue(row *requestRow) {
 	row.pool.push(row, d.teamWeight(row.Team))
-	if row.home != nil {
-		row.home.homeQueue++
+	if row.preferred != nil {
+		row.preferred.queuedPreferring++
 	}
 	heap.Push(&d.expiry, row)
 }
@@ -237,23 +237,23 @@
 // dequeue takes a row out of all queue tables.
 func (d *Decider) dequeue(row *requestRow) {
 	delete(d.queued, row.ID)
-	heap.Remove(&d.expiry, row.index[expiryIndex])
+	heap.Remove(&d.expiry, row.heapIndex[expiryIndex])
 	row.pool.remove(row)
-	if row.home != nil {
-		row.home.homeQueue--
+	if row.preferred != nil {
+		row.preferred.queuedPreferring--
 	}
 }
 
-// longest is the longest duration that a prediction gives. A pool that hardly
+// maxPrediction is the maxPrediction duration that a prediction gives. A pool that hardly
 // drains predicts waits beyond what a duration holds, and the conversion would
 // turn those into negative ones: no wait at all.
-const longest = 24 * time.Hour
+const maxPrediction = 24 * time.Hour
 
 // seconds converts a float to a duration of at most longest; what is no number
 // counts as longest.
 func seconds(s float64) time.Duration {
-	if s < longest.Seconds() {
+	if s < maxPrediction.Seconds() {
 		return time.Duration(s * float64(time.Second))
 	}
-	return longest
+	return maxPrediction
 }
--- a/internal/decide/options.go
+++ b/internal/decide/options.go
@@ -20,38 +20,38 @@
 	// AffinityWait is how long a request waits at most for the endpoint that
 	// holds its prefix while another one is free. Negative means not at all.
 	AffinityWait time.Duration
-	// Reserve is the share of an endpoint's slots kept free of lower classes,
+	// ReservedShare is the share of an endpoint's slots kept free of lower classes,
 	// by class, while the class is in use. Index is the Priority.
-	Reserve [classCount]float64
-	// Share is the largest share of an endpoint's slots that a class takes
+	ReservedShare [classCount]float64
+	// MaxShare is the largest share of an endpoint's slots that a class takes
 	// while a higher one is in use. Index is the Priority.
-	Share [classCount]float64
+	MaxShare [classCount]float64
 }
 
 const (
 	// defaultAffinityWait is a few steps of an engine: long enough for a slot
 	// to come free in a full batch, short against a person's patience.
 	defaultAffinityWait = 300 * time.Millisecond
-	// defaultReserveInteractive keeps one slot in eight free of long work, so
+	// defaultReservedShareInteractive keeps one slot in eight free of long work, so
 	// that a question never waits for a report's whole run.
-	defaultReserveInteractive = 0.125
-	// defaultReserveCall keeps one slot in sixteen for calls by machines: they
+	defaultReservedShareInteractive = 0.125
+	// defaultReservedShareCall keeps one slot in sixteen for calls by machines: they
 	// are few and short.
-	defaultReserveCall = 0.0625
-	// defaultShareBatch leaves long work half of the slots: more of it in one
+	defaultReservedShareCall = 0.0625
+	// defaultMaxShareBatch leaves long work half of the slots: more of it in one
 	// batch slows each step of the questions beside it.
-	defaultShareBatch = 0.5
+	defaultMaxShareBatch = 0.5
 )
 
 func (o Options) withDefaults() Options {
 	if o.AffinityWait == 0 {
 		o.AffinityWait = defaultAffinityWait
 	}
-	setDefault(&o.Reserve[PriorityInteractive], defaultReserveInteractive)
-	setDefault(&o.Reserve[PriorityCall], defaultReserveCall)
-	setDefault(&o.Share[PriorityBatch], defaultShareBatch)
-	setDefault(&o.Share[PriorityInteractive], 1)
-	setDefault(&o.Share[PriorityCall], 1)
+	setDefault(&o.ReservedShare[PriorityInteractive], defaultReservedShareInteractive)
+	setDefault(&o.ReservedShare[PriorityCall], defaultReservedShareCall)
+	setDefault(&o.MaxShare[PriorityBatch], defaultMaxShareBatch)
+	setDefault(&o.MaxShare[PriorityInteractive], 1)
+	setDefault(&o.MaxShare[PriorityCall], 1)
 	return o
 }
 
--- a/internal/decide/park.go
+++ b/internal/decide/park.go
@@ -5,85 +5,85 @@
 	"time"
 )
 
-// parkedEntry remembers when a row was parked. Rows are used again, so the
+// blockedEntry remembers when a row was parked. Rows are used again, so the
 // entry counts only while row is still the same request in the same stay.
-type parkedEntry struct {
+type blockedEntry struct {
 	row *requestRow
 	id  RequestID
 	at  Time
 }
 
 const (
-	// wakeRows bounds the rows that one event at their endpoint brings back into
+	// maxUnblockedPerEvent bounds the rows that one event at their endpoint brings back into
 	// the order: the event frees a slot or two, and the next start brings more.
-	wakeRows = 8
-	// parkFor is after which time a parked row is looked at without any event:
+	maxUnblockedPerEvent = 8
+	// blockedRecheckAge is after which time a parked row is looked at without any event:
 	// it may have waited long enough to move. parkChecks bounds these looks in
 	// one tick, so that the cost of a tick does not grow with the queue.
-	parkFor    = 20 * time.Millisecond
-	parkChecks = 8
+	blockedRecheckAge  = 20 * time.Millisecond
+	maxBlockedRechecks = 8
 )
 
-// park takes a row that waits for its endpoint out of the order, so that it
+// block takes a row that waits for its endpoint out of the order, so that it
 // holds up nobody and costs nothing until something changes there. In a long
 // queue most rows wait for endpoints that are full; going through them all to
 // find the one whose slot came free would take longer than the slot is worth.
-func (d *Decider) park(row *requestRow, until *rowHeap) {
-	row.pool.classes[row.class].hide(row)
-	row.parked, row.parkedAt = until, d.now
-	heap.Push(until, row)
-	d.parkedRows.push(parkedEntry{row: row, id: row.ID, at: d.now})
+func (d *Decider) block(row *requestRow, waitList *rowHeap) {
+	row.pool.classes[row.class].block(row)
+	row.waitList, row.blockedAt = waitList, d.now
+	heap.Push(waitList, row)
+	d.blockedQueue.push(blockedEntry{row: row, id: row.ID, at: d.now})
 }
 
-// unpark brings a row back into the order.
-func (d *Decider) unpark(row *requestRow) {
-	heap.Remove(row.parked, row.index[parkIndex])
-	row.parked = nil
-	row.pool.classes[row.class].show(row)
+// unblock brings a row back into the order.
+func (d *Decider) unblock(row *requestRow) {
+	heap.Remove(row.waitList, row.heapIndex[blockedIndex])
+	row.waitList = nil
+	row.pool.classes[row.class].unblock(row)
 }
 
-// changed marks an endpoint at which a slot may have come free.
-func (d *Decider) changed(e *endpointRow) {
-	if e.parked.Len() > 0 && !e.woken {
-		e.woken = true
-		d.woken = append(d.woken, e)
+// markChanged marks an endpoint at which a slot may have come free.
+func (d *Decider) markChanged(e *endpointRow) {
+	if e.blockedRows.Len() > 0 && !e.markedChanged {
+		e.markedChanged = true
+		d.changedEndpoints = append(d.changedEndpoints, e)
 	}
 }
 
-// wake brings parked rows back: the first ones of each endpoint that changed,
+// unblockRows brings parked rows back: the first ones of each endpoint that changed,
 // and those that have been parked for long.
-func (d *Decider) wake() {
-	for i, e := range d.woken {
-		d.woken[i] = nil
-		e.woken = false
-		for n := 0; n < wakeRows && e.parked.Len() > 0; n++ {
-			d.unpark(e.parked.rows[0])
+func (d *Decider) unblockRows() {
+	for i, e := range d.changedEndpoints {
+		d.changedEndpoints[i] = nil
+		e.markedChanged = false
+		for n := 0; n < maxUnblockedPerEvent && e.blockedRows.Len() > 0; n++ {
+			d.unblock(e.blockedRows.rows[0])
 		}
 	}
-	d.woken = d.woken[:0]
-	for range parkChecks {
-		entry, ok := d.parkedRows.first()
-		if !ok || d.now-entry.at < parkFor {
+	d.changedEndpoints = d.changedEndpoints[:0]
+	for range maxBlockedRechecks {
+		entry, ok := d.blockedQueue.first()
+		if !ok || d.now-entry.at < blockedRecheckAge {
 			return
 		}
-		d.parkedRows.pop()
+		d.blockedQueue.pop()
 		row := entry.row
-		if row.ID == entry.id && row.parked != nil && row.parkedAt == entry.at {
-			d.unpark(row)
+		if row.ID == entry.id && row.waitList != nil && row.blockedAt == entry.at {
+			d.unblock(row)
 		}
 	}
 }
 
 // fifo is a queue in a ring that grows by doubling.
 type fifo struct {
-	ring  []parkedEntry
+	ring  []blockedEntry
 	head  int
 	count int
 }
 
-func (f *fifo) push(e parkedEntry) {
+func (f *fifo) push(e blockedEntry) {
 	if f.count == len(f.ring) {
-		grown := make([]parkedEntry, max(64, 2*len(f.ring)))
+		grown := make([]blockedEntry, max(64, 2*len(f.ring)))
 		for i := range f.count {
 			grown[i] = f.ring[(f.head+i)%len(f.ring)]
 		}
@@ -93,15 +93,15 @@
 	f.count++
 }
 
-func (f *fifo) first() (parkedEntry, bool) {
+func (f *fifo) first() (blockedEntry, bool) {
 	if f.count == 0 {
-		return parkedEntry{}, false
+		return blockedEntry{}, false
 	}
 	return f.ring[f.head], true
 }
 
 func (f *fifo) pop() {
-	f.ring[f.head] = parkedEntry{}
+	f.ring[f.head] = blockedEntry{}
 	f.head = (f.head + 1) % len(f.ring)
 	f.count--
 }
--- a/internal/decide/policies_test.go
+++ b/internal/decide/policies_test.go
@@ -28,8 +28,8 @@
 	name   string
 	build  func(seed uint64) router
 	weight func(*engineModel) float64 // Nil is the configured capacity.
-	// learn takes the weight anew after each window; it is 1 before the first.
-	learn bool
+	// measuredWeight takes the weight anew after each window; it is 1 before the first.
+	measuredWeight bool
 }
 
 func policies() []policy {
@@ -44,8 +44,8 @@
 		{name: "power of two", build: simple(powerOfTwo)},
 		{name: "plain affinity", build: simple(plainAffinity)},
 		{name: "decide, weight 1", build: ours, weight: func(*engineModel) float64 { return 1 }},
-		{name: "decide, max input", build: ours, learn: true, weight: func(e *engineModel) float64 { return float64(max(1, e.input.most)) }},
-		{name: "decide, uncached", build: ours, learn: true, weight: func(e *engineModel) float64 { return float64(max(1, e.uncached.most)) }},
+		{name: "decide, max input", build: ours, measuredWeight: true, weight: func(e *engineModel) float64 { return float64(max(1, e.input.maxPerWindow)) }},
+		{name: "decide, uncached", build: ours, measuredWeight: true, weight: func(e *engineModel) float64 { return float64(max(1, e.uncached.maxPerWindow)) }},
 		{name: "weighted affinity", build: simple(weightedAffinity)},
 	}
 }
@@ -59,28 +59,28 @@
 func (p policy) run(seed uint64, sizes []int, load float64) *sim {
 	s := newSim(seed, sizes, instances, func(i int) router { return p.build(seed*100 + uint64(i)) })
 	if p.weight != nil {
-		s.list(p.weight)
-		if p.learn {
-			s.every(weightWindow, func() { s.learnWeights(p.weight) })
+		s.publishEndpoints(p.weight)
+		if p.measuredWeight {
+			s.every(weightWindow, func() { s.updateWeights(p.weight) })
 		}
 	}
-	s.from, s.until = policyWarmup, policyWarmup+policyWindow
+	s.windowStart, s.windowEnd = policyWarmup, policyWarmup+policyWindow
 	gpus := 0
 	for _, n := range sizes {
 		gpus += n
 	}
-	s.sessions(load*capacity(gpus), policyWarmup+policyWindow)
+	s.startSessions(load*capacity(gpus), policyWarmup+policyWindow)
 	s.run(policyWarmup + policyWindow)
 	return s
 }
 
-// learnWeights ends a window of throughput and lists the weights from it.
-func (s *sim) learnWeights(weight func(*engineModel) float64) {
+// updateWeights ends a window of throughput and lists the weights from it.
+func (s *sim) updateWeights(weight func(*engineModel) float64) {
 	for _, e := range s.engines {
-		e.input.window()
-		e.uncached.window()
+		e.input.endWindow()
+		e.uncached.endWindow()
 	}
-	s.list(weight)
+	s.publishEndpoints(weight)
 }
 
 // BenchmarkPolicies prints the comparison of docs/measurements/decide.md. The
@@ -114,7 +114,7 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		reportEvery = every
+		reportInterval = every
 	}
 	var cells []*cell
 	var group sync.WaitGroup
@@ -170,12 +170,12 @@
 		fmt.Fprintf(w, "%s\t| %.0f\t| %s\t| %.1f\t| %s\t| %.1f\t| %.0f\t| %.0f\t| %.0f\t| %.1f\t| %.1f\t| %.2f\n",
 			c.shape, c.load*100, c.policy, c.mean(goodput), c.span(goodput),
 			c.mean(func(s *sim) float64 { return 100 * float64(t(s).cached) / float64(max(1, t(s).prompt)) }),
-			c.mean(func(s *sim) float64 { return 1e3 * quantile(t(s).first, 0.5) }),
-			c.mean(func(s *sim) float64 { return 1e3 * quantile(t(s).first, 0.95) }),
-			c.mean(func(s *sim) float64 { return 1e3 * quantile(t(s).first, 0.99) }),
+			c.mean(func(s *sim) float64 { return 1e3 * quantile(t(s).firstTokens, 0.5) }),
+			c.mean(func(s *sim) float64 { return 1e3 * quantile(t(s).firstTokens, 0.95) }),
+			c.mean(func(s *sim) float64 { return 1e3 * quantile(t(s).firstTokens, 0.99) }),
 			c.mean(func(s *sim) float64 { return float64(t(s).refused) / per }),
-			c.mean(func(s *sim) float64 { return 100 * float64(t(s).late) / float64(max(1, t(s).refused)) }),
-			c.mean(func(s *sim) float64 { return float64(t(s).vain) / per }))
+			c.mean(func(s *sim) float64 { return 100 * float64(t(s).refusedLate) / float64(max(1, t(s).refused)) }),
+			c.mean(func(s *sim) float64 { return float64(t(s).unanswered) / per }))
 	}
 	_ = w.Flush()
 	for _, c := range cells {
--- a/internal/decide/prefix.go
+++ b/internal/decide/prefix.go
@@ -6,9 +6,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// prefixRows bounds the memory of the prefix table: 65,536 rows of 24 bytes.
+// prefixTableSize bounds the memory of the prefix table: 65,536 rows of 24 bytes.
 // A row that is overwritten costs one guess, never a wrong answer.
-const prefixRows = 1 << 16
+const prefixTableSize = 1 << 16
 
 type prefixRow struct {
 	session  uint64
@@ -20,10 +20,10 @@
 // direct mapped: no allocation, no scan, and no order to depend on.
 type prefixTable struct{ rows []prefixRow }
 
-func newPrefixTable() prefixTable { return prefixTable{rows: make([]prefixRow, prefixRows)} }
+func newPrefixTable() prefixTable { return prefixTable{rows: make([]prefixRow, prefixTableSize)} }
 
 func (t prefixTable) set(session uint64, e *endpointRow, tokens int) {
-	row := &t.rows[session%prefixRows]
+	row := &t.rows[session%prefixTableSize]
 	if tokens <= 0 {
 		if row.session == session && row.endpoint == e {
 			*row = prefixRow{}
@@ -35,15 +35,15 @@
 
 // get returns the endpoint that is thought to hold the session's prefix, or nil.
 func (t prefixTable) get(session uint64) (*endpointRow, int) {
-	row := &t.rows[session%prefixRows]
+	row := &t.rows[session%prefixTableSize]
 	if row.session != session {
 		return nil, 0
 	}
 	return row.endpoint, row.tokens
 }
 
-// forget drops all rows of an endpoint that is gone.
-func (t prefixTable) forget(e *endpointRow) {
+// removeEndpoint drops all rows of an endpoint that is gone.
+func (t prefixTable) removeEndpoint(e *endpointRow) {
 	for i := range t.rows {
 		if t.rows[i].endpoint == e {
 			t.rows[i] = prefixRow{}
@@ -63,13 +63,13 @@
 // rendezvousUnit returns the hash of both between 0 and 1.
 func rendezvousUnit(key, node uint64) float64 {
 	const unitBits = 53
-	return (float64(mix(key^node)>>(64-unitBits)) + 0.5) / (1 << unitBits)
+	return (float64(mix64(key^node)>>(64-unitBits)) + 0.5) / (1 << unitBits)
 }
 
 func rendezvousScore(unit, weight float64) float64 { return -weight / math.Log(unit) }
 
-// mix is the finalizer of SplitMix64.
-func mix(x uint64) uint64 {
+// mix64 is the finalizer of SplitMix64.
+func mix64(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
 	x ^= x >> 27
--- a/internal/decide/property_test.go
+++ b/internal/decide/property_test.go
@@ -12,25 +12,25 @@
 	"guavapier/internal/record"
 )
 
-// machine drives two equal Deciders with one random input and checks that they
+// harness drives two equal Deciders with one random input and checks that they
 // agree and that each request has one decision.
-type machine struct {
-	d, twin  *Decider
-	now      Time
-	table    []Endpoint
-	leaving  map[string]bool
-	asked    map[RequestID]Request
-	starts   map[RequestID]string
-	inFlight map[string]int
-	lastID   RequestID
+type harness struct {
+	d, twin   *Decider
+	now       Time
+	table     []Endpoint
+	leaving   map[string]bool
+	undecided map[RequestID]Request
+	started   map[RequestID]string
+	inFlight  map[string]int
+	lastID    RequestID
 }
 
-func (m *machine) both(do func(*Decider)) {
+func (m *harness) onBoth(do func(*Decider)) {
 	do(m.d)
 	do(m.twin)
 }
 
-func (m *machine) row(name string) *Endpoint {
+func (m *harness) row(name string) *Endpoint {
 	for i := range m.table {
 		if m.table[i].Name == name {
 			return &m.table[i]
@@ -40,7 +40,7 @@
 }
 
 // drawTable lists any of eight endpoints whose configuration never changes.
-func (m *machine) drawTable(t *rapid.T) {
+func (m *harness) drawTable(t *rapid.T) {
 	m.table = nil
 	for i := range 8 {
 		if !rapid.Bool().Draw(t, "listed") {
@@ -58,10 +58,10 @@
 		e.Leaving = rapid.IntRange(0, 5).Draw(t, "leaving") == 0
 		m.table = append(m.table, e)
 	}
-	m.both(func(d *Decider) { d.SetEndpoints(m.table) })
+	m.onBoth(func(d *Decider) { d.SetEndpoints(m.table) })
 }
 
-func (m *machine) submit(t *rapid.T) {
+func (m *harness) submit(t *rapid.T) {
 	m.lastID++
 	r := Request{
 		ID: m.lastID, Team: record.Team(rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "team")),
@@ -75,21 +75,21 @@
 	if rapid.IntRange(0, 3).Draw(t, "avoids") == 0 {
 		r.Avoid = []string{fmt.Sprintf("e%d", rapid.IntRange(0, 7).Draw(t, "avoid"))}
 	}
-	m.asked[r.ID] = r
-	m.both(func(d *Decider) { d.Submit(r) })
+	m.undecided[r.ID] = r
+	m.onBoth(func(d *Decider) { d.Submit(r) })
 }
 
-func (m *machine) tick(t *rapid.T) {
+func (m *harness) tick(t *rapid.T) {
 	got, other := slices.Clone(m.d.Tick(m.now)), m.twin.Tick(m.now)
 	if len(got)+len(other) > 0 && !reflect.DeepEqual(got, other) {
 		t.Fatalf("same input, other decisions: %v and %v", got, other)
 	}
 	for _, d := range got {
-		r, ok := m.asked[d.Request]
+		r, ok := m.undecided[d.Request]
 		if !ok {
 			t.Fatalf("decided twice, or never asked: %+v", d)
 		}
-		delete(m.asked, d.Request)
+		delete(m.undecided, d.Request)
 		if d.Kind == Refuse {
 			if d.RetryAfter < minRetryAfter || d.RetryAfter > 2*maxRetryAfter {
 				t.Fatalf("retry after %v", d.RetryAfter)
@@ -100,7 +100,7 @@
 	}
 }
 
-func (m *machine) checkStart(t *rapid.T, r Request, name string) {
+func (m *harness) checkStart(t *rapid.T, r Request, name string) {
 	e := m.row(name)
 	switch {
 	case e == nil || e.Leaving || m.leaving[name]:
@@ -112,48 +112,48 @@
 	case m.now >= r.Deadline:
 		t.Fatalf("start of %+v at %v", r, m.now)
 	}
-	m.starts[r.ID] = name
+	m.started[r.ID] = name
 	m.inFlight[name]++
 	if m.inFlight[name] > e.Slots {
 		t.Fatalf("%s runs %d on %d slots", name, m.inFlight[name], e.Slots)
 	}
 }
 
-func (m *machine) finish(t *rapid.T) {
-	if len(m.starts) == 0 {
+func (m *harness) finish(t *rapid.T) {
+	if len(m.started) == 0 {
 		return
 	}
-	ids := make([]RequestID, 0, len(m.starts))
-	for id := range m.starts {
+	ids := make([]RequestID, 0, len(m.started))
+	for id := range m.started {
 		ids = append(ids, id)
 	}
 	slices.Sort(ids)
 	id := rapid.SampledFrom(ids).Draw(t, "finished")
 	r := Result{
 		Total: time.Duration(rapid.IntRange(0, 9000).Draw(t, "total")) * time.Millisecond, Tokens: rapid.IntRange(0, 500).Draw(t, "tokens"),
-		Failed: rapid.IntRange(0, 2).Draw(t, "failed") == 0, Silent: rapid.Bool().Draw(t, "silent"),
+		Failed: rapid.IntRange(0, 2).Draw(t, "failed") == 0, Stalled: rapid.Bool().Draw(t, "silent"),
 	}
 	r.FirstToken = r.Total / 2
-	m.inFlight[m.starts[id]]--
-	delete(m.starts, id)
-	m.both(func(d *Decider) { d.Finish(id, r) })
+	m.inFlight[m.started[id]]--
+	delete(m.started, id)
+	m.onBoth(func(d *Decider) { d.Finish(id, r) })
 }
 
-func (m *machine) cancel(t *rapid.T) {
+func (m *harness) cancel(t *rapid.T) {
 	id := RequestID(rapid.Uint64Range(0, uint64(m.lastID)).Draw(t, "cancelled"))
-	delete(m.asked, id)
-	m.both(func(d *Decider) { d.Cancel(id) })
+	delete(m.undecided, id)
+	m.onBoth(func(d *Decider) { d.Cancel(id) })
 }
 
-func (m *machine) report(t *rapid.T) {
+func (m *harness) report(t *rapid.T) {
 	name := fmt.Sprintf("e%d", rapid.IntRange(0, 7).Draw(t, "endpoint"))
 	if rapid.IntRange(0, 5).Draw(t, "leaves") == 0 {
 		m.leaving[name] = m.row(name) != nil
-		m.both(func(d *Decider) { d.SetLeaving(name) })
+		m.onBoth(func(d *Decider) { d.SetLeaving(name) })
 		return
 	}
-	r := Report{Running: rapid.IntRange(0, 5).Draw(t, "running"), Queued: rapid.IntRange(0, 7).Draw(t, "queued"), At: m.now}
-	m.both(func(d *Decider) { d.SetReport(name, r); d.SetCached(name, "s", r.Running) })
+	r := LoadReport{Running: rapid.IntRange(0, 5).Draw(t, "running"), Queued: rapid.IntRange(0, 7).Draw(t, "queued"), At: m.now}
+	m.onBoth(func(d *Decider) { d.SetLoadReport(name, r); d.SetCached(name, "s", r.Running) })
 }
 
 // TestAnyInput: same input same output; each request is decided once, none is
@@ -161,9 +161,9 @@
 func TestAnyInput(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		opts := Options{Seed: rapid.Uint64().Draw(t, "seed"), Zone: "z0"}
-		m := &machine{
-			d: New(opts), twin: New(opts), leaving: map[string]bool{}, asked: map[RequestID]Request{},
-			starts: map[RequestID]string{}, inFlight: map[string]int{},
+		m := &harness{
+			d: New(opts), twin: New(opts), leaving: map[string]bool{}, undecided: map[RequestID]Request{},
+			started: map[RequestID]string{}, inFlight: map[string]int{},
 		}
 		m.drawTable(t)
 		steps := []func(*rapid.T){m.submit, m.submit, m.submit, m.tick, m.tick, m.finish, m.finish, m.cancel, m.report, m.report}
@@ -171,17 +171,17 @@
 			m.now += time.Duration(rapid.IntRange(0, 300).Draw(t, "ms")) * time.Millisecond
 			if n := rapid.IntRange(0, len(steps)).Draw(t, "step"); n < len(steps) {
 				steps[n](t)
-			} else if m.now < leavingHold {
+			} else if m.now < selfLeavingTTL {
 				m.drawTable(t)
 			}
 		}
 		m.now += 10 * time.Second
 		m.tick(t)
-		if len(m.asked) > 0 || m.d.Queued() > 0 {
-			t.Fatalf("%d requests without a decision, %d queued", len(m.asked), m.d.Queued())
+		if len(m.undecided) > 0 || m.d.Queued() > 0 {
+			t.Fatalf("%d requests without a decision, %d queued", len(m.undecided), m.d.Queued())
 		}
-		if m.d.Running() != len(m.starts) {
-			t.Fatalf("%d running, %d started", m.d.Running(), len(m.starts))
+		if m.d.Running() != len(m.started) {
+			t.Fatalf("%d running, %d started", m.d.Running(), len(m.started))
 		}
 	})
 }
--- a/internal/decide/row.go
+++ b/internal/decide/row.go
@@ -4,7 +4,7 @@
 const (
 	expiryIndex = iota
 	teamIndex
-	parkIndex
+	blockedIndex
 	heapCount
 )
 
@@ -14,34 +14,34 @@
 	class       int
 	sessionHash uint64
 	pool        *pool // Nil until admitted.
-	team        *teamQueue
-	index       [heapCount]int
+	queue       *teamQueue
+	heapIndex   [heapCount]int
 	cancelled   bool
-	parked      *rowHeap // Where it is parked; nil while it is in the order.
-	parkedAt    Time
+	waitList    *rowHeap // Where it is parked; nil while it is in the order.
+	blockedAt   Time
 
-	submitted   Time
+	submittedAt Time
 	latestStart Time
-	// ahead is how many requests were before it at admission, and startedThen
+	// aheadAtAdmission is how many requests were before it at admission, and startedThen
 	// the pool's count of starts at that time.
-	ahead       float64
-	startedThen uint64
-	// home is where the row is expected to run, from its admission on; nil if
+	aheadAtAdmission  float64
+	startsAtAdmission uint64
+	// preferred is where the row is expected to run, from its admission on; nil if
 	// any endpoint will do.
-	home *endpointRow
+	preferred *endpointRow
 	// rank holds the session's endpoints by rendezvous score, for the
 	// endpoint table of rankGeneration.
 	rank           [rankSize]*endpointRow
 	rankGeneration uint64
 
 	// Set by start.
-	endpoint   *endpointRow
-	startedAt  Time
-	answered   bool    // Its first token came.
-	uncached   float64 // Prompt tokens expected to be computed.
-	prefillDue float64 // Uncached tokens in the endpoint, its own included.
-	span       float64 // Seconds from start to end that its peers would take.
-	expected   float64 // Seconds to the first token, without delay.
+	endpoint           *endpointRow
+	startedAt          Time
+	firstTokenSeen     bool    // Its first token came.
+	uncached           float64 // Prompt tokens expected to be computed.
+	prefillBacklog     float64 // Uncached tokens in the endpoint, its own included.
+	expectedDuration   float64 // Seconds from start to end that its peers would take.
+	expectedFirstToken float64 // Seconds to the first token, without delay.
 }
 
 // cost is the work of a request in tokens, for fair shares. A prompt token
@@ -52,14 +52,14 @@
 	return perRequest + promptPart*float64(max(r.PromptTokens, 0)) + float64(max(r.MaxTokens, 0))
 }
 
-// attempt returns which start of the request this would be, from 1.
-func (r *requestRow) attempt() int { return max(r.Attempt, len(r.Avoid)+1) }
+// attemptNumber returns which start of the request this would be, from 1.
+func (r *requestRow) attemptNumber() int { return max(r.Attempt, len(r.Avoid)+1) }
 
 // rowHeap is a heap.Interface of rows by latest start, ties by identity, so
 // that the order is total.
 type rowHeap struct {
-	rows  []*requestRow
-	index int // Which of the row's index fields this heap keeps.
+	rows       []*requestRow
+	indexField int // Which of the row's index fields this heap keeps.
 }
 
 func (h *rowHeap) Len() int { return len(h.rows) }
@@ -74,14 +74,14 @@
 
 func (h *rowHeap) Swap(i, j int) {
 	h.rows[i], h.rows[j] = h.rows[j], h.rows[i]
-	h.rows[i].index[h.index] = i
-	h.rows[j].index[h.index] = j
+	h.rows[i].heapIndex[h.indexField] = i
+	h.rows[j].heapIndex[h.indexField] = j
 }
 
 // Push implements heap.Interface.
 func (h *rowHeap) Push(x any) {
 	row := x.(*requestRow)
-	row.index[h.index] = len(h.rows)
+	row.heapIndex[h.indexField] = len(h.rows)
 	h.rows = append(h.rows, row)
 }
 
--- a/internal/decide/scenario_test.go
+++ b/internal/decide/scenario_test.go
@@ -19,82 +19,82 @@
 // missed.
 func TestScenarios(t *testing.T) {
 	datadriven.Walk(t, "testdata/scenarios", func(t *testing.T, path string) {
-		var past [seeds]map[string]*sim
-		for i := range past {
-			past[i] = map[string]*sim{}
+		var earlier [seedCount]map[string]*sim
+		for i := range earlier {
+			earlier[i] = map[string]*sim{}
 		}
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
 			if d.Cmd != "run" {
 				t.Fatalf("%s: unknown command %s", d.Pos, d.Cmd)
 			}
-			var plays [seeds]*play
+			var runs [seedCount]*scenarioRun
 			var group sync.WaitGroup
-			for i := range plays {
-				plays[i] = &play{d: d, seed: uint64(i + 1), past: past[i]}
-				group.Go(plays[i].run)
+			for i := range runs {
+				runs[i] = &scenarioRun{d: d, seed: uint64(i + 1), earlier: earlier[i]}
+				group.Go(runs[i].run)
 			}
 			group.Wait()
-			var missed strings.Builder
-			for _, p := range plays {
-				for _, m := range p.missed {
-					fmt.Fprintf(&missed, "seed %d: %s\n", p.seed, m)
+			var failures strings.Builder
+			for _, p := range runs {
+				for _, m := range p.failures {
+					fmt.Fprintf(&failures, "seed %d: %s\n", p.seed, m)
 				}
 			}
-			if missed.Len() == 0 {
+			if failures.Len() == 0 {
 				return "ok\n"
 			}
-			return missed.String()
+			return failures.String()
 		})
 	})
 }
 
-const seeds = 3
+const seedCount = 3
 
-// settleTime is the longest that a caller may come back and wait.
-const settleTime = 500 * time.Second
+// maxSettleTime is the longest that a caller may come back and wait.
+const maxSettleTime = 500 * time.Second
 
-// play is one case with one seed.
-type play struct {
-	d      *datadriven.TestData
-	seed   uint64
-	past   map[string]*sim // By the case's name.
-	sim    *sim
-	until  Time
-	missed []string
+// scenarioRun is one case with one seed.
+type scenarioRun struct {
+	d        *datadriven.TestData
+	seed     uint64
+	earlier  map[string]*sim // By the case's name.
+	sim      *sim
+	until    Time
+	failures []string
 }
 
 var classNames = map[string]Priority{"batch": PriorityBatch, "interactive": PriorityInteractive, "call": PriorityCall}
 
-func (p *play) run() {
+func (p *scenarioRun) run() {
 	sizes, load := p.arg("sizes", "equal"), p.number(p.arg("load", "0"))
 	from, until, name := p.arg("from", "20s"), p.arg("until", "60s"), p.arg("name", "")
 	gpus := map[string][]int{"equal": {2, 2, 2, 2, 2, 2, 2, 2}, "mixed": {1, 1, 2, 2, 3, 3, 4}, "small": {2, 2, 2, 2}, "few": {1, 1}}[sizes]
 	p.sim = newSim(p.seed, gpus, instances, func(i int) router {
 		return New(Options{Seed: p.seed*100 + uint64(i), Zone: record.Zone(fmt.Sprintf("z%d", i%4))})
 	})
-	p.sim.from, p.until = p.duration(from), p.duration(until)
-	p.sim.until = p.until
+	p.sim.windowStart, p.until = p.duration(from), p.duration(until)
+	p.sim.windowEnd = p.until
 	if load > 0 {
 		total := 0
 		for _, n := range gpus {
 			total += n
 		}
-		p.sim.sessions(load*capacity(total), p.until)
+		p.sim.startSessions(load*capacity(total), p.until)
 	}
 	lines := strings.Split(strings.TrimSpace(p.d.Input), "\n")
 	for _, line := range lines {
 		if !strings.HasPrefix(line, "expect") {
-			p.arrange(strings.Fields(line))
+			p.applyLine(strings.Fields(line))
 		}
 	}
-	for p.sim.run(p.until); p.sim.open > 0; p.sim.run(p.sim.now + time.Second) {
-		if p.sim.now > p.until+settleTime {
-			p.missed = append(p.missed, fmt.Sprintf("%d calls without a last word", p.sim.open))
+	for p.sim.run(p.until); p.sim.openCalls > 0; p.sim.run(p.sim.now + time.Second) {
+		if p.sim.now > p.until+maxSettleTime {
+			p.failures = append(p.failures, fmt.Sprintf("%d calls without a last word", p.sim.openCalls))
 			break
 		}
 	}
-	p.past[name] = p.sim
-	p.missed = append(p.missed, p.sim.violations...)
+	p.earlier[name] = p.sim
+	p.failures = append(p.failures, p.sim.violations...)
 	for _, line := range lines {
 		if strings.HasPrefix(line, "expect") {
 			p.expect(strings.Fields(line)[1:])
@@ -102,13 +102,13 @@
 	}
 }
 
-// bad ends the test for a malformed case.
-func (p *play) bad(format string, args ...any) {
+// malformed ends the test for a malformed case.
+func (p *scenarioRun) malformed(format string, args ...any) {
 	panic(p.d.Pos + ": " + fmt.Sprintf(format, args...))
 }
 
 // arg returns an argument of the command, or its default.
-func (p *play) arg(key, def string) string {
+func (p *scenarioRun) arg(key, def string) string {
 	for _, a := range p.d.CmdArgs {
 		if a.Key == key {
 			return a.Vals[0]
@@ -117,24 +117,24 @@
 	return def
 }
 
-func (p *play) duration(s string) time.Duration {
+func (p *scenarioRun) duration(s string) time.Duration {
 	v, err := time.ParseDuration(s)
 	if err != nil {
-		p.bad("%v", err)
+		p.malformed("%v", err)
 	}
 	return v
 }
 
-func (p *play) number(s string) float64 {
+func (p *scenarioRun) number(s string) float64 {
 	v, err := strconv.ParseFloat(s, 64)
 	if err != nil {
-		p.bad("%v", err)
+		p.malformed("%v", err)
 	}
 	return v
 }
 
-// arrange takes a line of the input: a stream of requests, or a fault.
-func (p *play) arrange(f []string) {
+// applyLine takes a line of the input: a stream of requests, or a fault.
+func (p *scenarioRun) applyLine(f []string) {
 	switch f[0] {
 	case "weight": // weight TEAM WEIGHT
 		for _, r := range p.sim.routers {
@@ -143,73 +143,73 @@
 	case "stream", "hot": // stream CLASS TEAM RATE PROMPT OUTPUT WAIT [FROM UNTIL]; hot: all in one session
 		p.stream(f)
 	case "at": // at TIME slow|leave|cut ENDPOINT|ZONE [FACTOR]
-		p.sim.after(p.duration(f[1]), func() { p.fault(f[2:]) })
+		p.sim.after(p.duration(f[1]), func() { p.injectFault(f[2:]) })
 	default:
-		p.bad("unknown line %v", f)
+		p.malformed("unknown line %v", f)
 	}
 }
 
-func (p *play) stream(f []string) {
+func (p *scenarioRun) stream(f []string) {
 	from, until := Time(0), p.until
 	if len(f) > 7 {
 		from, until = p.duration(f[7]), p.duration(f[8])
 	}
 	prompt, output, wait := int(p.number(f[4])), int(p.number(f[5])), p.duration(f[6])
-	p.sim.stream(p.number(f[3]), from, until, func() *call {
+	p.sim.startStream(p.number(f[3]), from, until, func() *call {
 		c := &call{wait: wait, done: func(bool) {}}
 		c.Request = Request{
 			Team: record.Team(f[2]), Model: "m", Priority: classNames[f[1]], Repeatable: f[1] != "call",
 			Session:      map[string]record.SessionID{"hot": "hot"}[f[0]],
-			PromptTokens: between(p.sim.load, prompt), MaxTokens: between(p.sim.load, output),
+			PromptTokens: between(p.sim.workloadRNG, prompt), MaxTokens: between(p.sim.workloadRNG, output),
 		}
 		return c
 	})
 }
 
-func (p *play) fault(f []string) {
+func (p *scenarioRun) injectFault(f []string) {
 	for _, e := range p.sim.engines {
 		if f[1] != e.name && f[1] != p.sim.zone(e) {
 			continue
 		}
 		switch f[0] {
 		case "slow":
-			e.slow = p.number(f[2])
+			e.slowdown = p.number(f[2])
 		case "leave":
 			e.leaving = true
 		case "cut":
-			e.cut = true
+			e.unreachable = true
 			for _, j := range append(e.active, e.waiting...) {
 				p.sim.after(2*time.Second, func() { p.sim.fail(j) })
 			}
 			e.active, e.waiting = nil, nil
 		}
 	}
-	p.sim.list(func(e *engineModel) float64 { return float64(e.gpus) })
+	p.sim.publishEndpoints(func(e *engineModel) float64 { return float64(e.gpus) })
 }
 
 // expect checks CLASS MEASURE OP VALUE, or CLASS MEASURE OP FACTOR of NAME.
-func (p *play) expect(f []string) {
+func (p *scenarioRun) expect(f []string) {
 	got := p.measure(p.sim, f[0], f[1])
 	want := p.number(f[3])
 	if len(f) > 4 {
-		want *= p.measure(p.past[f[5]], f[0], f[1])
+		want *= p.measure(p.earlier[f[5]], f[0], f[1])
 	}
 	if f[2] == ">=" && got >= want || f[2] == "<=" && got <= want {
 		return
 	}
-	p.missed = append(p.missed, fmt.Sprintf("%s: got %.4g, bound %.4g", strings.Join(f, " "), got, want))
+	p.failures = append(p.failures, fmt.Sprintf("%s: got %.4g, bound %.4g", strings.Join(f, " "), got, want))
 }
 
-func (p *play) measure(s *sim, class, measure string) float64 {
+func (p *scenarioRun) measure(s *sim, class, measure string) float64 {
 	if teams := strings.Split(measure, "/"); len(teams) == 2 { // Answers of one team to another's.
 		return float64(s.teams[record.Team(teams[0])]) / float64(s.teams[record.Team(teams[1])])
 	}
 	if e, ok := s.byName[class]; ok { // Answers of an endpoint in the last part.
-		return float64(e.last)
+		return float64(e.tailAnswers)
 	}
 	t := s.classes[classNames[class]]
 	if t.calls == 0 {
-		p.bad("no calls of class %q", class)
+		p.malformed("no calls of class %q", class)
 	}
 	switch measure {
 	case "answered": // Share of the callers.
@@ -217,18 +217,18 @@
 	case "answers":
 		return float64(t.answered)
 	case "vain": // Left without any answer.
-		return float64(t.vain)
+		return float64(t.unanswered)
 	case "vainshare":
-		return float64(t.vain) / float64(t.calls)
+		return float64(t.unanswered) / float64(t.calls)
 	case "late": // Share of the callers refused, but not at once.
-		return float64(t.late) / float64(t.calls)
+		return float64(t.refusedLate) / float64(t.calls)
 	case "refused":
 		return float64(t.refused) / float64(t.calls)
 	case "slow": // Share of the answers with too long between tokens.
-		return float64(t.slow) / float64(t.ended)
+		return float64(t.slowCompleted) / float64(t.completed)
 	case "p99": // Seconds to the first token.
-		return quantile(t.first, 0.99)
+		return quantile(t.firstTokens, 0.99)
 	}
-	p.bad("unknown measure %s", measure)
+	p.malformed("unknown measure %s", measure)
 	return 0
 }
--- a/internal/decide/shift_test.go
+++ b/internal/decide/shift_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// drive submits one request and returns its decision.
-func drive(d *Decider, now Time, id RequestID, change func(*Request)) Decision {
+// submitAndTick submits one request and returns its decision.
+func submitAndTick(d *Decider, now Time, id RequestID, change func(*Request)) Decision {
 	r := Request{ID: id, Model: "m", Priority: PriorityInteractive, Deadline: now + 10*time.Second, Repeatable: true}
 	change(&r)
 	d.Submit(r)
@@ -29,7 +29,7 @@
 	counts := map[string]map[string]int{"early": {}, "out": {}, "late": {}}
 	for i := range 3000 {
 		now := Time(i) * 100 * time.Millisecond
-		got := drive(d, now, RequestID(i+1), func(r *Request) { r.Service, r.Repeatable = "rig", false })
+		got := submitAndTick(d, now, RequestID(i+1), func(r *Request) { r.Service, r.Repeatable = "rig", false })
 		if got.Kind != Start {
 			t.Fatalf("%v: %+v", now, got)
 		}
@@ -44,7 +44,7 @@
 			counts["late"][got.Endpoint]++
 		}
 	}
-	if counts["early"]["a"] < failuresToEject || counts["out"]["a"] > 1 || counts["late"]["a"] < 200 {
+	if counts["early"]["a"] < maxConsecutiveFailures || counts["out"]["a"] > 1 || counts["late"]["a"] < 200 {
 		t.Fatalf("starts: %v", counts)
 	}
 }
@@ -57,7 +57,7 @@
 	allowed, last := 0, Decision{}
 	for i := range 1000 {
 		retry := i%2 == 1
-		got := drive(d, Time(i)*time.Millisecond, RequestID(i+1), func(r *Request) {
+		got := submitAndTick(d, Time(i)*time.Millisecond, RequestID(i+1), func(r *Request) {
 			if retry {
 				r.Avoid = []string{"b"}
 			}
@@ -77,7 +77,7 @@
 
 // TestSeconds: a wait too long for a duration stays a long one.
 func TestSeconds(t *testing.T) {
-	for s, want := range map[float64]time.Duration{0: 0, 1.5: 1500 * time.Millisecond, 1e12: longest, math.Inf(1): longest, math.NaN(): longest} {
+	for s, want := range map[float64]time.Duration{0: 0, 1.5: 1500 * time.Millisecond, 1e12: maxPrediction, math.Inf(1): maxPrediction, math.NaN(): maxPrediction} {
 		if got := seconds(s); got != want {
 			t.Errorf("seconds(%v) = %v, want %v", s, got, want)
 		}
--- a/internal/decide/sim_test.go
+++ b/internal/decide/sim_test.go
@@ -13,7 +13,7 @@
 // router is what the model drives: a Decider or a baseline.
 type router interface {
 	SetEndpoints([]Endpoint)
-	SetReport(string, Report)
+	SetLoadReport(string, LoadReport)
 	SetLeaving(string)
 	Submit(Request)
 	Cancel(RequestID)
@@ -25,13 +25,13 @@
 type call struct {
 	Request
 	wait     time.Duration
-	sent     Time // Of the last coming.
-	comings  int
+	sentAt   Time // Of the last coming.
+	attempts int
 	job      *job
 	instance int
 	done     func(answered bool) // After its last word.
 	settled  bool
-	counted  bool // First sent in the window.
+	inWindow bool // First sent in the window.
 	served   bool
 }
 
@@ -58,55 +58,55 @@
 
 // tally is the outcome for the callers of one class, within the window.
 type tally struct {
-	calls, served                         int       // Calls first sent in the window; those answered in the end.
-	answered, refused, late, vain, gaveUp int       // Events in the window.
-	first                                 []float64 // Seconds, of the answered.
-	prompt, cached                        int
-	ended, slow                           int // Whole answers; those with slow tokens.
+	calls, served                                      int       // Calls first sent in the window; those answered in the end.
+	answered, refused, refusedLate, unanswered, gaveUp int       // Events in the window.
+	firstTokens                                        []float64 // Seconds, of the answered.
+	prompt, cached                                     int
+	completed, slowCompleted                           int // Whole answers; those with slow tokens.
 }
 
 // sim is the loop of events for a few routers before a few engines.
 type sim struct {
-	now     Time
-	seq     int
-	events  eventHeap
-	seed    uint64
-	rng     *rand.Rand // Of the balancer and the reports.
-	load    *rand.Rand // Of the workload: the same under every policy.
-	started int        // Sessions.
-	open    int        // Calls without their last word.
-	routers []router
-	engines []*engineModel
-	byName  map[string]*engineModel
-	calls   []map[RequestID]*call
-	lastID  RequestID
-	from    Time // Of the window.
-	until   Time // Answers count up to here: later ones meet no load any more.
+	now          Time
+	seq          int
+	events       eventHeap
+	seed         uint64
+	fleetRNG     *rand.Rand // Of the balancer and the reports.
+	workloadRNG  *rand.Rand // Of the workload: the same under every policy.
+	sessionCount int        // Sessions.
+	openCalls    int        // Calls without their last word.
+	routers      []router
+	engines      []*engineModel
+	byName       map[string]*engineModel
+	calls        []map[RequestID]*call
+	lastID       RequestID
+	windowStart  Time // Of the window.
+	windowEnd    Time // Answers count up to here: later ones meet no load any more.
 
 	classes    [classCount]tally
 	teams      map[record.Team]int
 	violations []string
 	trace      []Decision // The decisions, where keep is set.
-	keep       bool
+	keepTrace  bool
 }
 
 const (
-	tickEvery    = 10 * time.Millisecond
-	reportDelay  = 200 * time.Millisecond
-	reportsLost  = 0.1
-	promptAnswer = 20 * time.Millisecond // A refusal within it is prompt.
-	maxComings   = 3
-	slowToken    = 38 * time.Millisecond // Between tokens, as the users state it.
-	lastPart     = 20 * time.Second
+	tickInterval    = 10 * time.Millisecond
+	reportDelay     = 200 * time.Millisecond
+	reportLossRate  = 0.1
+	promptRefusal   = 20 * time.Millisecond // A refusal within it is prompt.
+	maxCallAttempts = 3
+	slowTokenGap    = 38 * time.Millisecond // Between tokens, as the users state it.
+	tailWindow      = 20 * time.Second
 )
 
-// reportEvery is the pause between an endpoint's reports. BenchmarkPolicies may
+// reportInterval is the pause between an endpoint's reports. BenchmarkPolicies may
 // change it before its runs.
-var reportEvery = 100 * time.Millisecond
+var reportInterval = 100 * time.Millisecond
 
 func newSim(seed uint64, gpus []int, instances int, build func(i int) router) *sim {
 	s := &sim{
-		seed: seed, rng: rand.New(rand.NewPCG(seed, 1)), load: rand.New(rand.NewPCG(seed, 2)),
+		seed: seed, fleetRNG: rand.New(rand.NewPCG(seed, 1)), workloadRNG: rand.New(rand.NewPCG(seed, 2)),
 		byName: map[string]*engineModel{}, teams: map[record.Team]int{},
 	}
 	for i, n := range gpus {
@@ -118,9 +118,9 @@
 		s.routers = append(s.routers, build(i))
 		s.calls = append(s.calls, map[RequestID]*call{})
 	}
-	s.list(func(e *engineModel) float64 { return float64(e.gpus) })
-	s.every(reportEvery, s.reports)
-	s.every(tickEvery, func() {
+	s.publishEndpoints(func(e *engineModel) float64 { return float64(e.gpus) })
+	s.every(reportInterval, s.sendReports)
+	s.every(tickInterval, func() {
 		for i := range s.routers {
 			s.tick(i)
 		}
@@ -128,8 +128,8 @@
 	return s
 }
 
-// list gives every router the endpoint table, with weights.
-func (s *sim) list(weight func(*engineModel) float64) {
+// publishEndpoints gives every router the endpoint table, with weights.
+func (s *sim) publishEndpoints(weight func(*engineModel) float64) {
 	var table []Endpoint
 	for _, e := range s.engines {
 		table = append(table, Endpoint{
@@ -165,14 +165,14 @@
 	}
 }
 
-func (s *sim) reports() {
+func (s *sim) sendReports() {
 	for _, e := range s.engines {
 		r := e.report(s.now)
 		for i := range s.routers {
-			if s.rng.Float64() < reportsLost || e.cut {
+			if s.fleetRNG.Float64() < reportLossRate || e.unreachable {
 				continue
 			}
-			s.after(reportDelay, func() { s.routers[i].SetReport(e.name, r) })
+			s.after(reportDelay, func() { s.routers[i].SetLoadReport(e.name, r) })
 		}
 	}
 }
@@ -180,57 +180,57 @@
 // send brings a call to an instance by chance, as the balancer does.
 func (s *sim) send(c *call) {
 	s.lastID++
-	c.ID, c.sent, c.Deadline = s.lastID, s.now, s.now+c.wait
-	if c.comings++; c.comings == 1 {
-		s.open++
+	c.ID, c.sentAt, c.Deadline = s.lastID, s.now, s.now+c.wait
+	if c.attempts++; c.attempts == 1 {
+		s.openCalls++
 	}
-	c.instance = s.rng.IntN(len(s.routers))
+	c.instance = s.fleetRNG.IntN(len(s.routers))
 	c.job = nil
 	s.calls[c.instance][c.ID] = c
-	if s.now >= s.from && c.comings == 1 {
-		c.counted = true
+	if s.now >= s.windowStart && c.attempts == 1 {
+		c.inWindow = true
 		s.classes[c.Priority].calls++
 	}
 	s.routers[c.instance].Submit(c.Request)
 	id := c.ID
-	s.after(c.wait, func() { s.deadline(c, id) })
+	s.after(c.wait, func() { s.onDeadline(c, id) })
 	s.tick(c.instance)
 }
 
 func (s *sim) tick(i int) {
 	for _, d := range append([]Decision(nil), s.routers[i].Tick(s.now)...) {
-		if s.keep {
+		if s.keepTrace {
 			s.trace = append(s.trace, d)
 		}
 		c, ok := s.calls[i][d.Request]
 		if !ok || c.ID != d.Request || c.job != nil {
-			s.violate("%v: decided twice or unknown: %+v", s.now, d)
+			s.addViolation("%v: decided twice or unknown: %+v", s.now, d)
 			continue
 		}
 		if d.Kind == Refuse {
 			delete(s.calls[i], d.Request)
-			s.refused(c, d)
+			s.onRefusal(c, d)
 			continue
 		}
 		s.start(c, s.byName[d.Endpoint])
 	}
 }
 
-func (s *sim) violate(format string, args ...any) {
+func (s *sim) addViolation(format string, args ...any) {
 	s.violations = append(s.violations, fmt.Sprintf(format, args...))
 }
 
 func (s *sim) start(c *call, e *engineModel) {
 	c.job = &job{call: c, id: c.ID, instance: c.instance, engine: e, started: s.now}
 	if e.leaving {
-		s.violate("%v: start at the leaving %s", s.now, e.name)
+		s.addViolation("%v: start at the leaving %s", s.now, e.name)
 	}
-	if e.cut {
+	if e.unreachable {
 		j := c.job
 		s.after(time.Second, func() { s.fail(j) })
 		return
 	}
-	e.add(c.job)
+	e.addJob(c.job)
 }
 
 // fail ends an attempt at an endpoint that can't be reached; the caller's
@@ -249,52 +249,52 @@
 	s.calls[c.instance][c.ID] = c
 	s.routers[c.instance].Submit(c.Request)
 	id := c.ID
-	s.after(c.Deadline-s.now, func() { s.deadline(c, id) })
+	s.after(c.Deadline-s.now, func() { s.onDeadline(c, id) })
 	s.tick(c.instance)
 }
 
-func (s *sim) refused(c *call, d Decision) {
+func (s *sim) onRefusal(c *call, d Decision) {
 	t := &s.classes[c.Priority]
-	if s.now >= s.from {
+	if s.now >= s.windowStart {
 		t.refused++
-		if s.now-c.sent > promptAnswer {
-			t.late++
+		if s.now-c.sentAt > promptRefusal {
+			t.refusedLate++
 		}
 	}
-	if c.comings >= maxComings {
+	if c.attempts >= maxCallAttempts {
 		s.settle(c, false)
-		if s.now >= s.from {
+		if s.now >= s.windowStart {
 			t.gaveUp++
 		}
 		return
 	}
 	c.Avoid = nil
 	if d.RetryAfter < 0 {
-		s.violate("%v: retry after %v", s.now, d.RetryAfter)
+		s.addViolation("%v: retry after %v", s.now, d.RetryAfter)
 	}
 	s.after(max(0, d.RetryAfter), func() { s.send(c) })
 }
 
 func (s *sim) settle(c *call, answered bool) {
 	if c.settled {
-		s.violate("%v: call settled twice", s.now)
+		s.addViolation("%v: call settled twice", s.now)
 	}
 	c.settled = true
-	s.open--
+	s.openCalls--
 	c.done(answered)
 }
 
-// deadline is the caller's patience: no first token by now.
-func (s *sim) deadline(c *call, id RequestID) {
+// onDeadline is the caller's patience: no first token by now.
+func (s *sim) onDeadline(c *call, id RequestID) {
 	if c.ID != id || s.calls[c.instance][id] != c || c.job != nil && c.job.tokens > 0 {
 		return
 	}
 	delete(s.calls[c.instance], id)
-	if s.now >= s.from {
-		s.classes[c.Priority].vain++
+	if s.now >= s.windowStart {
+		s.classes[c.Priority].unanswered++
 	}
 	if j := c.job; j != nil {
-		j.engine.drop(j)
+		j.engine.removeJob(j)
 		s.routers[c.instance].Finish(id, Result{Failed: true, Abandoned: true, Total: s.now - j.started})
 	} else {
 		s.routers[c.instance].Cancel(id)
@@ -302,37 +302,37 @@
 	s.settle(c, false)
 }
 
-func (s *sim) firstToken(j *job) {
+func (s *sim) onFirstToken(j *job) {
 	if d, ok := s.routers[j.instance].(*Decider); ok {
-		d.FirstToken(j.id, s.now-j.started)
+		d.ObserveFirstToken(j.id, s.now-j.started)
 	}
 	t := &s.classes[j.Priority]
-	if j.counted && !j.served {
+	if j.inWindow && !j.served {
 		t.served++
 	}
 	j.served = true
-	if s.now < s.from || s.now > s.until {
+	if s.now < s.windowStart || s.now > s.windowEnd {
 		return
 	}
 	t.answered++
-	t.first = append(t.first, (s.now - j.sent).Seconds())
+	t.firstTokens = append(t.firstTokens, (s.now - j.sentAt).Seconds())
 	t.prompt += j.PromptTokens
 	t.cached += j.cached
 	s.teams[j.Team]++
 }
 
-func (s *sim) finish(j *job, r Result) {
+func (s *sim) onFinish(j *job, r Result) {
 	j.ended = true
 	delete(s.calls[j.instance], j.id)
 	s.routers[j.instance].Finish(j.id, r)
-	if s.now >= s.from {
-		s.classes[j.Priority].ended++
-		if r.Total-r.FirstToken > slowToken*time.Duration(r.Tokens) {
-			s.classes[j.Priority].slow++
+	if s.now >= s.windowStart {
+		s.classes[j.Priority].completed++
+		if r.Total-r.FirstToken > slowTokenGap*time.Duration(r.Tokens) {
+			s.classes[j.Priority].slowCompleted++
 		}
 	}
-	if s.now >= s.until-lastPart && s.now <= s.until {
-		j.engine.last++
+	if s.now >= s.windowEnd-tailWindow && s.now <= s.windowEnd {
+		j.engine.tailAnswers++
 	}
 	s.settle(j.call, true)
 	s.tick(j.instance)
--- a/internal/decide/tick_bench_test.go
+++ b/internal/decide/tick_bench_test.go
@@ -21,17 +21,17 @@
 }
 
 // saturate fills endpoints of eight slots and a queue, with twenty teams.
-type saturated struct {
-	d       *Decider
-	now     Time
-	last    RequestID
-	running []RequestID // In the order of their starts, from next on.
-	next    int
-	ids     []record.SessionID
+type saturatedDecider struct {
+	d          *Decider
+	now        Time
+	lastID     RequestID
+	running    []RequestID // In the order of their starts, from next on.
+	nextFinish int
+	sessions   []record.SessionID
 }
 
-func newSaturated(endpoints int) *saturated {
-	s := &saturated{d: New(Options{Seed: 1, Zone: "z0"})}
+func newSaturated(endpoints int) *saturatedDecider {
+	s := &saturatedDecider{d: New(Options{Seed: 1, Zone: "z0"})}
 	var table []Endpoint
 	for i := range endpoints {
 		table = append(table, Endpoint{
@@ -41,22 +41,22 @@
 	}
 	s.d.SetEndpoints(table)
 	for i := range 1 << 14 {
-		s.ids = append(s.ids, record.SessionID(fmt.Sprintf("s%d", i)))
+		s.sessions = append(s.sessions, record.SessionID(fmt.Sprintf("s%d", i)))
 	}
 	return s
 }
 
 var benchTeams = []record.Team{"a", "b", "c", "d", "e", "f", "g", "h", "i", "j", "k", "l", "m", "n", "o", "p", "q", "r", "s", "t"}
 
-func (s *saturated) submit() {
-	s.last++
+func (s *saturatedDecider) submit() {
+	s.lastID++
 	s.d.Submit(Request{
-		ID: s.last, Team: benchTeams[int(s.last)%len(benchTeams)], Session: s.ids[mix(uint64(s.last))%uint64(len(s.ids))],
+		ID: s.lastID, Team: benchTeams[int(s.lastID)%len(benchTeams)], Session: s.sessions[mix64(uint64(s.lastID))%uint64(len(s.sessions))],
 		Model: "m", Priority: PriorityInteractive, Deadline: s.now + 24*time.Hour, PromptTokens: 4000, MaxTokens: 128,
 	})
 }
 
-func (s *saturated) tick() int {
+func (s *saturatedDecider) tick() int {
 	s.now += time.Millisecond
 	starts := 0
 	for _, d := range s.d.Tick(s.now) {
@@ -68,12 +68,12 @@
 	return starts
 }
 
-func (s *saturated) finish() {
-	s.d.Finish(s.running[s.next], Result{FirstToken: 50 * time.Millisecond, Total: 2 * time.Second, Tokens: 128, Cached: 3500})
-	s.next++
-	if s.next == 1<<16 {
-		s.running = append(s.running[:0], s.running[s.next:]...)
-		s.next = 0
+func (s *saturatedDecider) finish() {
+	s.d.Finish(s.running[s.nextFinish], Result{FirstToken: 50 * time.Millisecond, Total: 2 * time.Second, Tokens: 128, Cached: 3500})
+	s.nextFinish++
+	if s.nextFinish == 1<<16 {
+		s.running = append(s.running[:0], s.running[s.nextFinish:]...)
+		s.nextFinish = 0
 	}
 }
 
--- a/internal/decide/types.go
+++ b/internal/decide/types.go
@@ -61,8 +61,8 @@
 	Avoid []string
 }
 
-// Report is an endpoint's own lagging load report.
-type Report struct {
+// LoadReport is an endpoint's own lagging load report.
+type LoadReport struct {
 	Running int
 	Queued  int
 	At      Time
@@ -79,10 +79,10 @@
 	// Slots is how many requests the endpoint runs at once, for all instances
 	// together. One Decider never starts more than that there.
 	Slots int
-	// Queue is how many requests may wait in the endpoint's own queue as its
+	// MaxQueued is how many requests may wait in the endpoint's own queue as its
 	// reports show it; above it nothing more is placed there. 0 means the
 	// default.
-	Queue int
+	MaxQueued int
 	// Weight is the configured capacity, in any unit common to all endpoints.
 	Weight  float64
 	Leaving bool
@@ -101,8 +101,8 @@
 	// Abandoned marks an attempt that the caller left. It says nothing against
 	// the endpoint.
 	Abandoned bool
-	// Silent marks a failure by lack of progress.
-	Silent bool
+	// Stalled marks a failure by lack of progress.
+	Stalled bool
 }
 
 // Code says why a request was refused.
--- a/internal/decide/usage.go
+++ b/internal/decide/usage.go
@@ -7,30 +7,30 @@
 	"guavapier/internal/record"
 )
 
-// usage is what a team started in a pool of late, as a decaying sum of costs.
-type usage struct {
-	team   record.Team
-	cost   float64
-	weight float64
-	at     Time
+// teamUsage is what a team started in a pool of late, as a decaying sum of costs.
+type teamUsage struct {
+	team      record.Team
+	cost      float64
+	weight    float64
+	updatedAt Time
 }
 
 // usageTable knows each team's share of a pool's work. Its rows are few: a
 // team without work for a minute is dropped.
 type usageTable struct {
-	rows    []usage
-	byTeam  map[record.Team]int
-	total   float64
-	totalAt Time
-	weights float64 // Sum over the rows.
+	rows      []teamUsage
+	rowByTeam map[record.Team]int
+	costSum   float64
+	costSumAt Time
+	weightSum float64 // Sum over the rows.
 }
 
 const (
 	// usageHalfLife makes shares follow demand within seconds, but not single
 	// requests.
 	usageHalfLife = 5 * time.Second
-	// usageForget is when a team's row is dropped.
-	usageForget = 12 * usageHalfLife
+	// teamUsageTTL is when a team's row is dropped.
+	teamUsageTTL = 12 * usageHalfLife
 )
 
 func decayed(v float64, since time.Duration) float64 {
@@ -39,46 +39,46 @@
 
 // add counts a start.
 func (t *usageTable) add(team record.Team, weight, cost float64, now Time) {
-	i, ok := t.byTeam[team]
+	i, ok := t.rowByTeam[team]
 	if !ok {
 		i = len(t.rows)
-		t.rows = append(t.rows, usage{team: team, at: now})
-		t.byTeam[team] = i
+		t.rows = append(t.rows, teamUsage{team: team, updatedAt: now})
+		t.rowByTeam[team] = i
 	}
 	row := &t.rows[i]
-	t.weights += weight - row.weight
+	t.weightSum += weight - row.weight
 	row.weight = weight
-	row.cost = decayed(row.cost, now-row.at) + cost
-	row.at = now
-	t.total = decayed(t.total, now-t.totalAt) + cost
-	t.totalAt = now
+	row.cost = decayed(row.cost, now-row.updatedAt) + cost
+	row.updatedAt = now
+	t.costSum = decayed(t.costSum, now-t.costSumAt) + cost
+	t.costSumAt = now
 }
 
-// forget drops rows of teams without work, a few in each call.
-func (t *usageTable) forget(now Time) {
+// dropIdle drops rows of teams without work, a few in each call.
+func (t *usageTable) dropIdle(now Time) {
 	for i := len(t.rows) - 1; i >= 0; i-- {
-		if now-t.rows[i].at < usageForget {
+		if now-t.rows[i].updatedAt < teamUsageTTL {
 			continue
 		}
-		t.weights -= t.rows[i].weight
-		delete(t.byTeam, t.rows[i].team)
+		t.weightSum -= t.rows[i].weight
+		delete(t.rowByTeam, t.rows[i].team)
 		last := len(t.rows) - 1
 		if i != last {
 			t.rows[i] = t.rows[last]
-			t.byTeam[t.rows[i].team] = i
+			t.rowByTeam[t.rows[i].team] = i
 		}
 		t.rows = t.rows[:last]
 	}
 }
 
-// over returns a team's part of the recent work against its part of the
+// fairShareRatio returns a team's part of the recent work against its part of the
 // weights: 1 is its fair share, 0 a team that had nothing.
-func (t *usageTable) over(team record.Team, weight float64, now Time) float64 {
-	i, ok := t.byTeam[team]
-	total := decayed(t.total, now-t.totalAt)
+func (t *usageTable) fairShareRatio(team record.Team, weight float64, now Time) float64 {
+	i, ok := t.rowByTeam[team]
+	total := decayed(t.costSum, now-t.costSumAt)
 	if !ok || total <= 0 {
 		return 0
 	}
-	part := decayed(t.rows[i].cost, now-t.rows[i].at) / total
-	return part * max(t.weights, weight) / weight
+	share := decayed(t.rows[i].cost, now-t.rows[i].updatedAt) / total
+	return share * max(t.weightSum, weight) / weight
 }
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -56,7 +56,7 @@
 func (p *Placement) FirstToken(after time.Duration) {
 	p.d.mu.Lock()
 	defer p.d.mu.Unlock()
-	p.d.decider.FirstToken(p.id, after)
+	p.d.decider.ObserveFirstToken(p.id, after)
 }
 
 // Dispatcher is safe for concurrent use.
--- a/internal/server/endpoints.go
+++ b/internal/server/endpoints.go
@@ -107,7 +107,7 @@
 func report(d *dispatch.Dispatcher, name string, load endpoint.Load) {
 	taken := d.Now() - time.Duration(load.AgeMs)*time.Millisecond
 	d.Update(func(decider *decide.Decider) {
-		decider.SetReport(name, decide.Report{Running: load.Running, Queued: load.Queued, At: taken})
+		decider.SetLoadReport(name, decide.LoadReport{Running: load.Running, Queued: load.Queued, At: taken})
 		if load.Leaving {
 			decider.SetLeaving(name)
 		}
