--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -14,14 +14,14 @@
 )
 
 const (
-	// TickEvery is the pause between two ticks while requests wait. Every
+	// TickInterval is the pause between two ticks while requests wait. Every
 	// Submit, Done and Update also ticks at once, so this one is for what time
 	// alone decides: deadlines, and the wait for a session's own endpoint.
-	TickEvery = 2 * time.Millisecond
-	// IdleTickEvery is the pause while nothing waits: then time only lets
+	TickInterval = 2 * time.Millisecond
+	// IdleTickInterval is the pause while nothing waits: then time only lets
 	// endpoints back in that were found slow. Harm prevented: 500 wake-ups a
 	// second of a quiet instance, a good part of its allowance for control.
-	IdleTickEvery = 100 * time.Millisecond
+	IdleTickInterval = 100 * time.Millisecond
 )
 
 // ErrStopped is returned by Submit after Close.
@@ -51,9 +51,9 @@
 	p.d.tick()
 }
 
-// FirstToken tells that the attempt's first token came so long after its
+// ObserveFirstToken tells that the attempt's first token came so long after its
 // start. Model requests call it, once.
-func (p *Placement) FirstToken(after time.Duration) {
+func (p *Placement) ObserveFirstToken(after time.Duration) {
 	p.d.mu.Lock()
 	defer p.d.mu.Unlock()
 	p.d.decider.ObserveFirstToken(p.id, after)
@@ -61,14 +61,14 @@
 
 // Dispatcher is safe for concurrent use.
 type Dispatcher struct {
-	mu      sync.Mutex
-	decider *decide.Decider
-	waiting map[decide.RequestID]chan decide.Decision
-	lastID  decide.RequestID
-	origin  time.Time
-	queued  chan struct{} // Wakes the idle loop when a request begins to wait.
-	stop    chan struct{}
-	stopped sync.WaitGroup
+	mu            sync.Mutex
+	decider       *decide.Decider
+	waiters       map[decide.RequestID]chan decide.Decision
+	lastID        decide.RequestID
+	origin        time.Time
+	requestQueued chan struct{} // Wakes the idle loop when a request begins to wait.
+	stop          chan struct{}
+	loop          sync.WaitGroup
 }
 
 // New starts a Dispatcher with the default options.
@@ -77,21 +77,21 @@
 // NewWithOptions starts a Dispatcher.
 func NewWithOptions(opts decide.Options) *Dispatcher {
 	d := &Dispatcher{
-		decider: decide.New(opts),
-		waiting: map[decide.RequestID]chan decide.Decision{},
-		origin:  time.Now(),
-		queued:  make(chan struct{}, 1),
-		stop:    make(chan struct{}),
+		decider:       decide.New(opts),
+		waiters:       map[decide.RequestID]chan decide.Decision{},
+		origin:        time.Now(),
+		requestQueued: make(chan struct{}, 1),
+		stop:          make(chan struct{}),
 	}
-	d.stopped.Add(1)
-	go d.run()
+	d.loop.Add(1)
+	go d.tickLoop()
 	return d
 }
 
 // Close stops the ticks. Waiting requests get ErrStopped.
 func (d *Dispatcher) Close() {
 	close(d.stop)
-	d.stopped.Wait()
+	d.loop.Wait()
 }
 
 // Now returns the Decider's time.
@@ -112,20 +112,20 @@
 	d.mu.Lock()
 	d.lastID++
 	r.ID = d.lastID
-	d.waiting[r.ID] = decision
+	d.waiters[r.ID] = decision
 	d.decider.Submit(r)
 	d.tick()
-	waits := d.decider.Queued() > 0
+	queued := d.decider.Queued() > 0
 	d.mu.Unlock()
-	if waits {
+	if queued {
 		select {
-		case d.queued <- struct{}{}:
+		case d.requestQueued <- struct{}{}:
 		default:
 		}
 	}
 	select {
 	case got := <-decision:
-		return d.placement(got)
+		return d.result(got)
 	case <-ctx.Done():
 		return nil, d.abandon(r.ID, decision, ctx.Err())
 	case <-d.stop:
@@ -133,7 +133,7 @@
 	}
 }
 
-func (d *Dispatcher) placement(got decide.Decision) (*Placement, error) {
+func (d *Dispatcher) result(got decide.Decision) (*Placement, error) {
 	if got.Kind == decide.Refuse {
 		return nil, &Refusal{Code: got.Code, RetryAfter: got.RetryAfter}
 	}
@@ -145,7 +145,7 @@
 func (d *Dispatcher) abandon(id decide.RequestID, decision <-chan decide.Decision, err error) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	delete(d.waiting, id)
+	delete(d.waiters, id)
 	select {
 	case got := <-decision:
 		if got.Kind == decide.Start {
@@ -157,40 +157,40 @@
 	return err
 }
 
-func (d *Dispatcher) run() {
-	defer d.stopped.Done()
-	timer := time.NewTimer(IdleTickEvery)
+func (d *Dispatcher) tickLoop() {
+	defer d.loop.Done()
+	timer := time.NewTimer(IdleTickInterval)
 	defer timer.Stop()
 	for {
 		select {
 		case <-timer.C:
-		case <-d.queued:
+		case <-d.requestQueued:
 		case <-d.stop:
 			return
 		}
-		timer.Reset(d.tickNow())
+		timer.Reset(d.tickOnTimer())
 	}
 }
 
-// tickNow ticks and returns the pause until the next tick.
-func (d *Dispatcher) tickNow() time.Duration {
+// tickOnTimer ticks and returns the pause until the next tick.
+func (d *Dispatcher) tickOnTimer() time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.tick()
 	if d.decider.Queued() == 0 {
-		return IdleTickEvery
+		return IdleTickInterval
 	}
-	return TickEvery
+	return TickInterval
 }
 
 // tick runs the systems and delivers their decisions. d.mu is held.
 func (d *Dispatcher) tick() {
 	for _, decision := range d.decider.Tick(d.Now()) {
-		waiting, ok := d.waiting[decision.Request]
+		waiter, ok := d.waiters[decision.Request]
 		if !ok {
 			continue
 		}
-		delete(d.waiting, decision.Request)
-		waiting <- decision
+		delete(d.waiters, decision.Request)
+		waiter <- decision
 	}
 }
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -52,7 +52,7 @@
 				mu.Lock()
 				running--
 				mu.Unlock()
-				p.FirstToken(time.Millisecond)
+				p.ObserveFirstToken(time.Millisecond)
 				p.Done(decide.Result{FirstToken: time.Millisecond, Total: 2 * time.Millisecond, Tokens: 1})
 			})
 		})
--- a/internal/run/meter.go
+++ b/internal/run/meter.go
@@ -24,7 +24,7 @@
 func (m *meter) token() {
 	if m.result.Tokens == 0 {
 		m.result.FirstToken = time.Since(m.began)
-		m.placement.FirstToken(m.result.FirstToken)
+		m.placement.ObserveFirstToken(m.result.FirstToken)
 	}
 	m.result.Tokens++
 }
