--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -43,7 +43,7 @@
 	State     func() *route.Config // Nil before the first desired state.
 	Budgets   Budgets
 	Endpoints *placement.Table
-	Retries   *retry.Keeper
+	Retries   *retry.Limiter
 	// Quarantine knows which requests are not to be sent.
 	Quarantine Quarantine
 	Pool       *upstream.Pool
@@ -181,7 +181,7 @@
 	}
 	c.deadline = c.began.Add(c.patience())
 	c.service = c.route.Pick(rand.Float64())
-	c.f.Retries.Request(c.service, c.f.Clock())
+	c.f.Retries.CountRequest(c.service, c.f.Clock())
 	return c.readBody(r)
 }
 
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -92,7 +92,7 @@
 	loads      *loads
 	calls      *peer.Pool   // To other instances.
 	answers    *peer.Server // Their calls.
-	retries    *retry.Keeper
+	retries    *retry.Limiter
 	held       *quarantine.Keeper // Requests that are not to be sent.
 	meter      linkload.Meter
 	shedder    *linkload.Shedder
@@ -116,7 +116,7 @@
 	g := &Gateway{
 		settings: s, platform: p, log: log, busyLog: log.Sample(p.Thin), clock: clock, metrics: metrics.New(), tables: state.New(),
 		shedder: linkload.NewShedder(s.Gateway.LinkMbps),
-		retries: retry.NewKeeper(retry.Budget{
+		retries: retry.NewLimiter(retry.Budget{
 			Ratio: s.Retries.Ratio, Extra: float64(s.Retries.Extra), Window: s.Retries.Window.D(),
 		}, assumedInstances),
 	}
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -22,55 +22,55 @@
 }
 
 const (
-	// caution is kept back of everything: the windows of whoever counts are
+	// safetyFactor is kept back of everything: the windows of whoever counts are
 	// not ours, and requests that were counted here may have been lost there.
-	caution = 0.8
-	// stored is the part of the fixed number that may be used at once; the
+	safetyFactor = 0.8
+	// burstShare is the part of the fixed number that may be used at once; the
 	// rest flows in over the window, so that any window holds at most all.
-	stored = 0.5
+	burstShare = 0.5
 )
 
-type account struct {
-	tokens float64
-	at     time.Duration
+type bucket struct {
+	tokens     float64
+	refilledAt time.Duration
 }
 
-// Keeper counts one instance's repeats. It is safe for concurrent use.
-type Keeper struct {
+// Limiter counts one instance's repeats. It is safe for concurrent use.
+type Limiter struct {
 	mu        sync.Mutex
 	budget    Budget
 	instances int
-	services  map[string]*account
+	buckets   map[string]*bucket
 	allowed   int64
 	denied    int64
 }
 
-// NewKeeper returns a Keeper that takes itself to be one of so many instances
+// NewLimiter returns a Keeper that takes itself to be one of so many instances
 // until SetInstances says otherwise.
-func NewKeeper(b Budget, instances int) *Keeper {
-	return &Keeper{budget: b, instances: max(1, instances), services: map[string]*account{}}
+func NewLimiter(b Budget, instances int) *Limiter {
+	return &Limiter{budget: b, instances: max(1, instances), buckets: map[string]*bucket{}}
 }
 
 // SetInstances tells how many instances share the budget.
-func (k *Keeper) SetInstances(n int) {
+func (k *Limiter) SetInstances(n int) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.instances = max(1, n)
 }
 
-// Request counts a caller's request to the service.
-func (k *Keeper) Request(service string, now time.Duration) {
+// CountRequest counts a caller's request to the service.
+func (k *Limiter) CountRequest(service string, now time.Duration) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	a := k.account(service, now)
-	a.tokens = min(a.tokens+caution*k.budget.Ratio, max(k.share()*stored, 1)+k.burst())
+	a := k.refill(service, now)
+	a.tokens = min(a.tokens+safetyFactor*k.budget.Ratio, max(k.extraShare()*burstShare, 1)+k.maxEarned())
 }
 
 // Allow takes one repeat and tells whether the budget covers it.
-func (k *Keeper) Allow(service string, now time.Duration) bool {
+func (k *Limiter) Allow(service string, now time.Duration) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	a := k.account(service, now)
+	a := k.refill(service, now)
 	if a.tokens < 1 {
 		k.denied++
 		return false
@@ -81,34 +81,34 @@
 }
 
 // Counts returns how many repeats were allowed and denied since the start.
-func (k *Keeper) Counts() (allowed, denied int64) {
+func (k *Limiter) Counts() (allowed, denied int64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.allowed, k.denied
 }
 
-// share is this instance's part of the fixed number.
-func (k *Keeper) share() float64 { return caution * k.budget.Extra / float64(k.instances) }
+// extraShare is this instance's part of the fixed number.
+func (k *Limiter) extraShare() float64 { return safetyFactor * k.budget.Extra / float64(k.instances) }
 
-// burst is what requests may save up: as much again as the stored share.
-func (k *Keeper) burst() float64 { return k.share() * stored }
+// maxEarned is what requests may save up: as much again as the stored share.
+func (k *Limiter) maxEarned() float64 { return k.extraShare() * burstShare }
 
-func (k *Keeper) account(service string, now time.Duration) *account {
-	a := k.services[service]
+func (k *Limiter) refill(service string, now time.Duration) *bucket {
+	a := k.buckets[service]
 	if a == nil {
-		a = &account{tokens: k.share() * stored, at: now}
-		k.services[service] = a
+		a = &bucket{tokens: k.extraShare() * burstShare, refilledAt: now}
+		k.buckets[service] = a
 	}
-	flow := k.share() * (1 - stored) * float64(now-a.at) / float64(k.budget.Window)
-	a.at = now
-	if full := k.share() * stored; a.tokens < full {
-		a.tokens = min(full, a.tokens+flow)
+	inflow := k.extraShare() * (1 - burstShare) * float64(now-a.refilledAt) / float64(k.budget.Window)
+	a.refilledAt = now
+	if capacity := k.extraShare() * burstShare; a.tokens < capacity {
+		a.tokens = min(capacity, a.tokens+inflow)
 	}
 	return a
 }
 
 // SetBudget changes the fleet's budget.
-func (k *Keeper) SetBudget(b Budget) {
+func (k *Limiter) SetBudget(b Budget) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.budget = b
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -9,50 +9,50 @@
 	"guavapier/internal/retry"
 )
 
-// moment is what one instance did at one time.
-type moment struct {
-	at              time.Duration
-	requests, again int
+// step is what one instance did at one time.
+type step struct {
+	at                time.Duration
+	requests, repeats int
 }
 
-// drawMoments plays the load of n instances.
-func drawMoments(t *rapid.T, budget retry.Budget, n int) []moment {
-	var keepers []*retry.Keeper
+// drawSteps plays the load of n instances.
+func drawSteps(t *rapid.T, budget retry.Budget, n int) []step {
+	var limiters []*retry.Limiter
 	for range n {
-		keepers = append(keepers, retry.NewKeeper(budget, n))
+		limiters = append(limiters, retry.NewLimiter(budget, n))
 	}
-	var moments []moment
+	var steps []step
 	now := time.Duration(0)
 	for range rapid.IntRange(1, 60).Draw(t, "steps") {
 		now += time.Duration(rapid.IntRange(0, 1500).Draw(t, "ms")) * time.Millisecond
-		k := keepers[rapid.IntRange(0, n-1).Draw(t, "instance")]
-		m := moment{at: now, requests: rapid.IntRange(0, 60).Draw(t, "requests")}
+		k := limiters[rapid.IntRange(0, n-1).Draw(t, "instance")]
+		m := step{at: now, requests: rapid.IntRange(0, 60).Draw(t, "requests")}
 		for range m.requests {
-			k.Request("s", now)
+			k.CountRequest("s", now)
 		}
 		for range rapid.IntRange(0, 60).Draw(t, "repeats wanted") {
 			if k.Allow("s", now) {
-				m.again++
+				m.repeats++
 			}
 		}
-		moments = append(moments, m)
+		steps = append(steps, m)
 	}
-	return moments
+	return steps
 }
 
-// windowFrom sums the repeats of a window, and the requests of it and of the
+// sumWindow sums the repeats of a window, and the requests of it and of the
 // window before it, which may have earned them.
-func windowFrom(moments []moment, from, length time.Duration) (again, requests int) {
-	for _, m := range moments {
+func sumWindow(steps []step, from, length time.Duration) (repeats, requests int) {
+	for _, m := range steps {
 		age := m.at - from
 		if age >= 0 && age < length {
-			again += m.again
+			repeats += m.repeats
 		}
 		if age >= -length && age < length {
 			requests += m.requests
 		}
 	}
-	return again, requests
+	return repeats, requests
 }
 
 // Whatever the instances' loads and moments, no window holds more repeats than
@@ -60,18 +60,18 @@
 func TestNoWindowExceedsTheFleetsBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		budget := retry.Budget{Ratio: 0.2, Extra: 56, Window: 10 * time.Second}
-		moments := drawMoments(t, budget, rapid.IntRange(1, 10).Draw(t, "instances"))
-		for _, m := range moments {
-			again, requests := windowFrom(moments, m.at, budget.Window)
-			if most := budget.Ratio*float64(requests) + budget.Extra; float64(again) > most {
-				t.Fatalf("%d repeats in the window from %s, at most %g", again, m.at, most)
+		steps := drawSteps(t, budget, rapid.IntRange(1, 10).Draw(t, "instances"))
+		for _, m := range steps {
+			repeats, requests := sumWindow(steps, m.at, budget.Window)
+			if maxRepeats := budget.Ratio*float64(requests) + budget.Extra; float64(repeats) > maxRepeats {
+				t.Fatalf("%d repeats in the window from %s, at most %g", repeats, m.at, maxRepeats)
 			}
 		}
 	})
 }
 
 func TestAnInstanceAloneHasTheWholeBudget(t *testing.T) {
-	k := retry.NewKeeper(retry.Budget{Ratio: 0.2, Extra: 50, Window: 10 * time.Second}, 16)
+	k := retry.NewLimiter(retry.Budget{Ratio: 0.2, Extra: 50, Window: 10 * time.Second}, 16)
 	k.SetInstances(1)
 	allowed := 0
 	for range 100 {
