--- a/internal/decide/admit.go
+++ b/internal/decide/admit.go
@@ -6,31 +6,37 @@
 	"guavapier/internal/record"
 )
 
-// The share of the remaining time that the predicted wait may take. Predictions
-// are off by half in a burst; a request refused at once can come back, one that
-// waits in vain can not. The share is half for a team that has its fair part of
-// the work, and moves with the square of what it has: in a queue of a few
-// requests the order alone can't share slots between teams, admission must.
+// The predicted wait may take at most this share of the time to the deadline.
+// Predictions are off by half in a burst, and a request that is refused at
+// once can be retried, while one that waits until its deadline can not. A
+// team that has exactly its fair share of the work may use fairWaitShare; the
+// bound changes with the inverse square of the team's share, within
+// minWaitShare and maxWaitShare. In a queue of a few requests the round robin
+// alone can't divide slots between teams, so admission has to.
 const fairWaitShare, minWaitShare, maxWaitShare = 0.5, 0.15, 0.7
 
-// contentionWaitSeconds is the wait, in seconds, from which teams are in each other's way.
-// Below it no team is refused for what it had.
+// contentionWaitSeconds is the wait in seconds from which teams compete for
+// slots. With a shorter wait no team is refused for its recent usage.
 const contentionWaitSeconds = 0.1
 
+// waitShare returns which share of the time to its deadline a request of the
+// team may be predicted to wait.
 func (p *pool) waitShare(team record.Team, weight float64, now Time) float64 {
 	ratio := p.usage.fairShareRatio(team, weight, now)
 	return min(max(fairWaitShare/max(ratio*ratio, 0.01), minWaitShare), maxWaitShare)
 }
 
-// postStartShare is the share of the caller's patience kept for the time after
-// the start: a queue is no place to spend all of it.
+// postStartShare is the share of the time to the deadline that is kept for
+// the work after the start, so that the queue does not use up all of it.
 const postStartShare = 0.25
 
-// admit serves a queue that grows faster than it drains. It refuses at once
-// each new request whose predicted wait its deadline can't meet, and queues
-// the others. Without it every caller would wait, and most in vain. The
-// prediction counts only what is before the request in its team's fair share,
-// so that one team's flood is refused and the others' requests are not.
+// admit decides on the requests that came since the last tick. It refuses at
+// once each request whose predicted wait is too long for its deadline and
+// queues the others. Without it, when requests come faster than they start,
+// every caller would wait and most would be refused at their deadline. The
+// prediction counts only what starts before the request by its team's fair
+// share, so that a flood of one team gets that team's requests refused and
+// not the others'.
 func (d *Decider) admit() {
 	for i, row := range d.incoming {
 		d.incoming[i] = nil
@@ -43,6 +49,7 @@
 	d.incoming = d.incoming[:0]
 }
 
+// admitRow refuses or queues one new request.
 func (d *Decider) admitRow(row *requestRow) {
 	row.submittedAt = d.now
 	p := d.poolFor(&row.Request)
@@ -88,7 +95,8 @@
 	d.enqueue(row)
 }
 
-// hasCandidate tells whether an endpoint of the pool may take the request at all.
+// hasCandidate reports whether an endpoint of the pool may take the request
+// at all, now or later.
 func (d *Decider) hasCandidate(p *pool, row *requestRow) bool {
 	for _, e := range p.endpoints {
 		if !e.isClosed() && !row.avoids(e) {
@@ -98,9 +106,11 @@
 	return false
 }
 
-// preferredInTime tells whether the row's own endpoint is expected to answer it in
-// time, or another one may. Near the fleet's limit sessions wait for their own
-// endpoint, so it is that one's queue which decides.
+// preferredInTime reports whether the row's preferred endpoint is expected to
+// send the first token within bound seconds, or another endpoint may take the
+// row. Near the fleet's capacity requests wait for their preferred endpoint,
+// so its queue decides and not the pool's. Where the wait at the endpoint is
+// too short for contention, the bound of the team's usage does not apply.
 func (d *Decider) preferredInTime(row *requestRow, bound float64) bool {
 	preferred := row.preferred
 	if preferred == nil {
@@ -118,7 +128,7 @@
 	return other != nil
 }
 
-// expectedFirstToken returns the learned time from start to first token.
+// expectedFirstToken returns the estimated time from start to first token.
 func (d *Decider) expectedFirstToken(row *requestRow) time.Duration {
 	if row.preferred != nil {
 		return seconds(row.preferred.predictFirstTokenWithSlot(d, row))
@@ -127,9 +137,10 @@
 	return seconds(valueOr(p.baseFirstToken, 0) + float64(max(0, row.PromptTokens))*valueOr(p.prefillPerToken, 0))
 }
 
-// requestsAhead returns how many requests of the pool start before the row: of its own
-// class what its team's share allows, and of higher ones at most as many as go
-// first by the rule of ageing.
+// requestsAhead returns how many requests of the pool start before the row:
+// those of its own class by the fair shares of the teams, and those of higher
+// classes, at most as many as start before a lower class gets its turn by
+// aging.
 func (p *pool) requestsAhead(row *requestRow, weight float64) float64 {
 	ahead := p.classes[row.class].fairShareAhead(row.Team, weight)
 	higher := 0
@@ -139,7 +150,8 @@
 	return ahead + min(float64(higher), (ahead+1)/agingCreditPerStart)
 }
 
-// predictedWait returns the wait for a slot with so many requests ahead.
+// predictedWait returns the predicted wait for a slot with the given number
+// of requests ahead.
 func (p *pool) predictedWait(class int, ahead float64) time.Duration {
 	if ahead < p.freeSlots[class] {
 		return 0
@@ -150,7 +162,7 @@
 	return seconds((ahead - p.freeSlots[class] + 1) / p.startRate)
 }
 
-// startsFromClass counts the pool's starts of the class and those above.
+// startsFromClass counts the pool's starts of the class and of higher ones.
 func (p *pool) startsFromClass(class int) uint64 {
 	n := uint64(0)
 	for ; class < classCount; class++ {
--- a/internal/decide/baselines_test.go
+++ b/internal/decide/baselines_test.go
@@ -2,9 +2,10 @@
 
 import "math/rand/v2"
 
-// baseline places each request the moment it comes, by one simple rule, at an
-// endpoint with room: fewer than its slots and a short queue, as far as this
-// instance knows. With no room anywhere it refuses.
+// baseline is a simple policy for comparison. It decides on each request as
+// it comes, by one rule, and starts it at an endpoint with room: fewer
+// requests than its slots and a short queue, as far as this instance knows.
+// If no endpoint has room, it refuses.
 type baseline struct {
 	pick      func(b *baseline, r *Request) int
 	rng       *rand.Rand
@@ -28,6 +29,8 @@
 func (b *baseline) SetLeaving(string)                           {}
 func (b *baseline) Cancel(RequestID)                            {}
 func (b *baseline) Finish(id RequestID, _ Result)               { b.inFlight[b.running[id]]--; delete(b.running, id) }
+
+// load returns the requests at an endpoint as a multiple of its slots.
 func (b *baseline) load(i int) float64 {
 	e := b.endpoints[i]
 	r := b.reports[e.Name]
@@ -62,7 +65,8 @@
 	return out
 }
 
-// lowest returns the endpoint with room of the lowest value, or -1.
+// lowest returns the index of the endpoint with room that has the lowest
+// value, or -1.
 func (b *baseline) lowest(r *Request, value func(i int) float64) int {
 	best, bestValue := -1, 0.0
 	for i := range b.endpoints {
@@ -91,7 +95,7 @@
 		if i == one || i == two {
 			return b.load(i)
 		}
-		return 1e3 // Only if neither has room.
+		return 1e3 // Only if neither of the two has room.
 	})
 }
 
--- a/internal/decide/decider.go
+++ b/internal/decide/decider.go
@@ -8,31 +8,32 @@
 	"guavapier/internal/record"
 )
 
-// Decider holds the tables and runs the systems over them. It is not safe for
-// concurrent use. Request identities must be unique among those not finished.
+// Decider holds the tables and runs the stages over them. It is not safe for
+// concurrent use. A request's ID must differ from those of all requests that
+// are queued or running.
 type Decider struct {
 	opts Options
 	rng  *rand.Rand
-	now  Time // Of the last Tick.
+	now  Time // The time of the last Tick.
 
 	endpoints   []*endpointRow // Sorted by name.
-	generation  uint64         // Counts the changes of the endpoint table.
-	pools       []*pool        // In the order of their keys.
+	generation  uint64         // Incremented when the endpoint table changes.
+	pools       []*pool        // Sorted by key.
 	poolByKey   map[poolKey]*pool
-	servedKeys  map[poolKey]bool // Every key that had a pool since the start.
-	teamWeights map[record.Team]float64
+	servedKeys  map[poolKey]bool        // Every key that had a pool since the start.
+	teamWeights map[record.Team]float64 // Teams whose weight is not the default.
 	prefixes    prefixTable
 
-	incoming         []*requestRow // Submitted since the last Tick.
-	queued           map[RequestID]*requestRow
-	expiry           rowHeap // All queued rows, the latest useful start first.
+	incoming         []*requestRow             // Submitted since the last Tick.
+	queued           map[RequestID]*requestRow // Incoming and queued rows.
+	expiry           rowHeap                   // All rows in a pool's queue, by latestStart.
 	running          map[RequestID]*requestRow
-	blockedQueue     fifo
-	changedEndpoints []*endpointRow
-	freeRows         []*requestRow
+	blockedQueue     fifo           // The rows taken out of the order, oldest first.
+	changedEndpoints []*endpointRow // Their blocked rows return to the order in the next tick.
+	freeRows         []*requestRow  // Kept for reuse.
 
 	retries       retryBudget
-	recheckCursor int // Where system refuse goes on in the expiry heap.
+	recheckCursor int // Where refuse continues in the expiry heap.
 	decisions     []Decision
 }
 
@@ -53,14 +54,16 @@
 	}
 }
 
-const seedStream = 0x67756176 // Any constant: the PCG wants two words.
+// seedStream is the second seed word that PCG needs; any constant does.
+const seedStream = 0x67756176
 
-// The bounds of a team's weight: a smaller one would make its turn come after
-// thousands of rounds, a larger one would be the same as a higher class.
+// The bounds of a team's weight. With a smaller weight a team would get its
+// turn only after thousands of rounds; a larger one would have the effect of
+// a higher class.
 const minTeamWeight, maxTeamWeight = 0.01, 100
 
-// SetTeamWeight sets a team's fair share against others; 1 is the default, and
-// a weight that is not positive restores it.
+// SetTeamWeight sets a team's weight in the fair shares, limited to 0.01 to
+// 100. The default is 1; a weight that is not positive restores it.
 func (d *Decider) SetTeamWeight(team record.Team, weight float64) {
 	if weight <= 0 {
 		delete(d.teamWeights, team)
@@ -76,8 +79,9 @@
 	return 1
 }
 
-// SetLoadReport takes an endpoint's load report. Reports may lag, be lost or come
-// out of order; an older one than the last is dropped.
+// SetLoadReport records an endpoint's load report. Reports may lag, be lost
+// or arrive out of order; one that is older than the last is dropped. An
+// unknown endpoint has no effect.
 func (d *Decider) SetLoadReport(endpoint string, r LoadReport) {
 	if e := d.endpointByName(endpoint); e != nil {
 		e.applyLoadReport(r, d.now, d.rng.Float64())
@@ -85,15 +89,16 @@
 	}
 }
 
-// SetLeaving takes an endpoint out of placement on its own word, at once. The
-// word outlives a lagging list that does not know of it yet.
+// SetLeaving stops new starts at an endpoint that has announced itself that
+// it leaves. The announcement stays in effect while the endpoint list, which
+// lags, does not show it yet.
 func (d *Decider) SetLeaving(endpoint string) {
 	if e := d.endpointByName(endpoint); e != nil {
 		e.selfLeaving, e.selfLeavingAt = true, d.now
 	}
 }
 
-// SetCached takes a cache event: endpoint holds so many tokens of the
+// SetCached records a cache event: the endpoint holds that many tokens of the
 // session's prefix, or none. It is a hint; events may be late or missing.
 func (d *Decider) SetCached(endpoint string, session record.SessionID, tokens int) {
 	if e := d.endpointByName(endpoint); e != nil && session != "" {
@@ -101,7 +106,7 @@
 	}
 }
 
-// Submit queues a request. Its decision comes from a later Tick.
+// Submit takes a new request. A later Tick returns its decision.
 func (d *Decider) Submit(r Request) {
 	row := d.newRow()
 	row.Request = r
@@ -111,15 +116,15 @@
 	d.incoming = append(d.incoming, row)
 }
 
-// Cancel forgets a request whose caller is gone. It has no effect on one that
-// was started; that one ends with Finish.
+// Cancel drops a queued request whose caller is gone. It has no effect on a
+// started request, which ends with Finish.
 func (d *Decider) Cancel(id RequestID) {
 	row, ok := d.queued[id]
 	if !ok {
 		return
 	}
 	if row.pool == nil {
-		row.cancelled = true // Still incoming: admit drops it.
+		row.cancelled = true // Still incoming: admit releases the row.
 		delete(d.queued, id)
 		return
 	}
@@ -127,9 +132,10 @@
 	d.releaseRow(row)
 }
 
-// ObserveFirstToken tells that a started model request has its first token, so long
-// after its start. Finish alone tells it seconds later, when a queue of prompts
-// has grown. An unknown identity has no effect.
+// ObserveFirstToken records the first token of a started model request; after
+// is the time since its start. Finish reports it too, but seconds later, when
+// a queue of prompts at the endpoint has already grown. An unknown ID has no
+// effect.
 func (d *Decider) ObserveFirstToken(id RequestID, after time.Duration) {
 	row, ok := d.running[id]
 	if !ok || row.firstTokenSeen {
@@ -140,8 +146,8 @@
 	row.endpoint.estimates.observeFirstToken(row, after.Seconds())
 }
 
-// Finish ends a started request, gives back its slot and learns from the
-// result. An unknown identity has no effect.
+// Finish ends a started request, frees its slot and updates the estimates of
+// its endpoint from the result. An unknown ID has no effect.
 func (d *Decider) Finish(id RequestID, result Result) {
 	row, ok := d.running[id]
 	if !ok {
@@ -161,15 +167,15 @@
 	if e.probeID == id {
 		e.probeID = 0
 	}
-	if result != (Result{}) { // The zero Result gives back an unused slot.
+	if result != (Result{}) { // The zero Result frees an unused slot.
 		d.observeResult(row, result, firstTokenSeen)
 	}
 	d.releaseRow(row)
 }
 
-// Tick runs all systems once, in fixed order, and returns their decisions. The
-// slice is valid until the next Tick. Time never goes back: an earlier now
-// counts as the last one.
+// Tick runs all stages once and returns their decisions. The slice is valid
+// until the next Tick. Time never goes back: a now before that of the last
+// Tick counts as the same time.
 func (d *Decider) Tick(now Time) []Decision {
 	d.now = max(d.now, now)
 	d.decisions = d.decisions[:0]
@@ -183,12 +189,14 @@
 	return d.decisions
 }
 
-// Queued returns how many requests wait.
+// Queued returns the number of requests that wait for a decision.
 func (d *Decider) Queued() int { return len(d.queued) }
 
-// Running returns how many requests were started and not finished.
+// Running returns the number of requests that were started and not finished.
 func (d *Decider) Running() int { return len(d.running) }
 
+// startRow starts a queued row at the endpoint and returns that as a
+// decision.
 func (d *Decider) startRow(row *requestRow, e *endpointRow) {
 	p := row.pool
 	p.usage.add(row.Team, row.queue.weight, row.cost(), d.now)
@@ -205,6 +213,7 @@
 	d.decisions = append(d.decisions, Decision{Kind: Start, Request: row.ID, Endpoint: e.Name})
 }
 
+// newRow returns an empty row, a released one if there is any.
 func (d *Decider) newRow() *requestRow {
 	n := len(d.freeRows)
 	if n == 0 {
@@ -215,7 +224,7 @@
 	return row
 }
 
-// maxFreeRows bounds the rows kept for use again after a burst.
+// maxFreeRows bounds the rows that are kept for reuse after a burst.
 const maxFreeRows = 1 << 14
 
 func (d *Decider) releaseRow(row *requestRow) {
@@ -225,7 +234,7 @@
 	}
 }
 
-// enqueue puts an admitted row into its pool's queue.
+// enqueue adds an admitted row to its pool's queue and the expiry heap.
 func (d *Decider) enqueue(row *requestRow) {
 	row.pool.push(row, d.teamWeight(row.Team))
 	if row.preferred != nil {
@@ -234,7 +243,7 @@
 	heap.Push(&d.expiry, row)
 }
 
-// dequeue takes a row out of all queue tables.
+// dequeue removes a row from its pool's queue and the expiry heap.
 func (d *Decider) dequeue(row *requestRow) {
 	delete(d.queued, row.ID)
 	heap.Remove(&d.expiry, row.heapIndex[expiryIndex])
@@ -244,13 +253,13 @@
 	}
 }
 
-// maxPrediction is the maxPrediction duration that a prediction gives. A pool that hardly
-// drains predicts waits beyond what a duration holds, and the conversion would
-// turn those into negative ones: no wait at all.
+// maxPrediction is the longest predicted duration. A pool that hardly starts
+// requests predicts waits that overflow time.Duration, and the conversion
+// would make them negative: no wait at all.
 const maxPrediction = 24 * time.Hour
 
-// seconds converts a float to a duration of at most longest; what is no number
-// counts as longest.
+// seconds converts seconds to a duration of at most maxPrediction, which also
+// stands for NaN.
 func seconds(s float64) time.Duration {
 	if s < maxPrediction.Seconds() {
 		return time.Duration(s * float64(time.Second))
--- a/internal/decide/endpoints.go
+++ b/internal/decide/endpoints.go
@@ -7,43 +7,45 @@
 	"time"
 )
 
-// endpointRow is one endpoint as configured, reported and learned.
+// endpointRow is one endpoint as configured, as reported, and as estimated
+// from finished requests.
 type endpointRow struct {
 	Endpoint
 	hash          uint64
 	removed       bool // No longer listed; kept while requests run there.
-	selfLeaving   bool // On its own word; see SetLeaving.
+	selfLeaving   bool // Announced by the endpoint; see SetLeaving.
 	selfLeavingAt Time
 
 	inFlight        int // Started here by this Decider, at most Slots.
 	inFlightByClass [classCount]int
-	ownLagged       float64 // inFlight as a report of now would have seen it.
-	ownLaggedAt     Time
+	ownLagged       float64 // inFlight as a report of now would show it.
+	ownLaggedAt     Time    // When ownLagged was updated.
 
-	report         LoadReport
+	report         LoadReport // The last one.
 	reported       bool
-	reportedAt     Time    // When the last report came.
-	othersLoad     float64 // Damped load by other instances.
-	othersLoadMean float64 // Over many reports, as is ownMean.
-	ownLoadMean    float64
+	reportedAt     Time    // When the last report arrived.
+	othersLoad     float64 // Requests of other instances, smoothed.
+	othersLoadMean float64 // Average over many reports.
+	ownLoadMean    float64 // The same of ownLagged.
 
-	// startQuota is how many long requests this instance may start until the next
-	// report: its part of the free slots, and one for each request that it
-	// finishes. All instances see the same free slot; if each put a report
-	// there, questions would find none for the report's whole run. Questions
-	// themselves don't wait for startQuota: their slots turn over too fast (tried:
-	// 7 % less goodput at 150 % of capacity).
+	// startQuota is how many batch requests and cold prompts this instance may
+	// still start here until the next report: its part of the free slots, and
+	// one for each request that it finishes. All instances see the same free
+	// slot; if each started a batch request there, interactive requests would
+	// find no slot until those end. Interactive requests are not limited by the
+	// quota, because their slots are free again too soon: with the limit goodput
+	// at 150 % of capacity was 7 % lower.
 	startQuota          float64
-	blockedRows         rowHeap // Rows that wait for a slot here, out of the order.
-	markedChanged       bool    // It is in the Decider's woken.
-	queuedPreferring    int     // Queued rows that wait for this endpoint.
-	startTimeSum        Time    // Of the own running requests' starts.
-	expectedDurationSum float64 // Of their spans.
+	blockedRows         rowHeap // Rows that wait for this endpoint, out of the order.
+	markedChanged       bool    // It is in Decider.changedEndpoints.
+	queuedPreferring    int     // Queued rows whose preferred endpoint this is.
+	startTimeSum        Time    // Of the own running requests.
+	expectedDurationSum float64 // Of the own running requests, in seconds.
 	awaitingFirstToken  int     // Own requests without a first token yet.
-	awaitingStartSum    Time    // The sum of their starts.
-	pendingPrefill      float64 // Own prompt tokens not yet computed, as a fluid.
+	awaitingStartSum    Time    // The sum of their start times.
+	pendingPrefill      float64 // Own prompt tokens not computed yet at pendingPrefillAt.
 	pendingPrefillAt    Time
-	firstTokenDelay     float64
+	firstTokenDelay     float64 // Seconds that first tokens came later than predicted.
 	firstTokenDelayAt   Time
 	estimates           endpointEstimates
 	health              health
@@ -51,38 +53,43 @@
 }
 
 const (
-	// selfLeavingTTL is how long an endpoint's own word that it leaves outlives a
-	// list that does not say so: the list lags by seconds.
+	// selfLeavingTTL is how long an endpoint's own announcement that it leaves
+	// overrides a list that does not say so. The list lags by seconds.
 	selfLeavingTTL = 30 * time.Second
-	// reportLag is the time by which reports are taken to lag.
+	// reportLag is the assumed age of a report when it arrives.
 	reportLag = 200 * time.Millisecond
-	// reportGain damps what reports say of the others: with several instances
-	// each moves most of the way, so that they do not all jump at once on the
-	// same news.
+	// reportGain smooths the others' load from report to report. Below 1 it
+	// keeps several instances from all moving at once on the same report.
 	reportGain = 0.8
-	// reportStaleAge is the age from which a report loses its weight by half each
-	// reportHalfLife: a high load that was never taken back must not keep an
-	// endpoint empty for ever.
+	// Above the age reportStaleAge the others' load halves with each
+	// reportHalfLife. Otherwise a high load that no later report corrects would
+	// keep the endpoint empty for ever.
 	reportStaleAge = 2 * time.Second
 	reportHalfLife = 5 * time.Second
-	// loadMeanGain makes the long averages of the own and the others' load; their
-	// ratio moves only when instances come and go.
+	// loadMeanGain makes long averages of the own and the others' load, whose
+	// ratio changes only when instances come and go.
 	loadMeanGain = 0.02
-	// minOwnLoadMean keeps the ratio finite at an endpoint hardly used.
+	// minOwnLoadMean keeps the ratio finite at an endpoint that this instance
+	// hardly uses.
 	minOwnLoadMean = 0.1
-	// maxFleetFactor bounds the guess from few own requests.
+	// maxFleetFactor bounds fleetFactor, which is a rough guess when this
+	// instance has few requests there.
 	maxFleetFactor = 8
-	// minAwaitingFirstToken is how many waiting requests are taken for a sign.
+	// minAwaitingFirstToken is how many requests must wait for their first token
+	// before their age counts as a delay.
 	minAwaitingFirstToken = 2
-	// delayHalfLife lets an observed delay fade: no news for a second or two
-	// means that the endpoint is idle, or that nobody was sent there for it.
+	// delayHalfLife lets an observed delay fade. Without new observations for a
+	// second or two the endpoint is idle, or it gets no requests because of the
+	// delay.
 	delayHalfLife = 2 * time.Second
-	// defaultMaxQueued bounds an endpoint's own queue: what overshoots while
-	// reports lag may wait there, no more.
+	// defaultMaxQueued bounds an endpoint's own queue, which takes up the
+	// requests that instances start in excess while reports lag.
 	defaultMaxQueued = 4
 )
 
-// SetEndpoints replaces the endpoint table. Rows that stay keep their state.
+// SetEndpoints replaces the endpoint table. Endpoints that stay keep their
+// load, estimates and health; an endpoint that is not listed any more gets no
+// new starts.
 func (d *Decider) SetEndpoints(endpoints []Endpoint) {
 	changed := false
 	listed := make(map[string]bool, len(endpoints))
@@ -111,7 +118,8 @@
 	}
 }
 
-// setEndpoint takes one listed endpoint and tells whether the pools change.
+// setEndpoint adds or updates one listed endpoint and reports whether the
+// pools have to be rebuilt.
 func (d *Decider) setEndpoint(listed *Endpoint) bool {
 	at, found := d.findEndpoint(listed.Name)
 	if !found {
@@ -135,12 +143,15 @@
 	return !same
 }
 
+// findEndpoint returns the endpoint's index in the table, or where to insert
+// it, and whether it was found.
 func (d *Decider) findEndpoint(name string) (int, bool) {
 	return slices.BinarySearchFunc(d.endpoints, name, func(e *endpointRow, name string) int {
 		return strings.Compare(e.Name, name)
 	})
 }
 
+// endpointByName returns the endpoint, or nil.
 func (d *Decider) endpointByName(name string) *endpointRow {
 	at, found := d.findEndpoint(name)
 	if !found {
@@ -149,11 +160,15 @@
 	return d.endpoints[at]
 }
 
-// isClosed tells whether the endpoint takes no new work at all.
+// isClosed reports whether the endpoint takes no new requests: it was removed
+// or leaves.
 func (e *endpointRow) isClosed() bool { return e.removed || e.Leaving || e.selfLeaving }
 
-// applyLoadReport separates the others' load from the own. Own starts since the
-// report was made are not in it, so the own part is taken as it was then.
+// applyLoadReport derives the others' load from a report: what it counts less
+// the own requests. The own ones started after the report was made are not in
+// it, so the own load is taken as it was then. rounding, from 0 to 1, rounds
+// the start quota at random, so that small parts of the instances add up to
+// the free slots.
 func (e *endpointRow) applyLoadReport(r LoadReport, now Time, rounding float64) {
 	if e.reported && r.At < e.report.At {
 		return
@@ -171,25 +186,29 @@
 	e.startQuota = float64(int(free/e.fleetFactor(now) + rounding))
 }
 
-// startQuotaUsed tells whether this instance has used up its part of what the last
-// report left free.
+// startQuotaUsed reports whether this instance has used up its part of the
+// slots that the last report left free. Without a recent report there is no
+// quota.
 func (e *endpointRow) startQuotaUsed(now Time) bool {
 	return e.reported && now-e.reportedAt <= reportStaleAge && e.startQuota < 1
 }
 
-// updateOwnLagged moves ownLagged after inFlight; call it before inFlight changes.
+// updateOwnLagged moves ownLagged towards inFlight with the time constant
+// reportLag. It must be called before inFlight changes.
 func (e *endpointRow) updateOwnLagged(now Time) {
 	elapsed := float64(now - e.ownLaggedAt)
 	e.ownLagged += (float64(e.inFlight) - e.ownLagged) * (1 - math.Exp(-elapsed/float64(reportLag)))
 	e.ownLaggedAt = now
 }
 
-// load returns the requests at the endpoint: its own exactly, the others' as
-// last reported.
+// load returns the number of requests at the endpoint: the own as they are,
+// the others' as last reported.
 func (e *endpointRow) load(now Time) float64 {
 	return float64(e.inFlight) + e.currentOthersLoad(now)
 }
 
+// currentOthersLoad returns the others' load, reduced by the age of the
+// report.
 func (e *endpointRow) currentOthersLoad(now Time) float64 {
 	age := now - e.reportedAt
 	if age <= reportStaleAge || e.othersLoad == 0 {
@@ -198,7 +217,8 @@
 	return e.othersLoad * math.Exp2(-float64(age-reportStaleAge)/float64(reportHalfLife))
 }
 
-// queueFull tells whether the endpoint's own queue is at its bound.
+// queueFull reports whether the endpoint's own queue is over its bound by a
+// recent report.
 func (e *endpointRow) queueFull(now Time) bool {
 	bound := e.MaxQueued
 	if bound == 0 {
@@ -207,15 +227,16 @@
 	return e.reported && e.report.Queued > bound && now-e.reportedAt <= reportStaleAge
 }
 
-// remainingPrefill returns the own prompt tokens that the endpoint has still to
-// compute, as a fluid that drains at the learned rate.
+// remainingPrefill returns how many own prompt tokens the endpoint still has
+// to compute, if it computes them steadily at the estimated rate.
 func (e *endpointRow) remainingPrefill(now Time) float64 {
 	drained := (now - e.pendingPrefillAt).Seconds() / e.estimates.prefillPerTokenOrDefault()
 	return max(0, e.pendingPrefill-drained)
 }
 
-// fleetFactor is how many requests the endpoint gets for each of this
-// instance's own: what this one sends, the others are taken to send as well.
+// fleetFactor estimates how many requests the whole fleet sends to the
+// endpoint for each one of this instance, from the ratio of the others' load
+// to the own.
 func (e *endpointRow) fleetFactor(now Time) float64 {
 	if now-e.reportedAt > reportStaleAge {
 		return 1
@@ -223,9 +244,10 @@
 	return min(1+e.othersLoadMean/max(e.ownLoadMean, minOwnLoadMean), maxFleetFactor)
 }
 
-// currentDelay returns by how many seconds first tokens come later than predicted.
-// It covers what this instance can't see: the prompts of the others. Those that
-// still wait for theirs tell it sooner than those that have it.
+// currentDelay returns by how many seconds first tokens come later than
+// predicted. It covers the load that this instance can't see: the prompts of
+// other instances. Requests that still wait for their first token show a
+// delay sooner than those that have it.
 func (e *endpointRow) currentDelay(now Time) float64 {
 	observed := 0.0
 	if e.firstTokenDelay > 0 {
@@ -238,9 +260,10 @@
 	return max(observed, age-e.estimates.baseFirstToken)
 }
 
-// ageRatio returns how old the own running requests are on average, in spans. A
-// steady endpoint stays near a half; one that got slow shows it here long before
-// its first slow request ends.
+// ageRatio returns the age of the own running requests as a multiple of their
+// expected duration, on average. At a steady endpoint it stays near one half.
+// At an endpoint that becomes slow it rises long before the first slow
+// request ends.
 func (e *endpointRow) ageRatio(now Time) float64 {
 	if e.inFlight == 0 || e.expectedDurationSum <= 0 {
 		return 0
@@ -248,7 +271,7 @@
 	return (now*Time(e.inFlight) - e.startTimeSum).Seconds() / e.expectedDurationSum
 }
 
-// endFirstTokenWait ends the row's wait for its first token.
+// endFirstTokenWait takes the row out of those that wait for a first token.
 func (e *endpointRow) endFirstTokenWait(row *requestRow) {
 	if !row.firstTokenSeen {
 		row.firstTokenSeen = true
@@ -257,14 +280,17 @@
 	}
 }
 
-// slotWait predicts the seconds until a slot is free with so many more
-// requests ahead.
+// slotWait predicts the seconds until a slot is free with that many more
+// requests ahead. slotTime is the pool's, for an endpoint without its own
+// estimate.
 func (e *endpointRow) slotWait(now Time, ahead, hold float64) float64 {
 	slots := max(1, e.rampedSlots())
 	hold = valueOr(e.estimates.slotTime, hold) * max(1, e.comparableAgeRatio(now))
 	return max(0, e.load(now)+ahead+1-slots) * hold / slots
 }
 
+// addRequest counts a started row and records on it what was predicted, to
+// compare the result with.
 func (e *endpointRow) addRequest(row *requestRow, d *Decider) {
 	e.updateOwnLagged(d.now)
 	e.inFlight++
--- a/internal/decide/engine_model_test.go
+++ b/internal/decide/engine_model_test.go
@@ -2,36 +2,41 @@
 
 import "slices"
 
-// engineModel is a batching engine: step = base + a part for each decoding
-// sequence + a part for each prompt token computed in the step, and a prefix
-// cache by session in limited memory. GPUs work in parallel on one batch.
+// engineModel simulates an engine with continuous batching. A step takes a
+// fixed time, a time for each sequence that decodes and a time for each
+// prompt token computed in it. The prefix cache, by session, has limited
+// memory. The engine's GPUs work on one batch in parallel.
 type engineModel struct {
 	name        string
 	gpus        int
-	slowdown    float64 // Factor on the step's time; 0 is 1.
+	slowdown    float64 // Factor on the duration of a step; 0 counts as 1.
 	leaving     bool
-	unreachable bool
+	unreachable bool // Its zone is cut off.
 	sim         *sim
 
 	waiting, active []*job
 	stepping        bool
-	tailAnswers     int            // Answers in the last part of the window.
+	tailAnswers     int            // Answers in the last tailWindow.
 	cache           map[string]int // Tokens by session.
-	leastRecent     []string       // Sessions, the least recently used first.
+	lruSessions     []string       // Sessions in the cache, the least recently used first.
 	cacheTokens     int
-	uncached, input windowedCount // Prompt tokens: those computed, and all.
+	uncached, input windowedCount // Prompt tokens: computed ones, and all.
 }
 
 const (
+	// The capacity of one GPU: sequences in a batch, tokens in the prefix cache,
+	// and prompt tokens in a step.
 	slotsPerGPU        = 8
 	cacheTokensPerGPU  = 250_000
 	prefillChunkPerGPU = 512
-	stepBase           = 8e-3
-	stepPerSeq         = 0.17e-3
-	stepPerToken       = 0.1e-3
+	// The duration of a step in seconds: fixed, for each decoding sequence, and
+	// for each prompt token. The latter two are divided by the number of GPUs.
+	stepBase     = 8e-3
+	stepPerSeq   = 0.17e-3
+	stepPerToken = 0.1e-3
 )
 
-// job is one attempt at an engine.
+// job is one attempt of a call at an engine.
 type job struct {
 	*call
 	id           RequestID
@@ -40,12 +45,13 @@
 	started      Time
 	firstTokenAt Time
 	prefillLeft  int // Prompt tokens still to compute.
-	tokens       int
+	tokens       int // Generated so far.
 	cached       int
 	ended        bool
 }
 
-// windowedCount follows a count and the most of it in one window.
+// windowedCount is a running count that remembers its largest increase in one
+// window.
 type windowedCount struct {
 	total, counted, maxPerWindow int
 }
@@ -63,6 +69,7 @@
 	e.startStep()
 }
 
+// startStep starts the next step unless one is running or there is no work.
 func (e *engineModel) startStep() {
 	if e.stepping || len(e.waiting)+len(e.active) == 0 {
 		return
@@ -79,6 +86,7 @@
 	e.sim.after(seconds(step*max(1, e.slowdown)), func() { e.endStep() })
 }
 
+// admitWaiting moves waiting jobs into free slots.
 func (e *engineModel) admitWaiting() {
 	for len(e.waiting) > 0 && len(e.active) < e.slots() {
 		j := e.waiting[0]
@@ -92,8 +100,8 @@
 	}
 }
 
-// prefill shares one step's prompt tokens between the active jobs, the higher
-// priority first, and returns how many were computed.
+// prefill divides one step's budget of prompt tokens among the active jobs,
+// the higher priority first, and returns how many are computed.
 func (e *engineModel) prefill() int {
 	budget := prefillChunkPerGPU * e.gpus
 	computed := 0
@@ -109,6 +117,7 @@
 	return computed
 }
 
+// endStep gives each decoding job one token and ends the complete ones.
 func (e *engineModel) endStep() {
 	kept := e.active[:0]
 	for _, j := range e.active {
@@ -130,7 +139,7 @@
 		kept = append(kept, j)
 	}
 	e.active = kept
-	e.stepping = false // Only now: finish brings new work in the meantime.
+	e.stepping = false // Only now, because finish submits new work that must not start a step.
 	e.startStep()
 }
 
@@ -139,20 +148,22 @@
 	e.waiting = slices.DeleteFunc(e.waiting, func(o *job) bool { return o == j })
 }
 
+// cachePrefix puts a session's prefix into the cache and evicts the least
+// recently used ones that no longer fit.
 func (e *engineModel) cachePrefix(session string, tokens int) {
 	if session == "" {
 		return
 	}
 	if _, ok := e.cache[session]; ok {
-		e.leastRecent = slices.Delete(e.leastRecent, slices.Index(e.leastRecent, session), slices.Index(e.leastRecent, session)+1)
+		e.lruSessions = slices.Delete(e.lruSessions, slices.Index(e.lruSessions, session), slices.Index(e.lruSessions, session)+1)
 	}
-	e.leastRecent = append(e.leastRecent, session)
+	e.lruSessions = append(e.lruSessions, session)
 	e.cacheTokens += tokens - e.cache[session]
 	e.cache[session] = tokens
-	for e.cacheTokens > cacheTokensPerGPU*e.gpus && len(e.leastRecent) > 1 {
-		e.cacheTokens -= e.cache[e.leastRecent[0]]
-		delete(e.cache, e.leastRecent[0])
-		e.leastRecent = e.leastRecent[1:]
+	for e.cacheTokens > cacheTokensPerGPU*e.gpus && len(e.lruSessions) > 1 {
+		e.cacheTokens -= e.cache[e.lruSessions[0]]
+		delete(e.cache, e.lruSessions[0])
+		e.lruSessions = e.lruSessions[1:]
 	}
 }
 
--- a/internal/decide/learn.go
+++ b/internal/decide/learn.go
@@ -1,32 +1,36 @@
 package decide
 
-// endpointEstimates is what finished requests told about an endpoint, as moving averages
-// in seconds. A zero average is unknown.
+// endpointEstimates holds moving averages over the requests that an endpoint
+// finished, in seconds unless stated. A zero average is unknown.
 type endpointEstimates struct {
-	baseFirstToken  float64 // To the first token, the prompt in the cache.
+	baseFirstToken  float64 // To the first token with the whole prompt in the cache; for a plain service, to the answer.
 	prefillPerToken float64 // For each prompt token that is not in the cache.
-	timePerToken    float64 // For each generated token; a plain service's answer.
-	slotTime        float64 // A slot's time for one request.
-	cacheMissShare  float64 // Share of a prompt not in the cache at the session's home.
-	samples         int
+	timePerToken    float64 // For each generated token; for a plain service, the whole answer.
+	slotTime        float64 // That a request holds its slot.
+	cacheMissShare  float64 // Share of a prompt that is not in the cache at the session's first ranked endpoint.
+	samples         int     // Finished requests, without failed and abandoned ones.
 }
 
 const (
-	// averageGain of the moving averages: about the last ten results count, enough
-	// against a single long prompt, few enough to follow a change in seconds.
+	// averageGain is the weight of a new sample: about the last ten results
+	// count, enough to even out a single long prompt and few enough to follow a
+	// change in seconds.
 	averageGain = 0.1
-	// delayGain follows a queue of prompts, which grows faster than engines age.
+	// delayGain is the weight of a new sample of the first token's delay. A
+	// queue of prompts grows faster than the other averages change.
 	delayGain = 0.2
-	// fewUncachedTokens and manyUncachedTokens bound the prompts that teach base and
-	// perTok: what lies between would mix the two.
+	// Only prompts with at most fewUncachedTokens tokens to compute update
+	// baseFirstToken, and only those with at least manyUncachedTokens update
+	// prefillPerToken. Those between would mix the two.
 	fewUncachedTokens, manyUncachedTokens = 256, 512
-	// The values before anything was learned; any engine teaches its own in a
-	// few requests.
+	// The estimates in seconds before the first sample. An endpoint has its own
+	// after a few requests.
 	defaultPrefillPerToken = 100e-6
 	defaultBaseFirstToken  = 50e-3
 	defaultSlotTime        = 1.0
 )
 
+// updateAverage adds a sample to a moving average, of which 0 means none yet.
 func updateAverage(old *float64, sample float64) {
 	if *old == 0 {
 		*old = sample
@@ -39,6 +43,8 @@
 	return valueOr(l.prefillPerToken, defaultPrefillPerToken)
 }
 
+// valueOr returns v, or the fallback if v is not positive, which means
+// unknown.
 func valueOr(v, fallback float64) float64 {
 	if v <= 0 {
 		return fallback
@@ -46,13 +52,14 @@
 	return v
 }
 
-// observeResult takes a finished request's result into the tables; seen tells that its
-// first token was taken before.
+// observeResult updates the estimates and the health of the row's endpoint,
+// and the averages of its pool. firstTokenSeen says that ObserveFirstToken
+// has recorded the first token already.
 func (d *Decider) observeResult(row *requestRow, result Result, firstTokenSeen bool) {
 	e := row.endpoint
 	if result.Abandoned {
 		if !firstTokenSeen && result.Tokens == 0 && row.Service == "" {
-			e.observeDelay(row, result.Total.Seconds(), d.now) // At least.
+			e.observeDelay(row, result.Total.Seconds(), d.now) // A lower bound.
 		}
 		return
 	}
@@ -83,8 +90,9 @@
 	d.observeSuccess(row, timePerToken)
 }
 
-// observeCacheMiss follows how much of a prompt the cache still holds when a session
-// comes back. An endpoint whose memory is overcommitted misses more and more.
+// observeCacheMiss updates which share of a prompt the cache has lost when a
+// session comes back to its first ranked endpoint. An endpoint that serves
+// more sessions than its memory holds misses more and more.
 func (e *endpointRow) observeCacheMiss(row *requestRow, result Result) {
 	if result.Cached <= 0 || row.rank[0] != e || row.PromptTokens <= 0 {
 		return
@@ -93,12 +101,16 @@
 	updateAverage(&e.estimates.cacheMissShare, missShare)
 }
 
+// observeDelay updates by how many seconds first tokens come later than
+// predicted, from one that came firstToken seconds after its start.
 func (e *endpointRow) observeDelay(row *requestRow, firstToken float64, now Time) {
 	e.firstTokenDelay = e.currentDelay(now)
 	e.firstTokenDelay += delayGain * (max(0, firstToken-row.expectedFirstToken) - e.firstTokenDelay)
 	e.firstTokenDelayAt = now
 }
 
+// observeFirstToken updates the estimates of the time to the first token,
+// from one that came firstToken seconds after its start.
 func (l *endpointEstimates) observeFirstToken(row *requestRow, firstToken float64) {
 	switch {
 	case row.prefillBacklog <= fewUncachedTokens:
--- a/internal/decide/order.go
+++ b/internal/decide/order.go
@@ -9,47 +9,51 @@
 // teamQueue holds one team's waiting requests of one class in one pool.
 type teamQueue struct {
 	team         record.Team
-	weight       float64
-	deficit      float64
-	rows         rowHeap
-	blockedCount int // Parked rows, which are not in rows.
-	index        int // In classQueue.teams.
+	weight       float64 // The team's, at its last request.
+	deficit      float64 // Tokens that the team may still start.
+	rows         rowHeap // Those in the order, by latestStart.
+	blockedCount int     // Blocked rows, which are not in rows.
+	index        int     // In classQueue.teams.
 }
 
-// classQueue shares one class of a pool between teams by deficit round robin.
+// classQueue divides one class of a pool among teams by deficit round robin.
 type classQueue struct {
 	teams     []*teamQueue // Those with waiting requests.
 	byTeam    map[record.Team]*teamQueue
-	freeTeams []*teamQueue
-	turn      int
-	count     int // Of rows, the hidden ones included.
-	// readyCount is count without the hidden rows.
+	freeTeams []*teamQueue // Kept for reuse.
+	turn      int          // Index of the team whose turn it is.
+	count     int          // Waiting rows, blocked ones included.
+	// readyCount is count without the blocked rows.
 	readyCount int
-	// agingCredit lets a lower class go first now and then; see order.
+	// agingCredit rises with each start of a higher class. At 1 the class may
+	// start one request before the higher ones; see order.
 	agingCredit float64
 }
 
 const (
-	// quantum is the work that a team of weight 1 may start in its turn, in
-	// tokens: about one question, so that turns change often.
+	// quantum is the deficit in tokens that a team of weight 1 gains in each of
+	// its turns. It is about one interactive request, so that turns change
+	// often.
 	quantum = 512
-	// agingCreditPerStart is what a waiting lower class gains with each start of a
-	// higher one in the same pool: one start in eight goes to it at least.
-	// More would slow questions in a burst, less would stall reports in a long
-	// busy hour.
+	// agingCreditPerStart is the credit that a waiting class gains with each
+	// start of a higher class in the same pool: it gets at least one start in
+	// eight. More would slow interactive requests in a burst, less would stall
+	// batch requests in a long busy hour.
 	agingCreditPerStart = 0.125
 )
 
-// order serves a busy hour in which one team, or one class, could take all
-// slots. It gives every pool its class order for this tick: higher priority
-// first, but a lower class that has been passed over eight times goes first
-// once. Without it reports would starve while questions keep coming.
+// order sets the order in which each pool serves its classes in this tick:
+// the higher priority first, except that a waiting class that was passed over
+// eight times starts one request before the others. Without the exception
+// batch requests would starve while interactive ones keep coming.
 func (d *Decider) order() {
 	for _, p := range d.pools {
 		p.setClassOrder()
 	}
 }
 
+// setClassOrder fills classOrder: first the classes with full aging credit,
+// then all classes, the highest first.
 func (p *pool) setClassOrder() {
 	n := 0
 	for class := classCount - 1; class > 0; class-- {
@@ -65,7 +69,8 @@
 	}
 }
 
-// creditLowerClasses pays for a started row: its team's deficit, its class's credit.
+// creditLowerClasses adds aging credit to each waiting class below that of
+// the started row.
 func (p *pool) creditLowerClasses(row *requestRow) {
 	for class := 1; class < row.class; class++ {
 		if q := &p.classes[class]; q.count > 0 {
@@ -74,6 +79,7 @@
 	}
 }
 
+// push adds an admitted row to its team's queue. weight is the team's.
 func (p *pool) push(row *requestRow, weight float64) {
 	q := &p.classes[row.class]
 	t, ok := q.byTeam[row.Team]
@@ -100,6 +106,8 @@
 	return t
 }
 
+// remove takes a row out of its team's queue or, if it is blocked, out of its
+// wait list.
 func (p *pool) remove(row *requestRow) {
 	q := &p.classes[row.class]
 	t := row.queue
@@ -121,8 +129,8 @@
 	}
 }
 
-// dropTeam forgets an idle team and its deficit: an idle team saves nothing up,
-// so a burst of its own later gets its share and no more.
+// dropTeam removes a team without waiting requests and its deficit. An idle
+// team saves nothing up, so a later burst gets its fair share and no more.
 func (q *classQueue) dropTeam(t *teamQueue) {
 	copy(q.teams[t.index:], q.teams[t.index+1:])
 	q.teams = q.teams[:len(q.teams)-1]
@@ -136,8 +144,8 @@
 	q.freeTeams = append(q.freeTeams, t)
 }
 
-// nextTeam returns the team whose turn it is, with deficit for its next request,
-// or nil if no team waits.
+// nextTeam returns the team whose turn it is, with enough deficit for its
+// next request, or nil if no team has a request in the order.
 func (q *classQueue) nextTeam() *teamQueue {
 	if q.readyCount == 0 {
 		return nil
@@ -159,12 +167,13 @@
 	}
 }
 
-// waitingCount returns the team's rows, the parked ones included.
+// waitingCount returns the number of the team's rows, blocked ones included.
 func (t *teamQueue) waitingCount() float64 { return float64(t.rows.Len() + t.blockedCount) }
 
-// fairShareAhead returns how many requests go before the next one of a team of the
-// given weight: its own, and of each other team as many as its weight allows
-// meanwhile. So a team that floods the queue makes only itself wait.
+// fairShareAhead returns how many requests of the class start before the next
+// one of a team with the given weight: all of the team's own, and of each
+// other team as many as its weight allows meanwhile. So a team that floods
+// the queue delays only itself.
 func (q *classQueue) fairShareAhead(team record.Team, weight float64) float64 {
 	own := 0.0
 	if t, ok := q.byTeam[team]; ok {
@@ -179,13 +188,14 @@
 	return ahead
 }
 
-// block takes a row out of the order until show; the row stays queued.
+// block takes a row out of the order until unblock; it stays queued.
 func (q *classQueue) block(row *requestRow) {
 	heap.Remove(&row.queue.rows, row.heapIndex[teamIndex])
 	row.queue.blockedCount++
 	q.readyCount--
 }
 
+// unblock returns a blocked row to the order.
 func (q *classQueue) unblock(row *requestRow) {
 	heap.Push(&row.queue.rows, row)
 	row.queue.blockedCount--
--- a/internal/decide/park.go
+++ b/internal/decide/park.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// blockedEntry remembers when a row was parked. Rows are used again, so the
-// entry counts only while row is still the same request in the same stay.
+// blockedEntry records when a row was blocked. Row structs are reused, so an
+// entry is valid only while the row holds the same request, blocked at the
+// same time.
 type blockedEntry struct {
 	row *requestRow
 	id  RequestID
@@ -14,20 +15,23 @@
 }
 
 const (
-	// maxUnblockedPerEvent bounds the rows that one event at their endpoint brings back into
-	// the order: the event frees a slot or two, and the next start brings more.
+	// maxUnblockedPerEvent bounds the rows that one change of an endpoint
+	// returns to the order. The change frees a slot or two, and the next start
+	// returns more rows.
 	maxUnblockedPerEvent = 8
-	// blockedRecheckAge is after which time a parked row is looked at without any event:
-	// it may have waited long enough to move. parkChecks bounds these looks in
-	// one tick, so that the cost of a tick does not grow with the queue.
+	// blockedRecheckAge is the time after which a blocked row returns to the
+	// order without a change of its endpoint: it may have waited long enough to
+	// move to another one. maxBlockedRechecks bounds these rows in one tick, so
+	// that the cost of a tick does not grow with the queue.
 	blockedRecheckAge  = 20 * time.Millisecond
 	maxBlockedRechecks = 8
 )
 
-// block takes a row that waits for its endpoint out of the order, so that it
-// holds up nobody and costs nothing until something changes there. In a long
-// queue most rows wait for endpoints that are full; going through them all to
-// find the one whose slot came free would take longer than the slot is worth.
+// block takes a row out of the order until something changes at the endpoint
+// that it waits for, so that it neither delays other rows nor costs time. In
+// a long queue most rows wait for full endpoints, and going through all of
+// them to find the one whose slot is free would take longer than the slot is
+// worth.
 func (d *Decider) block(row *requestRow, waitList *rowHeap) {
 	row.pool.classes[row.class].block(row)
 	row.waitList, row.blockedAt = waitList, d.now
@@ -35,14 +39,14 @@
 	d.blockedQueue.push(blockedEntry{row: row, id: row.ID, at: d.now})
 }
 
-// unblock brings a row back into the order.
+// unblock returns a blocked row to the order.
 func (d *Decider) unblock(row *requestRow) {
 	heap.Remove(row.waitList, row.heapIndex[blockedIndex])
 	row.waitList = nil
 	row.pool.classes[row.class].unblock(row)
 }
 
-// markChanged marks an endpoint at which a slot may have come free.
+// markChanged records that a slot may be free at the endpoint.
 func (d *Decider) markChanged(e *endpointRow) {
 	if e.blockedRows.Len() > 0 && !e.markedChanged {
 		e.markedChanged = true
@@ -50,8 +54,8 @@
 	}
 }
 
-// unblockRows brings parked rows back: the first ones of each endpoint that changed,
-// and those that have been parked for long.
+// unblockRows returns blocked rows to the order: the first ones of each
+// changed endpoint, and those that have been blocked for blockedRecheckAge.
 func (d *Decider) unblockRows() {
 	for i, e := range d.changedEndpoints {
 		d.changedEndpoints[i] = nil
@@ -74,7 +78,7 @@
 	}
 }
 
-// fifo is a queue in a ring that grows by doubling.
+// fifo is a queue in a ring buffer that grows by doubling.
 type fifo struct {
 	ring  []blockedEntry
 	head  int
--- a/internal/decide/place.go
+++ b/internal/decide/place.go
@@ -4,37 +4,41 @@
 
 const (
 	// maxSpillLoad is the load, as a share of the slots, up to which an endpoint
-	// takes prompts whose prefix is elsewhere.
+	// takes prompts whose prefix is cached elsewhere.
 	maxSpillLoad = 0.3
 	// rankSize is how many endpoints of its rendezvous order a session uses
-	// before any other: the second keeps a spilled prefix in one place.
+	// before any other. Those after the first keep a prefix that had to move in
+	// a predictable place.
 	rankSize = 3
-	// randomSamples is how many more endpoints are looked at, by chance. Two are
-	// enough to avoid the worst; the global best would draw every instance to
-	// the same endpoint until the next report.
+	// randomSamples is how many random endpoints are compared in addition. Two
+	// are enough to avoid the worst; if all instances chose the best of all
+	// endpoints, they would all send to the same one until the next report.
 	randomSamples = 2
-	// defaultUncachedShare is the share of a prompt that is taken as not cached at
-	// the session's first endpoint while nothing is known: another instance
-	// may have sent the last turn there.
+	// defaultUncachedShare is the assumed share of a prompt that is not cached
+	// at the session's first ranked endpoint, while nothing is known. Another
+	// instance may have sent the last turn there.
 	defaultUncachedShare = 0.25
-	// crossZoneCost is a round trip between zones: another zone must be better by
-	// more than that.
+	// crossZoneCost is a round trip between zones, in seconds: an endpoint in
+	// another zone must be better by more than that.
 	crossZoneCost = 3e-3
-	// fullBatchCost is what a full batch adds to a first token, in seconds, against
-	// an empty one: it spreads work while no endpoint is full.
+	// fullBatchCost is by how many seconds a first token comes later from a full
+	// batch than from an empty one. It spreads work while no endpoint is full.
 	fullBatchCost = 20e-3
-	// maxFirstTokenShare is the share of the remaining time that the first token may
-	// take when a request starts. A started one can't be refused any more.
+	// maxFirstTokenShare is the share of the time to the deadline that the first
+	// token may take when a request starts. A started request can't be refused
+	// any more.
 	maxFirstTokenShare = 0.7
-	// A session leaves an open endpoint only if it is worse by minMoveFactor, and
-	// its first token takes minMoveShare of the caller's patience: a move costs the
-	// later turns as well, for other instances do not know of it.
+	// A request leaves a preferred endpoint that has a free slot only if the
+	// first token there is predicted to take more than minMoveFactor times as
+	// long as elsewhere, and more than minMoveShare of the time to the deadline.
+	// A move costs the later turns of the session as well, because other
+	// instances do not know of it.
 	minMoveFactor, minMoveShare = 2.0, 0.3
 )
 
-// place serves requests in their order until slots run out. For each pool it
-// starts what can start; a request that waits for its own endpoint is passed
-// over, so that it holds up nobody.
+// place starts queued requests in their order until the slots run out. A
+// request that waits for its preferred endpoint is blocked, so that it delays
+// no other.
 func (d *Decider) place() {
 	d.unblockRows()
 	for _, p := range d.pools {
@@ -45,7 +49,7 @@
 }
 
 func (d *Decider) placePool(p *pool) {
-	for i := 0; i < p.agedClasses; i++ { // One start each, out of turn.
+	for i := 0; i < p.agedClasses; i++ { // One start for each, by aging.
 		d.placeClass(p, p.classOrder[i], 1)
 	}
 	for i := p.agedClasses; i < p.agedClasses+classCount-1; i++ {
@@ -83,7 +87,8 @@
 	}
 }
 
-// blockRow parks a row until something changes at its endpoint.
+// blockRow blocks a row until something changes at its preferred endpoint or,
+// without one, until it is rechecked.
 func (d *Decider) blockRow(p *pool, row *requestRow) {
 	waitList := &p.blockedRows
 	if preferred := d.preferredEndpoint(p, row); preferred != nil {
@@ -92,14 +97,16 @@
 	d.block(row, waitList)
 }
 
-// isTooLate tells whether a start now would most likely answer a caller who has
-// left. The request had its chance: its queue moved slower than predicted.
+// isTooLate reports whether the row, started at the endpoint now, would most
+// likely answer a caller who has left. It was admitted, but its queue moved
+// slower than predicted.
 func (d *Decider) isTooLate(row *requestRow, e *endpointRow) bool {
 	return d.predictFirstToken(row, e) > maxFirstTokenShare*(row.Deadline-d.now).Seconds()
 }
 
-// chooseEndpoint returns the endpoint to start the row at. A nil one means that the
-// row waits; full means that no row of its class can start in the pool.
+// chooseEndpoint returns the endpoint to start the row at, or nil if the row
+// has to wait. full means that no row of its class can start in the pool.
+// byAging lets the row use slots that are reserved for higher classes.
 func (d *Decider) chooseEndpoint(p *pool, row *requestRow, byAging bool) (e *endpointRow, full bool) {
 	if probe := d.probeCandidate(p, row); probe != nil {
 		return probe, false
@@ -128,14 +135,16 @@
 	return nil, false
 }
 
-// isWorthMoving tells whether the row's open endpoint is so much slower than the
-// other one that its caller would notice.
+// isWorthMoving reports whether the row's preferred endpoint, which has a
+// free slot, is so much slower than the other one that the caller would
+// notice. The costs are predicted seconds to the first token.
 func (d *Decider) isWorthMoving(row *requestRow, cost, otherCost float64) bool {
 	return cost > minMoveFactor*otherCost && cost > minMoveShare*(row.Deadline-d.now).Seconds()
 }
 
-// shouldWaitFor tells whether the row waits for its full endpoint while another one
-// has a slot: only if it is still sooner there, and not for long.
+// shouldWaitFor reports whether the row waits for its full preferred endpoint
+// while another one has a free slot: only if the first token still comes
+// sooner that way, and for at most Options.AffinityWait.
 func (d *Decider) shouldWaitFor(row *requestRow, preferred *endpointRow, cost, otherCost float64) bool {
 	waited := d.now - row.submittedAt
 	if waited >= d.opts.AffinityWait || preferred.health.state != healthy {
@@ -144,12 +153,13 @@
 	return cost < otherCost && d.now+seconds(2*cost) < row.Deadline
 }
 
-// mayMove tells whether the row may start away from its prefix. In a fleet near
-// its limit each move costs several times a turn's work, evicts another
-// session's prefix, and so causes the next move; cold prompts would take all the
-// fleet's time and never give it back. So a cold prompt goes only where there
-// is time to spare, and no more of them than this instance's part: all the
-// instances see the same idle endpoint.
+// mayMove reports whether the row may start at an endpoint that does not hold
+// its prefix. In a fleet near its capacity each move costs several times the
+// work of a turn and evicts another session's prefix, which causes the next
+// move: the fleet would spend its time on cold prompts and not recover. So a
+// cold prompt, with more than manyUncachedTokens tokens to compute, starts
+// only at an endpoint with low load, and only within this instance's start
+// quota, because all instances see the same idle endpoint.
 func (d *Decider) mayMove(row *requestRow, e *endpointRow) bool {
 	uncached := d.expectedUncached(row, e)
 	if uncached <= manyUncachedTokens {
@@ -158,8 +168,9 @@
 	return e.load(d.now) < maxSpillLoad*float64(e.Slots) && !e.startQuotaUsed(d.now)
 }
 
-// preferredEndpoint returns the endpoint that the session's prefix is thought to be at, or
-// else the first of its rendezvous order that takes work.
+// preferredEndpoint returns the first endpoint of the session's rendezvous
+// order that takes the row, whose cache probably holds its prefix, or nil if
+// any endpoint will do.
 func (d *Decider) preferredEndpoint(p *pool, row *requestRow) *endpointRow {
 	if row.Session == "" || row.Service != "" {
 		return nil
@@ -172,8 +183,11 @@
 	return nil
 }
 
-// bestAlternative returns the best of the session's next endpoints and some random ones
-// that are open and that the row may move to, and its cost. Where nothing else differs the own zone wins.
+// bestAlternative returns the endpoint with the soonest predicted first
+// token, and that prediction in seconds, among the one that last held the
+// prefix, the session's other ranked endpoints and some random ones. Only
+// endpoints where the row can start and may move to count; one more random
+// endpoint is from the own zone.
 func (d *Decider) bestAlternative(p *pool, row *requestRow, preferred *endpointRow, byAging bool) (*endpointRow, float64) {
 	var best *endpointRow
 	bestCost := 0.0
@@ -206,8 +220,10 @@
 	return best, bestCost
 }
 
-// scanPool looks through the whole pool from a random place, so that a single
-// free slot is found, and the pool is known to be full if there is none.
+// scanPool returns the endpoint found before or, without one, the first in
+// the pool where the row can start, from a random position on. So a single
+// free slot is found, and full is certain if there is none; an endpoint that
+// only this row avoids does not make the pool full.
 func (d *Decider) scanPool(p *pool, row *requestRow, found *endpointRow, byAging bool) (e *endpointRow, full bool) {
 	if found != nil {
 		return found, false
@@ -224,7 +240,7 @@
 	return nil, !avoided
 }
 
-// canStart tells whether the row may start at the endpoint now.
+// canStart reports whether the row may start at the endpoint now.
 func (d *Decider) canStart(p *pool, e *endpointRow, row *requestRow, byAging bool) bool {
 	if !p.accepts(e) || e.inFlight >= e.Slots || row.avoids(e) || !p.acceptsClass(e, row.class, d.now) {
 		return false
@@ -239,8 +255,9 @@
 	return d.isWithinShare(p, e, row.class)
 }
 
-// isWithinShare holds a class to its share of the slots while a higher class is
-// in use. The other instances are taken to run as many of it in proportion.
+// isWithinShare reports whether one more request of the class stays within
+// its share of the slots while a higher class is in use. The other instances
+// are assumed to run the class in the same proportion.
 func (d *Decider) isWithinShare(p *pool, e *endpointRow, class int) bool {
 	for higher := class + 1; higher < classCount; higher++ {
 		if p.isClassInUse(higher, d.now) {
@@ -251,9 +268,10 @@
 	return true
 }
 
-// predictFirstToken predicts the seconds to the row's first token at the endpoint:
-// the wait for a slot, the prompts before it, its own prompt's part that is not
-// in the cache, and a little for a full batch and another zone.
+// predictFirstToken returns the predicted seconds to the row's first token at
+// the endpoint: the wait for a slot, the prompts before it, the part of its
+// own prompt that is not in the cache, and small additions for a full batch
+// and another zone.
 func (d *Decider) predictFirstToken(row *requestRow, e *endpointRow) float64 {
 	l := &e.estimates
 	load, slots := e.load(d.now), float64(max(1, e.Slots))
@@ -267,13 +285,13 @@
 	return cost
 }
 
-// predictFirstTokenWithSlot is firstToken once a slot is free.
+// predictFirstTokenWithSlot is predictFirstToken without the wait for a slot.
 func (e *endpointRow) predictFirstTokenWithSlot(d *Decider, row *requestRow) float64 {
 	return d.predictFirstToken(row, e) - e.slotWait(d.now, 0, valueOr(row.pool.slotTime, defaultSlotTime))
 }
 
-// expectedUncached guesses how many of the row's prompt tokens the endpoint has to
-// compute.
+// expectedUncached estimates how many of the row's prompt tokens the endpoint
+// has to compute.
 func (d *Decider) expectedUncached(row *requestRow, e *endpointRow) float64 {
 	prompt := float64(max(0, row.PromptTokens))
 	if row.Session == "" {
@@ -290,8 +308,8 @@
 	}
 }
 
-// rankEndpoints finds the session's first endpoints by weighted rendezvous: each
-// instance finds the same ones without a word to the others.
+// rankEndpoints sets the session's first endpoints by weighted rendezvous
+// hashing. Every instance finds the same ones without communication.
 func (d *Decider) rankEndpoints(p *pool, row *requestRow) {
 	if row.Session == "" || row.rankGeneration == d.generation {
 		return
--- a/internal/decide/policies_test.go
+++ b/internal/decide/policies_test.go
@@ -13,11 +13,14 @@
 )
 
 var (
+	// GPUs of each engine.
 	mixedSizes = []int{1, 1, 2, 2, 2, 3, 3, 4, 5, 5, 6, 6}
 	equalSizes = []int{4, 4, 4, 4, 4, 4, 4, 4, 4, 4}
 )
 
 const (
+	// Results count after policyWarmup, for policyWindow. Measured weights
+	// change with each weightWindow.
 	policyWarmup = 90 * time.Second
 	policyWindow = 60 * time.Second
 	instances    = 6
@@ -27,8 +30,9 @@
 type policy struct {
 	name   string
 	build  func(seed uint64) router
-	weight func(*engineModel) float64 // Nil is the configured capacity.
-	// measuredWeight takes the weight anew after each window; it is 1 before the first.
+	weight func(*engineModel) float64 // Nil means the configured capacity.
+	// measuredWeight computes the weight again after each window, from the
+	// throughput; before the first window it is 1.
 	measuredWeight bool
 }
 
@@ -50,6 +54,8 @@
 	}
 }
 
+// cell holds the results of one policy at one load, for all seeds. load is a
+// multiple of the capacity.
 type cell struct {
 	policy, shape string
 	load          float64
@@ -74,7 +80,8 @@
 	return s
 }
 
-// updateWeights ends a window of throughput and lists the weights from it.
+// updateWeights ends a window of the throughput counts and publishes the
+// weights from it.
 func (s *sim) updateWeights(weight func(*engineModel) float64) {
 	for _, e := range s.engines {
 		e.input.endWindow()
@@ -83,9 +90,10 @@
 	s.publishEndpoints(weight)
 }
 
-// BenchmarkPolicies prints the comparison of docs/measurements/decide.md. The
-// variables POLICY and LOADS narrow it, and REPORTS sets the pause between the
-// reports of load.
+// BenchmarkPolicies prints the comparison of policies in
+// docs/measurements/decide.md. The environment variables POLICY (prefix of a
+// name) and LOADS (multiples of the capacity, separated by commas) narrow it;
+// REPORTS sets the interval of load reports.
 func BenchmarkPolicies(b *testing.B) {
 	for range b.N {
 		cells := runCells(b)
--- a/internal/decide/pool.go
+++ b/internal/decide/pool.go
@@ -8,69 +8,71 @@
 	"guavapier/internal/record"
 )
 
-// poolKey names what a request asks for. Team is set where the team has
-// endpoints of its own for it; those pools hold the shared ones too.
+// poolKey identifies a kind of request. team is set where a team has
+// endpoints of its own for it; that pool holds the shared endpoints too.
 type poolKey struct {
 	service string
 	model   string
 	team    record.Team
 }
 
-// pool is all endpoints that can serve a kind of request, with its queue.
+// pool holds all endpoints that serve one kind of request, and the queue for
+// them.
 type pool struct {
 	key       poolKey
-	endpoints []*endpointRow // By name.
+	endpoints []*endpointRow // Sorted by name.
 	sameZone  []*endpointRow // Those in the instance's own zone.
-	rankKeys  []rankKey      // Of endpoints, in one piece for rankRow.
-	maxSlots  int            // Of one endpoint.
-	// batchEndpoints holds the endpoints that take batchEndpoints work while shorter work is in
-	// use; nil if the pool is too small to be parted.
+	rankKeys  []rankKey      // Of endpoints, contiguous for rankEndpoints.
+	maxSlots  int            // The most slots of one endpoint.
+	// batchEndpoints holds the endpoints that take batch requests while a higher
+	// class is in use; nil if the pool is too small to be divided.
 	batchEndpoints map[*endpointRow]bool
 	classes        [classCount]classQueue
-	startsByClass  [classCount]uint64
+	startsByClass  [classCount]uint64 // Since the pool was made.
 
 	blockedRows rowHeap             // Rows that wait for any endpoint they don't avoid.
 	classOrder  [2 * classCount]int // Classes in the order of this tick; see order.
-	agedClasses int                 // How many entries at its start go first by age.
+	agedClasses int                 // How many entries at the start of classOrder are there by aging.
 
-	slotTime, baseFirstToken, prefillPerToken, timePerToken float64 // Averages over the endpoints.
+	slotTime, baseFirstToken, prefillPerToken, timePerToken float64 // Averages over the endpoints, in seconds.
 	usage                                                   usageTable
-	lastArrival                                             [classCount]Time    // When the class last came; 0 for never.
-	freeSlots                                               [classCount]float64 // Free slots by class, at refreshedAt.
-	startRate                                               float64             // Starts a second when all slots are busy.
-	usableCount                                             int                 // Endpoints that take work.
-	probesDue                                               int                 // Endpoints that want a probe.
+	lastArrival                                             [classCount]Time    // When the last request of the class came.
+	freeSlots                                               [classCount]float64 // For each class, at refreshedAt.
+	startRate                                               float64             // Starts per second when all slots are busy.
+	usableCount                                             int                 // Endpoints that are neither closed nor ejected.
+	probesDue                                               int                 // Endpoints that wait for a probe.
 	refreshedAt                                             Time
 	refreshed                                               bool
 	outliersCheckedAt                                       Time
 	medianScratch                                           []float64
-	nextRetryAt                                             Time // When the next refused caller may come back.
+	nextRetryAt                                             Time // The last time given to a refused caller.
 }
 
-// rankKey is what the rendezvous needs of an endpoint.
+// rankKey is the input of the rendezvous hashing for an endpoint.
 type rankKey struct {
 	hash   uint64
 	weight float64
 }
 
 const (
-	// refreshInterval bounds how often a pool's sums are made: a few steps of an
-	// engine; reports come ten times as slowly.
+	// refreshInterval bounds how often a pool's sums are computed. It is a few
+	// steps of an engine; reports come a tenth as often.
 	refreshInterval = 10 * time.Millisecond
-	// batchEndpointShare is the part of a pool's endpoints that takes long work while
-	// shorter work is in use. A long prompt makes every step of its batch
-	// several times as long, so questions beside it are slow however many slots
-	// are kept for them; half of the fleet stays free of that. A pool of fewer
-	// than leastToPart endpoints shares slots only.
+	// batchEndpointShare is the share of a pool's endpoints that take batch
+	// requests while a higher class is in use. A long prompt makes every step of
+	// its batch several times as long, so interactive requests beside it are
+	// slow however many slots are reserved for them; the other half of the
+	// endpoints stays free of that. A pool of fewer than minEndpointsToPartition
+	// endpoints only divides slots.
 	batchEndpointShare      = 0.5
 	minEndpointsToPartition = 4
 	batchHashSeed           = 0x6c6f6e67
 	// classInUseTTL is how long a class counts as in use after its last request.
-	// Slots stay reserved that long; without the class nothing is reserved.
+	// Slots are reserved for it that long.
 	classInUseTTL = time.Minute
 )
 
-// rebuildPools makes the pools of the endpoint table anew. Pools keep their
+// rebuildPools assigns the endpoints of the table to pools. Pools keep their
 // queues; one that lost all its endpoints stays until its queue is refused.
 func (d *Decider) rebuildPools() {
 	for _, p := range d.pools {
@@ -117,8 +119,8 @@
 	}
 }
 
-// selectBatchEndpoints picks the endpoints for long work: the same ones at every instance, for
-// the choice is by hash, and as few as possible change with the table.
+// selectBatchEndpoints chooses the endpoints for batch requests by hash: all
+// instances choose the same ones, and few change when the table changes.
 func (p *pool) selectBatchEndpoints() {
 	p.batchEndpoints = nil
 	if len(p.endpoints) < minEndpointsToPartition {
@@ -134,8 +136,9 @@
 	}
 }
 
-// acceptsClass tells whether work of the class may start at the endpoint while
-// shorter work is in use.
+// acceptsClass reports whether a request of the class may start at the
+// endpoint: batch requests only at some endpoints while a higher class is in
+// use.
 func (p *pool) acceptsClass(e *endpointRow, class int, now Time) bool {
 	if class > int(PriorityBatch) || p.batchEndpoints == nil || p.batchEndpoints[e] {
 		return true
@@ -143,6 +146,7 @@
 	return !p.isClassInUse(int(PriorityInteractive), now) && !p.isClassInUse(int(PriorityCall), now)
 }
 
+// ensurePool returns the pool of the key and makes it if there is none.
 func (d *Decider) ensurePool(key poolKey) *pool {
 	if p, ok := d.poolByKey[key]; ok {
 		return p
@@ -157,6 +161,7 @@
 	return p
 }
 
+// poolKeys returns the keys of the requests that the endpoint serves.
 func (e *endpointRow) poolKeys() []poolKey {
 	if e.Service != "" {
 		return []poolKey{{service: e.Service, team: e.Team}}
@@ -168,6 +173,7 @@
 	return keys
 }
 
+// serves reports whether the endpoint belongs to the pool of the key.
 func (e *endpointRow) serves(key poolKey) bool {
 	if e.Service != key.service || e.Team != "" && e.Team != key.team {
 		return false
@@ -175,7 +181,8 @@
 	return e.Service != "" || slices.Contains(e.Models, key.model)
 }
 
-// poolFor returns the pool of a request, or nil if no endpoint serves it.
+// poolFor returns the pool of a request, the team's own before the shared
+// one, or nil if no endpoint serves it.
 func (d *Decider) poolFor(r *Request) *pool {
 	key := poolKey{service: r.Service, model: r.Model, team: r.Team}
 	if r.Service != "" {
@@ -191,8 +198,9 @@
 	return nil
 }
 
-// isUnknownModel says that no endpoint has served the request's model to its team
-// since the start. While nothing at all is known it is false.
+// isUnknownModel reports whether no endpoint has served the request's model
+// to its team since the start. It is false as long as no endpoint was ever
+// listed.
 func (d *Decider) isUnknownModel(r *Request) bool {
 	if r.Service != "" || len(d.servedKeys) == 0 {
 		return false
@@ -200,8 +208,8 @@
 	return !d.servedKeys[poolKey{model: r.Model, team: r.Team}] && !d.servedKeys[poolKey{model: r.Model}]
 }
 
-// expectedDuration returns the seconds that the row should take on an endpoint like its
-// peers, its answer as long as it may be.
+// expectedDuration returns the seconds that the row should take at an average
+// endpoint of the pool if its answer is as long as allowed.
 func (p *pool) expectedDuration(row *requestRow) float64 {
 	if row.Service != "" || p.timePerToken <= 0 {
 		return valueOr(p.slotTime, defaultSlotTime)
@@ -217,12 +225,14 @@
 	return n
 }
 
-// isClassInUse tells whether the class came within the last classInUse.
+// isClassInUse reports whether a request of the class came within the last
+// classInUseTTL.
 func (p *pool) isClassInUse(class int, now Time) bool {
 	return now-p.lastArrival[class] < classInUseTTL
 }
 
-// refreshPools makes each pool's sums that admission needs.
+// refreshPools computes the sums of each pool that admission needs, unless
+// they are newer than refreshInterval.
 func (d *Decider) refreshPools() {
 	for _, p := range d.pools {
 		if p.refreshed && d.now-p.refreshedAt < refreshInterval {
@@ -233,6 +243,8 @@
 	}
 }
 
+// refresh computes the pool's free slots, start rate and numbers of
+// endpoints.
 func (p *pool) refresh(d *Decider) {
 	p.freeSlots, p.usableCount, p.probesDue = [classCount]float64{}, 0, 0
 	for _, e := range p.endpoints {
@@ -262,24 +274,25 @@
 	p.startRate = slots / valueOr(p.slotTime, defaultSlotTime)
 }
 
-// accepts tells whether the endpoint accepts ordinary work. If health has taken
-// out every endpoint, none of the verdicts is believed: the trouble is then
-// more likely on this side, and no answer at all would be the certain harm.
+// accepts reports whether the endpoint takes regular requests, not only
+// probes. If every endpoint is ejected, they all take requests: the fault is
+// then more likely on this side, and refusing everything would do certain
+// harm.
 func (p *pool) accepts(e *endpointRow) bool {
 	return !e.isClosed() && (p.usableCount == 0 || e.health.state != ejected)
 }
 
-// loadLimit returns up to which load a class may start at the endpoint that leaves
-// the reserve, a share of the slots, to others.
+// loadLimit returns the load up to which a class may start at the endpoint
+// that leaves the reserve, a share of the slots, to higher classes.
 func (e *endpointRow) loadLimit(reserve float64) float64 {
 	slots := e.rampedSlots()
-	// One slot is the least that any class may use.
+	// Every class may use at least one slot.
 	return max(1, slots-float64(int(slots*reserve+0.999)))
 }
 
-// reservedShare returns the share of an endpoint's slots that the class leaves free
-// for each higher class in use: questions and calls must not wait for a
-// report's whole run.
+// reservedShare returns the share of an endpoint's slots that the class
+// leaves free for all higher classes in use, which must not wait until a
+// batch request ends.
 func (d *Decider) reservedShare(p *pool, class int) float64 {
 	reserve := 0.0
 	for higher := class + 1; higher < classCount; higher++ {
--- a/internal/decide/property_test.go
+++ b/internal/decide/property_test.go
@@ -12,15 +12,15 @@
 	"guavapier/internal/record"
 )
 
-// harness drives two equal Deciders with one random input and checks that they
-// agree and that each request has one decision.
+// harness drives two Deciders of the same seed with the same random input and
+// checks that they agree and that each request gets exactly one decision.
 type harness struct {
 	d, twin   *Decider
 	now       Time
 	table     []Endpoint
 	leaving   map[string]bool
-	undecided map[RequestID]Request
-	started   map[RequestID]string
+	undecided map[RequestID]Request // Submitted, without a decision and not cancelled.
+	started   map[RequestID]string  // Endpoints of the started requests.
 	inFlight  map[string]int
 	lastID    RequestID
 }
@@ -39,12 +39,13 @@
 	return nil
 }
 
-// drawTable lists any of eight endpoints whose configuration never changes.
+// drawTable lists a random subset of eight endpoints whose configuration
+// never changes.
 func (m *harness) drawTable(t *rapid.T) {
 	m.table = nil
 	for i := range 8 {
 		if !rapid.Bool().Draw(t, "listed") {
-			delete(m.leaving, fmt.Sprintf("e%d", i)) // Listed again it comes anew.
+			delete(m.leaving, fmt.Sprintf("e%d", i)) // A removed endpoint that is listed again starts with no announcement.
 			continue
 		}
 		e := Endpoint{Name: fmt.Sprintf("e%d", i), Slots: 1 + i%3, Weight: float64(1 + i%2), Zone: record.Zone(fmt.Sprintf("z%d", i%2))}
@@ -82,17 +83,17 @@
 func (m *harness) tick(t *rapid.T) {
 	got, other := slices.Clone(m.d.Tick(m.now)), m.twin.Tick(m.now)
 	if len(got)+len(other) > 0 && !reflect.DeepEqual(got, other) {
-		t.Fatalf("same input, other decisions: %v and %v", got, other)
+		t.Fatalf("different decisions for the same input: %v and %v", got, other)
 	}
 	for _, d := range got {
 		r, ok := m.undecided[d.Request]
 		if !ok {
-			t.Fatalf("decided twice, or never asked: %+v", d)
+			t.Fatalf("decision on a request that was decided before or never submitted: %+v", d)
 		}
 		delete(m.undecided, d.Request)
 		if d.Kind == Refuse {
 			if d.RetryAfter < minRetryAfter || d.RetryAfter > 2*maxRetryAfter {
-				t.Fatalf("retry after %v", d.RetryAfter)
+				t.Fatalf("RetryAfter %v is out of bounds", d.RetryAfter)
 			}
 			continue
 		}
@@ -100,22 +101,24 @@
 	}
 }
 
+// checkStart checks that the endpoint is listed, serves the request and has a
+// free slot, and that the deadline is not over.
 func (m *harness) checkStart(t *rapid.T, r Request, name string) {
 	e := m.row(name)
 	switch {
 	case e == nil || e.Leaving || m.leaving[name]:
-		t.Fatalf("%v: start at %s, which is gone or leaving", m.now, name)
+		t.Fatalf("%v: start at %s, which is not listed or leaves", m.now, name)
 	case slices.Contains(r.Avoid, name) || e.Service != r.Service || e.Team != "" && e.Team != r.Team:
-		t.Fatalf("start of %+v at %+v", r, *e)
+		t.Fatalf("request %+v started at an endpoint that it avoids or that does not serve it: %+v", r, *e)
 	case r.Service == "" && !slices.Contains(e.Models, r.Model):
-		t.Fatalf("model %s at %+v", r.Model, *e)
+		t.Fatalf("request for model %s started at %+v, which does not serve it", r.Model, *e)
 	case m.now >= r.Deadline:
-		t.Fatalf("start of %+v at %v", r, m.now)
+		t.Fatalf("request %+v started at %v, after its deadline", r, m.now)
 	}
 	m.started[r.ID] = name
 	m.inFlight[name]++
 	if m.inFlight[name] > e.Slots {
-		t.Fatalf("%s runs %d on %d slots", name, m.inFlight[name], e.Slots)
+		t.Fatalf("%s runs %d requests in %d slots", name, m.inFlight[name], e.Slots)
 	}
 }
 
@@ -156,8 +159,10 @@
 	m.onBoth(func(d *Decider) { d.SetLoadReport(name, r); d.SetCached(name, "s", r.Running) })
 }
 
-// TestAnyInput: same input same output; each request is decided once, none is
-// lost, none starts where or when it may not; slots are never exceeded.
+// TestAnyInput checks for any input that the same seed and input give the
+// same decisions; that each request is decided exactly once; that none starts
+// at an endpoint that may not take it or after its deadline; and that an
+// endpoint never runs more requests than it has slots.
 func TestAnyInput(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		opts := Options{Seed: rapid.Uint64().Draw(t, "seed"), Zone: "z0"}
@@ -181,7 +186,7 @@
 			t.Fatalf("%d requests without a decision, %d queued", len(m.undecided), m.d.Queued())
 		}
 		if m.d.Running() != len(m.started) {
-			t.Fatalf("%d running, %d started", m.d.Running(), len(m.started))
+			t.Fatalf("the Decider counts %d running requests, the test %d", m.d.Running(), len(m.started))
 		}
 	})
 }
--- a/internal/decide/refuse.go
+++ b/internal/decide/refuse.go
@@ -3,25 +3,28 @@
 import "time"
 
 const (
-	// maxRecheckedRows bounds the rows that one tick predicts anew: ten thousand are
-	// gone through in about a second of ticks, at a cost that does not grow.
+	// maxRecheckedRows bounds the rows that one tick rechecks: a queue of ten
+	// thousand takes about a second of ticks, at a cost per tick that does not
+	// grow with it.
 	maxRecheckedRows = 16
-	// recheckSlack keeps noise in the prediction from refusing a request that
-	// was admitted on a slightly better one.
+	// recheckSlack is a factor on the time that is left. It keeps noise in the
+	// prediction from refusing a request that was admitted on a slightly better
+	// one.
 	recheckSlack = 1.25
-	// The bounds of RetryAfter. Sooner a caller would only add load; later a
-	// person has given up, and the load has changed anyway.
+	// The bounds of RetryAfter before its random part. An earlier retry would
+	// only add load; later, a person has given up and the load has changed
+	// anyway.
 	minRetryAfter = 250 * time.Millisecond
 	maxRetryAfter = 30 * time.Second
-	// retryStartShare is the share of the drained slots that returning callers are
-	// given times for: new requests need the rest.
+	// retryStartShare is the share of the pool's starts for which retries of
+	// refused callers are scheduled. New requests need the rest.
 	retryStartShare = 0.5
 )
 
-// refuse serves a queue whose endpoints were lost after admission. It predicts
-// a part of the queue anew each tick and gives those that can't make it any
-// more their final answer now, not when their deadline comes: the caller can
-// use the time that is left.
+// refuse rechecks a part of the queue in each tick and refuses the requests
+// that can't start in time any more, for example because endpoints were lost
+// after their admission. The callers get their answer now and not at their
+// deadline, and can use the time that is left.
 func (d *Decider) refuse() {
 	for range min(maxRecheckedRows, d.expiry.Len()) {
 		if d.expiry.Len() == 0 {
@@ -38,6 +41,8 @@
 	}
 }
 
+// recheck predicts the row's wait again and reports whether it has to be
+// refused, and with which code.
 func (d *Decider) recheck(row *requestRow) (Code, bool) {
 	p := row.pool
 	if !d.hasCandidate(p, row) {
@@ -49,7 +54,7 @@
 	return CodeOverloaded, tooLate && wait > 0
 }
 
-// refuseRow gives a queued or incoming row its final answer.
+// refuseRow refuses a queued or incoming row.
 func (d *Decider) refuseRow(row *requestRow, code Code) {
 	p := row.pool
 	wait := time.Duration(0)
@@ -60,18 +65,20 @@
 	d.refuseUnqueued(row, p, code, wait)
 }
 
-// refuseUnqueued gives a row that is in no queue its final answer.
+// refuseUnqueued refuses a row that is in no queue. wait is the predicted
+// wait for a slot.
 func (d *Decider) refuseUnqueued(row *requestRow, p *pool, code Code, wait time.Duration) {
 	d.decisions = append(d.decisions, Decision{Kind: Refuse, Request: row.ID, Code: code, RetryAfter: d.scheduleRetry(p, wait)})
 	delete(d.queued, row.ID)
 	d.releaseRow(row)
 }
 
-// scheduleRetry books a refused caller's return. The callers of one burst are
-// refused together; sent back together they would be refused together again.
-// So each gets its own place behind the queue, as far after the one before as
-// the pool takes to start a request, and a random part on top because other
-// instances book the same slots.
+// scheduleRetry returns after how long a refused caller should retry. The
+// callers of one burst are refused together and, if they returned together,
+// would be refused together again. So each gets a place of its own behind the
+// queue, as long after the one before as the pool needs to start a request,
+// and a random addition of up to half, because other instances schedule
+// retries for the same slots.
 func (d *Decider) scheduleRetry(p *pool, wait time.Duration) time.Duration {
 	after := max(wait, minRetryAfter)
 	if p != nil && p.startRate > 0 {
--- a/internal/decide/row.go
+++ b/internal/decide/row.go
@@ -1,6 +1,6 @@
 package decide
 
-// The index fields of a requestRow, one for each heap it is in.
+// The elements of requestRow.heapIndex, one for each heap that a row is in.
 const (
 	expiryIndex = iota
 	teamIndex
@@ -8,58 +8,60 @@
 	heapCount
 )
 
-// requestRow is one request, from Submit to its refusal or Finish.
+// requestRow is one request, from Submit until its refusal or Finish.
 type requestRow struct {
 	Request
 	class       int
 	sessionHash uint64
 	pool        *pool // Nil until admitted.
 	queue       *teamQueue
-	heapIndex   [heapCount]int
+	heapIndex   [heapCount]int // The row's position in each heap.
 	cancelled   bool
-	waitList    *rowHeap // Where it is parked; nil while it is in the order.
+	waitList    *rowHeap // Where it is blocked; nil while it is in the order.
 	blockedAt   Time
 
 	submittedAt Time
+	// latestStart is when it is too late to start the row.
 	latestStart Time
-	// aheadAtAdmission is how many requests were before it at admission, and startedThen
-	// the pool's count of starts at that time.
+	// aheadAtAdmission is how many requests were predicted to start before it at
+	// admission, and startsAtAdmission the pool's count of starts at that time.
 	aheadAtAdmission  float64
 	startsAtAdmission uint64
-	// preferred is where the row is expected to run, from its admission on; nil if
-	// any endpoint will do.
+	// preferred is the endpoint where the row is expected to run, set at
+	// admission; nil if any endpoint will do.
 	preferred *endpointRow
-	// rank holds the session's endpoints by rendezvous score, for the
+	// rank holds the session's first endpoints by rendezvous score, from the
 	// endpoint table of rankGeneration.
 	rank           [rankSize]*endpointRow
 	rankGeneration uint64
 
-	// Set by start.
+	// The fields below are set when the row starts.
 	endpoint           *endpointRow
 	startedAt          Time
-	firstTokenSeen     bool    // Its first token came.
+	firstTokenSeen     bool    // Its first token was recorded, or it ended.
 	uncached           float64 // Prompt tokens expected to be computed.
-	prefillBacklog     float64 // Uncached tokens in the endpoint, its own included.
-	expectedDuration   float64 // Seconds from start to end that its peers would take.
-	expectedFirstToken float64 // Seconds to the first token, without delay.
+	prefillBacklog     float64 // Uncached tokens at the endpoint at its start, its own included.
+	expectedDuration   float64 // Seconds; see pool.expectedDuration.
+	expectedFirstToken float64 // Seconds to the first token, without the observed delay.
 }
 
-// cost is the work of a request in tokens, for fair shares. A prompt token
-// takes about a tenth of a generated one on an engine, and each request has a
-// fixed part. It must be positive, or a team could run without being charged.
+// cost returns the work of a request in tokens, for the fair shares. A prompt
+// token takes about a tenth of the time of a generated one, and each request
+// has a fixed part. It must be positive, or a team could start requests
+// without being charged.
 func (r *requestRow) cost() float64 {
 	const perRequest, promptPart = 32, 0.1
 	return perRequest + promptPart*float64(max(r.PromptTokens, 0)) + float64(max(r.MaxTokens, 0))
 }
 
-// attemptNumber returns which start of the request this would be, from 1.
+// attemptNumber returns the number of the request's next start, from 1.
 func (r *requestRow) attemptNumber() int { return max(r.Attempt, len(r.Avoid)+1) }
 
-// rowHeap is a heap.Interface of rows by latest start, ties by identity, so
-// that the order is total.
+// rowHeap is a heap.Interface of rows by latestStart, and by ID where that is
+// equal, so that the order is total.
 type rowHeap struct {
 	rows       []*requestRow
-	indexField int // Which of the row's index fields this heap keeps.
+	indexField int // The element of requestRow.heapIndex that this heap maintains.
 }
 
 func (h *rowHeap) Len() int { return len(h.rows) }
--- a/internal/decide/scenario_test.go
+++ b/internal/decide/scenario_test.go
@@ -13,10 +13,10 @@
 	"guavapier/internal/record"
 )
 
-// TestScenarios plays the files in testdata/scenarios. Each case drives six
-// instances with lagging reports before model engines, for three seeds, and
-// states what callers of each class must have seen; the output is what was
-// missed.
+// TestScenarios runs the cases in testdata/scenarios. Each drives six
+// instances with lagging load reports in front of simulated engines, for
+// three seeds, and states bounds for what the callers of each class see. The
+// output lists the bounds that were missed.
 func TestScenarios(t *testing.T) {
 	datadriven.Walk(t, "testdata/scenarios", func(t *testing.T, path string) {
 		var earlier [seedCount]map[string]*sim
@@ -50,16 +50,17 @@
 
 const seedCount = 3
 
-// maxSettleTime is the longest that a caller may come back and wait.
+// maxSettleTime is the longest time from the end of the workload until the
+// last caller has its answer or has given up.
 const maxSettleTime = 500 * time.Second
 
-// scenarioRun is one case with one seed.
+// scenarioRun is one run of a case with one seed.
 type scenarioRun struct {
 	d        *datadriven.TestData
 	seed     uint64
-	earlier  map[string]*sim // By the case's name.
+	earlier  map[string]*sim // Runs of earlier cases, by the case's name.
 	sim      *sim
-	until    Time
+	until    Time // End of the workload.
 	failures []string
 }
 
@@ -89,7 +90,7 @@
 	}
 	for p.sim.run(p.until); p.sim.openCalls > 0; p.sim.run(p.sim.now + time.Second) {
 		if p.sim.now > p.until+maxSettleTime {
-			p.failures = append(p.failures, fmt.Sprintf("%d calls without a last word", p.sim.openCalls))
+			p.failures = append(p.failures, fmt.Sprintf("%d calls without a final outcome", p.sim.openCalls))
 			break
 		}
 	}
@@ -102,7 +103,7 @@
 	}
 }
 
-// malformed ends the test for a malformed case.
+// malformed stops the test because of a malformed case.
 func (p *scenarioRun) malformed(format string, args ...any) {
 	panic(p.d.Pos + ": " + fmt.Sprintf(format, args...))
 }
@@ -133,14 +134,15 @@
 	return v
 }
 
-// applyLine takes a line of the input: a stream of requests, or a fault.
+// applyLine applies a line of the input: a team's weight, a stream of
+// requests, or a fault.
 func (p *scenarioRun) applyLine(f []string) {
 	switch f[0] {
 	case "weight": // weight TEAM WEIGHT
 		for _, r := range p.sim.routers {
 			r.(*Decider).SetTeamWeight(record.Team(f[1]), p.number(f[2]))
 		}
-	case "stream", "hot": // stream CLASS TEAM RATE PROMPT OUTPUT WAIT [FROM UNTIL]; hot: all in one session
+	case "stream", "hot": // stream CLASS TEAM RATE PROMPT OUTPUT WAIT [FROM UNTIL]; hot: all in one session.
 		p.stream(f)
 	case "at": // at TIME slow|leave|cut ENDPOINT|ZONE [FACTOR]
 		p.sim.after(p.duration(f[1]), func() { p.injectFault(f[2:]) })
@@ -166,6 +168,8 @@
 	})
 }
 
+// injectFault slows an endpoint down, lets it leave, or cuts it off. The
+// running requests of an endpoint that is cut off fail two seconds later.
 func (p *scenarioRun) injectFault(f []string) {
 	for _, e := range p.sim.engines {
 		if f[1] != e.name && f[1] != p.sim.zone(e) {
@@ -187,7 +191,8 @@
 	p.sim.publishEndpoints(func(e *engineModel) float64 { return float64(e.gpus) })
 }
 
-// expect checks CLASS MEASURE OP VALUE, or CLASS MEASURE OP FACTOR of NAME.
+// expect checks CLASS MEASURE OP VALUE, or CLASS MEASURE OP FACTOR of NAME,
+// which multiplies the measure of an earlier case.
 func (p *scenarioRun) expect(f []string) {
 	got := p.measure(p.sim, f[0], f[1])
 	want := p.number(f[3])
@@ -201,10 +206,10 @@
 }
 
 func (p *scenarioRun) measure(s *sim, class, measure string) float64 {
-	if teams := strings.Split(measure, "/"); len(teams) == 2 { // Answers of one team to another's.
+	if teams := strings.Split(measure, "/"); len(teams) == 2 { // Answers of one team divided by another's.
 		return float64(s.teams[record.Team(teams[0])]) / float64(s.teams[record.Team(teams[1])])
 	}
-	if e, ok := s.byName[class]; ok { // Answers of an endpoint in the last part.
+	if e, ok := s.byName[class]; ok { // Answers of an endpoint in the last tailWindow.
 		return float64(e.tailAnswers)
 	}
 	t := s.classes[classNames[class]]
@@ -216,7 +221,7 @@
 		return float64(t.served) / float64(t.calls)
 	case "answers":
 		return float64(t.answered)
-	case "vain": // Left without any answer.
+	case "vain": // Callers that got neither an answer nor a refusal.
 		return float64(t.unanswered)
 	case "vainshare":
 		return float64(t.unanswered) / float64(t.calls)
@@ -224,7 +229,7 @@
 		return float64(t.refusedLate) / float64(t.calls)
 	case "refused":
 		return float64(t.refused) / float64(t.calls)
-	case "slow": // Share of the answers with too long between tokens.
+	case "slow": // Share of the answers with too much time between tokens.
 		return float64(t.slowCompleted) / float64(t.completed)
 	case "p99": // Seconds to the first token.
 		return quantile(t.firstTokens, 0.99)
--- a/internal/decide/shift.go
+++ b/internal/decide/shift.go
@@ -5,26 +5,26 @@
 	"time"
 )
 
-// healthState says how much work an endpoint gets.
+// healthState is how much work an endpoint gets.
 type healthState uint8
 
 const (
 	healthy healthState = iota
-	// ejected endpoints get probes only.
+	// An ejected endpoint gets probes only.
 	ejected
-	// ramping endpoints get a growing part of their slots.
+	// A ramping endpoint gets a growing share of its slots.
 	ramping
 )
 
-// health is the verdict on an endpoint against its peers.
+// health is the result of the outlier detection for an endpoint.
 type health struct {
 	state               healthState
-	consecutiveFailures int // In a row.
-	consecutiveStalls   int // In a row.
-	ejectedUntil        Time
-	ejectionPause       time.Duration // Of the last ejection; doubles.
+	consecutiveFailures int
+	consecutiveStalls   int
+	ejectedUntil        Time          // Then it gets a probe.
+	ejectionPause       time.Duration // Of the last ejection; doubles with the next.
 	rampShare           float64       // Share of the slots, while ramping.
-	reason              ejectReason
+	reason              ejectReason   // Of the last ejection.
 }
 
 type ejectReason uint8
@@ -35,41 +35,51 @@
 )
 
 const (
-	// outlierCheckInterval is the pause between two comparisons of peers.
+	// outlierCheckInterval is the time between two comparisons of a pool's
+	// endpoints.
 	outlierCheckInterval = 250 * time.Millisecond
-	// maxConsecutiveFailures in a row are no accident; a single one is retried elsewhere.
+	// maxConsecutiveFailures is how many failures in a row eject an endpoint. A
+	// single one is retried elsewhere.
 	maxConsecutiveFailures = 3
-	// maxConsecutiveStalls is lower: each costs its caller a whole progress deadline.
+	// maxConsecutiveStalls is lower than maxConsecutiveFailures because each
+	// stall costs its caller a whole progress timeout.
 	maxConsecutiveStalls = 2
-	// slowFactor is how much slower than its peers' median an endpoint is when
-	// it is taken out. Load alone makes a factor of two.
+	// slowFactor is how many times the median of its peers an endpoint's time
+	// per token must be to eject it. Load alone makes a factor of two.
 	slowFactor = 2.5
-	// minJudgedSamples and minJudgedPeers are the least evidence for "slow".
+	// An endpoint is compared with its peers after minJudgedSamples results, and
+	// if at least minJudgedPeers endpoints have a value.
 	minJudgedSamples, minJudgedPeers = 5, 3
-	// maxAgeRatio is the mean age of the running requests, in the spans of
-	// the pool, that is no accident: requests that all just end are at one, at
-	// most. minJudgedRunning of them are enough evidence.
+	// maxAgeRatio is the average age of the running requests, as a multiple of
+	// their expected duration, above which an endpoint may be ejected. Requests
+	// that are all about to end have a ratio of one at most. At least
+	// minJudgedRunning requests are needed.
 	maxAgeRatio, minJudgedRunning = 2.0, 3
-	// maxEjectedShare bounds the endpoints taken out for slowness: beyond it the
-	// load is the cause, and taking out more would make it worse.
+	// maxEjectedShare is the share of a pool's endpoints up to which slow ones
+	// are ejected. Beyond it the load is the cause, and ejecting more would make
+	// it worse.
 	maxEjectedShare = 1.0 / 3
-	// The pause before a probe, at first and at most.
+	// The time from an ejection to the first probe, which doubles with each
+	// ejection that follows.
 	minEjectionPause, maxEjectionPause = 5 * time.Second, 60 * time.Second
-	// maxProbeShare is the part of its caller's patience that a probe's first token
-	// may take.
+	// maxProbeShare is the share of the time to the deadline that the first
+	// token of a probe may take by prediction.
 	maxProbeShare = 0.3
-	// probeWaitTimeout is how long an endpoint waits for a request that may probe it.
+	// probeWaitTimeout is how long an endpoint waits for a request that may
+	// probe it.
 	probeWaitTimeout = 30 * time.Second
-	// initialRampShare is the share of slots after a good probe; each success adds
-	// rampStep, so that a full return takes about twenty requests.
+	// initialRampShare is the share of the slots after a successful probe. Each
+	// success adds rampStep, so that an endpoint is back after about twenty
+	// requests.
 	initialRampShare, rampStep = 0.1, 0.05
 )
 
-// detectOutliers serves the day on which one endpoint in many is slow, fails or goes
-// silent. It compares each with its peers, takes the outlier out of placement
-// so that its callers are not the ones who find out, probes it with single
-// requests that may be repeated, and lets it back in step by step: at once, its
-// cold cache and the queue of its sessions would knock it over again.
+// detectOutliers ejects endpoints that are much slower than their peers and
+// readmits those that nothing can probe. Failing and stalling endpoints are
+// ejected by observeFailure. An ejected endpoint is probed with single
+// requests that may be repeated, and then gets its slots back step by step:
+// with all at once, its cold cache and the queue of its sessions would
+// overload it again.
 func (d *Decider) detectOutliers() {
 	for _, p := range d.pools {
 		if d.now-p.outliersCheckedAt < outlierCheckInterval {
@@ -81,9 +91,10 @@
 	}
 }
 
-// readmitUnprobed lets an endpoint back in, step by step, that no request could
-// probe: a plain service whose calls may not be repeated has no others. Without
-// it one bad minute would take the endpoint out for good.
+// readmitUnprobed readmits endpoints that no request has probed in time. The
+// calls of some plain services may not be repeated, so none of them can be a
+// probe; without readmission one bad minute would take such an endpoint out
+// of use for good.
 func (d *Decider) readmitUnprobed(p *pool) {
 	for _, e := range p.endpoints {
 		if e.isProbeDue(d.now) && d.now-e.health.ejectedUntil >= probeWaitTimeout {
@@ -92,6 +103,8 @@
 	}
 }
 
+// ejectSlow ejects the endpoints of a pool whose time per token or whose
+// running requests' age is far above the median of their peers.
 func (d *Decider) ejectSlow(p *pool) {
 	medianTime := p.median((*endpointRow).comparableTimePerToken, d.now)
 	medianAge := p.median((*endpointRow).comparableAgeRatio, d.now)
@@ -118,8 +131,8 @@
 	}
 }
 
-// median returns the median of a measure over the endpoints in use that have
-// one, or 0 if these are too few to be peers.
+// median returns the median of a measure over the endpoints that are neither
+// ejected nor closed and have a value, or 0 if these are too few to compare.
 func (p *pool) median(measure func(*endpointRow, Time) float64, now Time) float64 {
 	values := p.medianScratch[:0]
 	for _, e := range p.endpoints {
@@ -135,8 +148,8 @@
 	return values[(len(values)-1)/2]
 }
 
-// comparableTimePerToken is the time for a token, with the part that a full batch explains
-// taken off, or 0 without enough evidence.
+// comparableTimePerToken returns the estimated seconds per token, reduced by
+// the part that the endpoint's load explains, or 0 after too few results.
 func (e *endpointRow) comparableTimePerToken(now Time) float64 {
 	if e.estimates.samples < minJudgedSamples {
 		return 0
@@ -144,7 +157,7 @@
 	return e.estimates.timePerToken / (1 + min(1, e.load(now)/float64(max(1, e.Slots))))
 }
 
-// comparableAgeRatio is overdue, or 0 without enough evidence.
+// comparableAgeRatio returns ageRatio, or 0 with too few running requests.
 func (e *endpointRow) comparableAgeRatio(now Time) float64 {
 	if e.inFlight < minJudgedRunning {
 		return 0
@@ -152,6 +165,7 @@
 	return e.ageRatio(now)
 }
 
+// eject takes an endpoint out of use until its next probe.
 func (d *Decider) eject(e *endpointRow, reason ejectReason) {
 	h := &e.health
 	h.ejectionPause = min(max(2*h.ejectionPause, minEjectionPause), maxEjectionPause)
@@ -159,6 +173,9 @@
 	h.consecutiveFailures, h.consecutiveStalls = 0, 0
 }
 
+// observeFailure counts a failed attempt and ejects the endpoint after too
+// many in a row, or at once if it was a probe or the endpoint is ramping.
+// Attempts from before an ejection do not prolong it.
 func (d *Decider) observeFailure(row *requestRow, result Result) {
 	e := row.endpoint
 	h := &e.health
@@ -173,6 +190,8 @@
 	}
 }
 
+// observeSuccess ends the row of failures. It evaluates a probe, and gives a
+// ramping endpoint more slots.
 func (d *Decider) observeSuccess(row *requestRow, timePerToken float64) {
 	e := row.endpoint
 	h := &e.health
@@ -188,7 +207,8 @@
 	h.consecutiveFailures, h.consecutiveStalls = 0, 0
 }
 
-// evaluateProbe lets an endpoint back in if its answer was as fast as its peers'.
+// evaluateProbe readmits an endpoint after a successful probe. One that was
+// ejected for being slow must also be about as fast as its peers.
 func (d *Decider) evaluateProbe(row *requestRow, timePerToken float64) {
 	e := row.endpoint
 	median := row.pool.median((*endpointRow).comparableTimePerToken, d.now)
@@ -199,14 +219,15 @@
 	e.readmit()
 }
 
-// readmit gives the endpoint its first slots again. What was learned while it
-// was slow or failing holds no more.
+// readmit gives an ejected endpoint its first slots again. Estimates from the
+// time when it was slow or failing are dropped.
 func (e *endpointRow) readmit() {
 	e.health.state, e.health.rampShare = ramping, initialRampShare
 	e.estimates = endpointEstimates{}
 }
 
-// rampedSlots returns the slots that the endpoint's health allows, at least one.
+// rampedSlots returns the number of slots that the endpoint's health allows,
+// at least one.
 func (e *endpointRow) rampedSlots() float64 {
 	if e.health.state != ramping {
 		return float64(e.Slots)
@@ -214,14 +235,15 @@
 	return max(1, e.health.rampShare*float64(e.Slots))
 }
 
+// isProbeDue reports whether the endpoint is ejected and may get a probe now.
 func (e *endpointRow) isProbeDue(now Time) bool {
 	return e.health.state == ejected && !e.isClosed() && now >= e.health.ejectedUntil && e.probeID == 0 && e.inFlight < e.Slots
 }
 
-// probeCandidate returns an endpoint that the row may probe, or nil. Only a request
-// that may be repeated is risked, with time enough even if the endpoint is as
-// slow as it was; none by a machine with a short deadline, and no retry, whose
-// caller was unlucky once already.
+// probeCandidate returns an endpoint that the row may probe, or nil. A probe
+// must be repeatable and have enough time left for an endpoint that is as
+// slow as before. Calls by machines, whose deadlines are short, and retries,
+// which have failed once already, are not used.
 func (d *Decider) probeCandidate(p *pool, row *requestRow) *endpointRow {
 	if p.probesDue == 0 || !row.Repeatable || row.class == int(PriorityCall) || row.attemptNumber() > 1 {
 		return nil
@@ -235,21 +257,24 @@
 	return nil
 }
 
-// retryBudget keeps retries a small share of first tries, over all pools.
+// retryBudget keeps retries a small share of first attempts, over all pools.
 type retryBudget struct{ tokens float64 }
 
 const (
-	// retryRatio is what each first try adds: a fleet in trouble gets a tenth
-	// more load from retries at most, not three times as much.
+	// retryRatio is what each first attempt adds to the budget: retries add at
+	// most a tenth to the load of a fleet in trouble, and don't multiply it by
+	// three.
 	retryRatio = 0.1
-	// retryBurst covers the death of one endpoint on a small site: all its
-	// running requests go elsewhere at once.
+	// retryBurst covers the failure of one endpoint on a small site, after which
+	// all its running requests are retried elsewhere at once.
 	retryBurst = 32
 )
 
 func newRetryBudget() retryBudget { return retryBudget{tokens: retryBurst} }
 
-// allow takes an attempt and tells whether the budget covers it.
+// allow counts an attempt and reports whether the budget covers it. The
+// budget holds at most retryBurst or the slots of the pool's largest
+// endpoint.
 func (b *retryBudget) allow(attempt int, p *pool) bool {
 	if attempt <= 1 {
 		b.tokens = min(b.tokens+retryRatio, max(retryBurst, float64(p.maxSlots)))
--- a/internal/decide/shift_test.go
+++ b/internal/decide/shift_test.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// submitAndTick submits one request and returns its decision.
+// submitAndTick submits one request and returns its decision from the next
+// tick.
 func submitAndTick(d *Decider, now Time, id RequestID, change func(*Request)) Decision {
 	r := Request{ID: id, Model: "m", Priority: PriorityInteractive, Deadline: now + 10*time.Second, Repeatable: true}
 	change(&r)
@@ -21,8 +22,9 @@
 	return Decision{}
 }
 
-// TestServiceComesBack: an endpoint that failed gets no calls, but it comes back
-// although no call of its service may be repeated.
+// TestServiceComesBack checks that a failing endpoint of a plain service gets
+// no calls, and that it gets them again later although none of them may be
+// repeated and so none can be a probe.
 func TestServiceComesBack(t *testing.T) {
 	d := New(Options{Seed: 1})
 	d.SetEndpoints([]Endpoint{{Name: "a", Service: "rig", Slots: 4, Weight: 1}, {Name: "b", Service: "rig", Slots: 4, Weight: 1}})
@@ -31,7 +33,7 @@
 		now := Time(i) * 100 * time.Millisecond
 		got := submitAndTick(d, now, RequestID(i+1), func(r *Request) { r.Service, r.Repeatable = "rig", false })
 		if got.Kind != Start {
-			t.Fatalf("%v: %+v", now, got)
+			t.Fatalf("%v: call not started: %+v", now, got)
 		}
 		failing := now < 20*time.Second && got.Endpoint == "a"
 		d.Finish(got.Request, Result{Total: 5 * time.Millisecond, Failed: failing})
@@ -45,12 +47,12 @@
 		}
 	}
 	if counts["early"]["a"] < maxConsecutiveFailures || counts["out"]["a"] > 1 || counts["late"]["a"] < 200 {
-		t.Fatalf("starts: %v", counts)
+		t.Fatalf("starts by time and endpoint: %v", counts)
 	}
 }
 
-// TestRetryBudget: retries stay a small share of first tries, but the death of
-// one endpoint is covered.
+// TestRetryBudget checks that retries stay a small share of the first
+// attempts, beyond a burst that covers the failure of one endpoint.
 func TestRetryBudget(t *testing.T) {
 	d := New(Options{Seed: 1})
 	d.SetEndpoints([]Endpoint{{Name: "a", Models: []string{"m"}, Slots: 8, Weight: 1}, {Name: "b", Models: []string{"m"}, Slots: 8, Weight: 1}})
@@ -75,7 +77,8 @@
 	}
 }
 
-// TestSeconds: a wait too long for a duration stays a long one.
+// TestSeconds checks that a prediction too long for time.Duration does not
+// overflow to a negative one.
 func TestSeconds(t *testing.T) {
 	for s, want := range map[float64]time.Duration{0: 0, 1.5: 1500 * time.Millisecond, 1e12: maxPrediction, math.Inf(1): maxPrediction, math.NaN(): maxPrediction} {
 		if got := seconds(s); got != want {
@@ -84,8 +87,9 @@
 	}
 }
 
-// TestReturnsAreSpread: the callers of a burst that is refused are told to come
-// back one after the other, behind what is queued.
+// TestReturnsAreSpread checks that callers who are refused together get
+// different times to retry, one after the other. With the same time they
+// would be refused together again.
 func TestReturnsAreSpread(t *testing.T) {
 	d := New(Options{Seed: 1})
 	d.SetEndpoints([]Endpoint{{Name: "a", Models: []string{"m"}, Slots: 2, Weight: 1}})
@@ -100,9 +104,9 @@
 	}
 	slices.Sort(after)
 	if len(after) < 90 || len(slices.Compact(slices.Clone(after))) != len(after) {
-		t.Fatalf("%d refused at once, after %v", len(after), after)
+		t.Fatalf("%d requests refused at once, want 90 or more with different RetryAfter: %v", len(after), after)
 	}
 	if spread := after[len(after)-1] - after[0]; spread < 10*time.Second {
-		t.Fatal(fmt.Sprint("all come back within ", spread))
+		t.Fatal(fmt.Sprint("all callers are to retry within ", spread))
 	}
 }
--- a/internal/decide/sim_test.go
+++ b/internal/decide/sim_test.go
@@ -10,7 +10,7 @@
 	"guavapier/internal/record"
 )
 
-// router is what the model drives: a Decider or a baseline.
+// router is a policy under simulation: a Decider or a baseline.
 type router interface {
 	SetEndpoints([]Endpoint)
 	SetLoadReport(string, LoadReport)
@@ -21,18 +21,18 @@
 	Tick(Time) []Decision
 }
 
-// call is one request of a caller, over all its comings back.
+// call is one request of a caller, including its retries after refusals.
 type call struct {
 	Request
-	wait     time.Duration
-	sentAt   Time // Of the last coming.
+	wait     time.Duration // How long the caller waits for each attempt.
+	sentAt   Time          // Of the last attempt.
 	attempts int
 	job      *job
 	instance int
-	done     func(answered bool) // After its last word.
+	done     func(answered bool) // Called after the answer or the last attempt.
 	settled  bool
-	inWindow bool // First sent in the window.
-	served   bool
+	inWindow bool // First sent within the window.
+	served   bool // It has had a first token.
 }
 
 type event struct {
@@ -56,37 +56,41 @@
 	return e
 }
 
-// tally is the outcome for the callers of one class, within the window.
+// tally counts the outcomes for the callers of one class, within the window.
 type tally struct {
-	calls, served                                      int       // Calls first sent in the window; those answered in the end.
-	answered, refused, refusedLate, unanswered, gaveUp int       // Events in the window.
-	firstTokens                                        []float64 // Seconds, of the answered.
-	prompt, cached                                     int
-	completed, slowCompleted                           int // Whole answers; those with slow tokens.
+	calls, served int // Calls first sent in the window, and those of them that were answered in the end.
+	// Events in the window. refusedLate counts refusals after more than
+	// promptRefusal, unanswered callers who left with neither an answer nor a
+	// refusal, and gaveUp those refused maxCallAttempts times.
+	answered, refused, refusedLate, unanswered, gaveUp int
+	firstTokens                                        []float64 // Seconds to the first token of each answer.
+	prompt, cached                                     int       // Tokens.
+	completed, slowCompleted                           int       // Complete answers, and those with too much time between tokens.
 }
 
-// sim is the loop of events for a few routers before a few engines.
+// sim is a discrete event simulation of a few routers in front of a few
+// engines.
 type sim struct {
 	now          Time
 	seq          int
 	events       eventHeap
 	seed         uint64
-	fleetRNG     *rand.Rand // Of the balancer and the reports.
-	workloadRNG  *rand.Rand // Of the workload: the same under every policy.
-	sessionCount int        // Sessions.
-	openCalls    int        // Calls without their last word.
+	fleetRNG     *rand.Rand // Of the load balancer and the lost reports.
+	workloadRNG  *rand.Rand // The same sequence under every policy.
+	sessionCount int        // Sessions started.
+	openCalls    int        // Calls that are not settled.
 	routers      []router
 	engines      []*engineModel
 	byName       map[string]*engineModel
-	calls        []map[RequestID]*call
+	calls        []map[RequestID]*call // Of each router, those without an outcome.
 	lastID       RequestID
-	windowStart  Time // Of the window.
-	windowEnd    Time // Answers count up to here: later ones meet no load any more.
+	windowStart  Time // Outcomes count from here on.
+	windowEnd    Time // Answers count up to here; later ones are under no load any more.
 
 	classes    [classCount]tally
 	teams      map[record.Team]int
 	violations []string
-	trace      []Decision // The decisions, where keep is set.
+	trace      []Decision // The decisions, if keepTrace is set.
 	keepTrace  bool
 }
 
@@ -94,14 +98,14 @@
 	tickInterval    = 10 * time.Millisecond
 	reportDelay     = 200 * time.Millisecond
 	reportLossRate  = 0.1
-	promptRefusal   = 20 * time.Millisecond // A refusal within it is prompt.
+	promptRefusal   = 20 * time.Millisecond // A refusal within it counts as immediate.
 	maxCallAttempts = 3
-	slowTokenGap    = 38 * time.Millisecond // Between tokens, as the users state it.
-	tailWindow      = 20 * time.Second
+	slowTokenGap    = 38 * time.Millisecond // The users' limit for the average time between tokens.
+	tailWindow      = 20 * time.Second      // At the end of the window; see engineModel.tailAnswers.
 )
 
-// reportInterval is the pause between an endpoint's reports. BenchmarkPolicies may
-// change it before its runs.
+// reportInterval is the time between two load reports of an endpoint.
+// BenchmarkPolicies may change it before its runs.
 var reportInterval = 100 * time.Millisecond
 
 func newSim(seed uint64, gpus []int, instances int, build func(i int) router) *sim {
@@ -128,7 +132,7 @@
 	return s
 }
 
-// publishEndpoints gives every router the endpoint table, with weights.
+// publishEndpoints gives every router the endpoint table with the weights.
 func (s *sim) publishEndpoints(weight func(*engineModel) float64) {
 	var table []Endpoint
 	for _, e := range s.engines {
@@ -165,6 +169,8 @@
 	}
 }
 
+// sendReports sends the load of each engine to each instance, with a delay;
+// some reports are lost.
 func (s *sim) sendReports() {
 	for _, e := range s.engines {
 		r := e.report(s.now)
@@ -177,7 +183,7 @@
 	}
 }
 
-// send brings a call to an instance by chance, as the balancer does.
+// send submits a call to a random instance, as the load balancer does.
 func (s *sim) send(c *call) {
 	s.lastID++
 	c.ID, c.sentAt, c.Deadline = s.lastID, s.now, s.now+c.wait
@@ -197,6 +203,7 @@
 	s.tick(c.instance)
 }
 
+// tick ticks the router of one instance and carries out its decisions.
 func (s *sim) tick(i int) {
 	for _, d := range append([]Decision(nil), s.routers[i].Tick(s.now)...) {
 		if s.keepTrace {
@@ -204,7 +211,7 @@
 		}
 		c, ok := s.calls[i][d.Request]
 		if !ok || c.ID != d.Request || c.job != nil {
-			s.addViolation("%v: decided twice or unknown: %+v", s.now, d)
+			s.addViolation("%v: decision on a request that is unknown or was decided before: %+v", s.now, d)
 			continue
 		}
 		if d.Kind == Refuse {
@@ -223,7 +230,7 @@
 func (s *sim) start(c *call, e *engineModel) {
 	c.job = &job{call: c, id: c.ID, instance: c.instance, engine: e, started: s.now}
 	if e.leaving {
-		s.addViolation("%v: start at the leaving %s", s.now, e.name)
+		s.addViolation("%v: start at %s, which leaves", s.now, e.name)
 	}
 	if e.unreachable {
 		j := c.job
@@ -233,8 +240,8 @@
 	e.addJob(c.job)
 }
 
-// fail ends an attempt at an endpoint that can't be reached; the caller's
-// instance tries again elsewhere.
+// fail ends an attempt at an unreachable endpoint; the instance retries the
+// call elsewhere.
 func (s *sim) fail(j *job) {
 	if j.ended {
 		return
@@ -253,6 +260,8 @@
 	s.tick(c.instance)
 }
 
+// onRefusal retries a refused call after RetryAfter, or gives it up after
+// maxCallAttempts.
 func (s *sim) onRefusal(c *call, d Decision) {
 	t := &s.classes[c.Priority]
 	if s.now >= s.windowStart {
@@ -270,11 +279,12 @@
 	}
 	c.Avoid = nil
 	if d.RetryAfter < 0 {
-		s.addViolation("%v: retry after %v", s.now, d.RetryAfter)
+		s.addViolation("%v: negative RetryAfter %v", s.now, d.RetryAfter)
 	}
 	s.after(max(0, d.RetryAfter), func() { s.send(c) })
 }
 
+// settle ends a call.
 func (s *sim) settle(c *call, answered bool) {
 	if c.settled {
 		s.addViolation("%v: call settled twice", s.now)
@@ -284,7 +294,7 @@
 	c.done(answered)
 }
 
-// onDeadline is the caller's patience: no first token by now.
+// onDeadline ends a call without a first token when its caller stops waiting.
 func (s *sim) onDeadline(c *call, id RequestID) {
 	if c.ID != id || s.calls[c.instance][id] != c || c.job != nil && c.job.tokens > 0 {
 		return
--- a/internal/decide/tick_bench_test.go
+++ b/internal/decide/tick_bench_test.go
@@ -8,8 +8,9 @@
 	"guavapier/internal/record"
 )
 
-// BenchmarkTick runs a saturated Decider: each operation ends one request,
-// submits one and ticks, which starts one. Slots and queue stay full.
+// BenchmarkTick measures a saturated Decider: each operation finishes one
+// request, submits one and ticks, which starts one. The slots and the queue
+// stay full.
 func BenchmarkTick(b *testing.B) {
 	for _, endpoints := range []int{22, 100, 640} {
 		for _, queued := range []int{1_000, 10_000} {
@@ -20,12 +21,13 @@
 	}
 }
 
-// saturate fills endpoints of eight slots and a queue, with twenty teams.
+// saturatedDecider drives a Decider whose endpoints of eight slots are all
+// busy and whose queue is full, with requests of twenty teams.
 type saturatedDecider struct {
 	d          *Decider
 	now        Time
 	lastID     RequestID
-	running    []RequestID // In the order of their starts, from next on.
+	running    []RequestID // In the order of their starts, from index nextFinish on.
 	nextFinish int
 	sessions   []record.SessionID
 }
@@ -84,7 +86,7 @@
 			s.submit()
 		}
 		if s.tick() == 0 && s.d.Queued() >= queued {
-			break // What is free is free for others' sessions.
+			break // The free slots are kept for the sessions of others.
 		}
 	}
 	s.running = append(make([]RequestID, 0, 1<<18), s.running...)
@@ -100,8 +102,8 @@
 	b.ReportMetric(float64(s.d.Queued()), "queued")
 }
 
-// BenchmarkIdleTick ticks a Decider without requests every two milliseconds of
-// its time, as package dispatch does.
+// BenchmarkIdleTick ticks a Decider without requests every two milliseconds
+// of its time, the interval of package dispatch while requests wait.
 func BenchmarkIdleTick(b *testing.B) {
 	for _, endpoints := range []int{22, 100, 640} {
 		b.Run(fmt.Sprintf("endpoints=%d", endpoints), func(b *testing.B) {
--- a/internal/decide/usage.go
+++ b/internal/decide/usage.go
@@ -7,32 +7,34 @@
 	"guavapier/internal/record"
 )
 
-// teamUsage is what a team started in a pool of late, as a decaying sum of costs.
+// teamUsage is the cost of what a team started in a pool recently, as a sum
+// that decays exponentially.
 type teamUsage struct {
 	team      record.Team
-	cost      float64
+	cost      float64 // In tokens, at updatedAt; see requestRow.cost.
 	weight    float64
 	updatedAt Time
 }
 
-// usageTable knows each team's share of a pool's work. Its rows are few: a
-// team without work for a minute is dropped.
+// usageTable holds each team's share of a pool's recent work. A team that
+// started nothing for a minute is dropped, so the rows are few.
 type usageTable struct {
 	rows      []teamUsage
-	rowByTeam map[record.Team]int
-	costSum   float64
+	rowByTeam map[record.Team]int // Index in rows.
+	costSum   float64             // Over all teams, at costSumAt.
 	costSumAt Time
-	weightSum float64 // Sum over the rows.
+	weightSum float64 // Over the rows.
 }
 
 const (
 	// usageHalfLife makes shares follow demand within seconds, but not single
 	// requests.
 	usageHalfLife = 5 * time.Second
-	// teamUsageTTL is when a team's row is dropped.
+	// teamUsageTTL is the time without a start after which a team is dropped.
 	teamUsageTTL = 12 * usageHalfLife
 )
 
+// decayed returns what is left of v after the given time.
 func decayed(v float64, since time.Duration) float64 {
 	return v * math.Exp2(-float64(since)/float64(usageHalfLife))
 }
@@ -54,7 +56,7 @@
 	t.costSumAt = now
 }
 
-// dropIdle drops rows of teams without work, a few in each call.
+// dropIdle drops the rows of teams that started nothing for teamUsageTTL.
 func (t *usageTable) dropIdle(now Time) {
 	for i := len(t.rows) - 1; i >= 0; i-- {
 		if now-t.rows[i].updatedAt < teamUsageTTL {
@@ -71,8 +73,9 @@
 	}
 }
 
-// fairShareRatio returns a team's part of the recent work against its part of the
-// weights: 1 is its fair share, 0 a team that had nothing.
+// fairShareRatio returns a team's share of the recent work divided by its
+// share of the weights: 1 is its fair share, and 0 a team that started
+// nothing.
 func (t *usageTable) fairShareRatio(team record.Team, weight float64, now Time) float64 {
 	i, ok := t.rowByTeam[team]
 	total := decayed(t.costSum, now-t.costSumAt)
--- a/internal/decide/workload_test.go
+++ b/internal/decide/workload_test.go
@@ -9,9 +9,10 @@
 	"guavapier/internal/record"
 )
 
-// The sessions of the workload: they grow by each turn, so that the prefix
-// cache decides about the work.
 const (
+	// The workload consists of sessions whose prompt grows with each turn, so
+	// that the hits in the prefix cache decide how much work there is. Inputs
+	// and outputs are in tokens.
 	meanTurns        = 12
 	meanThinkSeconds = 5.0
 	firstTurnInput   = 2000
@@ -21,15 +22,16 @@
 	teamCount        = 10
 )
 
-// capacity returns the requests a second that so many GPUs answer with every
-// slot full and each session's prefix cached.
+// capacity returns how many requests per second that many GPUs answer with
+// every slot full and each session's prefix cached.
 func capacity(gpus int) float64 {
 	uncached := float64(laterTurnInput) + float64(firstTurnInput)/meanTurns
 	step := stepBase + slotsPerGPU*stepPerSeq + stepPerToken*uncached*slotsPerGPU/turnOutputTokens
 	return float64(gpus) * slotsPerGPU / (turnOutputTokens * step)
 }
 
-// startSessions starts startSessions so that their turns come at about rate a second.
+// startSessions starts sessions at random times up to the given time, so that
+// their turns come at about rate per second.
 func (s *sim) startSessions(rate float64, until Time) {
 	gap := -math.Log(1-s.workloadRNG.Float64()) * meanTurns / rate
 	s.after(seconds(gap), func() {
@@ -44,11 +46,11 @@
 // session is one caller's conversation.
 type session struct {
 	sim          *sim
-	rng          *rand.Rand // Its own: what it asks depends on no policy.
+	rng          *rand.Rand // Its own, so that its requests do not depend on the policy.
 	id           record.SessionID
 	team         record.Team
-	turnsLeft    int // Left.
-	promptTokens int
+	turnsLeft    int
+	promptTokens int // Of the next turn, without its new input.
 }
 
 func (s *sim) startSession(n int) {
@@ -61,9 +63,11 @@
 	c.turn()
 }
 
-// between draws from half to one and a half of mean.
+// between returns a random number from half to one and a half of mean.
 func between(rng *rand.Rand, mean int) int { return mean/2 + rng.IntN(mean) }
 
+// turn sends the next request; after its answer and a pause, the session goes
+// on.
 func (c *session) turn() {
 	request := &call{wait: callerPatience}
 	request.Request = Request{
@@ -82,7 +86,8 @@
 	c.sim.send(request)
 }
 
-// startStream sends single requests at a rate, made by build.
+// startStream sends single requests, made by build, at the given rate per
+// second.
 func (s *sim) startStream(rate float64, from, until Time, build func() *call) {
 	gap := seconds(-math.Log(1-s.workloadRNG.Float64()) / rate)
 	s.after(gap, func() {
