--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -1,6 +1,5 @@
-// Package dispatch runs the decisions of package decide against the clock: it
-// owns a Decider, ticks it, and hands each decision to the goroutine that
-// waits for it.
+// Package dispatch runs package decide in real time: it owns a Decider, ticks
+// it, and delivers each decision to the goroutine that waits for it.
 package dispatch
 
 import (
@@ -14,36 +13,39 @@
 )
 
 const (
-	// TickInterval is the pause between two ticks while requests wait. Every
-	// Submit, Done and Update also ticks at once, so this one is for what time
-	// alone decides: deadlines, and the wait for a session's own endpoint.
+	// TickInterval is the time between two ticks while requests wait. Submit,
+	// Done and Update tick at once in addition, so the interval matters only for
+	// what time alone changes: deadlines, and the wait for a session's preferred
+	// endpoint.
 	TickInterval = 2 * time.Millisecond
-	// IdleTickInterval is the pause while nothing waits: then time only lets
-	// endpoints back in that were found slow. Harm prevented: 500 wake-ups a
-	// second of a quiet instance, a good part of its allowance for control.
+	// IdleTickInterval is the time between two ticks while no request waits.
+	// Then time alone only lets endpoints return that were ejected. TickInterval
+	// would wake an idle instance 500 times a second and use a good part of the
+	// CPU time allotted to its control work.
 	IdleTickInterval = 100 * time.Millisecond
 )
 
 // ErrStopped is returned by Submit after Close.
-var ErrStopped = eris.New("dispatch: stopped")
+var ErrStopped = eris.New("dispatch: dispatcher is closed")
 
-// Refusal is the final answer to a request that did not run.
+// Refusal is the error for a request that was refused; it did not run.
 type Refusal struct {
 	Code       decide.Code
 	RetryAfter time.Duration
 }
 
 // Error implements error.
-func (r *Refusal) Error() string { return "dispatch: refused: " + string(r.Code) }
+func (r *Refusal) Error() string { return "dispatch: request refused: " + string(r.Code) }
 
-// Placement is a started request. Done must be called once.
+// Placement is a started request, at the named endpoint. Done must be called
+// once.
 type Placement struct {
 	Endpoint string
 	id       decide.RequestID
 	d        *Dispatcher
 }
 
-// Done tells how the attempt ended and frees its slot.
+// Done ends the attempt with its result and frees its slot.
 func (p *Placement) Done(result decide.Result) {
 	p.d.mu.Lock()
 	defer p.d.mu.Unlock()
@@ -51,30 +53,31 @@
 	p.d.tick()
 }
 
-// ObserveFirstToken tells that the attempt's first token came so long after its
-// start. Model requests call it, once.
+// ObserveFirstToken records that the attempt's first token came that long
+// after its start. It must be called once for a model request that has one.
 func (p *Placement) ObserveFirstToken(after time.Duration) {
 	p.d.mu.Lock()
 	defer p.d.mu.Unlock()
 	p.d.decider.ObserveFirstToken(p.id, after)
 }
 
-// Dispatcher is safe for concurrent use.
+// Dispatcher makes the decisions for one instance. It is safe for concurrent
+// use.
 type Dispatcher struct {
 	mu            sync.Mutex
 	decider       *decide.Decider
-	waiters       map[decide.RequestID]chan decide.Decision
+	waiters       map[decide.RequestID]chan decide.Decision // The goroutines in Submit; buffered for one decision.
 	lastID        decide.RequestID
-	origin        time.Time
+	origin        time.Time     // The zero of Now.
 	requestQueued chan struct{} // Wakes the idle loop when a request begins to wait.
 	stop          chan struct{}
 	loop          sync.WaitGroup
 }
 
-// New starts a Dispatcher with the default options.
+// New starts a Dispatcher with the default options. Close must be called.
 func New() *Dispatcher { return NewWithOptions(decide.Options{}) }
 
-// NewWithOptions starts a Dispatcher.
+// NewWithOptions starts a Dispatcher. Close must be called.
 func NewWithOptions(opts decide.Options) *Dispatcher {
 	d := &Dispatcher{
 		decider:       decide.New(opts),
@@ -88,16 +91,19 @@
 	return d
 }
 
-// Close stops the ticks. Waiting requests get ErrStopped.
+// Close ends the ticks and waits for their goroutine. Waiting requests get
+// ErrStopped. It must be called once.
 func (d *Dispatcher) Close() {
 	close(d.stop)
 	d.loop.Wait()
 }
 
-// Now returns the Decider's time.
+// Now returns the Decider's time, which counts from the start of the
+// Dispatcher.
 func (d *Dispatcher) Now() decide.Time { return time.Since(d.origin) }
 
-// Update changes the Decider's tables.
+// Update calls change with the Decider locked, and ticks. change must not
+// keep the Decider.
 func (d *Dispatcher) Update(change func(*decide.Decider)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -105,7 +111,7 @@
 	d.tick()
 }
 
-// Submit waits for the request's decision. It sets r.ID. The error is a
+// Submit waits for the decision on a request and sets its ID. The error is a
 // *Refusal, ErrStopped, or that of ctx; in each case the request did not run.
 func (d *Dispatcher) Submit(ctx context.Context, r decide.Request) (*Placement, error) {
 	decision := make(chan decide.Decision, 1)
@@ -133,6 +139,7 @@
 	}
 }
 
+// result converts a decision to the result of Submit.
 func (d *Dispatcher) result(got decide.Decision) (*Placement, error) {
 	if got.Kind == decide.Refuse {
 		return nil, &Refusal{Code: got.Code, RetryAfter: got.RetryAfter}
@@ -140,8 +147,8 @@
 	return &Placement{Endpoint: got.Endpoint, id: got.Request, d: d}, nil
 }
 
-// abandon withdraws a request. If its start was decided meanwhile, the slot
-// is given back unused.
+// abandon withdraws a request and returns err. If it was started meanwhile,
+// its slot is freed unused.
 func (d *Dispatcher) abandon(id decide.RequestID, decision <-chan decide.Decision, err error) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -157,6 +164,7 @@
 	return err
 }
 
+// tickLoop ticks until Close.
 func (d *Dispatcher) tickLoop() {
 	defer d.loop.Done()
 	timer := time.NewTimer(IdleTickInterval)
@@ -172,7 +180,7 @@
 	}
 }
 
-// tickOnTimer ticks and returns the pause until the next tick.
+// tickOnTimer ticks and returns the time until the next tick.
 func (d *Dispatcher) tickOnTimer() time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -183,7 +191,7 @@
 	return TickInterval
 }
 
-// tick runs the systems and delivers their decisions. d.mu is held.
+// tick ticks the Decider and delivers its decisions. d.mu must be held.
 func (d *Dispatcher) tick() {
 	for _, decision := range d.decider.Tick(d.Now()) {
 		waiter, ok := d.waiters[decision.Request]
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -27,7 +27,8 @@
 	return decide.Request{Model: "m", Priority: decide.PriorityInteractive, Deadline: d.Now() + wait}
 }
 
-// TestManyCallers: every caller gets one answer, and slots are never exceeded.
+// TestManyCallers checks that each of many concurrent callers gets exactly
+// one answer, and that no more requests run than there are slots.
 func TestManyCallers(t *testing.T) {
 	const callers, slots = 200, 4
 	d := newDispatcher(t, slots)
@@ -45,7 +46,7 @@
 				return
 			}
 			if running++; running > slots || err != nil {
-				t.Errorf("%d running, error %v", running, err)
+				t.Errorf("%d requests running, error %v", running, err)
 			}
 			started++
 			group.Go(func() {
@@ -59,12 +60,12 @@
 	}
 	group.Wait()
 	if started+refused != callers || started < slots {
-		t.Fatalf("%d started, %d refused of %d", started, refused, callers)
+		t.Fatalf("%d requests started and %d refused of %d", started, refused, callers)
 	}
 }
 
-// TestCallerLeaves: a caller who leaves the queue, or at the moment of its
-// start, takes no slot with it.
+// TestCallerLeaves checks that a caller who leaves while queued, or at the
+// moment when the request starts, does not leave its slot taken.
 func TestCallerLeaves(t *testing.T) {
 	d := newDispatcher(t, 1)
 	first, err := d.Submit(t.Context(), request(d, time.Minute))
@@ -75,7 +76,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		go cancel()
 		if p, err := d.Submit(ctx, request(d, time.Minute)); err == nil {
-			t.Fatalf("started beside the first: %+v", p)
+			t.Fatalf("request started while the only slot was taken: %+v", p)
 		}
 		cancel()
 	}
@@ -90,12 +91,13 @@
 	}
 	last, err := d.Submit(t.Context(), request(d, time.Minute))
 	if err != nil {
-		t.Fatalf("the slot is lost: %v", err)
+		t.Fatalf("the slot was not freed: %v", err)
 	}
 	last.Done(decide.Result{Total: time.Millisecond})
 }
 
-// TestClose: waiting callers are told, and nothing is left running.
+// TestClose checks that waiting callers get ErrStopped; TestMain checks that
+// no goroutine is left.
 func TestClose(t *testing.T) {
 	d := New()
 	d.Update(func(x *decide.Decider) {
@@ -115,7 +117,7 @@
 	}
 	d.Close()
 	if err := <-ended; !errors.Is(err, ErrStopped) {
-		t.Fatalf("got %v", err)
+		t.Fatalf("Submit after Close returned %v, want ErrStopped", err)
 	}
 	p.Done(decide.Result{Total: time.Millisecond})
 }
