--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -1,10 +1,11 @@
-// Package retry shares the fleet's budget of repeated sends among instances
-// that do not talk to each other. It does no input or output and has no clock.
+// Package retry limits how often an instance sends requests to a service
+// again. It does no I/O and has no clock: the caller passes the time.
 //
-// The fleet may send, in any window, a share of the service's requests plus a
-// fixed number more than once: retries must not multiply the load on a service that
-// fails because it is overloaded. Each instance keeps to the share of its own requests
-// and to its part of the fixed number, so that the sum holds whatever the others do.
+// A retry must not multiply the load on a service that fails because it is
+// overloaded. So in any window the fleet may repeat a ratio of the service's
+// requests plus a fixed number. The instances do not communicate about it:
+// each keeps to the ratio of its own requests and to its part of the fixed
+// number, so that the sum holds whatever the others do.
 package retry
 
 import (
@@ -12,30 +13,34 @@
 	"time"
 )
 
-// Budget is what the fleet may repeat to one service.
+// Budget is how many requests to one service the fleet may repeat in a
+// window.
 type Budget struct {
-	// Ratio is the repeats for each request.
+	// Ratio is the number of repeats allowed for each request.
 	Ratio float64
-	// Extra is the repeats beyond that in each Window.
+	// Extra is the number of repeats allowed in each Window in addition.
 	Extra  float64
 	Window time.Duration
 }
 
 const (
-	// safetyFactor is kept back of everything: the windows of whoever counts are
-	// not ours, and requests that were counted here may have been lost there.
+	// safetyFactor reduces the whole budget: whoever counts the repeats has
+	// other windows than this instance, and may not have seen requests that were
+	// counted here.
 	safetyFactor = 0.8
-	// burstShare is the part of the fixed number that may be used at once; the
-	// rest flows in over the window, so that any window holds at most all.
+	// burstShare is the part of the instance's share of Extra that may be used
+	// at once. The rest accrues over the window, so that no window holds more
+	// than the whole.
 	burstShare = 0.5
 )
 
+// bucket is the token bucket of one service. A token is one repeat.
 type bucket struct {
 	tokens     float64
-	refilledAt time.Duration
+	refilledAt time.Duration // On the caller's clock.
 }
 
-// Limiter counts one instance's repeats. It is safe for concurrent use.
+// Limiter limits the repeats of one instance. It is safe for concurrent use.
 type Limiter struct {
 	mu        sync.Mutex
 	budget    Budget
@@ -45,71 +50,76 @@
 	denied    int64
 }
 
-// NewLimiter returns a Keeper that takes itself to be one of so many instances
-// until SetInstances says otherwise.
+// NewLimiter returns a Limiter for one of the given number of instances,
+// which SetInstances changes.
 func NewLimiter(b Budget, instances int) *Limiter {
 	return &Limiter{budget: b, instances: max(1, instances), buckets: map[string]*bucket{}}
 }
 
-// SetInstances tells how many instances share the budget.
-func (k *Limiter) SetInstances(n int) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.instances = max(1, n)
+// SetInstances sets how many instances share the budget, at least one.
+func (l *Limiter) SetInstances(n int) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.instances = max(1, n)
 }
 
-// CountRequest counts a caller's request to the service.
-func (k *Limiter) CountRequest(service string, now time.Duration) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	a := k.refill(service, now)
-	a.tokens = min(a.tokens+safetyFactor*k.budget.Ratio, max(k.extraShare()*burstShare, 1)+k.maxEarned())
+// CountRequest counts a caller's request to the service, which adds Ratio
+// repeats to the budget.
+func (l *Limiter) CountRequest(service string, now time.Duration) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	a := l.refill(service, now)
+	a.tokens = min(a.tokens+safetyFactor*l.budget.Ratio, max(l.extraShare()*burstShare, 1)+l.maxEarned())
 }
 
-// Allow takes one repeat and tells whether the budget covers it.
-func (k *Limiter) Allow(service string, now time.Duration) bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	a := k.refill(service, now)
+// Allow reports whether the budget covers one more repeat, and takes it if
+// so.
+func (l *Limiter) Allow(service string, now time.Duration) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	a := l.refill(service, now)
 	if a.tokens < 1 {
-		k.denied++
+		l.denied++
 		return false
 	}
 	a.tokens--
-	k.allowed++
+	l.allowed++
 	return true
 }
 
 // Counts returns how many repeats were allowed and denied since the start.
-func (k *Limiter) Counts() (allowed, denied int64) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.allowed, k.denied
+func (l *Limiter) Counts() (allowed, denied int64) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.allowed, l.denied
 }
 
-// extraShare is this instance's part of the fixed number.
-func (k *Limiter) extraShare() float64 { return safetyFactor * k.budget.Extra / float64(k.instances) }
+// extraShare returns this instance's share of Budget.Extra.
+func (l *Limiter) extraShare() float64 { return safetyFactor * l.budget.Extra / float64(l.instances) }
 
-// maxEarned is what requests may save up: as much again as the stored share.
-func (k *Limiter) maxEarned() float64 { return k.extraShare() * burstShare }
+// maxEarned returns how many repeats requests may accumulate: as many as the
+// part of the share that may be used at once.
+func (l *Limiter) maxEarned() float64 { return l.extraShare() * burstShare }
 
-func (k *Limiter) refill(service string, now time.Duration) *bucket {
-	a := k.buckets[service]
+// refill returns the service's bucket with the tokens that have accrued until
+// now.
+func (l *Limiter) refill(service string, now time.Duration) *bucket {
+	a := l.buckets[service]
 	if a == nil {
-		a = &bucket{tokens: k.extraShare() * burstShare, refilledAt: now}
-		k.buckets[service] = a
+		a = &bucket{tokens: l.extraShare() * burstShare, refilledAt: now}
+		l.buckets[service] = a
 	}
-	inflow := k.extraShare() * (1 - burstShare) * float64(now-a.refilledAt) / float64(k.budget.Window)
+	inflow := l.extraShare() * (1 - burstShare) * float64(now-a.refilledAt) / float64(l.budget.Window)
 	a.refilledAt = now
-	if capacity := k.extraShare() * burstShare; a.tokens < capacity {
+	if capacity := l.extraShare() * burstShare; a.tokens < capacity {
 		a.tokens = min(capacity, a.tokens+inflow)
 	}
 	return a
 }
 
 // SetBudget changes the fleet's budget.
-func (k *Limiter) SetBudget(b Budget) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.budget = b
+func (l *Limiter) SetBudget(b Budget) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.budget = b
 }
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -9,13 +9,14 @@
 	"guavapier/internal/retry"
 )
 
-// step is what one instance did at one time.
+// step is what one instance did at one time: the callers' requests and the
+// repeats allowed.
 type step struct {
 	at                time.Duration
 	requests, repeats int
 }
 
-// drawSteps plays the load of n instances.
+// drawSteps applies a random load to n instances.
 func drawSteps(t *rapid.T, budget retry.Budget, n int) []step {
 	var limiters []*retry.Limiter
 	for range n {
@@ -25,13 +26,13 @@
 	now := time.Duration(0)
 	for range rapid.IntRange(1, 60).Draw(t, "steps") {
 		now += time.Duration(rapid.IntRange(0, 1500).Draw(t, "ms")) * time.Millisecond
-		k := limiters[rapid.IntRange(0, n-1).Draw(t, "instance")]
+		l := limiters[rapid.IntRange(0, n-1).Draw(t, "instance")]
 		m := step{at: now, requests: rapid.IntRange(0, 60).Draw(t, "requests")}
 		for range m.requests {
-			k.CountRequest("s", now)
+			l.CountRequest("s", now)
 		}
 		for range rapid.IntRange(0, 60).Draw(t, "repeats wanted") {
-			if k.Allow("s", now) {
+			if l.Allow("s", now) {
 				m.repeats++
 			}
 		}
@@ -40,7 +41,7 @@
 	return steps
 }
 
-// sumWindow sums the repeats of a window, and the requests of it and of the
+// sumWindow sums the repeats in a window, and the requests in it and in the
 // window before it, which may have earned them.
 func sumWindow(steps []step, from, length time.Duration) (repeats, requests int) {
 	for _, m := range steps {
@@ -55,8 +56,8 @@
 	return repeats, requests
 }
 
-// Whatever the instances' loads and moments, no window holds more repeats than
-// the fleet's budget.
+// TestNoWindowExceedsTheFleetsBudget checks that no window holds more repeats
+// than the fleet's budget, for any load and timing of the instances.
 func TestNoWindowExceedsTheFleetsBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		budget := retry.Budget{Ratio: 0.2, Extra: 56, Window: 10 * time.Second}
@@ -64,25 +65,25 @@
 		for _, m := range steps {
 			repeats, requests := sumWindow(steps, m.at, budget.Window)
 			if maxRepeats := budget.Ratio*float64(requests) + budget.Extra; float64(repeats) > maxRepeats {
-				t.Fatalf("%d repeats in the window from %s, at most %g", repeats, m.at, maxRepeats)
+				t.Fatalf("%d repeats in the window from %s, want at most %g", repeats, m.at, maxRepeats)
 			}
 		}
 	})
 }
 
 func TestAnInstanceAloneHasTheWholeBudget(t *testing.T) {
-	k := retry.NewLimiter(retry.Budget{Ratio: 0.2, Extra: 50, Window: 10 * time.Second}, 16)
-	k.SetInstances(1)
+	l := retry.NewLimiter(retry.Budget{Ratio: 0.2, Extra: 50, Window: 10 * time.Second}, 16)
+	l.SetInstances(1)
 	allowed := 0
 	for range 100 {
-		if k.Allow("s", 0) {
+		if l.Allow("s", 0) {
 			allowed++
 		}
 	}
 	if allowed < 15 {
-		t.Errorf("%d repeats at once", allowed)
+		t.Errorf("%d repeats allowed at once, want at least 15", allowed)
 	}
-	if !k.Allow("other", 0) {
-		t.Error("each service has a budget of its own")
+	if !l.Allow("other", 0) {
+		t.Error("the repeats of one service used up the budget of another")
 	}
 }
