--- a/internal/decide/decider.go
+++ b/internal/decide/decider.go
@@ -26,11 +26,11 @@
 
 	incoming         []*requestRow             // Submitted since the last Tick.
 	queued           map[RequestID]*requestRow // Incoming and queued rows.
-	expiry           rowHeap                   // All rows in a pool's queue, by latestStart.
+	expiry           rowHeap                   // All rows in the pools' queues, by latestStart.
 	running          map[RequestID]*requestRow
 	blockedQueue     fifo           // The rows taken out of the order, oldest first.
 	changedEndpoints []*endpointRow // Their blocked rows return to the order in the next tick.
-	freeRows         []*requestRow  // Kept for reuse.
+	freeRows         []*requestRow  // Released rows, kept for reuse.
 
 	retries       retryBudget
 	recheckCursor int // Where refuse continues in the expiry heap.
--- a/internal/decide/endpoints.go
+++ b/internal/decide/endpoints.go
@@ -25,8 +25,8 @@
 	reported       bool
 	reportedAt     Time    // When the last report arrived.
 	othersLoad     float64 // Requests of other instances, smoothed.
-	othersLoadMean float64 // Average over many reports.
-	ownLoadMean    float64 // The same of ownLagged.
+	othersLoadMean float64 // The others' load, averaged over many reports.
+	ownLoadMean    float64 // ownLagged, averaged over the same reports.
 
 	// startQuota is how many batch requests and cold prompts this instance may
 	// still start here until the next report: its part of the free slots, and
@@ -39,10 +39,10 @@
 	blockedRows         rowHeap // Rows that wait for this endpoint, out of the order.
 	markedChanged       bool    // It is in Decider.changedEndpoints.
 	queuedPreferring    int     // Queued rows whose preferred endpoint this is.
-	startTimeSum        Time    // Of the own running requests.
-	expectedDurationSum float64 // Of the own running requests, in seconds.
+	startTimeSum        Time    // Sum of the start times of the own running requests.
+	expectedDurationSum float64 // Sum of their expected durations in seconds.
 	awaitingFirstToken  int     // Own requests without a first token yet.
-	awaitingStartSum    Time    // The sum of their start times.
+	awaitingStartSum    Time    // Sum of their start times.
 	pendingPrefill      float64 // Own prompt tokens not computed yet at pendingPrefillAt.
 	pendingPrefillAt    Time
 	firstTokenDelay     float64 // Seconds that first tokens came later than predicted.
--- a/internal/decide/engine_model_test.go
+++ b/internal/decide/engine_model_test.go
@@ -17,7 +17,7 @@
 	waiting, active []*job
 	stepping        bool
 	tailAnswers     int            // Answers in the last tailWindow.
-	cache           map[string]int // Tokens by session.
+	cache           map[string]int // Cached tokens by session.
 	lruSessions     []string       // Sessions in the cache, the least recently used first.
 	cacheTokens     int
 	uncached, input windowedCount // Prompt tokens: computed ones, and all.
--- a/internal/decide/learn.go
+++ b/internal/decide/learn.go
@@ -6,7 +6,7 @@
 	baseFirstToken  float64 // To the first token with the whole prompt in the cache; for a plain service, to the answer.
 	prefillPerToken float64 // For each prompt token that is not in the cache.
 	timePerToken    float64 // For each generated token; for a plain service, the whole answer.
-	slotTime        float64 // That a request holds its slot.
+	slotTime        float64 // From start to end of a request.
 	cacheMissShare  float64 // Share of a prompt that is not in the cache at the session's first ranked endpoint.
 	samples         int     // Finished requests, without failed and abandoned ones.
 }
--- a/internal/decide/order.go
+++ b/internal/decide/order.go
@@ -9,18 +9,18 @@
 // teamQueue holds one team's waiting requests of one class in one pool.
 type teamQueue struct {
 	team         record.Team
-	weight       float64 // The team's, at its last request.
+	weight       float64 // The team's weight, from its last request.
 	deficit      float64 // Tokens that the team may still start.
 	rows         rowHeap // Those in the order, by latestStart.
 	blockedCount int     // Blocked rows, which are not in rows.
-	index        int     // In classQueue.teams.
+	index        int     // Position in classQueue.teams.
 }
 
 // classQueue divides one class of a pool among teams by deficit round robin.
 type classQueue struct {
-	teams     []*teamQueue // Those with waiting requests.
+	teams     []*teamQueue // Teams with waiting requests.
 	byTeam    map[record.Team]*teamQueue
-	freeTeams []*teamQueue // Kept for reuse.
+	freeTeams []*teamQueue // Empty queues kept for reuse.
 	turn      int          // Index of the team whose turn it is.
 	count     int          // Waiting rows, blocked ones included.
 	// readyCount is count without the blocked rows.
--- a/internal/decide/pool.go
+++ b/internal/decide/pool.go
@@ -22,7 +22,7 @@
 	key       poolKey
 	endpoints []*endpointRow // Sorted by name.
 	sameZone  []*endpointRow // Those in the instance's own zone.
-	rankKeys  []rankKey      // Of endpoints, contiguous for rankEndpoints.
+	rankKeys  []rankKey      // Of endpoints, at the same indices; contiguous for rankEndpoints.
 	maxSlots  int            // The most slots of one endpoint.
 	// batchEndpoints holds the endpoints that take batch requests while a higher
 	// class is in use; nil if the pool is too small to be divided.
@@ -45,7 +45,7 @@
 	refreshed                                               bool
 	outliersCheckedAt                                       Time
 	medianScratch                                           []float64
-	nextRetryAt                                             Time // The last time given to a refused caller.
+	nextRetryAt                                             Time // The place of the last refused caller; see scheduleRetry.
 }
 
 // rankKey is the input of the rendezvous hashing for an endpoint.
--- a/internal/decide/shift.go
+++ b/internal/decide/shift.go
@@ -21,10 +21,10 @@
 	state               healthState
 	consecutiveFailures int
 	consecutiveStalls   int
-	ejectedUntil        Time          // Then it gets a probe.
-	ejectionPause       time.Duration // Of the last ejection; doubles with the next.
+	ejectedUntil        Time          // When the next probe may start.
+	ejectionPause       time.Duration // Length of the last ejection; doubles with the next.
 	rampShare           float64       // Share of the slots, while ramping.
-	reason              ejectReason   // Of the last ejection.
+	reason              ejectReason   // Why it was last ejected.
 }
 
 type ejectReason uint8
--- a/internal/decide/usage.go
+++ b/internal/decide/usage.go
@@ -21,9 +21,9 @@
 type usageTable struct {
 	rows      []teamUsage
 	rowByTeam map[record.Team]int // Index in rows.
-	costSum   float64             // Over all teams, at costSumAt.
+	costSum   float64             // Decaying cost of all teams, at costSumAt.
 	costSumAt Time
-	weightSum float64 // Over the rows.
+	weightSum float64 // Sum of the rows' weights.
 }
 
 const (
