--- a/internal/decide/learn.go
+++ b/internal/decide/learn.go
@@ -1,107 +1,121 @@
 package decide
 
-// learned is what finished requests told about an endpoint, as moving averages
-// in seconds. A zero average is unknown.
-type learned struct {
-	base    float64 // To the first token, the prompt in the cache.
-	perTok  float64 // For each prompt token that is not in the cache.
-	pace    float64 // For each generated token; a plain service's answer.
-	hold    float64 // A slot's time for one request.
-	miss    float64 // Share of a prompt not in the cache at the session's home.
-	samples int
+// endpointEstimates holds moving averages over the requests that an endpoint
+// finished, in seconds unless stated. A zero average is unknown.
+type endpointEstimates struct {
+	baseFirstToken  float64 // To the first token with the whole prompt in the cache; for a plain service, to the answer.
+	prefillPerToken float64 // For each prompt token that is not in the cache.
+	timePerToken    float64 // For each generated token; for a plain service, the whole answer.
+	slotTime        float64 // From start to end of a request.
+	cacheMissShare  float64 // Share of a prompt that is not in the cache at the session's first ranked endpoint.
+	samples         int     // Finished requests, without failed and abandoned ones.
 }
 
 const (
-	// gain of the moving averages: about the last ten results count, enough
-	// against a single long prompt, few enough to follow a change in seconds.
-	gain = 0.1
-	// delayGain follows a queue of prompts, which grows faster than engines age.
+	// averageGain is the weight of a new sample: about the last ten results
+	// count, enough to even out a single long prompt and few enough to follow a
+	// change in seconds.
+	averageGain = 0.1
+	// delayGain is the weight of a new sample of the first token's delay. A
+	// queue of prompts grows faster than the other averages change.
 	delayGain = 0.2
-	// fewUncached and manyUncached bound the prompts that teach base and
-	// perTok: what lies between would mix the two.
-	fewUncached, manyUncached = 256, 512
-	// The values before anything was learned; any engine teaches its own in a
-	// few requests.
-	unknownPerToken = 100e-6
-	unknownBase     = 50e-3
-	unknownHold     = 1.0
+	// Only prompts with at most fewUncachedTokens tokens to compute update
+	// baseFirstToken, and only those with at least manyUncachedTokens update
+	// prefillPerToken. Those between would mix the two.
+	fewUncachedTokens, manyUncachedTokens = 256, 512
+	// The estimates in seconds before the first sample. An endpoint has its own
+	// after a few requests.
+	defaultPrefillPerToken = 100e-6
+	defaultBaseFirstToken  = 50e-3
+	defaultSlotTime        = 1.0
 )
 
-func average(old *float64, sample float64) {
+// updateAverage adds a sample to a moving average, of which 0 means none yet.
+func updateAverage(old *float64, sample float64) {
 	if *old == 0 {
 		*old = sample
 		return
 	}
-	*old += gain * (sample - *old)
+	*old += averageGain * (sample - *old)
 }
 
-func (l *learned) prefill() float64 { return known(l.perTok, unknownPerToken) }
+func (l *endpointEstimates) prefillPerTokenOrDefault() float64 {
+	return valueOr(l.prefillPerToken, defaultPrefillPerToken)
+}
 
-func known(v, unknown float64) float64 {
+// valueOr returns v, or the fallback if v is not positive, which means
+// unknown.
+func valueOr(v, fallback float64) float64 {
 	if v <= 0 {
-		return unknown
+		return fallback
 	}
 	return v
 }
 
-// learn takes a finished request's result into the tables; seen tells that its
-// first token was taken before.
-func (d *Decider) learn(row *requestRow, result Result, seen bool) {
+// observeResult updates the estimates and the health of the row's endpoint,
+// and the averages of its pool. firstTokenSeen says that ObserveFirstToken
+// has recorded the first token already.
+func (d *Decider) observeResult(row *requestRow, result Result, firstTokenSeen bool) {
 	e := row.endpoint
 	if result.Abandoned {
-		if !seen && result.Tokens == 0 && row.Service == "" {
-			e.learnDelay(row, result.Total.Seconds(), d.now) // At least.
+		if !firstTokenSeen && result.Tokens == 0 && row.Service == "" {
+			e.observeDelay(row, result.Total.Seconds(), d.now) // A lower bound.
 		}
 		return
 	}
 	if result.Failed {
-		d.learnFailure(row, result)
+		d.observeFailure(row, result)
 		return
 	}
-	e.learnMiss(row, result)
-	total, first := result.Total.Seconds(), result.FirstToken.Seconds()
-	l := &e.learned
+	e.observeCacheMiss(row, result)
+	total, firstToken := result.Total.Seconds(), result.FirstToken.Seconds()
+	l := &e.estimates
 	l.samples++
-	average(&l.hold, total)
-	average(&row.pool.hold, total)
-	pace := total
+	updateAverage(&l.slotTime, total)
+	updateAverage(&row.pool.slotTime, total)
+	timePerToken := total
 	if result.Tokens > 0 {
-		pace = max(0, total-first) / float64(result.Tokens)
-		if !seen {
-			e.learnDelay(row, first, d.now)
-			l.learnFirst(row, first)
+		timePerToken = max(0, total-firstToken) / float64(result.Tokens)
+		if !firstTokenSeen {
+			e.observeDelay(row, firstToken, d.now)
+			l.observeFirstToken(row, firstToken)
 		}
 	} else {
-		average(&l.base, total)
+		updateAverage(&l.baseFirstToken, total)
 	}
-	average(&l.pace, pace)
-	average(&row.pool.pace, pace)
-	average(&row.pool.base, known(l.base, unknownBase))
-	average(&row.pool.perTok, l.prefill())
-	d.learnSuccess(row, pace)
+	updateAverage(&l.timePerToken, timePerToken)
+	updateAverage(&row.pool.timePerToken, timePerToken)
+	updateAverage(&row.pool.baseFirstToken, valueOr(l.baseFirstToken, defaultBaseFirstToken))
+	updateAverage(&row.pool.prefillPerToken, l.prefillPerTokenOrDefault())
+	d.observeSuccess(row, timePerToken)
 }
 
-// learnMiss follows how much of a prompt the cache still holds when a session
-// comes back. An endpoint whose memory is overcommitted misses more and more.
-func (e *endpointRow) learnMiss(row *requestRow, result Result) {
+// observeCacheMiss updates which share of a prompt the cache has lost when a
+// session comes back to its first ranked endpoint. An endpoint that serves
+// more sessions than its memory holds misses more and more.
+func (e *endpointRow) observeCacheMiss(row *requestRow, result Result) {
 	if result.Cached <= 0 || row.rank[0] != e || row.PromptTokens <= 0 {
 		return
 	}
-	miss := max(0, 1-float64(result.Cached)/float64(row.PromptTokens))
-	average(&e.learned.miss, miss)
+	missShare := max(0, 1-float64(result.Cached)/float64(row.PromptTokens))
+	updateAverage(&e.estimates.cacheMissShare, missShare)
 }
 
-func (e *endpointRow) learnDelay(row *requestRow, first float64, now Time) {
-	e.delay = e.delayNow(now)
-	e.delay += delayGain * (max(0, first-row.expected) - e.delay)
-	e.delayAt = now
+// observeDelay updates by how many seconds first tokens come later than
+// predicted, from one that came firstToken seconds after its start.
+func (e *endpointRow) observeDelay(row *requestRow, firstToken float64, now Time) {
+	e.firstTokenDelay = e.currentDelay(now)
+	e.firstTokenDelay += delayGain * (max(0, firstToken-row.expectedFirstToken) - e.firstTokenDelay)
+	e.firstTokenDelayAt = now
 }
 
-func (l *learned) learnFirst(row *requestRow, first float64) {
+// observeFirstToken updates the estimates of the time to the first token,
+// from one that came firstToken seconds after its start.
+func (l *endpointEstimates) observeFirstToken(row *requestRow, firstToken float64) {
 	switch {
-	case row.prefillDue <= fewUncached:
-		average(&l.base, first)
-	case row.prefillDue >= manyUncached:
-		average(&l.perTok, max(1e-7, (first-l.base)/row.prefillDue))
+	case row.prefillBacklog <= fewUncachedTokens:
+		updateAverage(&l.baseFirstToken, firstToken)
+	case row.prefillBacklog >= manyUncachedTokens:
+		updateAverage(&l.prefillPerToken, max(1e-7, (firstToken-l.baseFirstToken)/row.prefillBacklog))
 	}
 }
--- a/internal/decide/order.go
+++ b/internal/decide/order.go
@@ -8,72 +8,78 @@
 
 // teamQueue holds one team's waiting requests of one class in one pool.
 type teamQueue struct {
-	team    record.Team
-	weight  float64
-	deficit float64
-	rows    rowHeap
-	hidden  int // Parked rows, which are not in rows.
-	pos     int // In classQueue.teams.
+	team         record.Team
+	weight       float64 // The team's weight, from its last request.
+	deficit      float64 // Tokens that the team may still start.
+	rows         rowHeap // Those in the order, by latestStart.
+	blockedCount int     // Blocked rows, which are not in rows.
+	index        int     // Position in classQueue.teams.
 }
 
-// classQueue shares one class of a pool between teams by deficit round robin.
+// classQueue divides one class of a pool among teams by deficit round robin.
 type classQueue struct {
-	teams  []*teamQueue // Those with waiting requests.
-	byTeam map[record.Team]*teamQueue
-	spare  []*teamQueue
-	turn   int
-	count  int // Of rows, the hidden ones included.
-	// visible is count without the hidden rows.
-	visible int
-	// credit lets a lower class go first now and then; see order.
-	credit float64
+	teams     []*teamQueue // Teams with waiting requests.
+	byTeam    map[record.Team]*teamQueue
+	freeTeams []*teamQueue // Empty queues kept for reuse.
+	turn      int          // Index of the team whose turn it is.
+	count     int          // Waiting rows, blocked ones included.
+	// readyCount is count without the blocked rows.
+	readyCount int
+	// agingCredit rises with each start of a higher class. At 1 the class may
+	// start one request before the higher ones; see order.
+	agingCredit float64
 }
 
 const (
-	// quantum is the work that a team of weight 1 may start in its turn, in
-	// tokens: about one question, so that turns change often.
+	// quantum is the deficit in tokens that a team of weight 1 gains in each of
+	// its turns. It is about one interactive request, so that turns change
+	// often.
 	quantum = 512
-	// ageingCredit is what a waiting lower class gains with each start of a
-	// higher one in the same pool: one start in eight goes to it at least.
-	// More would slow questions in a burst, less would stall reports in a long
-	// busy hour.
-	ageingCredit = 0.125
+	// agingCreditPerStart is the credit that a waiting class gains with each
+	// start of a higher class in the same pool: it gets at least one start in
+	// eight. More would slow interactive requests in a burst, less would stall
+	// batch requests in a long busy hour.
+	agingCreditPerStart = 0.125
 )
 
-// order serves a busy hour in which one team, or one class, could take all
-// slots. It gives every pool its class order for this tick: higher priority
-// first, but a lower class that has been passed over eight times goes first
-// once. Without it reports would starve while questions keep coming.
+// order sets the order in which each pool serves its classes in this tick:
+// the higher priority first, except that a waiting class that was passed over
+// eight times starts one request before the others. Without the exception
+// batch requests would starve while interactive ones keep coming.
 func (d *Decider) order() {
 	for _, p := range d.pools {
-		p.setOrder()
+		p.setClassOrder()
 	}
 }
 
-func (p *pool) setOrder() {
+// setClassOrder fills classOrder: first the classes with full aging credit,
+// then all classes, the highest first.
+func (p *pool) setClassOrder() {
 	n := 0
 	for class := classCount - 1; class > 0; class-- {
-		if p.classes[class].credit >= 1 && p.classes[class].count > 0 {
+		if p.classes[class].agingCredit >= 1 && p.classes[class].count > 0 {
 			p.classOrder[n] = class
 			n++
 		}
 	}
-	p.aged = n
+	p.agedClasses = n
 	for class := classCount - 1; class > 0; class-- {
 		p.classOrder[n] = class
 		n++
 	}
 }
 
-// charge pays for a started row: its team's deficit, its class's credit.
-func (p *pool) charge(row *requestRow) {
+// creditLowerClasses adds aging credit to each waiting class below that of
+// the started row.
+func (p *pool) creditLowerClasses(row *requestRow) {
 	for class := 1; class < row.class; class++ {
 		if q := &p.classes[class]; q.count > 0 {
-			q.credit = min(q.credit+ageingCredit, 1)
+			q.agingCredit = min(q.agingCredit+agingCreditPerStart, 1)
 		}
 	}
 }
 
+// push adds an admitted row to its team's queue. weight is the team's.
 func (p *pool) push(row *requestRow, weight float64) {
 	q := &p.classes[row.class]
 	t, ok := q.byTeam[row.Team]
@@ -81,65 +87,67 @@
 		t = q.newTeam(row.Team)
 	}
 	t.weight = weight
-	row.team = t
+	row.queue = t
 	heap.Push(&t.rows, row)
 	q.count++
-	q.visible++
+	q.readyCount++
 }
 
 func (q *classQueue) newTeam(team record.Team) *teamQueue {
 	var t *teamQueue
-	if n := len(q.spare); n > 0 {
-		t, q.spare = q.spare[n-1], q.spare[:n-1]
+	if n := len(q.freeTeams); n > 0 {
+		t, q.freeTeams = q.freeTeams[n-1], q.freeTeams[:n-1]
 	} else {
-		t = &teamQueue{rows: rowHeap{index: teamIndex}}
+		t = &teamQueue{rows: rowHeap{indexField: teamIndex}}
 	}
-	t.team, t.deficit, t.pos = team, 0, len(q.teams)
+	t.team, t.deficit, t.index = team, 0, len(q.teams)
 	q.teams = append(q.teams, t)
 	q.byTeam[team] = t
 	return t
 }
 
+// remove takes a row out of its team's queue or, if it is blocked, out of its
+// wait list.
 func (p *pool) remove(row *requestRow) {
 	q := &p.classes[row.class]
-	t := row.team
-	if row.parked != nil {
-		heap.Remove(row.parked, row.index[parkIndex])
-		row.parked = nil
-		t.hidden--
+	t := row.queue
+	if row.waitList != nil {
+		heap.Remove(row.waitList, row.heapIndex[blockedIndex])
+		row.waitList = nil
+		t.blockedCount--
 	} else {
-		heap.Remove(&t.rows, row.index[teamIndex])
-		q.visible--
+		heap.Remove(&t.rows, row.heapIndex[teamIndex])
+		q.readyCount--
 	}
-	row.team = nil
+	row.queue = nil
 	q.count--
 	if q.count == 0 {
-		q.credit = 0
+		q.agingCredit = 0
 	}
-	if t.rows.Len() == 0 && t.hidden == 0 {
+	if t.rows.Len() == 0 && t.blockedCount == 0 {
 		q.dropTeam(t)
 	}
 }
 
-// dropTeam forgets an idle team and its deficit: an idle team saves nothing up,
-// so a burst of its own later gets its share and no more.
+// dropTeam removes a team without waiting requests and its deficit. An idle
+// team saves nothing up, so a later burst gets its fair share and no more.
 func (q *classQueue) dropTeam(t *teamQueue) {
-	copy(q.teams[t.pos:], q.teams[t.pos+1:])
+	copy(q.teams[t.index:], q.teams[t.index+1:])
 	q.teams = q.teams[:len(q.teams)-1]
-	for i := t.pos; i < len(q.teams); i++ {
-		q.teams[i].pos = i
+	for i := t.index; i < len(q.teams); i++ {
+		q.teams[i].index = i
 	}
-	if q.turn > t.pos {
+	if q.turn > t.index {
 		q.turn--
 	}
 	delete(q.byTeam, t.team)
-	q.spare = append(q.spare, t)
+	q.freeTeams = append(q.freeTeams, t)
 }
 
-// turnOf returns the team whose turn it is, with deficit for its next request,
-// or nil if no team waits.
-func (q *classQueue) turnOf() *teamQueue {
-	if q.visible == 0 {
+// nextTeam returns the team whose turn it is, with enough deficit for its
+// next request, or nil if no team has a request in the order.
+func (q *classQueue) nextTeam() *teamQueue {
+	if q.readyCount == 0 {
 		return nil
 	}
 	for {
@@ -159,35 +167,37 @@
 	}
 }
 
-// waiting returns the team's rows, the parked ones included.
-func (t *teamQueue) waiting() float64 { return float64(t.rows.Len() + t.hidden) }
+// waitingCount returns the number of the team's rows, blocked ones included.
+func (t *teamQueue) waitingCount() float64 { return float64(t.rows.Len() + t.blockedCount) }
 
-// shareAhead returns how many requests go before the next one of a team of the
-// given weight: its own, and of each other team as many as its weight allows
-// meanwhile. So a team that floods the queue makes only itself wait.
-func (q *classQueue) shareAhead(team record.Team, weight float64) float64 {
+// fairShareAhead returns how many requests of the class start before the next
+// one of a team with the given weight: all of the team's own, and of each
+// other team as many as its weight allows meanwhile. So a team that floods
+// the queue delays only itself.
+func (q *classQueue) fairShareAhead(team record.Team, weight float64) float64 {
 	own := 0.0
 	if t, ok := q.byTeam[team]; ok {
-		own = t.waiting()
+		own = t.waitingCount()
 	}
 	ahead := own
 	for _, t := range q.teams {
 		if t.team != team {
-			ahead += min(t.waiting(), (own+1)*t.weight/weight)
+			ahead += min(t.waitingCount(), (own+1)*t.weight/weight)
 		}
 	}
 	return ahead
 }
 
-// hide takes a row out of the order until show; the row stays queued.
-func (q *classQueue) hide(row *requestRow) {
-	heap.Remove(&row.team.rows, row.index[teamIndex])
-	row.team.hidden++
-	q.visible--
+// block takes a row out of the order until unblock; it stays queued.
+func (q *classQueue) block(row *requestRow) {
+	heap.Remove(&row.queue.rows, row.heapIndex[teamIndex])
+	row.queue.blockedCount++
+	q.readyCount--
 }
 
-func (q *classQueue) show(row *requestRow) {
-	heap.Push(&row.team.rows, row)
-	row.team.hidden--
-	q.visible++
+// unblock returns a blocked row to the order.
+func (q *classQueue) unblock(row *requestRow) {
+	heap.Push(&row.queue.rows, row)
+	row.queue.blockedCount--
+	q.readyCount++
 }
--- a/internal/decide/property_test.go
+++ b/internal/decide/property_test.go
@@ -12,25 +12,25 @@
 	"guavapier/internal/record"
 )
 
-// machine drives two equal Deciders with one random input and checks that they
-// agree and that each request has one decision.
-type machine struct {
-	d, twin  *Decider
-	now      Time
-	table    []Endpoint
-	leaving  map[string]bool
-	asked    map[RequestID]Request
-	starts   map[RequestID]string
-	inFlight map[string]int
-	lastID   RequestID
+// harness drives two Deciders of the same seed with the same random input and
+// checks that they agree and that each request gets exactly one decision.
+type harness struct {
+	d, twin   *Decider
+	now       Time
+	table     []Endpoint
+	leaving   map[string]bool
+	undecided map[RequestID]Request // Submitted, without a decision and not cancelled.
+	started   map[RequestID]string  // Endpoints of the started requests.
+	inFlight  map[string]int
+	lastID    RequestID
 }
 
-func (m *machine) both(do func(*Decider)) {
+func (m *harness) onBoth(do func(*Decider)) {
 	do(m.d)
 	do(m.twin)
 }
 
-func (m *machine) row(name string) *Endpoint {
+func (m *harness) row(name string) *Endpoint {
 	for i := range m.table {
 		if m.table[i].Name == name {
 			return &m.table[i]
@@ -39,12 +39,13 @@
 	return nil
 }
 
-// drawTable lists any of eight endpoints whose configuration never changes.
-func (m *machine) drawTable(t *rapid.T) {
+// drawTable lists a random subset of eight endpoints whose configuration
+// never changes.
+func (m *harness) drawTable(t *rapid.T) {
 	m.table = nil
 	for i := range 8 {
 		if !rapid.Bool().Draw(t, "listed") {
-			delete(m.leaving, fmt.Sprintf("e%d", i)) // Listed again it comes anew.
+			delete(m.leaving, fmt.Sprintf("e%d", i)) // A removed endpoint that is listed again starts with no announcement.
 			continue
 		}
 		e := Endpoint{Name: fmt.Sprintf("e%d", i), Slots: 1 + i%3, Weight: float64(1 + i%2), Zone: record.Zone(fmt.Sprintf("z%d", i%2))}
@@ -58,10 +59,10 @@
 		e.Leaving = rapid.IntRange(0, 5).Draw(t, "leaving") == 0
 		m.table = append(m.table, e)
 	}
-	m.both(func(d *Decider) { d.SetEndpoints(m.table) })
+	m.onBoth(func(d *Decider) { d.SetEndpoints(m.table) })
 }
 
-func (m *machine) submit(t *rapid.T) {
+func (m *harness) submit(t *rapid.T) {
 	m.lastID++
 	r := Request{
 		ID: m.lastID, Team: record.Team(rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "team")),
@@ -75,24 +76,24 @@
 	if rapid.IntRange(0, 3).Draw(t, "avoids") == 0 {
 		r.Avoid = []string{fmt.Sprintf("e%d", rapid.IntRange(0, 7).Draw(t, "avoid"))}
 	}
-	m.asked[r.ID] = r
-	m.both(func(d *Decider) { d.Submit(r) })
+	m.undecided[r.ID] = r
+	m.onBoth(func(d *Decider) { d.Submit(r) })
 }
 
-func (m *machine) tick(t *rapid.T) {
+func (m *harness) tick(t *rapid.T) {
 	got, other := slices.Clone(m.d.Tick(m.now)), m.twin.Tick(m.now)
 	if len(got)+len(other) > 0 && !reflect.DeepEqual(got, other) {
-		t.Fatalf("same input, other decisions: %v and %v", got, other)
+		t.Fatalf("different decisions for the same input: %v and %v", got, other)
 	}
 	for _, d := range got {
-		r, ok := m.asked[d.Request]
+		r, ok := m.undecided[d.Request]
 		if !ok {
-			t.Fatalf("decided twice, or never asked: %+v", d)
+			t.Fatalf("decision on a request that was decided before or never submitted: %+v", d)
 		}
-		delete(m.asked, d.Request)
+		delete(m.undecided, d.Request)
 		if d.Kind == Refuse {
 			if d.RetryAfter < minRetryAfter || d.RetryAfter > 2*maxRetryAfter {
-				t.Fatalf("retry after %v", d.RetryAfter)
+				t.Fatalf("RetryAfter %v is out of bounds", d.RetryAfter)
 			}
 			continue
 		}
@@ -100,70 +101,74 @@
 	}
 }
 
-func (m *machine) checkStart(t *rapid.T, r Request, name string) {
+// checkStart checks that the endpoint is listed, serves the request and has a
+// free slot, and that the deadline is not over.
+func (m *harness) checkStart(t *rapid.T, r Request, name string) {
 	e := m.row(name)
 	switch {
 	case e == nil || e.Leaving || m.leaving[name]:
-		t.Fatalf("%v: start at %s, which is gone or leaving", m.now, name)
+		t.Fatalf("%v: start at %s, which is not listed or leaves", m.now, name)
 	case slices.Contains(r.Avoid, name) || e.Service != r.Service || e.Team != "" && e.Team != r.Team:
-		t.Fatalf("start of %+v at %+v", r, *e)
+		t.Fatalf("request %+v started at an endpoint that it avoids or that does not serve it: %+v", r, *e)
 	case r.Service == "" && !slices.Contains(e.Models, r.Model):
-		t.Fatalf("model %s at %+v", r.Model, *e)
+		t.Fatalf("request for model %s started at %+v, which does not serve it", r.Model, *e)
 	case m.now >= r.Deadline:
-		t.Fatalf("start of %+v at %v", r, m.now)
+		t.Fatalf("request %+v started at %v, after its deadline", r, m.now)
 	}
-	m.starts[r.ID] = name
+	m.started[r.ID] = name
 	m.inFlight[name]++
 	if m.inFlight[name] > e.Slots {
-		t.Fatalf("%s runs %d on %d slots", name, m.inFlight[name], e.Slots)
+		t.Fatalf("%s runs %d requests in %d slots", name, m.inFlight[name], e.Slots)
 	}
 }
 
-func (m *machine) finish(t *rapid.T) {
-	if len(m.starts) == 0 {
+func (m *harness) finish(t *rapid.T) {
+	if len(m.started) == 0 {
 		return
 	}
-	ids := make([]RequestID, 0, len(m.starts))
-	for id := range m.starts {
+	ids := make([]RequestID, 0, len(m.started))
+	for id := range m.started {
 		ids = append(ids, id)
 	}
 	slices.Sort(ids)
 	id := rapid.SampledFrom(ids).Draw(t, "finished")
 	r := Result{
 		Total: time.Duration(rapid.IntRange(0, 9000).Draw(t, "total")) * time.Millisecond, Tokens: rapid.IntRange(0, 500).Draw(t, "tokens"),
-		Failed: rapid.IntRange(0, 2).Draw(t, "failed") == 0, Silent: rapid.Bool().Draw(t, "silent"),
+		Failed: rapid.IntRange(0, 2).Draw(t, "failed") == 0, Stalled: rapid.Bool().Draw(t, "silent"),
 	}
 	r.FirstToken = r.Total / 2
-	m.inFlight[m.starts[id]]--
-	delete(m.starts, id)
-	m.both(func(d *Decider) { d.Finish(id, r) })
+	m.inFlight[m.started[id]]--
+	delete(m.started, id)
+	m.onBoth(func(d *Decider) { d.Finish(id, r) })
 }
 
-func (m *machine) cancel(t *rapid.T) {
+func (m *harness) cancel(t *rapid.T) {
 	id := RequestID(rapid.Uint64Range(0, uint64(m.lastID)).Draw(t, "cancelled"))
-	delete(m.asked, id)
-	m.both(func(d *Decider) { d.Cancel(id) })
+	delete(m.undecided, id)
+	m.onBoth(func(d *Decider) { d.Cancel(id) })
 }
 
-func (m *machine) report(t *rapid.T) {
+func (m *harness) report(t *rapid.T) {
 	name := fmt.Sprintf("e%d", rapid.IntRange(0, 7).Draw(t, "endpoint"))
 	if rapid.IntRange(0, 5).Draw(t, "leaves") == 0 {
 		m.leaving[name] = m.row(name) != nil
-		m.both(func(d *Decider) { d.SetLeaving(name) })
+		m.onBoth(func(d *Decider) { d.SetLeaving(name) })
 		return
 	}
-	r := Report{Running: rapid.IntRange(0, 5).Draw(t, "running"), Queued: rapid.IntRange(0, 7).Draw(t, "queued"), At: m.now}
-	m.both(func(d *Decider) { d.SetReport(name, r); d.SetCached(name, "s", r.Running) })
+	r := LoadReport{Running: rapid.IntRange(0, 5).Draw(t, "running"), Queued: rapid.IntRange(0, 7).Draw(t, "queued"), At: m.now}
+	m.onBoth(func(d *Decider) { d.SetLoadReport(name, r); d.SetCached(name, "s", r.Running) })
 }
 
-// TestAnyInput: same input same output; each request is decided once, none is
-// lost, none starts where or when it may not; slots are never exceeded.
+// TestAnyInput checks for any input that the same seed and input give the
+// same decisions; that each request is decided exactly once; that none starts
+// at an endpoint that may not take it or after its deadline; and that an
+// endpoint never runs more requests than it has slots.
 func TestAnyInput(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		opts := Options{Seed: rapid.Uint64().Draw(t, "seed"), Zone: "z0"}
-		m := &machine{
-			d: New(opts), twin: New(opts), leaving: map[string]bool{}, asked: map[RequestID]Request{},
-			starts: map[RequestID]string{}, inFlight: map[string]int{},
+		m := &harness{
+			d: New(opts), twin: New(opts), leaving: map[string]bool{}, undecided: map[RequestID]Request{},
+			started: map[RequestID]string{}, inFlight: map[string]int{},
 		}
 		m.drawTable(t)
 		steps := []func(*rapid.T){m.submit, m.submit, m.submit, m.tick, m.tick, m.finish, m.finish, m.cancel, m.report, m.report}
@@ -171,17 +176,17 @@
 			m.now += time.Duration(rapid.IntRange(0, 300).Draw(t, "ms")) * time.Millisecond
 			if n := rapid.IntRange(0, len(steps)).Draw(t, "step"); n < len(steps) {
 				steps[n](t)
-			} else if m.now < leavingHold {
+			} else if m.now < selfLeavingTTL {
 				m.drawTable(t)
 			}
 		}
 		m.now += 10 * time.Second
 		m.tick(t)
-		if len(m.asked) > 0 || m.d.Queued() > 0 {
-			t.Fatalf("%d requests without a decision, %d queued", len(m.asked), m.d.Queued())
+		if len(m.undecided) > 0 || m.d.Queued() > 0 {
+			t.Fatalf("%d requests without a decision, %d queued", len(m.undecided), m.d.Queued())
 		}
-		if m.d.Running() != len(m.starts) {
-			t.Fatalf("%d running, %d started", m.d.Running(), len(m.starts))
+		if m.d.Running() != len(m.started) {
+			t.Fatalf("the Decider counts %d running requests, the test %d", m.d.Running(), len(m.started))
 		}
 	})
 }
--- a/internal/decide/row.go
+++ b/internal/decide/row.go
@@ -1,65 +1,67 @@
 package decide
 
-// The index fields of a requestRow, one for each heap it is in.
+// The elements of requestRow.heapIndex, one for each heap that a row is in.
 const (
 	expiryIndex = iota
 	teamIndex
-	parkIndex
+	blockedIndex
 	heapCount
 )
 
-// requestRow is one request, from Submit to its refusal or Finish.
+// requestRow is one request, from Submit until its refusal or Finish.
 type requestRow struct {
 	Request
 	class       int
 	sessionHash uint64
 	pool        *pool // Nil until admitted.
-	team        *teamQueue
-	index       [heapCount]int
+	queue       *teamQueue
+	heapIndex   [heapCount]int // The row's position in each heap.
 	cancelled   bool
-	parked      *rowHeap // Where it is parked; nil while it is in the order.
-	parkedAt    Time
+	waitList    *rowHeap // Where it is blocked; nil while it is in the order.
+	blockedAt   Time
 
-	submitted   Time
+	submittedAt Time
+	// latestStart is when it is too late to start the row.
 	latestStart Time
-	// ahead is how many requests were before it at admission, and startedThen
-	// the pool's count of starts at that time.
-	ahead       float64
-	startedThen uint64
-	// home is where the row is expected to run, from its admission on; nil if
-	// any endpoint will do.
-	home *endpointRow
-	// rank holds the session's endpoints by rendezvous score, for the
+	// aheadAtAdmission is how many requests were predicted to start before it at
+	// admission, and startsAtAdmission the pool's count of starts at that time.
+	aheadAtAdmission  float64
+	startsAtAdmission uint64
+	// preferred is the endpoint where the row is expected to run, set at
+	// admission; nil if any endpoint will do.
+	preferred *endpointRow
+	// rank holds the session's first endpoints by rendezvous score, from the
 	// endpoint table of rankGeneration.
 	rank           [rankSize]*endpointRow
 	rankGeneration uint64
 
-	// Set by start.
-	endpoint   *endpointRow
-	startedAt  Time
-	answered   bool    // Its first token came.
-	uncached   float64 // Prompt tokens expected to be computed.
-	prefillDue float64 // Uncached tokens in the endpoint, its own included.
-	span       float64 // Seconds from start to end that its peers would take.
-	expected   float64 // Seconds to the first token, without delay.
+	// The fields below are set when the row starts.
+	endpoint           *endpointRow
+	startedAt          Time
+	firstTokenSeen     bool    // Its first token was recorded, or it ended.
+	uncached           float64 // Prompt tokens expected to be computed.
+	prefillBacklog     float64 // Uncached tokens at the endpoint at its start, its own included.
+	expectedDuration   float64 // Seconds; see pool.expectedDuration.
+	expectedFirstToken float64 // Seconds to the first token, without the observed delay.
 }
 
-// cost is the work of a request in tokens, for fair shares. A prompt token
-// takes about a tenth of a generated one on an engine, and each request has a
-// fixed part. It must be positive, or a team could run without being charged.
+// cost returns the work of a request in tokens, for the fair shares. A prompt
+// token takes about a tenth of the time of a generated one, and each request
+// has a fixed part. It must be positive, or a team could start requests
+// without being charged.
 func (r *requestRow) cost() float64 {
 	const perRequest, promptPart = 32, 0.1
 	return perRequest + promptPart*float64(max(r.PromptTokens, 0)) + float64(max(r.MaxTokens, 0))
 }
 
-// attempt returns which start of the request this would be, from 1.
-func (r *requestRow) attempt() int { return max(r.Attempt, len(r.Avoid)+1) }
+// attemptNumber returns the number of the request's next start, from 1.
+func (r *requestRow) attemptNumber() int { return max(r.Attempt, len(r.Avoid)+1) }
 
-// rowHeap is a heap.Interface of rows by latest start, ties by identity, so
-// that the order is total.
+// rowHeap is a heap.Interface of rows by latestStart, and by ID where that is
+// equal, so that the order is total.
 type rowHeap struct {
-	rows  []*requestRow
-	index int // Which of the row's index fields this heap keeps.
+	rows       []*requestRow
+	indexField int // The element of requestRow.heapIndex that this heap maintains.
 }
 
 func (h *rowHeap) Len() int { return len(h.rows) }
@@ -74,14 +76,14 @@
 
 func (h *rowHeap) Swap(i, j int) {
 	h.rows[i], h.rows[j] = h.rows[j], h.rows[i]
-	h.rows[i].index[h.index] = i
-	h.rows[j].index[h.index] = j
+	h.rows[i].heapIndex[h.indexField] = i
+	h.rows[j].heapIndex[h.indexField] = j
 }
 
 // Push implements heap.Interface.
 func (h *rowHeap) Push(x any) {
 	row := x.(*requestRow)
-	row.index[h.index] = len(h.rows)
+	row.heapIndex[h.indexField] = len(h.rows)
 	h.rows = append(h.rows, row)
 }
 
--- a/internal/decide/shift_test.go
+++ b/internal/decide/shift_test.go
@@ -8,8 +8,9 @@
 	"time"
 )
 
-// drive submits one request and returns its decision.
-func drive(d *Decider, now Time, id RequestID, change func(*Request)) Decision {
+// submitAndTick submits one request and returns its decision from the next
+// tick.
+func submitAndTick(d *Decider, now Time, id RequestID, change func(*Request)) Decision {
 	r := Request{ID: id, Model: "m", Priority: PriorityInteractive, Deadline: now + 10*time.Second, Repeatable: true}
 	change(&r)
 	d.Submit(r)
@@ -21,17 +22,18 @@
 	return Decision{}
 }
 
-// TestServiceComesBack: an endpoint that failed gets no calls, but it comes back
-// although no call of its service may be repeated.
+// TestServiceComesBack checks that a failing endpoint of a plain service gets
+// no calls, and that it gets them again later although none of them may be
+// repeated and so none can be a probe.
 func TestServiceComesBack(t *testing.T) {
 	d := New(Options{Seed: 1})
 	d.SetEndpoints([]Endpoint{{Name: "a", Service: "rig", Slots: 4, Weight: 1}, {Name: "b", Service: "rig", Slots: 4, Weight: 1}})
 	counts := map[string]map[string]int{"early": {}, "out": {}, "late": {}}
 	for i := range 3000 {
 		now := Time(i) * 100 * time.Millisecond
-		got := drive(d, now, RequestID(i+1), func(r *Request) { r.Service, r.Repeatable = "rig", false })
+		got := submitAndTick(d, now, RequestID(i+1), func(r *Request) { r.Service, r.Repeatable = "rig", false })
 		if got.Kind != Start {
-			t.Fatalf("%v: %+v", now, got)
+			t.Fatalf("%v: call not started: %+v", now, got)
 		}
 		failing := now < 20*time.Second && got.Endpoint == "a"
 		d.Finish(got.Request, Result{Total: 5 * time.Millisecond, Failed: failing})
@@ -44,20 +46,20 @@
 			counts["late"][got.Endpoint]++
 		}
 	}
-	if counts["early"]["a"] < failuresToEject || counts["out"]["a"] > 1 || counts["late"]["a"] < 200 {
-		t.Fatalf("starts: %v", counts)
+	if counts["early"]["a"] < maxConsecutiveFailures || counts["out"]["a"] > 1 || counts["late"]["a"] < 200 {
+		t.Fatalf("starts by time and endpoint: %v", counts)
 	}
 }
 
-// TestRetryBudget: retries stay a small share of first tries, but the death of
-// one endpoint is covered.
+// TestRetryBudget checks that retries stay a small share of the first
+// attempts, beyond a burst that covers the failure of one endpoint.
 func TestRetryBudget(t *testing.T) {
 	d := New(Options{Seed: 1})
 	d.SetEndpoints([]Endpoint{{Name: "a", Models: []string{"m"}, Slots: 8, Weight: 1}, {Name: "b", Models: []string{"m"}, Slots: 8, Weight: 1}})
 	allowed, last := 0, Decision{}
 	for i := range 1000 {
 		retry := i%2 == 1
-		got := drive(d, Time(i)*time.Millisecond, RequestID(i+1), func(r *Request) {
+		got := submitAndTick(d, Time(i)*time.Millisecond, RequestID(i+1), func(r *Request) {
 			if retry {
 				r.Avoid = []string{"b"}
 			}
@@ -75,17 +77,19 @@
 	}
 }
 
-// TestSeconds: a wait too long for a duration stays a long one.
+// TestSeconds checks that a prediction too long for time.Duration does not
+// overflow to a negative one.
 func TestSeconds(t *testing.T) {
-	for s, want := range map[float64]time.Duration{0: 0, 1.5: 1500 * time.Millisecond, 1e12: longest, math.Inf(1): longest, math.NaN(): longest} {
+	for s, want := range map[float64]time.Duration{0: 0, 1.5: 1500 * time.Millisecond, 1e12: maxPrediction, math.Inf(1): maxPrediction, math.NaN(): maxPrediction} {
 		if got := seconds(s); got != want {
 			t.Errorf("seconds(%v) = %v, want %v", s, got, want)
 		}
 	}
 }
 
-// TestReturnsAreSpread: the callers of a burst that is refused are told to come
-// back one after the other, behind what is queued.
+// TestReturnsAreSpread checks that callers who are refused together get
+// different times to retry, one after the other. With the same time they
+// would be refused together again.
 func TestReturnsAreSpread(t *testing.T) {
 	d := New(Options{Seed: 1})
 	d.SetEndpoints([]Endpoint{{Name: "a", Models: []string{"m"}, Slots: 2, Weight: 1}})
@@ -100,9 +104,9 @@
 	}
 	slices.Sort(after)
 	if len(after) < 90 || len(slices.Compact(slices.Clone(after))) != len(after) {
-		t.Fatalf("%d refused at once, after %v", len(after), after)
+		t.Fatalf("%d requests refused at once, want 90 or more with different RetryAfter: %v", len(after), after)
 	}
 	if spread := after[len(after)-1] - after[0]; spread < 10*time.Second {
-		t.Fatal(fmt.Sprint("all come back within ", spread))
+		t.Fatal(fmt.Sprint("all callers are to retry within ", spread))
 	}
 }
--- a/internal/decide/tick_bench_test.go
+++ b/internal/decide/tick_bench_test.go
@@ -8,8 +8,9 @@
 	"guavapier/internal/record"
 )
 
-// BenchmarkTick runs a saturated Decider: each operation ends one request,
-// submits one and ticks, which starts one. Slots and queue stay full.
+// BenchmarkTick measures a saturated Decider: each operation finishes one
+// request, submits one and ticks, which starts one. The slots and the queue
+// stay full.
 func BenchmarkTick(b *testing.B) {
 	for _, endpoints := range []int{22, 100, 640} {
 		for _, queued := range []int{1_000, 10_000} {
@@ -20,18 +21,19 @@
 	}
 }
 
-// saturate fills endpoints of eight slots and a queue, with twenty teams.
-type saturated struct {
-	d       *Decider
-	now     Time
-	last    RequestID
-	running []RequestID // In the order of their starts, from next on.
-	next    int
-	ids     []record.SessionID
+// saturatedDecider drives a Decider whose endpoints of eight slots are all
+// busy and whose queue is full, with requests of twenty teams.
+type saturatedDecider struct {
+	d          *Decider
+	now        Time
+	lastID     RequestID
+	running    []RequestID // In the order of their starts, from index nextFinish on.
+	nextFinish int
+	sessions   []record.SessionID
 }
 
-func newSaturated(endpoints int) *saturated {
-	s := &saturated{d: New(Options{Seed: 1, Zone: "z0"})}
+func newSaturated(endpoints int) *saturatedDecider {
+	s := &saturatedDecider{d: New(Options{Seed: 1, Zone: "z0"})}
 	var table []Endpoint
 	for i := range endpoints {
 		table = append(table, Endpoint{
@@ -41,22 +43,22 @@
 	}
 	s.d.SetEndpoints(table)
 	for i := range 1 << 14 {
-		s.ids = append(s.ids, record.SessionID(fmt.Sprintf("s%d", i)))
+		s.sessions = append(s.sessions, record.SessionID(fmt.Sprintf("s%d", i)))
 	}
 	return s
 }
 
 var benchTeams = []record.Team{"a", "b", "c", "d", "e", "f", "g", "h", "i", "j", "k", "l", "m", "n", "o", "p", "q", "r", "s", "t"}
 
-func (s *saturated) submit() {
-	s.last++
+func (s *saturatedDecider) submit() {
+	s.lastID++
 	s.d.Submit(Request{
-		ID: s.last, Team: benchTeams[int(s.last)%len(benchTeams)], Session: s.ids[mix(uint64(s.last))%uint64(len(s.ids))],
+		ID: s.lastID, Team: benchTeams[int(s.lastID)%len(benchTeams)], Session: s.sessions[mix64(uint64(s.lastID))%uint64(len(s.sessions))],
 		Model: "m", Priority: PriorityInteractive, Deadline: s.now + 24*time.Hour, PromptTokens: 4000, MaxTokens: 128,
 	})
 }
 
-func (s *saturated) tick() int {
+func (s *saturatedDecider) tick() int {
 	s.now += time.Millisecond
 	starts := 0
 	for _, d := range s.d.Tick(s.now) {
@@ -68,12 +70,12 @@
 	return starts
 }
 
-func (s *saturated) finish() {
-	s.d.Finish(s.running[s.next], Result{FirstToken: 50 * time.Millisecond, Total: 2 * time.Second, Tokens: 128, Cached: 3500})
-	s.next++
-	if s.next == 1<<16 {
-		s.running = append(s.running[:0], s.running[s.next:]...)
-		s.next = 0
+func (s *saturatedDecider) finish() {
+	s.d.Finish(s.running[s.nextFinish], Result{FirstToken: 50 * time.Millisecond, Total: 2 * time.Second, Tokens: 128, Cached: 3500})
+	s.nextFinish++
+	if s.nextFinish == 1<<16 {
+		s.running = append(s.running[:0], s.running[s.nextFinish:]...)
+		s.nextFinish = 0
 	}
 }
 
@@ -84,7 +86,7 @@
 			s.submit()
 		}
 		if s.tick() == 0 && s.d.Queued() >= queued {
-			break // What is free is free for others' sessions.
+			break // The free slots are kept for the sessions of others.
 		}
 	}
 	s.running = append(make([]RequestID, 0, 1<<18), s.running...)
@@ -100,8 +102,8 @@
 	b.ReportMetric(float64(s.d.Queued()), "queued")
 }
 
-// BenchmarkIdleTick ticks a Decider without requests every two milliseconds of
-// its time, as package dispatch does.
+// BenchmarkIdleTick ticks a Decider without requests every two milliseconds
+// of its time, the interval of package dispatch while requests wait.
 func BenchmarkIdleTick(b *testing.B) {
 	for _, endpoints := range []int{22, 100, 640} {
 		b.Run(fmt.Sprintf("endpoints=%d", endpoints), func(b *testing.B) {
--- a/internal/decide/usage.go
+++ b/internal/decide/usage.go
@@ -7,78 +7,81 @@
 	"guavapier/internal/record"
 )
 
-// usage is what a team started in a pool of late, as a decaying sum of costs.
-type usage struct {
-	team   record.Team
-	cost   float64
-	weight float64
-	at     Time
+// teamUsage is the cost of what a team started in a pool recently, as a sum
+// that decays exponentially.
+type teamUsage struct {
+	team      record.Team
+	cost      float64 // In tokens, at updatedAt; see requestRow.cost.
+	weight    float64
+	updatedAt Time
 }
 
-// usageTable knows each team's share of a pool's work. Its rows are few: a
-// team without work for a minute is dropped.
+// usageTable holds each team's share of a pool's recent work. A team that
+// started nothing for a minute is dropped, so the rows are few.
 type usageTable struct {
-	rows    []usage
-	byTeam  map[record.Team]int
-	total   float64
-	totalAt Time
-	weights float64 // Sum over the rows.
+	rows      []teamUsage
+	rowByTeam map[record.Team]int // Index in rows.
+	costSum   float64             // Decaying cost of all teams, at costSumAt.
+	costSumAt Time
+	weightSum float64 // Sum of the rows' weights.
 }
 
 const (
 	// usageHalfLife makes shares follow demand within seconds, but not single
 	// requests.
 	usageHalfLife = 5 * time.Second
-	// usageForget is when a team's row is dropped.
-	usageForget = 12 * usageHalfLife
+	// teamUsageTTL is the time without a start after which a team is dropped.
+	teamUsageTTL = 12 * usageHalfLife
 )
 
+// decayed returns what is left of v after the given time.
 func decayed(v float64, since time.Duration) float64 {
 	return v * math.Exp2(-float64(since)/float64(usageHalfLife))
 }
 
 // add counts a start.
 func (t *usageTable) add(team record.Team, weight, cost float64, now Time) {
-	i, ok := t.byTeam[team]
+	i, ok := t.rowByTeam[team]
 	if !ok {
 		i = len(t.rows)
-		t.rows = append(t.rows, usage{team: team, at: now})
-		t.byTeam[team] = i
+		t.rows = append(t.rows, teamUsage{team: team, updatedAt: now})
+		t.rowByTeam[team] = i
 	}
 	row := &t.rows[i]
-	t.weights += weight - row.weight
+	t.weightSum += weight - row.weight
 	row.weight = weight
-	row.cost = decayed(row.cost, now-row.at) + cost
-	row.at = now
-	t.total = decayed(t.total, now-t.totalAt) + cost
-	t.totalAt = now
+	row.cost = decayed(row.cost, now-row.updatedAt) + cost
+	row.updatedAt = now
+	t.costSum = decayed(t.costSum, now-t.costSumAt) + cost
+	t.costSumAt = now
 }
 
-// forget drops rows of teams without work, a few in each call.
-func (t *usageTable) forget(now Time) {
+// dropIdle drops the rows of teams that started nothing for teamUsageTTL.
+func (t *usageTable) dropIdle(now Time) {
 	for i := len(t.rows) - 1; i >= 0; i-- {
-		if now-t.rows[i].at < usageForget {
+		if now-t.rows[i].updatedAt < teamUsageTTL {
 			continue
 		}
-		t.weights -= t.rows[i].weight
-		delete(t.byTeam, t.rows[i].team)
+		t.weightSum -= t.rows[i].weight
+		delete(t.rowByTeam, t.rows[i].team)
 		last := len(t.rows) - 1
 		if i != last {
 			t.rows[i] = t.rows[last]
-			t.byTeam[t.rows[i].team] = i
+			t.rowByTeam[t.rows[i].team] = i
 		}
 		t.rows = t.rows[:last]
 	}
 }
 
-// over returns a team's part of the recent work against its part of the
-// weights: 1 is its fair share, 0 a team that had nothing.
-func (t *usageTable) over(team record.Team, weight float64, now Time) float64 {
-	i, ok := t.byTeam[team]
-	total := decayed(t.total, now-t.totalAt)
+// fairShareRatio returns a team's share of the recent work divided by its
+// share of the weights: 1 is its fair share, and 0 a team that started
+// nothing.
+func (t *usageTable) fairShareRatio(team record.Team, weight float64, now Time) float64 {
+	i, ok := t.rowByTeam[team]
+	total := decayed(t.costSum, now-t.costSumAt)
 	if !ok || total <= 0 {
 		return 0
 	}
-	part := decayed(t.rows[i].cost, now-t.rows[i].at) / total
-	return part * max(t.weights, weight) / weight
+	share := decayed(t.rows[i].cost, now-t.rows[i].updatedAt) / total
+	return share * max(t.weightSum, weight) / weight
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -98,7 +98,7 @@
 	loadReporter     *loadReporter
 	peerPool         *peer.Pool   // Calls to other instances.
 	peerServer       *peer.Server // Calls from other instances.
-	retryLimiter     *retry.Keeper
+	retryLimiter     *retry.Limiter
 	quarantine       *quarantine.Keeper // Requests that must not be sent to endpoints.
 	linkMeter        linkload.Meter
 	linkShedder      *linkload.Shedder
@@ -123,7 +123,7 @@
 	g := &Gateway{
 		settings: s, platform: p, log: log, sampledLog: log.Sample(p.Thin), clock: clock, metrics: metrics.New(), tables: state.New(),
 		linkShedder: linkload.NewShedder(s.Gateway.LinkMbps),
-		retryLimiter: retry.NewKeeper(retry.Budget{
+		retryLimiter: retry.NewLimiter(retry.Budget{
 			Ratio: s.Retries.Ratio, Extra: float64(s.Retries.Extra), Window: s.Retries.Window.D(),
 		}, initialInstanceCount),
 	}
--- a/internal/run/meter.go
+++ b/internal/run/meter.go
@@ -24,7 +24,7 @@
 func (m *meter) token() {
 	if m.result.Tokens == 0 {
 		m.result.FirstToken = time.Since(m.began)
-		m.placement.FirstToken(m.result.FirstToken)
+		m.placement.ObserveFirstToken(m.result.FirstToken)
 	}
 	m.result.Tokens++
 }
@@ -35,7 +35,7 @@
 	m.result.Total = time.Since(m.began)
 	m.result.Failed = err != nil
 	m.result.Abandoned = err != nil && ctx.Err() != nil
-	m.result.Silent = errors.Is(err, endpoint.ErrSilent) || errors.Is(err, errStalled)
+	m.result.Stalled = errors.Is(err, endpoint.ErrSilent) || errors.Is(err, errStalled)
 	m.placement.Done(m.result)
 }
 
