--- a/internal/callers/conn.go
+++ b/internal/callers/conn.go
@@ -65,7 +65,7 @@
 		n, err = c.lookAgain(p)
 	}
 	if n > 0 {
-		c.meter.Read(n)
+		c.meter.CountReceived(n)
 		c.hasRead()
 	}
 	return n, err
@@ -90,7 +90,7 @@
 	c.unanswered = time.Time{}
 	c.mu.Unlock()
 	n, err := c.tcp.Write(p)
-	c.meter.Written(n)
+	c.meter.CountSent(n)
 	return n, err
 }
 
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -125,7 +125,7 @@
 		return nil, err
 	}
 	g.pool = upstream.NewPool(upstream.Options{
-		DialWithin: dialWithin, DialLast: dialLast, IdleFor: idleFor, Dial: g.meter.Dial(upstream.TCP(silentFor)),
+		DialWithin: dialWithin, DialLast: dialLast, IdleFor: idleFor, Dial: g.meter.WrapDial(upstream.TCP(silentFor)),
 	})
 	g.conns = callers.New(g.callers.(*net.TCPListener), idleCallers, &g.meter)
 	p.Store = countedStore{p.Store, g.metrics}
@@ -213,17 +213,17 @@
 // isReady says whether the instance takes callers. Once it was ready it stays
 // so while the store is away: it goes on from what it knows.
 func (g *Gateway) isReady() bool {
-	return !g.draining.Load() && !g.shedder.Sheds() && !g.outdated() && g.config.Load() != nil && g.endpoints.loaded.Load() && g.keeper.Loaded() && g.held.Loaded()
+	return !g.draining.Load() && !g.shedder.IsShedding() && !g.outdated() && g.config.Load() != nil && g.endpoints.loaded.Load() && g.keeper.Loaded() && g.held.Loaded()
 }
 
 // sendsAway says whether answers ask callers to leave their connections.
 func (g *Gateway) sendsAway() bool {
-	return g.draining.Load() || g.outdated() || g.shedder.SendsAway(g.clock())
+	return g.draining.Load() || g.outdated() || g.shedder.ShouldCloseConnections(g.clock())
 }
 
 // outdated says whether this instance knows less than others that its callers can reach.
 func (g *Gateway) outdated() bool {
-	crowded := g.shedder.Crowded()
+	crowded := g.shedder.IsCongested()
 	return g.stateFresh.outdated(crowded) || g.endpoints.fresh.outdated(crowded)
 }
 
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -59,10 +59,10 @@
 
 // watchLink sends callers elsewhere while the link is nearly full.
 func (g *Gateway) watchLink() {
-	if !g.shedder.Look(g.meter.Total(), g.clock()) {
+	if !g.shedder.Sample(g.meter.Total(), g.clock()) {
 		return
 	}
-	g.log.Warn().Bool("sheds", g.shedder.Sheds()).Float64("load", g.shedder.Load()).
+	g.log.Warn().Bool("sheds", g.shedder.IsShedding()).Float64("load", g.shedder.Load()).
 		Msg("gateway: callers sent elsewhere, or taken again, for the load of the link")
 }
 
--- a/internal/linkload/meter.go
+++ b/internal/linkload/meter.go
@@ -15,55 +15,55 @@
 	in, out atomic.Int64
 }
 
-// Read counts bytes that came in.
-func (m *Meter) Read(n int) {
+// CountReceived counts bytes that came in.
+func (m *Meter) CountReceived(n int) {
 	if m != nil {
 		m.in.Add(int64(n))
 	}
 }
 
-// Written counts bytes that went out.
-func (m *Meter) Written(n int) {
+// CountSent counts bytes that went out.
+func (m *Meter) CountSent(n int) {
 	if m != nil {
 		m.out.Add(int64(n))
 	}
 }
 
 // Total returns the bytes since the start.
-func (m *Meter) Total() Bytes { return Bytes{In: m.in.Load(), Out: m.out.Load()} }
+func (m *Meter) Total() ByteCounts { return ByteCounts{In: m.in.Load(), Out: m.out.Load()} }
 
-// Bytes are counts by direction.
-type Bytes struct {
+// ByteCounts are counts by direction.
+type ByteCounts struct {
 	In, Out int64
 }
 
-// Dial counts the bytes of the connections that next makes.
-func (m *Meter) Dial(next dial.Func) dial.Func {
+// WrapDial counts the bytes of the connections that next makes.
+func (m *Meter) WrapDial(next dial.Func) dial.Func {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		c, err := next(ctx, network, address)
 		if err != nil {
 			return nil, err
 		}
-		return &conn{Conn: c, meter: m}, nil
+		return &countingConn{Conn: c, meter: m}, nil
 	}
 }
 
-// conn is a connection whose bytes are counted.
-type conn struct {
+// countingConn is a connection whose bytes are counted.
+type countingConn struct {
 	net.Conn
 	meter *Meter
 }
 
 // Read implements net.Conn.
-func (c *conn) Read(p []byte) (int, error) {
+func (c *countingConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	c.meter.Read(n)
+	c.meter.CountReceived(n)
 	return n, err
 }
 
 // Write implements net.Conn.
-func (c *conn) Write(p []byte) (int, error) {
+func (c *countingConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
-	c.meter.Written(n)
+	c.meter.CountSent(n)
 	return n, err
 }
