--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -55,7 +55,7 @@
 // attempt places the request and sends it to one endpoint.
 func (c *call) attempt(ctx context.Context) attemptResult {
 	ticket := c.f.Endpoints.Place(placement.Query{
-		Service: c.service, Zone: c.f.Zone, Parts: c.Parts, Avoid: c.tried,
+		Service: c.service, Zone: c.f.Zone, Parts: c.Parts, Exclude: c.tried,
 	}, c.f.Clock())
 	if ticket == nil {
 		return attemptResult{reason: ReasonNoEndpoint, none: true}
@@ -76,7 +76,7 @@
 		return result
 	}
 	defer answer.Close()
-	ticket.Begun(c.f.Clock(), isSuccess(answer.Status))
+	ticket.OnAnswerStart(c.f.Clock(), isSuccess(answer.Status))
 	result := c.take(ctx, answer)
 	c.logAttempt(ticket, result, answer.Status, began)
 	c.learn(ctx, ticket, result, began)
@@ -90,7 +90,7 @@
 }
 
 // learn tells the quarantine what the attempt says of the request.
-func (c *call) learn(ctx context.Context, k *placement.Ticket, r attemptResult, began time.Time) {
+func (c *call) learn(ctx context.Context, k *placement.Assignment, r attemptResult, began time.Time) {
 	switch {
 	case r.final:
 		c.f.Quarantine.Answered(c.content())
@@ -111,7 +111,7 @@
 	return context.WithTimeout(ctx, max(slowAnswer*c.route.Target, slowAnswerLeast))
 }
 
-func (c *call) outgoing(k *placement.Ticket) *upstream.Outgoing {
+func (c *call) outgoing(k *placement.Assignment) *upstream.Outgoing {
 	last := c.lastID
 	if last == "" {
 		last = c.LastEvent
@@ -120,7 +120,7 @@
 		Method: c.Method, Target: c.Target, Host: c.Host, Body: c.body,
 		Header: c.f.Codec.Attempt(&c.Request, Attempt{
 			Endpoint: k.Endpoint.ID, Organisation: c.team(), Left: time.Until(c.deadline),
-			Urgency: c.config.Urgency(c.route, c.org, sizeOf(k.Work, c.route.Target)), LastEvent: last, FetchFrom: k.FetchFrom,
+			Urgency: c.config.Urgency(c.route, c.org, sizeOf(k.PrefillTime, c.route.Target)), LastEvent: last, FetchFrom: k.FetchFrom,
 		}),
 		Own: c.owns,
 	}
--- a/internal/forward/ending_test.go
+++ b/internal/forward/ending_test.go
@@ -78,7 +78,7 @@
 		Codec: plainCodec{}, State: func() *route.Config { return config }, Budgets: slowBudgets{wait},
 		Endpoints: placement.New(1), Retries: retry.NewKeeper(retry.Budget{}, 1), Quarantine: openQuarantine{}, Pool: upstream.NewPool(upstream.Options{}),
 		Clock: func() time.Duration { return time.Since(now) }, SendsAway: func() bool { return true }, Outdated: func() bool { return false }, Ends: ends, Cut: func() bool { return false },
-		Log: zerolog.Nop(), Observe: func(forward.Event) {}, Placed: func(*placement.Ticket) {},
+		Log: zerolog.Nop(), Observe: func(forward.Event) {}, Placed: func(*placement.Assignment) {},
 	}
 }
 
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -62,7 +62,7 @@
 	Log     zerolog.Logger
 	Observe func(Event)
 	// Placed is told of each attempt that is about to be sent.
-	Placed func(*placement.Ticket)
+	Placed func(*placement.Assignment)
 }
 
 // Event is a request's end, for metrics.
--- a/internal/forward/log.go
+++ b/internal/forward/log.go
@@ -24,7 +24,7 @@
 // logAttempt writes the attempt's line: what chose the endpoint and how it
 // ended. Those that gave the final answer in time are the bulk, and only for
 // debugging.
-func (c *call) logAttempt(k *placement.Ticket, r attemptResult, status int, began time.Time) {
+func (c *call) logAttempt(k *placement.Assignment, r attemptResult, status int, began time.Time) {
 	level := zerolog.InfoLevel
 	if r.final && !c.late() {
 		level = zerolog.DebugLevel
@@ -37,7 +37,7 @@
 		line.Stringer("content", c.content().Fingerprint())
 	}
 	line.Str("request", c.ID).Int("attempt", c.attempts).Str("endpoint", k.Endpoint.ID).
-		Str("address", k.Endpoint.Address).Str("zone", k.Endpoint.Zone).Float64("cost_ms", k.Cost).Float64("missing_tokens", k.Missing).
+		Str("address", k.Endpoint.Address).Str("zone", k.Endpoint.Zone).Float64("cost_ms", k.Cost).Float64("missing_tokens", k.MissingTokens).
 		Int("in_flight", k.InFlight).Str("fetch", k.FetchFrom).Int("status", status).Str("reason", string(r.reason)).Bool("may_have_run", c.mayRun).
 		Dur("took", time.Since(began)).AnErr("error", r.err).Msg("forward: attempt ended")
 }
--- a/internal/gateway/loads.go
+++ b/internal/gateway/loads.go
@@ -66,8 +66,8 @@
 func (l *loads) Tell(args TellArgs, _ *TellReply) error {
 	now := l.clock()
 	for _, b := range args.Sent {
-		l.table.Busy(b.Endpoint, min(max(b.Work, 0), time.Minute), now)
-		l.table.Sent(b.Endpoint, b.Parts, now)
+		l.table.RecordRemotePrefill(b.Endpoint, min(max(b.Work, 0), time.Minute), now)
+		l.table.RecordRemoteParts(b.Endpoint, b.Parts, now)
 	}
 	return nil
 }
@@ -75,13 +75,13 @@
 // placed notes an attempt that is about to be sent. In a large fleet nothing is told:
 // calls would grow with the square of its size, and each instance sends too little for
 // its news to matter.
-func (l *loads) placed(k *placement.Ticket) {
+func (l *loads) placed(k *placement.Assignment) {
 	if l.book.Pooled() {
 		return
 	}
-	told := SentPrompt{Endpoint: k.Endpoint.ID, Parts: k.News}
-	if k.Work >= worthTelling {
-		told.Work = k.Work
+	told := SentPrompt{Endpoint: k.Endpoint.ID, Parts: k.PartsToAnnounce}
+	if k.PrefillTime >= worthTelling {
+		told.Work = k.PrefillTime
 	}
 	if told.Work == 0 && len(told.Parts) == 0 {
 		return
--- a/internal/gateway/loads_test.go
+++ b/internal/gateway/loads_test.go
@@ -57,8 +57,8 @@
 	book.Fresh(time.Second)
 	q := placement.Query{Service: "s", Parts: []placement.Part{{ID: "shared", Tokens: 400}, {ID: "own", Tokens: 100}}}
 	k := one.table.Place(q, one.clock())
-	if k.Work >= worthTelling {
-		t.Fatalf("reading takes %s: told for that alone", k.Work)
+	if k.PrefillTime >= worthTelling {
+		t.Fatalf("reading takes %s: told for that alone", k.PrefillTime)
 	}
 	one.placed(k)
 	knows := func() bool {
--- a/internal/gateway/probes.go
+++ b/internal/gateway/probes.go
@@ -46,6 +46,6 @@
 	if err := p.pool.Probe(ctx, e.ID, e.Address); err != nil {
 		return // Still so; the log has the attempt that found out.
 	}
-	p.table.Reached(e.ID)
+	p.table.MarkReachable(e.ID)
 	p.log.Info().Str("endpoint", e.ID).Str("address", e.Address).Msg("gateway: endpoint reachable again")
 }
--- a/internal/placement/fetch.go
+++ b/internal/placement/fetch.go
@@ -9,89 +9,89 @@
 // Only from an endpoint that has answered of late, since one behind a cut would be waited
 // for, and only for parts whose reading takes longer than setting the transfer up.
 const (
-	// fetchSetup and fetchPerToken are what a transfer takes; 2.7 to 8 ms and 1.1
+	// fetchSetupMS and fetchPerToken are what a transfer takes; 2.7 to 8 ms and 1.1
 	// to 1.7 us on the deployments that we know.
-	fetchSetup    = 8.0    // ms
-	fetchPerToken = 0.0017 // ms
-	// leastFetched is the shared part of a prompt from which fetching pays: it
+	fetchSetupMS    = 8.0    // ms
+	fetchMSPerToken = 0.0017 // ms
+	// minFetchTokens is the shared part of a prompt from which fetching pays: it
 	// takes 3 ms to read.
-	leastFetched = 256.0 // tokens
-	// knownBelief is how sure it is that an endpoint still has parts that it was
-	// sent, unseenBelief that a prompt's home has them without any word of it.
-	knownBelief, unseenBelief = 0.9, 0.5
-	// answersOfLate is how old an endpoint's last answer may be for others to
+	minFetchTokens = 256.0 // tokens
+	// sentCacheProbability is how sure it is that an endpoint still has parts that it was
+	// sent, unconfirmedCacheProbability that a prompt's home has them without any word of it.
+	sentCacheProbability, unconfirmedCacheProbability = 0.9, 0.5
+	// recentAnswerWindow is how old an endpoint's last answer may be for others to
 	// fetch from it.
-	answersOfLate = 2 * time.Second
+	recentAnswerWindow = 2 * time.Second
 )
 
-// source is an endpoint to fetch a prompt's shared parts from.
-type source struct {
-	row    *row
-	belief float64 // That it has them.
+// fetchSource is an endpoint to fetch a prompt's shared parts from.
+type fetchSource struct {
+	endpoint    *endpointState
+	probability float64 // That it has them.
 }
 
-// sources picks where a prompt's shared parts can be fetched from: its home if
+// fetchSources picks where a prompt's shared parts can be fetched from: its home if
 // that was sent them, else any endpoint that was, else its home unseen. The second
 // is for requests that go to the first.
-func (t *Table) sources(q Query, now time.Duration) (first, second source) {
+func (t *Table) fetchSources(q Query, now time.Duration) (best, alternative fetchSource) {
 	if len(q.Parts) < 2 {
-		return source{}, source{}
+		return fetchSource{}, fetchSource{}
 	}
-	add := func(r *row, belief float64) {
+	consider := func(e *endpointState, probability float64) {
 		switch {
-		case first.row == nil || belief > first.belief:
-			first, second = source{r, belief}, first
-		case second.row == nil || belief > second.belief:
-			second = source{r, belief}
+		case best.endpoint == nil || probability > best.probability:
+			best, alternative = fetchSource{e, probability}, best
+		case alternative.endpoint == nil || probability > alternative.probability:
+			alternative = fetchSource{e, probability}
 		}
 	}
-	if q.home != nil && q.home.answersOfLate(now) {
-		if q.home.has(q, now) {
-			add(q.home, knownBelief)
+	if q.preferred != nil && q.preferred.answeredRecently(now) {
+		if q.preferred.hasSharedParts(q, now) {
+			consider(q.preferred, sentCacheProbability)
 		} else {
-			add(q.home, unseenBelief)
+			consider(q.preferred, unconfirmedCacheProbability)
 		}
 	}
-	for _, r := range t.rows {
-		if r != q.home && r.Service == q.Service && !r.Leaving && r.answersOfLate(now) && r.has(q, now) {
-			add(r, knownBelief)
+	for _, e := range t.endpoints {
+		if e != q.preferred && e.Service == q.Service && !e.Leaving && e.answeredRecently(now) && e.hasSharedParts(q, now) {
+			consider(e, sentCacheProbability)
 		}
 	}
-	return first, second
+	return best, alternative
 }
 
-// has says whether the endpoint was sent the prompt's last shared part of late;
+// hasSharedParts says whether the endpoint was sent the prompt's last shared part of late;
 // the ones before it came with it.
-func (r *row) has(q Query, now time.Duration) bool {
-	at, sent := r.sent[q.Parts[len(q.Parts)-2].ID]
-	return sent && now-at < remember
+func (e *endpointState) hasSharedParts(q Query, now time.Duration) bool {
+	sentAt, found := e.partSentAt[q.Parts[len(q.Parts)-2].ID]
+	return found && now-sentAt < cachedPartTTL
 }
 
-func (r *row) answersOfLate(now time.Duration) bool {
-	return !r.avoided(now) && r.begunAt > 0 && now-r.begunAt < answersOfLate
+func (e *endpointState) answeredRecently(now time.Duration) bool {
+	return !e.isAvoided(now) && e.lastAnswerAt > 0 && now-e.lastAnswerAt < recentAnswerWindow
 }
 
-// from returns the source for a request at the endpoint; its row is nil if there
+// fetchSourceFor returns the source for a request at the endpoint; its row is nil if there
 // is none.
-func (q *Query) from(r *row) source {
-	if q.first.row == r {
-		return q.second
+func (q *Query) fetchSourceFor(e *endpointState) fetchSource {
+	if q.bestSource.endpoint == e {
+		return q.alternativeSource
 	}
-	return q.first
+	return q.bestSource
 }
 
-// tellAgain is how long after the last own send of a prompt's shared parts to an
+// announceInterval is how long after the last own send of a prompt's shared parts to an
 // endpoint the other instances are told again: before they forget.
-const tellAgain = remember / 2
+const announceInterval = cachedPartTTL / 2
 
-// news lists the prompt's shared parts, for the other instances, if the endpoint
+// partsToAnnounce lists the prompt's shared parts, for the other instances, if the endpoint
 // was not sent them of late.
-func (r *row) news(q Query, now time.Duration) []string {
+func (e *endpointState) partsToAnnounce(q Query, now time.Duration) []string {
 	if len(q.Parts) < 2 {
 		return nil
 	}
 	shared := q.Parts[:len(q.Parts)-1]
-	if at, sent := r.sent[shared[len(shared)-1].ID]; sent && now-at < tellAgain {
+	if sentAt, found := e.partSentAt[shared[len(shared)-1].ID]; found && now-sentAt < announceInterval {
 		return nil
 	}
 	ids := make([]string, len(shared))
@@ -101,13 +101,13 @@
 	return ids
 }
 
-// Sent tells that another instance has sent the endpoint a prompt with these parts.
-func (t *Table) Sent(endpoint string, parts []string, now time.Duration) {
+// RecordRemoteParts tells that another instance has sent the endpoint a prompt with these parts.
+func (t *Table) RecordRemoteParts(endpoint string, parts []string, now time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if r := t.rows[endpoint]; r != nil {
+	if e := t.endpoints[endpoint]; e != nil {
 		for _, id := range parts {
-			r.sent[id] = now
+			e.partSentAt[id] = now
 		}
 	}
 }
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -31,71 +31,71 @@
 	Zone    string // The instance's own.
 	// Parts are the prompt's shared parts in order.
 	Parts []Part
-	// Avoid lists endpoints that this request has been sent to.
-	Avoid []string
+	// Exclude lists endpoints that this request has been sent to.
+	Exclude []string
 
-	home          *row   // Where all instances send the prompt first.
-	first, second source // Where its shared parts can be fetched from.
+	preferred                     *endpointState // Where all instances send the prompt first.
+	bestSource, alternativeSource fetchSource    // Where its shared parts can be fetched from.
 }
 
-type row struct {
+type endpointState struct {
 	discovery.Endpoint
-	hash     uint64 // Of its identity.
+	idHash   uint64 // Of its identity.
 	inFlight int
-	// waiting are the starts of attempts whose answer has not begun.
-	waiting map[uint64]pending
-	sent    map[string]time.Duration // When each part was last sent there.
+	// unanswered are the starts of attempts whose answer has not begun.
+	unanswered map[uint64]unansweredAttempt
+	partSentAt map[string]time.Duration // When each part was last sent there.
 	// busyUntil is when the endpoint will have read the long prompts that other
 	// instances sent there.
-	busyUntil time.Duration
-	speed     speed
-	perMS     float64 // Prompt tokens read in a millisecond.
+	busyUntil             time.Duration
+	speed                 speedEstimator
+	normalizedTokensPerMS float64 // Prompt tokens read in a millisecond.
 	// unreachable is set until a connection could be made again.
-	unreachable bool
-	begunAt     time.Duration // When an answer last began; 0 for never.
-	fails       int
-	pause       time.Duration
-	until       time.Duration // Avoided until then.
+	unreachable         bool
+	lastAnswerAt        time.Duration // When an answer last began; 0 for never.
+	consecutiveFailures int
+	backoff             time.Duration
+	avoidedUntil        time.Duration // Avoided until then.
 }
 
 // Table holds the endpoints. It is safe for concurrent use.
 type Table struct {
-	mu     sync.Mutex
-	rng    *rand.Rand
-	rows   map[string]*row
-	lastID uint64
+	mu        sync.Mutex
+	rng       *rand.Rand
+	endpoints map[string]*endpointState
+	lastID    uint64
 }
 
 // New returns an empty table; seed makes ties repeat in tests.
 func New(seed uint64) *Table {
-	return &Table{rng: rand.New(rand.NewPCG(seed, seed)), rows: map[string]*row{}}
+	return &Table{rng: rand.New(rand.NewPCG(seed, seed)), endpoints: map[string]*endpointState{}}
 }
 
 // Put adds or changes an endpoint. A reborn one loses what was learned of it.
 func (t *Table) Put(e discovery.Endpoint) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	r, known := t.rows[e.ID]
-	if !known || r.Born != e.Born {
-		r = &row{speed: newSpeed(), perMS: assumedPerMS, hash: xxhash.Sum64String(e.ID), waiting: map[uint64]pending{}, sent: map[string]time.Duration{}}
-		t.rows[e.ID] = r
+	state, known := t.endpoints[e.ID]
+	if !known || state.Born != e.Born {
+		state = &endpointState{speed: newSpeedEstimator(), normalizedTokensPerMS: defaultTokensPerMS, idHash: xxhash.Sum64String(e.ID), unanswered: map[uint64]unansweredAttempt{}, partSentAt: map[string]time.Duration{}}
+		t.endpoints[e.ID] = state
 	}
-	r.Endpoint = e
+	state.Endpoint = e
 }
 
 // Remove takes an endpoint out.
 func (t *Table) Remove(id string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	delete(t.rows, id)
+	delete(t.endpoints, id)
 }
 
 // Place returns the cheapest endpoint, or nil if none may take the request.
-func (t *Table) Place(q Query, now time.Duration) *Ticket {
+func (t *Table) Place(q Query, now time.Duration) *Assignment {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	q.home = t.home(q)
-	q.first, q.second = t.sources(q, now)
+	q.preferred = t.preferredEndpoint(q)
+	q.bestSource, q.alternativeSource = t.fetchSources(q, now)
 	best := t.cheapest(q, now, false)
 	if best == nil {
 		best = t.cheapest(q, now, true)
@@ -103,57 +103,57 @@
 	if best == nil {
 		return nil
 	}
-	reading := best.reading(q, now)
-	k := &Ticket{
-		Endpoint: best.Endpoint, Cost: best.cost(q, now), Missing: reading.missing, InFlight: best.inFlight,
-		Work: time.Duration(reading.ms * float64(time.Millisecond)), row: best, table: t,
+	prefill := best.estimatePrefill(q, now)
+	a := &Assignment{
+		Endpoint: best.Endpoint, Cost: best.cost(q, now), MissingTokens: prefill.missingTokens, InFlight: best.inFlight,
+		PrefillTime: time.Duration(prefill.ms * float64(time.Millisecond)), endpointState: best, table: t,
 	}
-	if reading.from != nil {
-		k.FetchFrom = reading.from.Address
+	if prefill.fetchFrom != nil {
+		a.FetchFrom = prefill.fetchFrom.Address
 	}
-	k.News = best.news(q, now)
+	a.PartsToAnnounce = best.partsToAnnounce(q, now)
 	t.lastID++
-	k.id = t.lastID
+	a.id = t.lastID
 	best.inFlight++
-	best.waiting[t.lastID] = pending{
-		since: now, work: reading.ms, missing: reading.missing,
-		learns: reading.from == nil && len(q.Parts) > 0,
+	best.unanswered[t.lastID] = unansweredAttempt{
+		sentAt: now, prefillMS: prefill.ms, missingTokens: prefill.missingTokens,
+		updatesSpeed: prefill.fetchFrom == nil && len(q.Parts) > 0,
 	}
 	for _, p := range q.Parts {
-		best.sent[p.ID] = now
+		best.partSentAt[p.ID] = now
 	}
-	return k
+	return a
 }
 
 // cheapest picks among the service's endpoints; those paused only if desperate.
-func (t *Table) cheapest(q Query, now time.Duration, desperate bool) *row {
-	var best *row
-	least, ties := 0.0, 0
-	for _, r := range t.rows {
-		if r.Service != q.Service || r.Leaving || slices.Contains(q.Avoid, r.ID) || (r.avoided(now) && !desperate) {
+func (t *Table) cheapest(q Query, now time.Duration, includeAvoided bool) *endpointState {
+	var best *endpointState
+	lowest, ties := 0.0, 0
+	for _, e := range t.endpoints {
+		if e.Service != q.Service || e.Leaving || slices.Contains(q.Exclude, e.ID) || (e.isAvoided(now) && !includeAvoided) {
 			continue
 		}
-		cost := r.cost(q, now)
+		cost := e.cost(q, now)
 		switch {
-		case best == nil || cost < least:
-			best, least, ties = r, cost, 1
-		case cost == least:
+		case best == nil || cost < lowest:
+			best, lowest, ties = e, cost, 1
+		case cost == lowest:
 			ties++
 			if t.rng.IntN(ties) == 0 {
-				best = r
+				best = e
 			}
 		}
 	}
 	return best
 }
 
-// Busy tells that another instance has sent the endpoint a prompt that takes so
+// RecordRemotePrefill tells that another instance has sent the endpoint a prompt that takes so
 // long to read.
-func (t *Table) Busy(endpoint string, work, now time.Duration) {
+func (t *Table) RecordRemotePrefill(endpoint string, prefillTime, now time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if r := t.rows[endpoint]; r != nil {
-		r.busyUntil = max(r.busyUntil, now) + work
+	if e := t.endpoints[endpoint]; e != nil {
+		e.busyUntil = max(e.busyUntil, now) + prefillTime
 	}
 }
 
@@ -163,16 +163,16 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	services := map[string]bool{}
-	for _, r := range t.rows {
-		services[r.Service] = true
-		for id, at := range r.sent {
-			if now-at >= remember {
-				delete(r.sent, id)
+	for _, e := range t.endpoints {
+		services[e.Service] = true
+		for id, at := range e.partSentAt {
+			if now-at >= cachedPartTTL {
+				delete(e.partSentAt, id)
 			}
 		}
 	}
 	for service := range services {
-		t.setPace(service)
+		t.normalizeSpeeds(service)
 	}
 }
 
@@ -189,8 +189,8 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var rows []Row
-	for _, r := range t.rows {
-		rows = append(rows, Row{Endpoint: r.Endpoint, InFlight: r.inFlight, Failures: r.fails, Parts: len(r.sent)})
+	for _, e := range t.endpoints {
+		rows = append(rows, Row{Endpoint: e.Endpoint, InFlight: e.inFlight, Failures: e.consecutiveFailures, Parts: len(e.partSentAt)})
 	}
 	return rows
 }
--- a/internal/placement/speed.go
+++ b/internal/placement/speed.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// speed learns how fast an endpoint reads prompts from the times to the first
+// speedEstimator learns how fast an endpoint reads prompts from the times to the first
 // token that it is seen to take.
 //
 // Load: endpoints of any make, and of several makes in one service. Harm
@@ -14,72 +14,74 @@
 // follows a low quantile of the times, since waiting behind others only adds to
 // them, and moves by a few percent with each answer, so that a second of a full
 // queue moves it by less than a fifth.
-type speed struct {
-	base     float64 // ms to the first token of a prompt that is cached whole.
-	perToken float64 // ms for each token to read.
+type speedEstimator struct {
+	baseMS     float64 // ms to the first token of a prompt that is cached whole.
+	msPerToken float64 // ms for each token to read.
 }
 
 const (
-	// assumedPerMS is how many prompt tokens an endpoint reads in a millisecond
+	// defaultTokensPerMS is how many prompt tokens an endpoint reads in a millisecond
 	// until it has been seen to: 92 to 112, beside streams, on the deployments
 	// that we know.
-	assumedPerMS = 92.0
-	// assumedBase is the time to the first token of a cached prompt there.
-	assumedBase = 30.0 // ms
-	// slowestPerMS and fastestPerMS bound what is learned.
-	slowestPerMS, fastestPerMS = 10.0, 1000.0
-	// speedQuantile is the share of times that lie below what is learned.
-	speedQuantile = 0.3
-	// speedStep is the largest change by one answer, a share.
-	speedStep = 0.06
-	// plainTokens is the length from which a prompt tells more of the reading
+	defaultTokensPerMS = 92.0
+	// defaultBaseMS is the time to the first token of a cached prompt there.
+	defaultBaseMS = 30.0 // ms
+	// minTokensPerMS and maxTokensPerMS bound what is learned.
+	minTokensPerMS, maxTokensPerMS = 10.0, 1000.0
+	// estimatedQuantile is the share of times that lie below what is learned.
+	estimatedQuantile = 0.3
+	// maxStep is the largest change by one answer, a share.
+	maxStep = 0.06
+	// crossoverTokens is the length from which a prompt tells more of the reading
 	// than of all else.
-	plainTokens = assumedBase * assumedPerMS
+	crossoverTokens = defaultBaseMS * defaultTokensPerMS
 )
 
-func newSpeed() speed { return speed{base: assumedBase, perToken: 1 / assumedPerMS} }
+func newSpeedEstimator() speedEstimator {
+	return speedEstimator{baseMS: defaultBaseMS, msPerToken: 1 / defaultTokensPerMS}
+}
 
-// perMS is how many tokens are read in a millisecond.
-func (s *speed) perMS() float64 { return 1 / s.perToken }
+// tokensPerMS is how many tokens are read in a millisecond.
+func (s *speedEstimator) tokensPerMS() float64 { return 1 / s.msPerToken }
 
-// sameSpeed is the factor within which endpoints count as equally fast: what is
+// equalSpeedFactor is the factor within which endpoints count as equally fast: what is
 // learned of equal ones differs by a tenth or two.
-const sameSpeed = 1.6
+const equalSpeedFactor = 1.6
 
-// setPace sets how fast each of the service's endpoints reads: what is assumed,
+// normalizeSpeeds sets how fast each of the service's endpoints reads: what is assumed,
 // times how it compares with the others. Costs of other kinds were weighed against
 // what is assumed, and only differences choose an endpoint.
-func (t *Table) setPace(service string) {
-	sum, n := 0.0, 0.0
-	for _, r := range t.rows {
-		if r.Service == service {
-			sum += math.Log(r.speed.perMS())
-			n++
+func (t *Table) normalizeSpeeds(service string) {
+	logSum, count := 0.0, 0.0
+	for _, e := range t.endpoints {
+		if e.Service == service {
+			logSum += math.Log(e.speed.tokensPerMS())
+			count++
 		}
 	}
-	mean := math.Exp(sum / max(1, n))
-	for _, r := range t.rows {
-		if r.Service != service {
+	geometricMean := math.Exp(logSum / max(1, count))
+	for _, e := range t.endpoints {
+		if e.Service != service {
 			continue
 		}
-		r.perMS = assumedPerMS
-		if ratio := r.speed.perMS() / mean; ratio < 1/sameSpeed || ratio > sameSpeed {
-			r.perMS *= ratio
+		e.normalizedTokensPerMS = defaultTokensPerMS
+		if ratio := e.speed.tokensPerMS() / geometricMean; ratio < 1/equalSpeedFactor || ratio > equalSpeedFactor {
+			e.normalizedTokensPerMS *= ratio
 		}
 	}
 }
 
-// learn takes the time to the first token of a prompt of which so many tokens were
+// observe takes the time to the first token of a prompt of which so many tokens were
 // to be read: the expected time moves up or down by fixed steps, so that the share
 // of times below it comes to be the quantile (a stochastic quantile regression).
-func (s *speed) learn(tokens float64, took time.Duration) {
-	step := speedStep * speedQuantile
-	if inMS(took) < s.base+s.perToken*tokens {
-		step = -speedStep * (1 - speedQuantile)
+func (s *speedEstimator) observe(tokens float64, ttft time.Duration) {
+	step := maxStep * estimatedQuantile
+	if milliseconds(ttft) < s.baseMS+s.msPerToken*tokens {
+		step = -maxStep * (1 - estimatedQuantile)
 	}
-	ofReading := tokens / (tokens + plainTokens)
-	s.perToken *= math.Exp(step * ofReading)
-	s.perToken = min(max(s.perToken, 1/fastestPerMS), 1/slowestPerMS)
-	s.base *= math.Exp(step * (1 - ofReading))
-	s.base = max(s.base, 1)
+	prefillShare := tokens / (tokens + crossoverTokens)
+	s.msPerToken *= math.Exp(step * prefillShare)
+	s.msPerToken = min(max(s.msPerToken, 1/maxTokensPerMS), 1/minTokensPerMS)
+	s.baseMS *= math.Exp(step * (1 - prefillShare))
+	s.baseMS = max(s.baseMS, 1)
 }
