--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -307,12 +307,12 @@
 
 // held returns the refusal of a request that is not to be sent, else nil.
 func (c *call) held(ctx context.Context) *refusal {
-	var held *quarantine.HeldError
+	var held *quarantine.QuarantinedError
 	if !errors.As(c.f.Quarantine.Admit(ctx, c.content()), &held) {
 		return nil
 	}
 	c.logHeld(held)
-	return notRun(ReasonHeld, max(held.After, againShort))
+	return notRun(ReasonHeld, max(held.RetryAfter, againShort))
 }
 
 // mayRepeat says whether the request may go to another endpoint.
--- a/internal/forward/log.go
+++ b/internal/forward/log.go
@@ -53,9 +53,9 @@
 }
 
 // logHeld writes why the request is held back.
-func (c *call) logHeld(held *quarantine.HeldError) {
+func (c *call) logHeld(held *quarantine.QuarantinedError) {
 	c.f.Log.Info().Str("request", c.ID).Str("team", string(c.team())).Stringer("content", held.Fingerprint).
-		Int("ends", held.Ends).Dur("after", held.After).Msg("forward: request held back")
+		Int("ends", held.Crashes).Dur("after", held.RetryAfter).Msg("forward: request held back")
 }
 
 // late says whether the answer began after its route's target.
--- a/internal/forward/types.go
+++ b/internal/forward/types.go
@@ -88,7 +88,7 @@
 
 // Quarantine keeps back requests under which endpoints end.
 type Quarantine interface {
-	// Admit fails with a quarantine.HeldError where the request may not be sent.
+	// Admit fails with a quarantine.QuarantinedError where the request may not be sent.
 	Admit(ctx context.Context, c quarantine.Content) error
 	// Broke tells that the connection to an endpoint broke with the request under way
 	// there for that long, and returns whether the endpoint is gone.
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -93,7 +93,7 @@
 	calls      *peer.Pool   // To other instances.
 	answers    *peer.Server // Their calls.
 	retries    *retry.Keeper
-	held       *quarantine.Keeper // Requests that are not to be sent.
+	held       *quarantine.Syncer // Requests that are not to be sent.
 	meter      linkload.Meter
 	shedder    *linkload.Shedder
 	pool       *upstream.Pool
@@ -140,11 +140,11 @@
 	zone := allocator.New(allocator.Self{Key: self.Key, Peer: peers, Zone: self.Zone, LinkMbps: s.Gateway.LinkMbps})
 	g.calls = peer.NewPool(self.Key, book, peer.Options{})
 	g.keeper = prepaid.NewKeeper(book, zone, prepaid.NewPeers(g.calls, g.busyLog), p.Store, clock, log)
-	g.held = quarantine.NewKeeper(quarantine.Options{
-		Self: self.Key, Log: p.Store, Probe: g.pool.Probe, Caller: g.calls, Neighbours: book.Neighbours, Logs: log, Busy: g.busyLog,
+	g.held = quarantine.NewSyncer(quarantine.Options{
+		Self: self.Key, Log: p.Store, Probe: g.pool.Probe, Caller: g.calls, Neighbours: book.Neighbours, Logger: log, ThinnedLogger: g.busyLog,
 	})
 	g.answers = peer.NewServer(self.Key)
-	if err := g.answers.Register(quarantine.ServiceName, quarantine.NewExchange(g.held)); err != nil {
+	if err := g.answers.Register(quarantine.ServiceName, quarantine.NewPeerService(g.held)); err != nil {
 		return nil, err
 	}
 	if err := g.answers.Register(prepaid.ServiceName, prepaid.NewTransfers(g.keeper)); err != nil {
--- a/internal/gateway/observe.go
+++ b/internal/gateway/observe.go
@@ -26,7 +26,7 @@
 	g.metrics.Gauge(metrics.GatewayState, g.version)
 	g.metrics.Gauge(metrics.GatewayStateAge, func() int64 { return g.stateFresh.age().Milliseconds() })
 	g.metrics.Gauge(metrics.GatewayListAge, func() int64 { return g.endpoints.fresh.age().Milliseconds() })
-	g.metrics.Gauge(metrics.GatewayHeldBack, func() int64 { return g.held.Table.Held(time.Now()) })
+	g.metrics.Gauge(metrics.GatewayHeldBack, func() int64 { return g.held.Table.CountQuarantined(time.Now()) })
 	g.budgetGauges()
 	if g.platform.LinesDropped != nil {
 		g.metrics.Gauge(metrics.GatewayDropped, g.platform.LinesDropped)
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -185,15 +185,15 @@
 	receiver.RecordRemotePrefill(a.Endpoint.ID, a.PrefillTime, 0)
 	behind := 0
 	for range 40 {
-		if q := receiver.Place(placement.Query{Service: "s", Zone: "z0", Parts: question}, 100*time.Millisecond); q.Endpoint.ID == a.Endpoint.ID {
+		if got := receiver.Place(placement.Query{Service: "s", Zone: "z0", Parts: question}, 100*time.Millisecond); got.Endpoint.ID == a.Endpoint.ID {
 			behind++
 		}
 	}
 	if behind > 0 {
 		t.Errorf("%d of 40 questions wait behind the report", behind)
 	}
-	if q := receiver.Place(placement.Query{Service: "s", Zone: a.Endpoint.Zone, Parts: question}, 3*time.Second); q.Endpoint.ID != a.Endpoint.ID {
-		t.Errorf("the report has been read, and %s gets the question with %d in flight", q.Endpoint.ID, q.InFlight)
+	if got := receiver.Place(placement.Query{Service: "s", Zone: a.Endpoint.Zone, Parts: question}, 3*time.Second); got.Endpoint.ID != a.Endpoint.ID {
+		t.Errorf("the report has been read, and %s gets the question with %d in flight", got.Endpoint.ID, got.InFlight)
 	}
 }
 
@@ -281,8 +281,8 @@
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		now := time.Duration(i) * time.Millisecond
-		k := p.Place(placement.Query{Service: "s", Zone: "z0", Parts: parts}, now)
-		k.OnAnswerStart(now, true)
-		k.Done(placement.Answered, now)
+		a := p.Place(placement.Query{Service: "s", Zone: "z0", Parts: parts}, now)
+		a.OnAnswerStart(now, true)
+		a.Done(placement.Answered, now)
 	}
 }
--- a/internal/quarantine/doc.go
+++ b/internal/quarantine/doc.go
@@ -18,16 +18,16 @@
 	"time"
 )
 
-// HeldError says that a request is held back.
-type HeldError struct {
+// QuarantinedError says that a request is held back.
+type QuarantinedError struct {
 	Fingerprint Fingerprint
-	// Ends is how many endpoints ended under it, one after the other.
-	Ends int
-	// After is when it may be tried again.
-	After time.Duration
+	// Crashes is how many endpoints ended under it, one after the other.
+	Crashes int
+	// RetryAfter is when it may be tried again.
+	RetryAfter time.Duration
 }
 
 // Error implements error.
-func (e *HeldError) Error() string {
-	return fmt.Sprintf("quarantine: content %s held for %s, %d endpoints ended under it", e.Fingerprint, e.After, e.Ends)
+func (e *QuarantinedError) Error() string {
+	return fmt.Sprintf("quarantine: content %s held for %s, %d endpoints ended under it", e.Fingerprint, e.RetryAfter, e.Crashes)
 }
--- a/internal/quarantine/fingerprint.go
+++ b/internal/quarantine/fingerprint.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	placeBytes = 8
+	metadataHashBytes = 8
 	// fingerprintBytes is enough that nobody finds two requests with the same one.
-	fingerprintBytes = placeBytes + 16
+	fingerprintBytes = metadataHashBytes + 16
 )
 
 // Fingerprint stands for a request's content and its caller. Requests of two
@@ -23,9 +23,9 @@
 // begins with the request's place.
 type Fingerprint [fingerprintBytes]byte
 
-// place stands for a request but for its body, of which it has the length only. It is
+// metadataHash stands for a request but for its body, of which it has the length only. It is
 // cheap to take.
-type place [placeBytes]byte
+type metadataHash [metadataHashBytes]byte
 
 // Content is what makes two requests the same.
 type Content struct {
@@ -38,34 +38,34 @@
 
 // Fingerprint returns the content's keyed hash.
 func (c Content) Fingerprint() Fingerprint {
-	h := c.head()
+	h := c.newMetadataHasher()
 	var f Fingerprint
-	copy(f[:placeBytes], h.Sum(nil))
+	copy(f[:metadataHashBytes], h.Sum(nil))
 	h.Write(c.Body)
-	copy(f[placeBytes:], h.Sum(nil))
+	copy(f[metadataHashBytes:], h.Sum(nil))
 	return f
 }
 
-func (c Content) place() place {
-	var p place
-	copy(p[:], c.head().Sum(nil))
-	return p
+func (c Content) metadataHash() metadataHash {
+	var m metadataHash
+	copy(m[:], c.newMetadataHasher().Sum(nil))
+	return m
 }
 
-// head returns the hash of all but the body's bytes.
-func (c Content) head() hash.Hash {
+// newMetadataHasher returns the hash of all but the body's bytes.
+func (c Content) newMetadataHasher() hash.Hash {
 	h := hmac.New(sha256.New, []byte(c.Organisation))
 	for _, part := range []string{c.Method, c.Host, c.Target} {
-		h.Write(length(len(part)))
+		h.Write(encodeLength(len(part)))
 		h.Write([]byte(part))
 	}
-	h.Write(length(len(c.Body)))
+	h.Write(encodeLength(len(c.Body)))
 	return h
 }
 
-func length(n int) []byte { return binary.BigEndian.AppendUint64(nil, uint64(n)) }
+func encodeLength(n int) []byte { return binary.BigEndian.AppendUint64(nil, uint64(n)) }
 
-func (f Fingerprint) place() place { return place(f[:placeBytes]) }
+func (f Fingerprint) metadataHash() metadataHash { return metadataHash(f[:metadataHashBytes]) }
 
 // String implements fmt.Stringer.
 func (f Fingerprint) String() string { return hex.EncodeToString(f[:]) }
--- a/internal/quarantine/fingerprint_test.go
+++ b/internal/quarantine/fingerprint_test.go
@@ -29,7 +29,7 @@
 	})
 }
 
-func TestWhatIsNoFingerprint(t *testing.T) {
+func TestMalformedFingerprintsAreRejected(t *testing.T) {
 	for _, text := range []string{"", "ab", "zz", "00112233445566778899aabbccddeeff00"} {
 		if _, err := parseFingerprint(text); err == nil {
 			t.Errorf("%q is read as a fingerprint", text)
--- a/internal/quarantine/gossip.go
+++ b/internal/quarantine/gossip.go
@@ -12,10 +12,10 @@
 const (
 	// ServiceName is under which Exchange is registered, see peer.Server.
 	ServiceName = "Quarantine"
-	// swapEvery is the pause between two calls to neighbours while the log is away.
-	swapEvery = 500 * time.Millisecond
-	// swapWithin bounds one call: round trips take a few milliseconds.
-	swapWithin = 200 * time.Millisecond
+	// swapInterval is the pause between two calls to neighbours while the log is away.
+	swapInterval = 500 * time.Millisecond
+	// swapTimeout bounds one call: round trips take a few milliseconds.
+	swapTimeout = 200 * time.Millisecond
 )
 
 // SwapArgs has what the calling instance knows, encoded, by fingerprint.
@@ -24,60 +24,60 @@
 // SwapReply has what the called one knows.
 type SwapReply struct{ Records map[string][]byte }
 
-// Exchange is the service that other instances of the zone call while the log is away.
-type Exchange struct{ keeper *Keeper }
+// PeerService is the service that other instances of the zone call while the log is away.
+type PeerService struct{ syncer *Syncer }
 
-// NewExchange returns the service of a keeper.
-func NewExchange(k *Keeper) *Exchange { return &Exchange{keeper: k} }
+// NewPeerService returns the service of a keeper.
+func NewPeerService(s *Syncer) *PeerService { return &PeerService{syncer: s} }
 
 // Swap takes what the caller knows and answers with what is known here.
-func (x *Exchange) Swap(args SwapArgs, reply *SwapReply) error {
-	reply.Records = x.keeper.records()
-	x.keeper.take(args.Records)
+func (p *PeerService) Swap(args SwapArgs, reply *SwapReply) error {
+	reply.Records = p.syncer.encodeRecords()
+	p.syncer.mergeRecords(args.Records)
 	return nil
 }
 
-// swaps exchanges what is known with instances of the own zone, one after the other,
+// runExchange exchanges what is known with instances of the own zone, one after the other,
 // while the log is away, until ctx ends.
-func (k *Keeper) swaps(ctx context.Context) {
+func (s *Syncer) runExchange(ctx context.Context) {
 	for turn := 0; ctx.Err() == nil; turn++ {
-		logstore.Pause(ctx, swapEvery, nil)
-		neighbours := k.Neighbours()
-		if !k.away.Load() || len(neighbours) == 0 {
+		logstore.Pause(ctx, swapInterval, nil)
+		neighbours := s.Neighbours()
+		if !s.logUnavailable.Load() || len(neighbours) == 0 {
 			continue
 		}
 		slices.Sort(neighbours) // So that each has its turn.
-		k.swap(ctx, neighbours[turn%len(neighbours)])
+		s.exchangeWith(ctx, neighbours[turn%len(neighbours)])
 	}
 }
 
-func (k *Keeper) swap(ctx context.Context, with record.InstanceID) {
-	ctx, cancel := context.WithTimeout(ctx, swapWithin)
+func (s *Syncer) exchangeWith(ctx context.Context, neighbour record.InstanceID) {
+	ctx, cancel := context.WithTimeout(ctx, swapTimeout)
 	defer cancel()
 	var reply SwapReply
-	if err := k.Caller.Call(ctx, with, ServiceName+".Swap", SwapArgs{Records: k.records()}, &reply); err != nil {
-		k.Busy.Info().Err(err).Str("instance", string(with)).Msg("quarantine: neighbour not reached")
+	if err := s.Caller.Call(ctx, neighbour, ServiceName+".Swap", SwapArgs{Records: s.encodeRecords()}, &reply); err != nil {
+		s.ThinnedLogger.Info().Err(err).Str("instance", string(neighbour)).Msg("quarantine: neighbour not reached")
 		return
 	}
-	k.take(reply.Records)
+	s.mergeRecords(reply.Records)
 }
 
-// records returns what is known, encoded, by fingerprint.
-func (k *Keeper) records() map[string][]byte {
+// encodeRecords returns what is known, encoded, by fingerprint.
+func (s *Syncer) encodeRecords() map[string][]byte {
 	out := map[string][]byte{}
-	for f, r := range k.Table.all() {
+	for f, r := range s.Table.records() {
 		if value, err := r.encode(); err == nil {
 			out[f.String()] = value
 		} else {
-			k.Logs.Error().Err(err).Stringer("content", f).Msg("quarantine: record not sent")
+			s.Logger.Error().Err(err).Stringer("content", f).Msg("quarantine: record not sent")
 		}
 	}
 	return out
 }
 
-// take takes what another instance knows.
-func (k *Keeper) take(records map[string][]byte) {
+// mergeRecords takes what another instance knows.
+func (s *Syncer) mergeRecords(records map[string][]byte) {
 	for key, value := range records {
-		k.hear(logstore.KeyedRecord{Key: key, Value: value}, false)
+		s.observe(logstore.KeyedRecord{Key: key, Value: value}, false)
 	}
 }
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	// mostEntries bounds the table, mostOfTeam what one organisation may have in it.
-	mostEntries = 4096
-	mostOfTeam  = 256
+	// maxEntries bounds the table, mostOfTeam what one organisation may have in it.
+	maxEntries        = 4096
+	maxEntriesPerTeam = 256
 )
 
 // Table knows requests under which endpoints have ended. It is safe for concurrent use.
@@ -21,22 +21,22 @@
 	self record.InstanceID
 	size atomic.Int64 // Of entries.
 
-	mu      sync.Mutex // Guards the rest.
-	entries map[Fingerprint]*entry
-	places  map[place]int       // Entries by place.
-	teams   map[record.Team]int // Entries by organisation.
-	under   map[string]*ending  // By the endpoint that ended.
+	mu              sync.Mutex // Guards the rest.
+	entries         map[Fingerprint]*entry
+	countByMetadata map[metadataHash]int // Entries by place.
+	countByTeam     map[record.Team]int  // Entries by organisation.
+	crashes         map[string]*crash    // By the endpoint that ended.
 }
 
-// ending is an endpoint's end.
-type ending struct {
-	known   time.Time // Since when.
-	entries []*entry  // Of requests that were under way there.
+// crash is an endpoint's end.
+type crash struct {
+	knownSince time.Time // Since when.
+	entries    []*entry  // Of requests that were under way there.
 }
 
 // NewTable returns the empty table of an instance.
 func NewTable(self record.InstanceID) *Table {
-	return &Table{self: self, entries: map[Fingerprint]*entry{}, places: map[place]int{}, teams: map[record.Team]int{}, under: map[string]*ending{}}
+	return &Table{self: self, entries: map[Fingerprint]*entry{}, countByMetadata: map[metadataHash]int{}, countByTeam: map[record.Team]int{}, crashes: map[string]*crash{}}
 }
 
 // find returns the content's fingerprint if the table has it. The body is hashed only if
@@ -46,7 +46,7 @@
 		return Fingerprint{}, false
 	}
 	t.mu.Lock()
-	known := t.places[c.place()] > 0
+	known := t.countByMetadata[c.metadataHash()] > 0
 	t.mu.Unlock()
 	if !known {
 		return Fingerprint{}, false
@@ -57,54 +57,54 @@
 	return f, t.entries[f] != nil
 }
 
-// ended notes that an endpoint ended under a request, and returns what others are to
+// recordCrash notes that an endpoint recordCrash under a request, and returns what others are to
 // know of that; nil for nothing.
-func (t *Table) ended(f Fingerprint, team record.Team, endpoint string, underWay time.Duration, now time.Time) *report {
+func (t *Table) recordCrash(f Fingerprint, team record.Team, endpoint string, underWay time.Duration, now time.Time) *entryRecord {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	e := t.entry(f, team)
-	if e.has(endpoint) {
+	e := t.ensureEntry(f, team)
+	if e.hasEndpoint(endpoint) {
 		return nil
 	}
-	t.end(e, endpoint, now.Add(-underWay), now, true)
+	t.addCrash(e, endpoint, now.Add(-underWay), now, true)
 	e.writer = t.self
-	r := e.report()
+	r := e.toRecord()
 	r.UnderWay = underWay
 	return r
 }
 
-func (t *Table) end(e *entry, endpoint string, began, now time.Time, here bool) {
-	if dropped := e.end(endpoint, began, now, here); dropped != "" {
-		t.forget(dropped, e)
+func (t *Table) addCrash(e *entry, endpoint string, startedAt, now time.Time, local bool) {
+	if dropped := e.addCrash(endpoint, startedAt, now, local); dropped != "" {
+		t.unlinkCrash(dropped, e)
 	}
-	if t.under[endpoint] == nil {
-		t.under[endpoint] = &ending{known: now}
+	if t.crashes[endpoint] == nil {
+		t.crashes[endpoint] = &crash{knownSince: now}
 	}
-	t.under[endpoint].entries = append(t.under[endpoint].entries, e)
+	t.crashes[endpoint].entries = append(t.crashes[endpoint].entries, e)
 }
 
-// hear takes a record of the log; old says that it has been there for a while.
-func (t *Table) hear(f Fingerprint, r *report, old bool, now time.Time) {
+// observe takes a record of the log; old says that it has been there for a while.
+func (t *Table) observe(f Fingerprint, r *entryRecord, replayed bool, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	e := t.entry(f, r.Team)
+	e := t.ensureEntry(f, r.Team)
 	e.writer = r.Writer
-	known := now
-	if old {
-		known = now.Add(-settleFor)
+	knownSince := now
+	if replayed {
+		knownSince = now.Add(-reportGracePeriod)
 	}
 	for _, endpoint := range r.Endpoints {
-		if !e.has(endpoint) {
-			t.end(e, endpoint, known.Add(-r.UnderWay), known, false)
+		if !e.hasEndpoint(endpoint) {
+			t.addCrash(e, endpoint, knownSince.Add(-r.UnderWay), knownSince, false)
 		}
 	}
-	if r.Round > e.round {
-		e.round, e.retestBy = r.Round, r.RetestBy
+	if r.RetestRound > e.retestRound {
+		e.retestRound, e.retestBy = r.RetestRound, r.RetestBy
 	}
-	if r.Ends > e.ends {
-		e.ends, e.lastEnd, e.seenHere = r.Ends, now, false
+	if r.Crashes > e.crashes {
+		e.crashes, e.lastCrash, e.seenLocally = r.Crashes, now, false
 	}
-	e.hold(earlier(r.until(), now.Add(holdOf(e.round)))) // The clocks of two instances may differ.
+	e.extendQuarantine(earlier(r.until(), now.Add(quarantineDuration(e.retestRound)))) // The clocks of two instances may differ.
 }
 
 func earlier(a, b time.Time) time.Time {
@@ -118,88 +118,90 @@
 func (t *Table) clear(f Fingerprint) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.drop(f)
+	return t.remove(f)
 }
 
-// held returns a HeldError while the request is held; due says that it may be tried.
-func (t *Table) held(f Fingerprint, now time.Time) (held *HeldError, due bool) {
+// check returns a HeldError while the request is check; due says that it may be tried.
+func (t *Table) check(f Fingerprint, now time.Time) (quarantined *QuarantinedError, retestDue bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.entries[f]
-	if e == nil || !t.isHeld(e, now) {
+	if e == nil || !t.isQuarantined(e, now) {
 		return nil, false
 	}
-	return &HeldError{Fingerprint: f, Ends: e.ends, After: max(e.until.Sub(now), 0)}, !now.Before(e.until)
+	return &QuarantinedError{Fingerprint: f, Crashes: e.crashes, RetryAfter: max(e.quarantinedUntil.Sub(now), 0)}, !now.Before(e.quarantinedUntil)
 }
 
-func (t *Table) isHeld(e *entry, now time.Time) bool {
-	return e.ends >= endsToHold && e.staleFor(now) < 0 && t.unexplained(e, now) >= endsToHold
+func (t *Table) isQuarantined(e *entry, now time.Time) bool {
+	return e.crashes >= crashesToQuarantine && e.staleFor(now) < 0 && t.unexplainedCrashes(e, now) >= crashesToQuarantine
 }
 
-// unexplained counts the endpoints whose end no other request explains better that was
+// unexplainedCrashes counts the endpoints whose end no other request explains better that was
 // under way there: one under which more endpoints have ended, or as many as long as they
 // are the fewest that can be blamed. Ends of which reports may be on their way don't count.
-func (t *Table) unexplained(e *entry, now time.Time) int {
-	own, left := t.settled(e, now), 0
-	better := func(other *entry) bool {
-		ends := t.settled(other, now)
-		return ends > own || other != e && ends == own && own == endsToHold
+func (t *Table) unexplainedCrashes(e *entry, now time.Time) int {
+	ownCrashes, count := t.fullyReportedCrashes(e, now), 0
+	explainsBetter := func(other *entry) bool {
+		crashes := t.fullyReportedCrashes(other, now)
+		return crashes > ownCrashes || other != e && crashes == ownCrashes && ownCrashes == crashesToQuarantine
 	}
 	for _, endpoint := range e.endpoints {
-		if at := t.under[endpoint]; at.isSettled(now) && !slices.ContainsFunc(at.entries, better) {
-			left++
+		if c := t.crashes[endpoint]; c.isFullyReported(now) && !slices.ContainsFunc(c.entries, explainsBetter) {
+			count++
 		}
 	}
-	return left
+	return count
 }
 
-// settled counts the endpoints that ended under a request, as far as all is known of that.
-func (t *Table) settled(e *entry, now time.Time) (n int) {
+// fullyReportedCrashes counts the endpoints that ended under a request, as far as all is known of that.
+func (t *Table) fullyReportedCrashes(e *entry, now time.Time) (n int) {
 	for _, endpoint := range e.endpoints {
-		if t.under[endpoint].isSettled(now) {
+		if t.crashes[endpoint].isFullyReported(now) {
 			n++
 		}
 	}
 	return n
 }
 
-func (a *ending) isSettled(now time.Time) bool { return now.Sub(a.known) >= settleFor }
+func (c *crash) isFullyReported(now time.Time) bool {
+	return now.Sub(c.knownSince) >= reportGracePeriod
+}
 
-// claim returns the record that asks for the right to the next retest.
-func (t *Table) claim(f Fingerprint, now time.Time) *report {
+// retestClaim returns the record that asks for the right to the next retest.
+func (t *Table) retestClaim(f Fingerprint, now time.Time) *entryRecord {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.entries[f]
 	if e == nil {
 		return nil
 	}
-	r := e.report()
+	r := e.toRecord()
 	r.Writer, r.RetestBy = t.self, t.self
-	r.Round++
-	r.Until = now.Add(holdOf(r.Round)).UnixMilli()
+	r.RetestRound++
+	r.Until = now.Add(quarantineDuration(r.RetestRound)).UnixMilli()
 	return r
 }
 
-// all returns what is known of each request.
-func (t *Table) all() map[Fingerprint]*report {
+// records returns what is known of each request.
+func (t *Table) records() map[Fingerprint]*entryRecord {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	all := make(map[Fingerprint]*report, len(t.entries))
+	records := make(map[Fingerprint]*entryRecord, len(t.entries))
 	for f, e := range t.entries {
-		all[f] = e.report()
+		records[f] = e.toRecord()
 	}
-	return all
+	return records
 }
 
-// decided says whether a retest has been given, and whether to this instance.
-func (t *Table) decided(f Fingerprint, round int) (decided, won bool) {
+// retestResult says whether a retest has been given, and whether to this instance.
+func (t *Table) retestResult(f Fingerprint, round int) (decided, won bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.entries[f]
 	if e == nil {
 		return true, true // Cleared meanwhile.
 	}
-	return e.round >= round, e.round == round && e.retestBy == t.self
+	return e.retestRound >= round, e.retestRound == round && e.retestBy == t.self
 }
 
 // sweep forgets what is no more worth keeping, and returns what is to be cleared on the
@@ -210,86 +212,86 @@
 	var cleared []Fingerprint
 	for f, e := range t.entries {
 		stale := e.staleFor(now)
-		if stale < 0 || e.writer != t.self && stale < e.orphanAfter {
+		if stale < 0 || e.writer != t.self && stale < e.orphanGracePeriod {
 			continue
 		}
-		t.drop(f)
+		t.remove(f)
 		cleared = append(cleared, f)
 	}
 	return cleared
 }
 
-// entry returns the entry of a request, a new one if there is none.
-func (t *Table) entry(f Fingerprint, team record.Team) *entry {
+// ensureEntry returns the ensureEntry of a request, a new one if there is none.
+func (t *Table) ensureEntry(f Fingerprint, team record.Team) *entry {
 	if e := t.entries[f]; e != nil {
 		return e
 	}
-	t.makeRoom(team)
-	e := &entry{team: team, orphanAfter: keepFor + rand.N(keepFor)} // Not all instances at once.
+	t.evictIfFull(team)
+	e := &entry{team: team, orphanGracePeriod: entryTTL + rand.N(entryTTL)} // Not all instances at once.
 	t.entries[f] = e
-	t.places[f.place()]++
-	t.teams[team]++
+	t.countByMetadata[f.metadataHash()]++
+	t.countByTeam[team]++
 	t.size.Store(int64(len(t.entries)))
 	return e
 }
 
-// makeRoom keeps to the bounds. The organisation that has the most loses what says least,
+// evictIfFull keeps to the bounds. The organisation that has the most loses what says least,
 // so that none can push out another's.
-func (t *Table) makeRoom(team record.Team) {
-	from := team
+func (t *Table) evictIfFull(team record.Team) {
+	evictFrom := team
 	switch {
-	case t.teams[team] >= mostOfTeam:
-	case len(t.entries) < mostEntries:
+	case t.countByTeam[team] >= maxEntriesPerTeam:
+	case len(t.entries) < maxEntries:
 		return
 	default:
-		for other, n := range t.teams {
-			if n > t.teams[from] {
-				from = other
+		for other, n := range t.countByTeam {
+			if n > t.countByTeam[evictFrom] {
+				evictFrom = other
 			}
 		}
 	}
-	var least Fingerprint
-	var worst *entry
+	var victim Fingerprint
+	var victimEntry *entry
 	for f, e := range t.entries {
-		if e.team == from && (worst == nil || e.saysLess(worst)) {
-			least, worst = f, e
+		if e.team == evictFrom && (victimEntry == nil || e.isLessRelevant(victimEntry)) {
+			victim, victimEntry = f, e
 		}
 	}
-	t.drop(least)
+	t.remove(victim)
 }
 
-func (e *entry) saysLess(other *entry) bool {
-	if e.ends != other.ends {
-		return e.ends < other.ends
+func (e *entry) isLessRelevant(other *entry) bool {
+	if e.crashes != other.crashes {
+		return e.crashes < other.crashes
 	}
-	return e.lastEnd.Before(other.lastEnd)
+	return e.lastCrash.Before(other.lastCrash)
 }
 
-func (t *Table) drop(f Fingerprint) bool {
+func (t *Table) remove(f Fingerprint) bool {
 	e := t.entries[f]
 	if e == nil {
 		return false
 	}
 	delete(t.entries, f)
-	decrease(t.places, f.place())
-	decrease(t.teams, e.team)
+	decrement(t.countByMetadata, f.metadataHash())
+	decrement(t.countByTeam, e.team)
 	for _, endpoint := range e.endpoints {
-		t.forget(endpoint, e)
+		t.unlinkCrash(endpoint, e)
 	}
 	t.size.Store(int64(len(t.entries)))
 	return true
 }
 
-// forget takes a request from those under which an endpoint ended.
-func (t *Table) forget(endpoint string, e *entry) {
-	at := t.under[endpoint]
-	at.entries = slices.DeleteFunc(at.entries, func(other *entry) bool { return other == e })
-	if len(at.entries) == 0 {
-		delete(t.under, endpoint)
+// unlinkCrash takes a request from those under which an endpoint ended.
+func (t *Table) unlinkCrash(endpoint string, e *entry) {
+	c := t.crashes[endpoint]
+	c.entries = slices.DeleteFunc(c.entries, func(other *entry) bool { return other == e })
+	if len(c.entries) == 0 {
+		delete(t.crashes, endpoint)
 	}
 }
 
-func decrease[K comparable](counts map[K]int, key K) {
+func decrement[K comparable](counts map[K]int, key K) {
 	if counts[key]--; counts[key] <= 0 {
 		delete(counts, key)
 	}
@@ -297,12 +299,12 @@
 
 // Row is one request as a state dump shows it.
 type Row struct {
-	Content      string      `json:"content"`
-	Organisation record.Team `json:"organisation"`
-	Ends         int         `json:"ends"`
-	Endpoints    []string    `json:"endpoints"`
-	Retests      int         `json:"retests"`
-	HeldUntil    *time.Time  `json:"held_until,omitempty"`
+	Content          string      `json:"content"`
+	Organisation     record.Team `json:"organisation"`
+	Crashes          int         `json:"ends"`
+	Endpoints        []string    `json:"endpoints"`
+	Retests          int         `json:"retests"`
+	QuarantinedUntil *time.Time  `json:"held_until,omitempty"`
 }
 
 // View copies the table as it is at that time.
@@ -311,22 +313,22 @@
 	defer t.mu.Unlock()
 	rows := make([]Row, 0, len(t.entries))
 	for f, e := range t.entries {
-		row := Row{Content: f.String(), Organisation: e.team, Ends: e.ends, Endpoints: slices.Clone(e.endpoints), Retests: e.round}
-		if t.isHeld(e, now) {
-			until := e.until
-			row.HeldUntil = &until
+		row := Row{Content: f.String(), Organisation: e.team, Crashes: e.crashes, Endpoints: slices.Clone(e.endpoints), Retests: e.retestRound}
+		if t.isQuarantined(e, now) {
+			until := e.quarantinedUntil
+			row.QuarantinedUntil = &until
 		}
 		rows = append(rows, row)
 	}
 	return rows
 }
 
-// Held returns how many requests are held at that time.
-func (t *Table) Held(now time.Time) (n int64) {
+// CountQuarantined returns how many requests are held at that time.
+func (t *Table) CountQuarantined(now time.Time) (n int64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, e := range t.entries {
-		if t.isHeld(e, now) {
+		if t.isQuarantined(e, now) {
 			n++
 		}
 	}
