--- a/internal/placement/cost.go
+++ b/internal/placement/cost.go
@@ -7,35 +7,43 @@
 )
 
 const (
-	// costPerInFlight is what one own request in flight adds at an endpoint. An
-	// instance sees an n-th of the load, so it stands for n requests.
+	// costPerInFlight is the cost, in milliseconds, of each request that this
+	// instance has in flight at the endpoint. One of n instances sees 1/n of the
+	// load, so each of its requests stands for n.
 	costPerInFlight = 10.0 // ms
-	// crossZoneCost is what a hop to another availability zone adds: a few
-	// milliseconds of round trip, and bytes that are dear. A longer queue than
-	// that is left for another zone.
+	// crossZoneCost is the cost of sending to another availability zone: a few
+	// milliseconds of round trip, plus the price of traffic between zones.
+	// Requests leave their zone when its queues cost more than that.
 	crossZoneCost = 20.0 // ms
-	// prefillMSPerTokenPair is what each pair of prompt tokens adds to reading, in milliseconds:
-	// a prompt of 65,000 takes 1.4 s, twice what its length alone would.
+	// prefillMSPerTokenPair is the coefficient of the part of the prefill time
+	// that grows with the square of the prompt's length, in milliseconds. A
+	// prompt of 65,000 tokens takes 1.4 s, twice as long as by the linear part
+	// alone.
 	prefillMSPerTokenPair = 1.75e-7
-	// cachedPartTTL is how long a part of a prompt that was sent to an endpoint is
-	// taken to be cached there.
+	// cachedPartTTL is how long a part of a prompt is assumed to stay in an
+	// endpoint's cache after it was last sent there.
 	cachedPartTTL = 10 * time.Second
-	// preferredCacheProbability is how sure it is that a prompt's home has its shared parts by
-	// other instances' sends.
+	// preferredCacheProbability is the assumed probability that a prompt's
+	// preferred endpoint has the shared parts cached because other instances
+	// sent them there.
 	preferredCacheProbability = 0.9
-	// recomputeWeight counts reading a shared part again by so much more: it evicts
-	// another part, delays every stream that runs there, and is time that the
-	// fleet of endpoints does not have for others.
+	// recomputeWeight multiplies the time for computing or fetching shared parts
+	// that another endpoint may have. Apart from the request's own delay it
+	// evicts other cached parts, slows down every stream on the endpoint and
+	// takes time that the fleet of endpoints lacks for other requests.
 	recomputeWeight = 4.0
-	// warmupCost is what an endpoint adds that says it is still slow.
+	// warmupCost is the cost of an endpoint that reports that it is still
+	// warming up after its start.
 	warmupCost = 50.0 // ms
-	// unansweredGracePeriod is the age from which an answer that has not begun
-	// counts against its endpoint, at its age: a dark endpoint takes few
-	// requests before others are cheaper.
+	// unansweredGracePeriod is the age of an unanswered attempt above which each
+	// further millisecond adds one to the endpoint's cost. An endpoint that
+	// accepts requests and never answers thus gets only a few before others are
+	// cheaper.
 	unansweredGracePeriod = 500 * time.Millisecond
 )
 
-// cost is what placing the request at the endpoint costs, in milliseconds.
+// cost returns the estimated cost of sending the request to the endpoint, in
+// milliseconds.
 func (e *endpointState) cost(q Query, now time.Duration) float64 {
 	prefill := e.estimatePrefill(q, now)
 	recomputeMS := prefill.sharedTokens/e.normalizedTokensPerMS + prefill.fetchedTokens*fetchMSPerToken
@@ -56,19 +64,22 @@
 
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// prefillEstimate is what an endpoint has to read of a request's prompt.
+// prefillEstimate is the estimated prefill of a request's prompt at an endpoint.
 type prefillEstimate struct {
-	ms float64 // How long it takes.
-	// missingTokens are the tokens that it lacks, sharedTokens those of them that other
-	// requests have too.
+	ms float64 // Duration in milliseconds, including a fetch.
+	// missingTokens is the number of tokens to compute, sharedTokens how many of
+	// them are in parts that other requests share. Both are expected values.
 	missingTokens, sharedTokens float64
-	// fetchedTokens are shared tokens that it gets from another endpoint instead.
+	// fetchedTokens is the expected number of tokens that the endpoint gets from
+	// fetchFrom instead of computing them; fetchFrom is nil if there is none.
 	fetchedTokens float64
 	fetchFrom     *endpointState
 }
 
-// countMissing is what an endpoint lacks of a request's prompt by what it is known to
-// have been sent; the last part is the request's own.
+// countMissing counts the prompt's tokens that the endpoint doesn't have cached,
+// judging by the parts it is known to have been sent, and all of its tokens. A
+// cached part only counts if all parts before it are cached. The last part belongs
+// to the request alone.
 func (e *endpointState) countMissing(q Query, now time.Duration) (out prefillEstimate, totalTokens float64) {
 	inPrefix := true
 	for i, p := range q.Parts {
@@ -87,8 +98,9 @@
 	return out, totalTokens
 }
 
-// estimatePrefill estimates what the endpoint has to read. At the prompt's home the shared
-// parts count as there with homeBelief; elsewhere they may be fetched.
+// estimatePrefill estimates the prefill at the endpoint. The preferred endpoint is
+// assumed to have missing shared parts with preferredCacheProbability; any other
+// endpoint may fetch them.
 func (e *endpointState) estimatePrefill(q Query, now time.Duration) prefillEstimate {
 	out, totalTokens := e.countMissing(q, now)
 	availableTokens := 0.0
@@ -107,11 +119,14 @@
 	return out
 }
 
-// preferredEndpoint returns the endpoint where all instances, without a word with each other,
-// send a prompt first: the highest by a hash of its longest shared part and the
-// endpoint. The last part is the request's own. Without it each instance has
-// the part read at an endpoint of its own. Behind a cut of an availability zone
-// they agree on another one that they reach.
+// preferredEndpoint returns the endpoint that all instances choose first for a
+// prompt without communicating: the one with the highest hash of the prompt's last
+// shared part and the endpoint's ID (rendezvous hashing). The last part of a prompt
+// belongs to the request alone; without a shared part the result is nil.
+//
+// If each instance chose for itself, the shared parts would be computed at a
+// different endpoint for each. Instances that a network partition cuts off from an
+// availability zone agree on another endpoint that they can reach.
 func (t *Table) preferredEndpoint(q Query) *endpointState {
 	if len(q.Parts) < 2 {
 		return nil
@@ -130,8 +145,8 @@
 	return preferred
 }
 
-// mixHash spreads the bits of a hash (the finalizer of MurmurHash3), so that the
-// highest of many with one key is any of them.
+// mixHash is the finalizer of MurmurHash3. It spreads the bits of a hash, so that
+// for a random key each endpoint is equally likely to have the highest one.
 func mixHash(h uint64) uint64 {
 	h = (h ^ h>>33) * 0xff51afd7ed558ccd
 	h = (h ^ h>>33) * 0xc4ceb9fe1a85ec53
--- a/internal/placement/failures.go
+++ b/internal/placement/failures.go
@@ -7,17 +7,19 @@
 )
 
 const (
-	// initialBackoff and longestPause bound how long an endpoint is avoided after
-	// failures in a row; each doubles it. A restarted endpoint is back within
-	// seconds, a lost one leaves the list.
+	// initialBackoff and maxBackoff bound how long an endpoint is avoided after
+	// consecutive failures; the time doubles with each back-off. A restarted
+	// endpoint is back within seconds, a lost one is removed from the list of
+	// endpoints.
 	initialBackoff = 500 * time.Millisecond
 	maxBackoff     = 8 * time.Second
-	// failuresBeforeBackoff spares an endpoint that fails now and then.
+	// failuresBeforeBackoff is the number of consecutive failures that lead to a
+	// back-off; an occasional single failure does not.
 	failuresBeforeBackoff = 2
 )
 
-// Unreachable lists the endpoints to which no connection could be made since
-// the last one that could.
+// Unreachable returns the endpoints to which the latest connection attempt failed,
+// in no particular order.
 func (t *Table) Unreachable() []discovery.Endpoint {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -30,7 +32,8 @@
 	return list
 }
 
-// MarkReachable tells that a connection to the endpoint could be made.
+// MarkReachable records that a connection to the endpoint could be made. An unknown
+// endpoint is ignored.
 func (t *Table) MarkReachable(endpoint string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -39,14 +42,15 @@
 	}
 }
 
-// isAvoided says whether other endpoints go first: callers' requests must not find out, one
-// after the other, that a cut still lasts.
+// isAvoided reports whether the endpoint is only used if there is no other. One that
+// is unreachable stays so until a connection succeeds, so that callers' requests
+// don't find out one after the other that a network partition persists.
 func (e *endpointState) isAvoided(now time.Duration) bool {
 	return e.unreachable || now < e.avoidedUntil
 }
 
-// startBackoff pauses the endpoint, twice as long each time. Attempts that failed
-// together count as one.
+// startBackoff avoids the endpoint for twice as long as the last time. Failures
+// during a back-off don't extend it, so that concurrent ones count as one.
 func (e *endpointState) startBackoff(now time.Duration) {
 	if now < e.avoidedUntil {
 		return
--- a/internal/placement/fetch.go
+++ b/internal/placement/fetch.go
@@ -2,37 +2,42 @@
 
 import "time"
 
-// An endpoint can get what it lacks of a prompt from another one that has read it
-// instead of reading it again. A request that can't wait at its prompt's home then
-// costs the fleet of endpoints a transfer and not the reading.
+// An endpoint can fetch cached parts of a prompt from another endpoint instead of
+// computing them again. A request that can't wait for its preferred endpoint then
+// costs the fleet of endpoints a transfer and not a second prefill.
 //
-// Only from an endpoint that has answered of late, since one behind a cut would be waited
-// for, and only for parts whose reading takes longer than setting the transfer up.
+// The source must have answered recently, because the request would wait for one that
+// a network partition has cut off, and computing the parts must take longer than
+// setting up the transfer.
 const (
-	// fetchSetupMS and fetchPerToken are what a transfer takes; 2.7 to 8 ms and 1.1
-	// to 1.7 us on the deployments that we know.
+	// fetchSetupMS and fetchMSPerToken are the fixed and the per-token time of a
+	// transfer in milliseconds. Known deployments take 2.7 to 8 ms and 1.1 to
+	// 1.7 us per token.
 	fetchSetupMS    = 8.0    // ms
 	fetchMSPerToken = 0.0017 // ms
-	// minFetchTokens is the shared part of a prompt from which fetching pays: it
-	// takes 3 ms to read.
+	// minFetchTokens is the number of missing shared tokens from which a fetch
+	// pays off: computing that many takes 3 ms.
 	minFetchTokens = 256.0 // tokens
-	// sentCacheProbability is how sure it is that an endpoint still has parts that it was
-	// sent, unconfirmedCacheProbability that a prompt's home has them without any word of it.
+	// sentCacheProbability is the assumed probability that an endpoint still has
+	// parts cached that it was sent within cachedPartTTL,
+	// unconfirmedCacheProbability that a prompt's preferred endpoint has them
+	// although no send is known.
 	sentCacheProbability, unconfirmedCacheProbability = 0.9, 0.5
-	// recentAnswerWindow is how old an endpoint's last answer may be for others to
-	// fetch from it.
+	// recentAnswerWindow is the maximum age of an endpoint's last answer for
+	// others to fetch from it.
 	recentAnswerWindow = 2 * time.Second
 )
 
-// fetchSource is an endpoint to fetch a prompt's shared parts from.
+// fetchSource is an endpoint from which a prompt's shared parts can be fetched.
 type fetchSource struct {
 	endpoint    *endpointState
-	probability float64 // That it has them.
+	probability float64 // That it has the parts cached.
 }
 
-// fetchSources picks where a prompt's shared parts can be fetched from: its home if
-// that was sent them, else any endpoint that was, else its home unseen. The second
-// is for requests that go to the first.
+// fetchSources chooses where a prompt's shared parts can be fetched from: the
+// preferred endpoint if it was sent them, else any endpoint that was, else the
+// preferred endpoint without a known send. The alternative is for requests that are
+// placed on the best source itself.
 func (t *Table) fetchSources(q Query, now time.Duration) (best, alternative fetchSource) {
 	if len(q.Parts) < 2 {
 		return fetchSource{}, fetchSource{}
@@ -60,8 +65,8 @@
 	return best, alternative
 }
 
-// hasSharedParts says whether the endpoint was sent the prompt's last shared part of late;
-// the ones before it came with it.
+// hasSharedParts reports whether the endpoint was sent the prompt's last shared part
+// within cachedPartTTL. The parts before it were sent along with it.
 func (e *endpointState) hasSharedParts(q Query, now time.Duration) bool {
 	sentAt, found := e.partSentAt[q.Parts[len(q.Parts)-2].ID]
 	return found && now-sentAt < cachedPartTTL
@@ -71,8 +76,8 @@
 	return !e.isAvoided(now) && e.lastAnswerAt > 0 && now-e.lastAnswerAt < recentAnswerWindow
 }
 
-// fetchSourceFor returns the source for a request at the endpoint; its row is nil if there
-// is none.
+// fetchSourceFor returns the source for a request that is placed on e. The source's
+// endpoint is nil if there is none.
 func (q *Query) fetchSourceFor(e *endpointState) fetchSource {
 	if q.bestSource.endpoint == e {
 		return q.alternativeSource
@@ -80,12 +85,13 @@
 	return q.bestSource
 }
 
-// announceInterval is how long after the last own send of a prompt's shared parts to an
-// endpoint the other instances are told again: before they forget.
+// announceInterval is how long after the last known send of a prompt's shared parts to
+// an endpoint the next one is announced to the other instances. It is shorter than
+// cachedPartTTL, so that they are told before they discard the last announcement.
 const announceInterval = cachedPartTTL / 2
 
-// partsToAnnounce lists the prompt's shared parts, for the other instances, if the endpoint
-// was not sent them of late.
+// partsToAnnounce returns the IDs of the prompt's shared parts for announcement to the
+// other instances; nil if they were sent to the endpoint within announceInterval.
 func (e *endpointState) partsToAnnounce(q Query, now time.Duration) []string {
 	if len(q.Parts) < 2 {
 		return nil
@@ -101,7 +107,8 @@
 	return ids
 }
 
-// RecordRemoteParts tells that another instance has sent the endpoint a prompt with these parts.
+// RecordRemoteParts records that another instance has sent the endpoint a prompt with
+// these shared parts. An unknown endpoint is ignored.
 func (t *Table) RecordRemoteParts(endpoint string, parts []string, now time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/placement/fetch_test.go
+++ b/internal/placement/fetch_test.go
@@ -9,12 +9,13 @@
 	"guavapier/internal/placement"
 )
 
-// sessionParts is a prompt of 6,000 shared tokens and some of its own.
+// sessionParts returns the parts of a prompt with 6,000 shared tokens and 2,000 of its
+// own.
 func sessionParts(id, own string) []placement.Part {
 	return []placement.Part{{ID: "system", Tokens: 2500}, {ID: id, Tokens: 3500}, {ID: own, Tokens: 2000}}
 }
 
-// newAnsweringTable returns a table whose endpoints have all answered of late.
+// newAnsweringTable returns a table of n endpoints that have all answered at now.
 func newAnsweringTable(n int, now time.Duration) *placement.Table {
 	p := newTable(n)
 	for i := range n {
@@ -31,10 +32,9 @@
 	return p
 }
 
-// 40 requests of one session come at once: its home can't take them all in time.
-// Those that leave it have the shared parts fetched from where they were read, so
-// that they are read once and not once at each endpoint: without, 5 endpoints
-// read them, 30,000 tokens in place of 6,000.
+// 40 requests of one session arrive at once, more than their preferred endpoint can
+// take in time. The other endpoints fetch the shared parts from one that has computed
+// them. Without fetching, 5 endpoints compute them: 30,000 tokens instead of 6,000.
 func TestABurstOnASessionIsReadOnce(t *testing.T) {
 	const now = time.Second
 	p := newAnsweringTable(6, now)
@@ -49,23 +49,24 @@
 		cachedAt[a.Endpoint.Address] = true
 	}
 	if len(requestsAt) < 3 {
-		t.Errorf("the burst stays at %v", requestsAt)
+		t.Errorf("requests by endpoint are %v, want at least 3 endpoints", requestsAt)
 	}
 	if prefills != 1 {
-		t.Errorf("the shared parts are read %d times", prefills)
+		t.Errorf("the shared parts are computed %d times, want once", prefills)
 	}
 }
 
-// What another instance has told of decides as much as own sends.
+// Parts that another instance has announced count like those of own requests, both for
+// the choice of the endpoint and as a source to fetch from.
 func TestPartsThatOthersSentAreFound(t *testing.T) {
 	const now = time.Second
 	sender, receiver := newAnsweringTable(6, now), newAnsweringTable(6, now)
 	q := placement.Query{Service: "s", Zone: "z0", Parts: sessionParts("a", "own")}
 	a := sender.Place(q, now)
 	if len(a.PartsToAnnounce) != 2 {
-		t.Fatalf("nothing to tell of %s: %v", a.Endpoint.ID, a.PartsToAnnounce)
+		t.Fatalf("parts to announce for %s are %v, want 2", a.Endpoint.ID, a.PartsToAnnounce)
 	}
-	var elsewhere string // Not the home, which all know without a word.
+	var elsewhere string // Not the preferred endpoint, which needs no announcement.
 	for i := range 6 {
 		if id := fmt.Sprintf("e%d", i); id != a.Endpoint.ID {
 			elsewhere = id
@@ -74,19 +75,19 @@
 	receiver.RecordRemoteParts(elsewhere, a.PartsToAnnounce, now)
 	q.Exclude = []string{a.Endpoint.ID}
 	if got := receiver.Place(q, now); got.Endpoint.ID != elsewhere || got.MissingTokens > 2000 {
-		t.Errorf("placed at %s, lacking %.0f", got.Endpoint.ID, got.MissingTokens)
+		t.Errorf("placed on %s with %.0f missing tokens, want the announced endpoint and at most 2000", got.Endpoint.ID, got.MissingTokens)
 	}
 	q.Exclude = append(q.Exclude, elsewhere)
 	if got := receiver.Place(q, now); got.FetchFrom != elsewhere+":1" {
-		t.Errorf("fetched from %q, not from %s", got.FetchFrom, elsewhere)
+		t.Errorf("parts are fetched from %q, want %s", got.FetchFrom, elsewhere)
 	}
 	if again := sender.Place(q, now+time.Second); again.Endpoint.ID == a.Endpoint.ID && again.PartsToAnnounce != nil {
-		t.Errorf("told again: %v", again.PartsToAnnounce)
+		t.Errorf("announced again after a second: %v", again.PartsToAnnounce)
 	}
 }
 
-// An endpoint behind a cut, one that leaves and one that is gone silent would be
-// waited for.
+// A request would wait for parts from an endpoint that is unreachable, failing, leaving
+// or silent.
 func TestNothingIsFetchedFromUnavailableEndpoints(t *testing.T) {
 	const now = time.Second
 	q := placement.Query{Service: "s", Zone: "z0", Parts: sessionParts("a", "own")}
@@ -115,13 +116,13 @@
 			elsewhere := q
 			elsewhere.Exclude = []string{preferred.Endpoint.ID}
 			if a := p.Place(elsewhere, later); a.FetchFrom == preferred.Endpoint.Address {
-				t.Errorf("fetched from %s", preferred.Endpoint.ID)
+				t.Errorf("parts are fetched from the unavailable endpoint %s", preferred.Endpoint.ID)
 			}
 		})
 	}
 }
 
-// Setting a transfer up takes longer than reading a few tokens.
+// Setting up a transfer takes longer than computing a few tokens.
 func TestFewSharedTokensAreNotFetched(t *testing.T) {
 	const now = time.Second
 	p := newAnsweringTable(2, now)
@@ -129,11 +130,11 @@
 	a := p.Place(q, now)
 	q.Exclude = []string{a.Endpoint.ID}
 	if again := p.Place(q, now); again.FetchFrom != "" {
-		t.Errorf("200 tokens fetched from %s", again.FetchFrom)
+		t.Errorf("200 tokens are fetched from %s, want no fetch", again.FetchFrom)
 	}
 }
 
-// An endpoint of a service is not asked for another service's prompts.
+// An endpoint of another service is no source, even if it was sent the same parts.
 func TestOnlyTheOwnServiceIsFetchedFrom(t *testing.T) {
 	const now = time.Second
 	p := newAnsweringTable(1, now)
@@ -141,6 +142,6 @@
 	a := p.Place(placement.Query{Service: "t", Parts: sessionParts("a", "own")}, now)
 	a.OnAnswerStart(now, true)
 	if got := p.Place(placement.Query{Service: "s", Parts: sessionParts("a", "own")}, now); got.FetchFrom != "" {
-		t.Errorf("fetched from %s", got.FetchFrom)
+		t.Errorf("parts are fetched from %s, an endpoint of another service", got.FetchFrom)
 	}
 }
--- a/internal/placement/relative_speed_test.go
+++ b/internal/placement/pace_test.go
@@ -10,22 +10,22 @@
 	"guavapier/internal/placement"
 )
 
-// simulatedEndpoint is an endpoint that reads one prompt after the other.
+// simulatedEndpoint is an endpoint that processes one prompt after the other.
 type simulatedEndpoint struct {
 	tokensPerMS float64
-	idleAt      time.Duration // When it has read all that was sent.
-	totalTokens float64
+	idleAt      time.Duration // When it will have processed all prompts.
+	totalTokens float64       // Of all prompts.
 }
 
-// pendingAnswer is one that will begin.
+// pendingAnswer is an answer that starts at a known time.
 type pendingAnswer struct {
 	at         time.Duration
 	assignment *placement.Assignment
 	ttft       time.Duration
 }
 
-// simulateRequests sends prompts of very different lengths for a minute and returns
-// the times to the first token of its second half.
+// simulateRequests sends prompts of widely varying lengths for a minute and returns the
+// times to first token (TTFT) of the second half.
 func simulateRequests(p *placement.Table, endpoints map[string]*simulatedEndpoint, requestsPerSecond float64) []time.Duration {
 	rng := rand.New(rand.NewPCG(5, 6))
 	var waiting []pendingAnswer
@@ -74,27 +74,27 @@
 	return newTable(len(tokensPerMS)), endpoints
 }
 
-// Of four endpoints one reads a quarter as fast as the others: it gets about a
-// quarter to read at most. When all were taken for equal it got half, and nine in
-// ten first tokens came within 190 ms; now within 117 ms.
+// One of four endpoints is a quarter as fast as the others and gets about a quarter of
+// the tokens of another one. With the same speed assumed for all it gets half, and the
+// 90th percentile of the TTFT is 190 ms instead of 117 ms.
 func TestASlowEndpointGetsLessToRead(t *testing.T) {
 	p, endpoints := newSimulatedEndpoints(92, 92, 92, 23)
 	ttft := simulateRequests(p, endpoints, 45)
 	share := endpoints["e3"].totalTokens / endpoints["e0"].totalTokens
-	t.Logf("p50 %s, p90 %s, the slow one reads %.2f of another one", quantile(ttft, 0.5), quantile(ttft, 0.9), share)
+	t.Logf("TTFT p50 %s, p90 %s; the slow endpoint gets %.2f of the tokens of a fast one", quantile(ttft, 0.5), quantile(ttft, 0.9), share)
 	if share > 0.35 {
-		t.Errorf("the slow endpoint reads %.2f of what a fast one does", share)
+		t.Errorf("the slow endpoint gets %.2f of the tokens of a fast one, want at most 0.35", share)
 	}
 }
 
-// Fleets of equal endpoints of any speed are used evenly.
+// Tokens spread evenly over identical endpoints, whatever their speed.
 func TestEqualEndpointsOfAnySpeedShareEvenly(t *testing.T) {
 	for _, tokensPerMS := range []float64{46, 92, 184} {
 		p, endpoints := newSimulatedEndpoints(tokensPerMS, tokensPerMS, tokensPerMS, tokensPerMS)
 		simulateRequests(p, endpoints, 45*tokensPerMS/92)
 		for id, e := range endpoints {
 			if share := e.totalTokens / endpoints["e0"].totalTokens; share < 0.75 || share > 1.33 {
-				t.Errorf("at %.0f tokens a ms %s reads %.2f of what e0 does", tokensPerMS, id, share)
+				t.Errorf("at %.0f tokens/ms %s gets %.2f of the tokens of e0, want 0.75 to 1.33", tokensPerMS, id, share)
 			}
 		}
 	}
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -1,11 +1,13 @@
-// Package placement chooses the endpoint of each request by its cost in
-// milliseconds. It does no input or output and has no clock: the caller gives
-// it the time, as the time since any origin.
+// Package placement chooses the endpoint for each request by its estimated cost in
+// milliseconds. It does no I/O and has no clock: callers pass the current time as a
+// duration since a fixed origin.
 //
-// It is made for a fleet of small instances that each see only their own
-// sends. Costs of all kinds are on one scale, so that affinity to a cached
-// prompt gives way to a queue as soon as the queue costs more than reading the
-// prompt again.
+// Prefill is the processing of a prompt before the first token of the answer.
+// Endpoints cache prompts, so that only the parts of a prompt that are not cached have
+// to be computed. Each gateway instance sees only the requests that it sends itself and
+// what other instances announce. Costs of all kinds are on one scale, so that a request
+// leaves the endpoint that has its prompt cached as soon as the queue there costs more
+// than computing the prompt again.
 package placement
 
 import (
@@ -19,59 +21,65 @@
 	"guavapier/internal/discovery"
 )
 
-// Part is a shared part of a prompt.
+// Part is a section of a prompt. Prompts that have a section in common use the same ID
+// for it.
 type Part struct {
 	ID     string
 	Tokens int64
 }
 
-// Query is a request to place.
+// Query describes a request to place.
 type Query struct {
 	Service string
-	Zone    string // The instance's own.
-	// Parts are the prompt's shared parts in order.
+	Zone    string // Availability zone of this instance.
+	// Parts are the sections of the prompt in order. All but the last may be shared
+	// with other prompts; the last belongs to this request alone.
 	Parts []Part
-	// Exclude lists endpoints that this request has been sent to.
+	// Exclude lists the IDs of endpoints that the request has already been sent to.
 	Exclude []string
 
-	preferred                     *endpointState // Where all instances send the prompt first.
-	bestSource, alternativeSource fetchSource    // Where its shared parts can be fetched from.
+	preferred                     *endpointState // See Table.preferredEndpoint.
+	bestSource, alternativeSource fetchSource    // See Table.fetchSources.
 }
 
+// endpointState is an endpoint with what the table knows of its load, cache and speed.
 type endpointState struct {
 	discovery.Endpoint
-	idHash   uint64 // Of its identity.
-	inFlight int
-	// unanswered are the starts of attempts whose answer has not begun.
+	idHash   uint64 // Hash of the endpoint's ID.
+	inFlight int    // This instance's requests.
+	// unanswered holds the attempts whose answer has not started, by assignment ID.
 	unanswered map[uint64]unansweredAttempt
-	partSentAt map[string]time.Duration // When each part was last sent there.
-	// busyUntil is when the endpoint will have read the long prompts that other
-	// instances sent there.
+	partSentAt map[string]time.Duration // When each part was last sent, by part ID.
+	// busyUntil is when the endpoint is expected to have finished the prefills that
+	// other instances announced.
 	busyUntil             time.Duration
 	speed                 speedEstimator
-	normalizedTokensPerMS float64 // Prompt tokens read in a millisecond.
-	// unreachable is set until a connection could be made again.
+	normalizedTokensPerMS float64 // Prefill speed for costs; see normalizeSpeeds.
+	// unreachable is set when a connection fails and cleared when one succeeds.
 	unreachable         bool
-	lastAnswerAt        time.Duration // When an answer last began; 0 for never.
+	lastAnswerAt        time.Duration // When an answer last started; 0 for never.
 	consecutiveFailures int
-	backoff             time.Duration
-	avoidedUntil        time.Duration // Avoided until then.
+	backoff             time.Duration // Length of the latest back-off; 0 for none.
+	avoidedUntil        time.Duration // End of the latest back-off.
 }
 
-// Table holds the endpoints. It is safe for concurrent use.
+// Table holds the known endpoints and places requests on them. It is safe for
+// concurrent use.
 type Table struct {
 	mu        sync.Mutex
 	rng       *rand.Rand
 	endpoints map[string]*endpointState
-	lastID    uint64
+	lastID    uint64 // Of the latest assignment.
 }
 
-// New returns an empty table; seed makes ties repeat in tests.
+// New returns an empty table. The seed determines how ties are broken, so that tests are
+// reproducible.
 func New(seed uint64) *Table {
 	return &Table{rng: rand.New(rand.NewPCG(seed, seed)), endpoints: map[string]*endpointState{}}
 }
 
-// Put adds or changes an endpoint. A reborn one loses what was learned of it.
+// Put adds or updates an endpoint. All that was recorded of it is discarded if it has
+// restarted with a new incarnation.
 func (t *Table) Put(e discovery.Endpoint) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -83,14 +91,16 @@
 	state.Endpoint = e
 }
 
-// Remove takes an endpoint out.
+// Remove removes the endpoint with this ID.
 func (t *Table) Remove(id string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	delete(t.endpoints, id)
 }
 
-// Place returns the cheapest endpoint, or nil if none may take the request.
+// Place assigns the request to the cheapest endpoint and counts it as in flight there
+// until Done is called. Endpoints that are unreachable or in a back-off are used only if
+// there is no other. The result is nil if no endpoint may take the request.
 func (t *Table) Place(q Query, now time.Duration) *Assignment {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -125,7 +135,9 @@
 	return a
 }
 
-// cheapest picks among the service's endpoints; those paused only if desperate.
+// cheapest returns the cheapest of the service's endpoints that are neither leaving nor
+// excluded, breaking ties at random; nil if there is none. Avoided endpoints are
+// considered only if includeAvoided is set.
 func (t *Table) cheapest(q Query, now time.Duration, includeAvoided bool) *endpointState {
 	var best *endpointState
 	lowest, ties := 0.0, 0
@@ -147,8 +159,8 @@
 	return best
 }
 
-// RecordRemotePrefill tells that another instance has sent the endpoint a prompt that takes so
-// long to read.
+// RecordRemotePrefill records that another instance has sent the endpoint a prompt with
+// this prefill time. An unknown endpoint is ignored.
 func (t *Table) RecordRemotePrefill(endpoint string, prefillTime, now time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -157,8 +169,8 @@
 	}
 }
 
-// Sweep forgets parts that count as evicted, and compares the endpoints' speeds.
-// It is called some times a second.
+// Sweep discards parts that were sent longer ago than cachedPartTTL, and compares the
+// endpoints' speeds. It has to be called several times a second.
 func (t *Table) Sweep(now time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -176,15 +188,15 @@
 	}
 }
 
-// Row is one endpoint as a state dump shows it.
+// Row is the state of one endpoint in a state dump.
 type Row struct {
 	discovery.Endpoint
-	InFlight int
-	Failures int
-	Parts    int
+	InFlight int // This instance's requests.
+	Failures int // Consecutive ones.
+	Parts    int // Parts that are assumed to be cached.
 }
 
-// View copies the table.
+// View returns a row for each endpoint, in no particular order.
 func (t *Table) View() []Row {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -9,6 +9,8 @@
 	"guavapier/internal/placement"
 )
 
+// newTable returns a table of n endpoints e0, e1, ... of service s, alternately in the
+// zones z0 and z1.
 func newTable(n int) *placement.Table {
 	t := placement.New(1)
 	for i := range n {
@@ -17,6 +19,7 @@
 	return t
 }
 
+// promptParts returns a part that all prompts share and one with this ID.
 func promptParts(id string) []placement.Part {
 	return []placement.Part{{ID: "shared", Tokens: 512}, {ID: id, Tokens: 4870}}
 }
@@ -27,15 +30,15 @@
 	p.Put(discovery.Endpoint{ID: "other", Service: "t"})
 	p.Put(discovery.Endpoint{ID: "tried", Service: "s"})
 	if got := p.Place(placement.Query{Service: "s", Exclude: []string{"tried"}}, 0); got != nil {
-		t.Errorf("placed on %s", got.Endpoint.ID)
+		t.Errorf("placed on %s, want no endpoint", got.Endpoint.ID)
 	}
 	p.Remove("tried")
 	if got := p.Place(placement.Query{Service: "s"}, 0); got != nil {
-		t.Errorf("placed on %s", got.Endpoint.ID)
+		t.Errorf("placed on %s after all available endpoints were removed", got.Endpoint.ID)
 	}
 }
 
-// One session after the other comes back to where its prompt was read.
+// Each of several sessions returns to the endpoint that has its prompt cached.
 func TestPromptsComeBackToWhereTheyWereRead(t *testing.T) {
 	p := newTable(6)
 	firstEndpoint := map[string]string{}
@@ -44,7 +47,7 @@
 			id := fmt.Sprintf("session%d", s)
 			a := p.Place(placement.Query{Service: "s", Zone: "z0", Parts: promptParts(id)}, time.Duration(round)*time.Second)
 			if round > 0 && a.Endpoint.ID != firstEndpoint[id] {
-				t.Errorf("%s went from %s to %s", id, firstEndpoint[id], a.Endpoint.ID)
+				t.Errorf("%s moved from %s to %s", id, firstEndpoint[id], a.Endpoint.ID)
 			}
 			firstEndpoint[id] = a.Endpoint.ID
 			a.Done(placement.Answered, time.Duration(round)*time.Second)
@@ -52,8 +55,9 @@
 	}
 }
 
-// Eight instances that never talk send a prompt to one endpoint, so that it is
-// read about once. By own sends alone each had it read at an endpoint of its own.
+// Eight instances that don't communicate send a prompt to the same endpoint, so that it
+// is computed about once. If each judged only by its own requests, it would be computed
+// at a different endpoint for each instance.
 func TestInstancesAgreeOnAPromptsPreferredEndpoint(t *testing.T) {
 	const instances, sessions = 8, 30
 	prefills := map[string]int{}
@@ -67,13 +71,13 @@
 		}
 	}
 	if got := len(prefills); got > 2*sessions {
-		t.Errorf("%d prompts were read at %d endpoints in all", sessions, got)
+		t.Errorf("%d prompts are computed %d times in all, want at most twice as often", sessions, got)
 	}
 }
 
-// Behind a cut that takes a third of the endpoints away, the instances that can't
-// reach them send the prompts whose homes these were to one other endpoint each.
-// When each instance chose for itself, 30 prompts were read at 62 endpoints.
+// A network partition takes away a third of the endpoints. The instances that can't
+// reach them send each prompt that preferred one of them to the same other endpoint. If
+// each instance chose for itself, 30 prompts would be computed 62 times.
 func TestInstancesAgreeOnAnotherPreferredEndpointBehindACut(t *testing.T) {
 	const instances, sessions = 8, 30
 	prefills := map[string]bool{}
@@ -96,12 +100,12 @@
 		}
 	}
 	if got := len(prefills); got > sessions*11/10 {
-		t.Errorf("%d prompts were read at %d endpoints in all", sessions, got)
+		t.Errorf("%d prompts are computed %d times in all, want at most 10 %% more", sessions, got)
 	}
 }
 
-// A burst on one prompt spreads before its queue costs more than reading the
-// prompt again: under plain affinity all 60 would queue at one endpoint.
+// A burst of requests with the same prompt spreads as soon as its queue costs more than
+// computing the prompt again. By cache affinity alone all 60 would queue at one endpoint.
 func TestABurstOnOnePromptSpreads(t *testing.T) {
 	p := newTable(6)
 	requestsAt := map[string]int{}
@@ -110,16 +114,16 @@
 	}
 	for id, n := range requestsAt {
 		if n > 20 {
-			t.Errorf("%d of 60 on %s", n, id)
+			t.Errorf("%d of 60 requests are placed on %s, want at most 20", n, id)
 		}
 	}
 	if len(requestsAt) < 4 {
-		t.Errorf("only %d endpoints share the burst", len(requestsAt))
+		t.Errorf("%d endpoints share the burst, want at least 4", len(requestsAt))
 	}
 }
 
-// Long prompts in a mix must not push short calls to a queue: load counts in
-// requests, and each request goes to the least loaded of its zone.
+// Without prompts only the number of requests in flight counts: requests from both zones
+// spread evenly over their endpoints.
 func TestRequestsSpreadEvenlyOverEqualEndpoints(t *testing.T) {
 	p := newTable(4)
 	at := map[string]int{}
@@ -129,7 +133,7 @@
 	}
 	for id, n := range at {
 		if n < 8 || n > 12 {
-			t.Errorf("%d of 40 on %s", n, id)
+			t.Errorf("%d of 40 requests are placed on %s, want 8 to 12", n, id)
 		}
 	}
 }
@@ -138,7 +142,7 @@
 	p := newTable(2)
 	for i := range 2 {
 		if a := p.Place(placement.Query{Service: "s", Zone: "z0"}, 0); a.Endpoint.Zone != "z0" {
-			t.Errorf("request %d left its zone", i)
+			t.Errorf("request %d is not placed in its zone", i)
 		}
 	}
 	otherZone := 0
@@ -148,12 +152,12 @@
 		}
 	}
 	if otherZone == 0 {
-		t.Error("a queue in the own zone sends nothing away")
+		t.Error("no request leaves its zone although there is a queue")
 	}
 }
 
-// A dark endpoint takes requests and answers none: after half a second it costs
-// more than the others. Least loaded alone would give it a fifth of all.
+// An endpoint accepts requests and answers none. After half a second it costs more than
+// the others. By the number of requests in flight alone it would get a fifth of them.
 func TestASilentEndpointGetsFewRequests(t *testing.T) {
 	p := newTable(5)
 	toSilent := 0
@@ -168,19 +172,19 @@
 		a.Done(placement.Answered, now)
 	}
 	if toSilent > 20 {
-		t.Errorf("%d of 500 requests went to the dark endpoint", toSilent)
+		t.Errorf("%d of 500 requests are placed on the silent endpoint, want at most 20", toSilent)
 	}
 }
 
-// A question must not queue behind a report of 60,000 tokens that another
-// instance has just sent: until it is read, 1.3 s, the endpoint costs more.
+// A short question must not queue behind a prompt of 60,000 tokens that another instance
+// has just sent: the endpoint costs more until that has been processed, for 1.3 s.
 func TestQuestionsAvoidAnEndpointThatReadsALongPrompt(t *testing.T) {
 	long := []placement.Part{{ID: "system", Tokens: 500}, {ID: "dossier", Tokens: 5000}, {ID: "own", Tokens: 54_500}}
 	question := []placement.Part{{ID: "system", Tokens: 500}, {ID: "own question", Tokens: 100}}
 	sender, receiver := newTable(4), newTable(4)
 	a := sender.Place(placement.Query{Service: "s", Zone: "z0", Parts: long}, 0)
 	if a.PrefillTime < time.Second || a.PrefillTime > 2*time.Second {
-		t.Errorf("reading takes %s", a.PrefillTime)
+		t.Errorf("the prefill is expected to take %s, want 1 to 2 s", a.PrefillTime)
 	}
 	receiver.RecordRemotePrefill(a.Endpoint.ID, a.PrefillTime, 0)
 	behind := 0
@@ -190,10 +194,10 @@
 		}
 	}
 	if behind > 0 {
-		t.Errorf("%d of 40 questions wait behind the report", behind)
+		t.Errorf("%d of 40 questions wait behind the long prompt", behind)
 	}
 	if got := receiver.Place(placement.Query{Service: "s", Zone: a.Endpoint.Zone, Parts: question}, 3*time.Second); got.Endpoint.ID != a.Endpoint.ID {
-		t.Errorf("the report has been read, and %s gets the question with %d in flight", got.Endpoint.ID, got.InFlight)
+		t.Errorf("after the prefill the question is placed on %s with %d requests in flight, want the endpoint of the long prompt", got.Endpoint.ID, got.InFlight)
 	}
 }
 
@@ -208,20 +212,19 @@
 	fail(0)
 	for range 5 {
 		if a := p.Place(placement.Query{Service: "s", Zone: "z0"}, time.Millisecond); a.Endpoint.ID == "e0" {
-			t.Error("placed on the failing endpoint")
+			t.Error("placed on the failing endpoint during its back-off")
 		}
 	}
 	if a := p.Place(placement.Query{Service: "s", Zone: "z0", Exclude: []string{"e1"}}, time.Millisecond); a == nil {
-		t.Error("with no other endpoint the failing one is worth a try")
+		t.Error("not placed on the failing endpoint although there is no other")
 	}
 	if a := p.Place(placement.Query{Service: "s", Zone: "z0"}, 5*time.Second); a.Endpoint.ID != "e0" {
-		t.Error("avoided for longer than its pause")
+		t.Error("the endpoint is avoided for longer than its back-off")
 	}
 }
 
-// Behind a cut of 10 s one request finds out that an endpoint can't be reached,
-// and none that it still can't. With pauses that double it were 5, and as many
-// again for each instance.
+// In a network partition of 10 s a single request finds out that an endpoint is
+// unreachable. With a doubling back-off 5 would, for each instance.
 func TestAnUnreachableEndpointCostsOneAttempt(t *testing.T) {
 	p := newTable(3)
 	failedAttempts := 0
@@ -237,26 +240,26 @@
 		a.Done(placement.Answered, now)
 	}
 	if failedAttempts != 1 {
-		t.Errorf("%d requests met the unreachable endpoint", failedAttempts)
+		t.Errorf("%d requests are placed on the unreachable endpoint, want 1", failedAttempts)
 	}
 	if got := p.Unreachable(); len(got) != 1 || got[0].ID != "e0" {
-		t.Fatalf("unreachable are %v", got)
+		t.Fatalf("unreachable endpoints are %v, want e0", got)
 	}
 	p.MarkReachable("e0")
 	if got := p.Unreachable(); len(got) != 0 {
-		t.Errorf("still unreachable are %v", got)
+		t.Errorf("unreachable endpoints are %v after a connection, want none", got)
 	}
 	if a := p.Place(placement.Query{Service: "s", Zone: "z0", Exclude: []string{"e1", "e2"}}, 10*time.Second); a == nil || a.Endpoint.ID != "e0" {
-		t.Error("not used again")
+		t.Error("the endpoint is not used again after a connection")
 	}
 }
 
-// Where all are unreachable one of them is still worth a try.
+// If all endpoints are unreachable, one of them is tried all the same.
 func TestUnreachableEndpointsAreTriedIfThereAreNoOthers(t *testing.T) {
 	p := newTable(1)
 	p.Place(placement.Query{Service: "s"}, 0).Done(placement.Unreachable, 0)
 	if a := p.Place(placement.Query{Service: "s"}, time.Second); a == nil {
-		t.Error("nothing tried")
+		t.Error("no endpoint is tried")
 	}
 }
 
@@ -267,7 +270,7 @@
 	p.Put(discovery.Endpoint{ID: a.Endpoint.ID, Service: "s", Zone: a.Endpoint.Zone, Born: 2})
 	for _, row := range p.View() {
 		if row.Parts != 0 {
-			t.Errorf("%s remembers %d parts", row.ID, row.Parts)
+			t.Errorf("%s has %d cached parts after its restart, want none", row.ID, row.Parts)
 		}
 	}
 }
--- a/internal/placement/speed.go
+++ b/internal/placement/speed.go
@@ -5,35 +5,36 @@
 	"time"
 )
 
-// speedEstimator learns how fast an endpoint reads prompts from the times to the first
-// token that it is seen to take.
+// speedEstimator estimates how fast an endpoint processes prompts from the observed
+// times to first token (TTFT).
 //
-// Load: endpoints of any make, and of several makes in one service. Harm
-// prevented: a cost that is off by the factor between an endpoint and what was
-// assumed, so that slow endpoints get as much to read as fast ones. Limit: it
-// follows a low quantile of the times, since waiting behind others only adds to
-// them, and moves by a few percent with each answer, so that a second of a full
-// queue moves it by less than a fifth.
+// Endpoints may run on any hardware, and on several kinds within one service. If one
+// speed were assumed for all, costs would be wrong by the ratio of the speeds and slow
+// endpoints would get as many prompt tokens as fast ones.
+//
+// The estimate follows a low quantile of the TTFTs, because queueing only adds to them.
+// It changes by a few percent with each answer, so that a queue that is full for a
+// second changes it by less than a fifth.
 type speedEstimator struct {
-	baseMS     float64 // ms to the first token of a prompt that is cached whole.
-	msPerToken float64 // ms for each token to read.
+	baseMS     float64 // TTFT of a fully cached prompt in milliseconds.
+	msPerToken float64 // Milliseconds for each token that is not cached.
 }
 
 const (
-	// defaultTokensPerMS is how many prompt tokens an endpoint reads in a millisecond
-	// until it has been seen to: 92 to 112, beside streams, on the deployments
-	// that we know.
+	// defaultTokensPerMS is the assumed prefill speed, in tokens per millisecond, of
+	// an endpoint without observations. Known deployments reach 92 to 112 while
+	// serving streams.
 	defaultTokensPerMS = 92.0
-	// defaultBaseMS is the time to the first token of a cached prompt there.
+	// defaultBaseMS is the assumed TTFT of a fully cached prompt.
 	defaultBaseMS = 30.0 // ms
-	// minTokensPerMS and maxTokensPerMS bound what is learned.
+	// minTokensPerMS and maxTokensPerMS bound the estimated speed.
 	minTokensPerMS, maxTokensPerMS = 10.0, 1000.0
-	// estimatedQuantile is the share of times that lie below what is learned.
+	// estimatedQuantile is the share of the TTFTs that lie below the estimate.
 	estimatedQuantile = 0.3
-	// maxStep is the largest change by one answer, a share.
+	// maxStep is the upper bound of the relative change by one answer.
 	maxStep = 0.06
-	// crossoverTokens is the length from which a prompt tells more of the reading
-	// than of all else.
+	// crossoverTokens is the number of uncached tokens above which a TTFT says more
+	// about the prefill speed than about the base time.
 	crossoverTokens = defaultBaseMS * defaultTokensPerMS
 )
 
@@ -41,16 +42,17 @@
 	return speedEstimator{baseMS: defaultBaseMS, msPerToken: 1 / defaultTokensPerMS}
 }
 
-// tokensPerMS is how many tokens are read in a millisecond.
+// tokensPerMS returns the estimated prefill speed in tokens per millisecond.
 func (s *speedEstimator) tokensPerMS() float64 { return 1 / s.msPerToken }
 
-// equalSpeedFactor is the factor within which endpoints count as equally fast: what is
-// learned of equal ones differs by a tenth or two.
+// equalSpeedFactor is the ratio up to which endpoints count as equally fast. The
+// estimates of identical endpoints differ by 10 to 20 %.
 const equalSpeedFactor = 1.6
 
-// normalizeSpeeds sets how fast each of the service's endpoints reads: what is assumed,
-// times how it compares with the others. Costs of other kinds were weighed against
-// what is assumed, and only differences choose an endpoint.
+// normalizeSpeeds sets the speeds that the costs of the service's endpoints are computed
+// with: the default speed, times the ratio of the endpoint's estimate to the geometric
+// mean of all if that is outside equalSpeedFactor. The costs of other kinds are balanced
+// against the default speed, and only differences in cost decide on an endpoint.
 func (t *Table) normalizeSpeeds(service string) {
 	logSum, count := 0.0, 0.0
 	for _, e := range t.endpoints {
@@ -71,9 +73,9 @@
 	}
 }
 
-// observe takes the time to the first token of a prompt of which so many tokens were
-// to be read: the expected time moves up or down by fixed steps, so that the share
-// of times below it comes to be the quantile (a stochastic quantile regression).
+// observe updates the estimate with the TTFT of a prompt of which this many tokens were
+// not cached. The expected TTFT moves up or down by fixed steps, so that the share of
+// TTFTs below it converges to estimatedQuantile (stochastic quantile regression).
 func (s *speedEstimator) observe(tokens float64, ttft time.Duration) {
 	step := maxStep * estimatedQuantile
 	if milliseconds(ttft) < s.baseMS+s.msPerToken*tokens {
--- a/internal/placement/speed_test.go
+++ b/internal/placement/speed_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// simulateAnswers plays answers of an endpoint that reads so many tokens in a millisecond:
-// prompts of very different lengths, some of which wait behind others.
+// simulateAnswers feeds the estimator with answers of an endpoint of this speed, to
+// prompts of widely varying lengths. A queuedShare of them waits behind others.
 func simulateAnswers(s *speedEstimator, tokensPerMS float64, answers int, queuedShare float64, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	for range answers {
@@ -23,22 +23,22 @@
 	}
 }
 
-// After two minutes of five answers a second an endpoint's speed is known to a
-// third, from a quarter to four times of what is assumed, whether a tenth or half
-// of its answers waited.
+// After 600 answers, two minutes at five per second, the estimate is within a third of
+// the endpoint's speed. This holds from a quarter of the default speed to four times
+// that, and whether a tenth or half of the requests waited in a queue.
 func TestSpeedIsLearned(t *testing.T) {
 	for _, tokensPerMS := range []float64{23, 46, 92, 184, 368} {
 		for _, queuedShare := range []float64{0.1, 0.5} {
 			s := newSpeedEstimator()
 			simulateAnswers(&s, tokensPerMS, 600, queuedShare, 7)
 			if got := s.tokensPerMS() / tokensPerMS; got < 0.66 || got > 1.5 {
-				t.Errorf("at %.0f tokens a ms, %.0f %% waiting: learned %.0f", tokensPerMS, 100*queuedShare, s.tokensPerMS())
+				t.Errorf("at %.0f tokens/ms with %.0f %% of requests queued: estimate is %.0f tokens/ms", tokensPerMS, 100*queuedShare, s.tokensPerMS())
 			}
 		}
 	}
 }
 
-// Ten answers that all wait for a second must not make an endpoint look slow.
+// Ten answers that all waited in a queue for a second must not make an endpoint look slow.
 func TestAFullQueueIsNoSlowEndpoint(t *testing.T) {
 	s := newSpeedEstimator()
 	simulateAnswers(&s, 92, 300, 0.1, 3)
@@ -47,7 +47,7 @@
 		s.observe(2000, time.Second)
 	}
 	if got := s.tokensPerMS() / initial; got < 0.8 {
-		t.Errorf("from %.0f to %.0f tokens a ms", initial, s.tokensPerMS())
+		t.Errorf("the estimate falls from %.0f to %.0f tokens/ms", initial, s.tokensPerMS())
 	}
 }
 
@@ -57,12 +57,12 @@
 		s.observe(50_000, 0)
 	}
 	if s.tokensPerMS() > maxTokensPerMS*1.001 {
-		t.Errorf("%.0f tokens a ms", s.tokensPerMS())
+		t.Errorf("the estimate of %.0f tokens/ms is above the maximum", s.tokensPerMS())
 	}
 	for range 10_000 {
 		s.observe(50_000, time.Hour)
 	}
 	if s.tokensPerMS() < minTokensPerMS*0.999 {
-		t.Errorf("%.1f tokens a ms", s.tokensPerMS())
+		t.Errorf("the estimate of %.1f tokens/ms is below the minimum", s.tokensPerMS())
 	}
 }
--- /dev/null
+++ b/internal/placement/ticket.go
@@ -0,0 +1,91 @@
+package placement
+
+import (
+	"time"
+
+	"guavapier/internal/discovery"
+)
+
+// Outcome is how an attempt ended, as far as it concerns the choice of endpoints.
+type Outcome uint8
+
+// The outcomes.
+const (
+	// Answered means that the endpoint answered, with any status.
+	Answered Outcome = iota
+	// Failed means that the endpoint refused the request, broke the connection, did
+	// not answer or reported an error of its own.
+	Failed
+	// Unreachable means that no connection could be made.
+	Unreachable
+	// Abandoned means that the caller left, which says nothing about the endpoint.
+	Abandoned
+)
+
+// unansweredAttempt is an attempt whose answer has not started.
+type unansweredAttempt struct {
+	sentAt time.Duration
+	// prefillMS is the expected prefill time in milliseconds.
+	prefillMS float64
+	// missingTokens is the expected number of tokens to compute. updatesSpeed is false
+	// if tokens are fetched or the prompt's parts are unknown, because the TTFT then
+	// says nothing about the prefill speed.
+	missingTokens float64
+	updatesSpeed  bool
+}
+
+// Assignment is an attempt at a request that has been placed on an endpoint.
+type Assignment struct {
+	Endpoint discovery.Endpoint
+	// Cost, MissingTokens and InFlight explain the choice in logs: the endpoint's
+	// cost in milliseconds, the expected number of prompt tokens that it has to
+	// compute, and this instance's requests there without this one.
+	Cost          float64
+	MissingTokens float64
+	InFlight      int
+	// FetchFrom is the address (IP:port) of an endpoint from which shared parts of the
+	// prompt can be fetched; "" for none.
+	FetchFrom string
+	// PartsToAnnounce are the IDs of the shared parts that the other instances should
+	// know the endpoint to have cached; nil if they have been announced.
+	PartsToAnnounce []string
+	// PrefillTime is the expected duration of the prefill, including a fetch.
+	PrefillTime   time.Duration
+	id            uint64
+	endpointState *endpointState
+	table         *Table
+}
+
+// OnAnswerStart records that an answer has started. prefilled states that the endpoint
+// has processed the prompt for it, which it has not for a refusal.
+func (a *Assignment) OnAnswerStart(now time.Duration, prefilled bool) {
+	a.table.mu.Lock()
+	defer a.table.mu.Unlock()
+	if p, waiting := a.endpointState.unanswered[a.id]; waiting && prefilled && p.updatesSpeed {
+		a.endpointState.speed.observe(p.missingTokens, now-p.sentAt)
+	}
+	delete(a.endpointState.unanswered, a.id)
+	a.endpointState.unreachable, a.endpointState.lastAnswerAt = false, now
+}
+
+// Done records the end of the attempt. It has to be called exactly once.
+func (a *Assignment) Done(outcome Outcome, now time.Duration) {
+	a.table.mu.Lock()
+	defer a.table.mu.Unlock()
+	e := a.endpointState
+	e.inFlight--
+	delete(e.unanswered, a.id)
+	switch outcome {
+	case Answered:
+		e.consecutiveFailures, e.backoff = 0, 0
+	case Failed:
+		e.consecutiveFailures++
+		if e.consecutiveFailures >= failuresBeforeBackoff {
+			e.startBackoff(now)
+		}
+	case Unreachable:
+		// The endpoint is down or cut off by a network partition. It is avoided
+		// until a connection succeeds.
+		e.unreachable = true
+	}
+}
