--- a/internal/linkload/meter.go
+++ b/internal/linkload/meter.go
@@ -1,5 +1,5 @@
-// Package linkload watches how full an instance's network link is, and decides when
-// its callers are sent to other instances.
+// Package linkload measures the utilisation of an instance's network link and decides
+// when callers are sent to other instances (load shedding).
 package linkload
 
 import (
@@ -10,34 +10,37 @@
 	"guavapier/internal/dial"
 )
 
-// Meter counts the bytes that cross the link, by direction. A nil Meter counts nothing.
+// Meter counts the bytes that are transferred over the link, by direction. The zero
+// value is ready for use, and CountReceived and CountSent do nothing on a nil Meter. It
+// is safe for concurrent use.
 type Meter struct {
 	in, out atomic.Int64
 }
 
-// CountReceived counts bytes that came in.
+// CountReceived adds n bytes to those received.
 func (m *Meter) CountReceived(n int) {
 	if m != nil {
 		m.in.Add(int64(n))
 	}
 }
 
-// CountSent counts bytes that went out.
+// CountSent adds n bytes to those sent.
 func (m *Meter) CountSent(n int) {
 	if m != nil {
 		m.out.Add(int64(n))
 	}
 }
 
-// Total returns the bytes since the start.
+// Total returns the bytes that have been counted since the process started.
 func (m *Meter) Total() ByteCounts { return ByteCounts{In: m.in.Load(), Out: m.out.Load()} }
 
-// ByteCounts are counts by direction.
+// ByteCounts are numbers of bytes received (In) and sent (Out).
 type ByteCounts struct {
 	In, Out int64
 }
 
-// WrapDial counts the bytes of the connections that next makes.
+// WrapDial returns a dial function that counts the bytes of the connections that next
+// makes.
 func (m *Meter) WrapDial(next dial.Func) dial.Func {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		c, err := next(ctx, network, address)
@@ -48,7 +51,7 @@
 	}
 }
 
-// countingConn is a connection whose bytes are counted.
+// countingConn is a connection whose bytes are counted by a Meter.
 type countingConn struct {
 	net.Conn
 	meter *Meter
--- a/internal/linkload/shedder.go
+++ b/internal/linkload/shedder.go
@@ -6,57 +6,59 @@
 )
 
 const (
-	// shedThreshold is the part of a link's speed above which callers are sent elsewhere.
-	// What is not counted (headers of packets, calls to other instances and the store)
-	// takes up to a fifth, and queues grow before a link is full.
+	// shedThreshold is the utilisation of the link above which shedding starts.
+	// Traffic that is not counted (packet headers, calls to other instances and to
+	// the store) takes up to a fifth of the link, and queues grow before it is full.
 	shedThreshold = 0.7
-	// clearThreshold is the part below which they are taken again.
+	// clearThreshold is the utilisation at or below which shedding ends.
 	clearThreshold = 0.5
-	// rateWindow is the time over which the rate is taken: prompts come in bursts.
+	// rateWindow is the time over which the utilisation is averaged, because prompts
+	// arrive in bursts.
 	rateWindow = time.Second
-	// balancerReactionTime is how long it takes until a balancer that asks once a second sends
-	// no new connections: answers that close connections before would bring the callers
-	// back at once.
+	// balancerReactionTime is how long a load balancer that checks once a second takes
+	// to stop sending new connections. Callers whose connections are closed before that
+	// would be sent back at once.
 	balancerReactionTime = 2 * time.Second
-	// maxShedDuration ends a shedding that did not clear the link: where all instances are
-	// as full, callers gain nothing by going elsewhere.
+	// maxShedDuration bounds a phase of shedding that does not clear the link: if all
+	// instances are equally loaded, callers gain nothing by going elsewhere.
 	maxShedDuration = 6 * time.Second
-	// cooldownAfterClear and restInVain are how long callers are taken again after one that
-	// cleared the link, and after one that did not.
+	// cooldownAfterClear is the minimum time from the end of a phase of shedding that
+	// cleared the link to the next one, cooldownAfterTimeout after one that did not.
 	cooldownAfterClear   = 2 * time.Second
 	cooldownAfterTimeout = 12 * time.Second
 )
 
-// Shedder decides when callers are sent to other instances because the own link is
-// nearly full: the balancer spreads callers unevenly, and on a full link nothing comes
-// in time, the instance's own calls included. It does no input or output and has no
-// clock. Times are since any one origin. It is safe for concurrent use.
+// Shedder decides when callers are sent to other instances because this instance's link
+// is nearly full. The load balancer spreads callers unevenly, and a full link delays all
+// traffic, including the instance's own calls. Shedder does no I/O and has no clock:
+// callers pass the current time as a duration since a fixed origin. It is safe for
+// concurrent use.
 type Shedder struct {
-	bytesPerSecond float64 // Bytes that the link carries in one direction; 0 for unknown.
+	bytesPerSecond float64 // Capacity of the link in each direction; 0 for unknown.
 
-	mu          sync.Mutex
-	samples     []sample // Of the last rateOver, the oldest first.
-	load        float64
+	mu          sync.Mutex // Guards the fields below.
+	samples     []sample   // Those within rateWindow and the last before it, oldest first.
+	load        float64    // Utilisation of the busier direction; 1 is full.
 	shedding    bool
-	shedStart   time.Duration // When the shedding began.
-	cooldownEnd time.Duration // When it may begin again.
+	shedStart   time.Duration // Start of the latest phase of shedding.
+	cooldownEnd time.Duration // Earliest start of the next one.
 }
 
-// sample is one reading of the Meter.
+// sample is a reading of the Meter.
 type sample struct {
 	at    time.Duration
 	total ByteCounts
 }
 
-// NewShedder returns a Shedder for a link of so many Mbit/s; 0 for unknown, which never
-// sheds.
+// NewShedder returns a Shedder for a link with this capacity in Mbit/s. 0 stands for an
+// unknown capacity, with which the Shedder never sheds.
 func NewShedder(linkMbps float64) *Shedder {
 	const bytesPerMbit = 1e6 / 8
 	return &Shedder{bytesPerSecond: linkMbps * bytesPerMbit}
 }
 
-// Sample takes a reading of the Meter and returns whether that began or ended the
-// shedding.
+// Sample updates the utilisation with a reading of the Meter, and reports whether shedding
+// has started or ended.
 func (s *Shedder) Sample(total ByteCounts, now time.Duration) (changed bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -76,7 +78,8 @@
 	return true
 }
 
-// updateLoad renews the load from what crossed the link in the last rateOver.
+// updateLoad computes the load from the bytes that were transferred within rateWindow.
+// Until the samples cover that time it stays 0.
 func (s *Shedder) updateLoad(total ByteCounts, now time.Duration) {
 	s.samples = append(s.samples, sample{now, total})
 	for len(s.samples) > 2 && now-s.samples[1].at >= rateWindow {
@@ -89,24 +92,26 @@
 	}
 }
 
-// Load returns the fuller direction's part of the link's speed.
+// Load returns the utilisation of the busier direction, as a share of the link's capacity;
+// 0 if that is unknown.
 func (s *Shedder) Load() float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.load
 }
 
-// IsCongested says whether the link is too full to take callers.
+// IsCongested reports whether the utilisation is too high to take on more callers.
 func (s *Shedder) IsCongested() bool { return s.Load() > clearThreshold }
 
-// IsShedding says whether the balancer is told to send no new callers.
+// IsShedding reports whether the load balancer should send no new callers.
 func (s *Shedder) IsShedding() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.shedding
 }
 
-// ShouldCloseConnections says whether answers ask callers to leave their connections.
+// ShouldCloseConnections reports whether answers should ask callers to close their
+// connections, which they then open again to another instance.
 func (s *Shedder) ShouldCloseConnections(now time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/linkload/shedder_test.go
+++ b/internal/linkload/shedder_test.go
@@ -10,9 +10,9 @@
 
 const sampleInterval = 250 * time.Millisecond
 
-// simulatedZone is a simulatedZone's instances behind a balancer that asks once a second whether they
-// take callers, leaves out those that did not twice in a row, and uses all where fewer
-// than half are left. Callers keep their connections.
+// simulatedZone is an availability zone of instances behind a load balancer. The balancer
+// checks once a second whether they take callers, leaves out those that failed two checks
+// in a row, and uses all if fewer than half remain. Callers keep their connections.
 type simulatedZone struct {
 	t         *testing.T
 	rng       *rand.Rand
@@ -21,15 +21,17 @@
 	now       time.Duration
 }
 
+// simulatedInstance is an instance with the traffic of its callers.
 type simulatedInstance struct {
 	shedder      *linkload.Shedder
 	total        linkload.ByteCounts
-	failedChecks int     // Questions in a row without a yes.
-	callerMbps   float64 // Mbit/s that callers with kept connections send.
-	shedTime     time.Duration
-	fullTime     time.Duration
+	failedChecks int           // Consecutive ones.
+	callerMbps   float64       // Traffic that callers send on open connections, in Mbit/s.
+	shedTime     time.Duration // Total time of shedding.
+	fullTime     time.Duration // Total time with more than 90 % of the link in demand.
 }
 
+// newSimulatedZone returns a zone of n instances with links of this capacity in Mbit/s.
 func newSimulatedZone(t *testing.T, n int, linkMbps float64) *simulatedZone {
 	t.Helper()
 	z := &simulatedZone{t: t, rng: rand.New(rand.NewPCG(1, 2)), linkMbps: linkMbps}
@@ -39,7 +41,7 @@
 	return z
 }
 
-// inRotation lists the instances that get new connections.
+// inRotation returns the instances to which the load balancer sends new connections.
 func (z *simulatedZone) inRotation() []*simulatedInstance {
 	var list []*simulatedInstance
 	for _, i := range z.instances {
@@ -53,7 +55,8 @@
 	return list
 }
 
-// advance lets time pass. Callers that are sent away choose another instance.
+// advance simulates the zone for this time. Callers whose connections are closed connect
+// to another instance.
 func (z *simulatedZone) advance(d time.Duration) {
 	for end := z.now + d; z.now < end; z.now += sampleInterval {
 		if z.now%time.Second == 0 {
@@ -65,6 +68,7 @@
 	}
 }
 
+// runHealthChecks runs one check of the load balancer on each instance.
 func (z *simulatedZone) runHealthChecks() {
 	for _, i := range z.instances {
 		i.failedChecks++
@@ -74,6 +78,7 @@
 	}
 }
 
+// sampleLink transfers an instance's traffic of one sampleInterval and samples its link.
 func (z *simulatedZone) sampleLink(i *simulatedInstance) {
 	const bytesPerMbit = 1e6 / 8
 	carried := min(i.callerMbps, z.linkMbps)
@@ -90,7 +95,8 @@
 	}
 }
 
-// moveCallersFrom moves a quarter of an instance's callers, in small parts.
+// moveCallersFrom moves a quarter of an instance's traffic to instances in rotation, in 16
+// parts that choose at random.
 func (z *simulatedZone) moveCallersFrom(i *simulatedInstance) {
 	const parts = 16
 	leaving := i.callerMbps / 4
@@ -101,8 +107,8 @@
 	}
 }
 
-// One instance of ten has nine tenths of its link full, the others a tenth: after some
-// seconds none is full, and stays so.
+// One instance of ten has 95 % of its link in use, the others 10 %. After 8 s no link is
+// above the threshold, and it stays so.
 func TestAFullLinkIsCleared(t *testing.T) {
 	z := newSimulatedZone(t, 10, 10)
 	for _, i := range z.instances {
@@ -112,20 +118,20 @@
 	z.advance(8 * time.Second)
 	for n, i := range z.instances {
 		if i.shedder.Load() > 0.7 {
-			t.Errorf("instance %d has %.2f of its link full", n, i.shedder.Load())
+			t.Errorf("the link utilisation of instance %d is %.2f after 8 s, want at most 0.7", n, i.shedder.Load())
 		}
 		i.fullTime = 0
 	}
 	z.advance(time.Minute)
 	for n, i := range z.instances {
 		if i.fullTime > 0 || i.shedder.IsShedding() {
-			t.Errorf("instance %d full for %s later", n, i.fullTime)
+			t.Errorf("the link of instance %d was full for %s of the next minute or is still shedding", n, i.fullTime)
 		}
 	}
 }
 
-// Where all are as full, sending callers around gains nothing: most of the time nobody
-// is sent away.
+// If the links of all instances are equally full, moving callers between them gains
+// nothing. Instances shed for at most 40 % of the time.
 func TestAFullFleetSeldomSheds(t *testing.T) {
 	z := newSimulatedZone(t, 10, 10)
 	for _, i := range z.instances {
@@ -135,7 +141,7 @@
 	z.advance(simulatedTime)
 	for n, i := range z.instances {
 		if i.shedTime > simulatedTime*4/10 {
-			t.Errorf("instance %d shed for %s of %s", n, i.shedTime, simulatedTime)
+			t.Errorf("instance %d was shedding for %s of %s, want at most 40 %%", n, i.shedTime, simulatedTime)
 		}
 	}
 }
@@ -154,13 +160,13 @@
 			z.linkMbps = max(c.linkMbps, c.callerMbps)
 			z.advance(time.Minute)
 			if z.instances[0].shedTime > 0 {
-				t.Errorf("shed for %s", z.instances[0].shedTime)
+				t.Errorf("the instance was shedding for %s of a minute, want never", z.instances[0].shedTime)
 			}
 		})
 	}
 }
 
-// A prompt that fills the link for a moment sends nobody away.
+// A prompt that fills the link for 250 ms every three seconds causes no shedding.
 func TestABurstIsNoFullLink(t *testing.T) {
 	z := newSimulatedZone(t, 1, 10)
 	for second := range 60 {
@@ -173,6 +179,6 @@
 		z.advance(time.Second - sampleInterval)
 	}
 	if z.instances[0].shedTime > 0 {
-		t.Errorf("shed for %s", z.instances[0].shedTime)
+		t.Errorf("the instance was shedding for %s, want never", z.instances[0].shedTime)
 	}
 }
