--- a/internal/quarantine/doc.go
+++ b/internal/quarantine/doc.go
@@ -1,16 +1,16 @@
-// Package quarantine keeps back requests under which endpoints end.
+// Package quarantine refuses requests that crash the endpoints that serve them.
 //
-// A request that crashes the process that runs it comes again, at any instance, and would
-// take one endpoint after the other with it. An instance that sees an endpoint end with
-// requests under way reports each of them on the platform's log, by a hash of its
-// content and caller. Under the one that is to blame more endpoints end, one after the
-// other; the others are answered when they come again, which clears them. From
-// endsToHold ends on the request is held: it is refused without being sent. When a hold
-// ends, one instance may try it once, for the whole fleet; an answer clears it, anything
-// else leaves it held, for longer.
+// A request that crashes the process serving it is repeated, through any instance, and
+// would crash one endpoint after the other. An instance that sees an endpoint crash
+// writes a record to the platform's log for each request that was in progress there,
+// under a hash of the request's content and caller. The request to blame accumulates
+// crashes, one after the other; the others are answered when they are repeated, which
+// clears them. A request with crashesToQuarantine crashes is quarantined: it is refused
+// without being sent. When its quarantine ends, one instance may send it once on behalf
+// of the whole fleet, as a retest. An answer clears it, anything else leaves it
+// quarantined, for longer.
 //
-// Table decides, without input and output and without a clock. Keeper runs it against the
-// log.
+// Table decides, without I/O and without a clock. Syncer synchronises it with the log.
 package quarantine
 
 import (
@@ -18,16 +18,18 @@
 	"time"
 )
 
-// QuarantinedError says that a request is held back.
+// QuarantinedError is the error for a request that is quarantined.
 type QuarantinedError struct {
 	Fingerprint Fingerprint
-	// Crashes is how many endpoints ended under it, one after the other.
+	// Crashes is the number of endpoints that crashed while serving the request, one
+	// after the other.
 	Crashes int
-	// RetryAfter is when it may be tried again.
+	// RetryAfter is the time until the quarantine ends; 0 if it has ended and the
+	// request has not been retested.
 	RetryAfter time.Duration
 }
 
 // Error implements error.
 func (e *QuarantinedError) Error() string {
-	return fmt.Sprintf("quarantine: content %s held for %s, %d endpoints ended under it", e.Fingerprint, e.RetryAfter, e.Crashes)
+	return fmt.Sprintf("quarantine: content %s is quarantined for %s after %d endpoint crashes", e.Fingerprint, e.RetryAfter, e.Crashes)
 }
--- a/internal/quarantine/entry.go
+++ b/internal/quarantine/entry.go
@@ -8,43 +8,47 @@
 )
 
 const (
-	// crashesToQuarantine is how many endpoints have to end under a request, one after the other,
-	// for it to be held.
+	// crashesToQuarantine is the number of endpoints that have to crash while serving
+	// a request, one after the other, for it to be quarantined.
 	crashesToQuarantine = 3
-	// minCrashSpacing is how long after an end another one counts that was learned from the log:
-	// endpoints that are lost at one moment end under the same requests, and reports of
-	// them come within some reads of the log.
+	// minCrashSpacing is how long after a crash the request has to start on another
+	// endpoint for a crash there to count, unless this instance has seen both crashes
+	// itself. Endpoints that are lost at the same moment crash with the same requests,
+	// and the records of that arrive over several reads of the log.
 	minCrashSpacing = 500 * time.Millisecond
-	// reportGracePeriod is how long the reports of an end take to come from all instances: only
-	// then it is known under which of the requests there most endpoints have ended.
+	// reportGracePeriod is how long the records of a crash may take to arrive from all
+	// instances. Only then is it known which of the requests that were in progress on
+	// the endpoint has the most crashes.
 	reportGracePeriod = 500 * time.Millisecond
-	// initialQuarantine is how long a request is held; each retest that fails makes it holdFactor
-	// times longer, up to longestHold.
+	// initialQuarantine is the duration of the first quarantine of a request. Each
+	// retest that fails multiplies it by quarantineGrowthFactor, up to maxQuarantine.
 	initialQuarantine      = 2 * time.Minute
 	quarantineGrowthFactor = 4
 	maxQuarantine          = time.Hour
-	// entryTTL is how long the last end, or the end of a hold, is remembered.
+	// entryTTL is how long an entry is kept after the last crash or the end of the
+	// quarantine, whichever is later.
 	entryTTL = 10 * time.Minute
-	// maxEndpointsPerEntry bounds the endpoints that an entry names.
+	// maxEndpointsPerEntry bounds the endpoints in an entry; the oldest are dropped.
 	maxEndpointsPerEntry = 16
 )
 
-// entry is what is known of one request's content.
+// entry is what the table knows of one request.
 type entry struct {
 	team             record.Team
-	endpoints        []string // That ended, the latest last.
-	crashes          int      // Those that ended one after the other.
-	lastCrash        time.Time
-	seenLocally      bool // The last end was seen by this instance itself.
-	retestRound      int  // Retests.
-	retestBy         record.InstanceID
-	quarantinedUntil time.Time // Held until then, if it is to blame.
-	writer           record.InstanceID
-	// orphanGracePeriod is for how long the entry may be stale until its writer counts as gone.
+	endpoints        []string          // IDs of the crashed endpoints, the latest last.
+	crashes          int               // Those that count, being one after the other.
+	lastCrash        time.Time         // The last one that counts.
+	seenLocally      bool              // This instance has seen the last crash itself.
+	retestRound      int               // Number of retests.
+	retestBy         record.InstanceID // Who may run the latest retest.
+	quarantinedUntil time.Time         // Only applies while Table.isQuarantined.
+	writer           record.InstanceID // Of the latest record.
+	// orphanGracePeriod is how long after its expiry the entry is cleared although
+	// another instance has written it, which is then assumed to be gone.
 	orphanGracePeriod time.Duration
 }
 
-// quarantineDuration is how long a request is held after so many retests.
+// quarantineDuration returns the duration of a quarantine after this number of retests.
 func quarantineDuration(retests int) time.Duration {
 	duration := initialQuarantine
 	for range retests {
@@ -55,9 +59,10 @@
 	return duration
 }
 
-// addCrash notes that an endpoint ended under the request, which began to run there at began.
-// Endpoints that were lost at one moment count as one. It returns the endpoint that the
-// entry names no more; "" for none.
+// addCrash records that an endpoint crashed while serving the request, which had started
+// there at startedAt; local states that this instance has seen it. Endpoints that are lost
+// at the same moment count as one crash. The result is the endpoint that was dropped from
+// the entry to make room; "" for none.
 func (e *entry) addCrash(endpoint string, startedAt, now time.Time, local bool) (dropped string) {
 	e.endpoints = append(e.endpoints, endpoint)
 	if len(e.endpoints) > maxEndpointsPerEntry {
@@ -79,14 +84,14 @@
 
 func (e *entry) hasEndpoint(endpoint string) bool { return slices.Contains(e.endpoints, endpoint) }
 
-// extendQuarantine holds the request until then, if it was not held for longer.
+// extendQuarantine moves the end of the quarantine to until, unless it is later already.
 func (e *entry) extendQuarantine(until time.Time) {
 	if until.After(e.quarantinedUntil) {
 		e.quarantinedUntil = until
 	}
 }
 
-// staleFor is for how long the entry has not been worth keeping; negative if it is.
+// staleFor returns the time since the entry expired; negative if it has not.
 func (e *entry) staleFor(now time.Time) time.Duration {
 	last := e.lastCrash
 	if e.quarantinedUntil.After(last) {
--- a/internal/quarantine/fingerprint.go
+++ b/internal/quarantine/fingerprint.go
@@ -14,29 +14,31 @@
 
 const (
 	metadataHashBytes = 8
-	// fingerprintBytes is enough that nobody finds two requests with the same one.
+	// fingerprintBytes is large enough that nobody can find two requests with the same
+	// fingerprint.
 	fingerprintBytes = metadataHashBytes + 16
 )
 
-// Fingerprint stands for a request's content and its caller. Requests of two
-// organisations never share one, so that none can have another's requests refused. It
-// begins with the request's place.
+// Fingerprint identifies a request by its content and the caller's organisation. Requests
+// of different organisations never have the same one, so that no organisation can have
+// another's requests refused. It begins with the request's metadataHash.
 type Fingerprint [fingerprintBytes]byte
 
-// metadataHash stands for a request but for its body, of which it has the length only. It is
-// cheap to take.
+// metadataHash is a hash of a request that covers the length of the body but not its
+// bytes, and is therefore cheap to compute.
 type metadataHash [metadataHashBytes]byte
 
-// Content is what makes two requests the same.
+// Content holds the properties by which two requests count as the same.
 type Content struct {
-	// Organisation is whom the caller's key stands for; "" for none.
+	// Organisation is the owner of the caller's API key; "" for none.
 	Organisation record.Team
 	Method, Host string
 	Target       string // Path and query.
 	Body         []byte
 }
 
-// Fingerprint returns the content's keyed hash.
+// Fingerprint returns the fingerprint of the request: the truncated HMAC-SHA-256 of the
+// content, with the organisation as its key.
 func (c Content) Fingerprint() Fingerprint {
 	h := c.newMetadataHasher()
 	var f Fingerprint
@@ -52,7 +54,9 @@
 	return m
 }
 
-// newMetadataHasher returns the hash of all but the body's bytes.
+// newMetadataHasher returns an HMAC-SHA-256 to which all of the content but the body's bytes
+// has been written. Each value follows its length, so that different contents never have
+// the same input.
 func (c Content) newMetadataHasher() hash.Hash {
 	h := hmac.New(sha256.New, []byte(c.Organisation))
 	for _, part := range []string{c.Method, c.Host, c.Target} {
@@ -67,15 +71,15 @@
 
 func (f Fingerprint) metadataHash() metadataHash { return metadataHash(f[:metadataHashBytes]) }
 
-// String implements fmt.Stringer.
+// String returns the fingerprint in hexadecimal.
 func (f Fingerprint) String() string { return hex.EncodeToString(f[:]) }
 
-// parseFingerprint reads what String has written.
+// parseFingerprint parses the result of String.
 func parseFingerprint(text string) (Fingerprint, error) {
 	var f Fingerprint
 	data, err := hex.DecodeString(text)
 	if err != nil || len(data) != fingerprintBytes {
-		return f, eris.Errorf("quarantine: key %q is no fingerprint of %d bytes in hexadecimal", text, fingerprintBytes)
+		return f, eris.Errorf("quarantine: key %q is not a fingerprint of %d bytes in hexadecimal", text, fingerprintBytes)
 	}
 	copy(f[:], data)
 	return f, nil
--- a/internal/quarantine/fingerprint_test.go
+++ b/internal/quarantine/fingerprint_test.go
@@ -8,6 +8,7 @@
 	"guavapier/internal/record"
 )
 
+// drawContent draws a content with short values, so that equal ones are frequent.
 func drawContent(t *rapid.T, name string) Content {
 	text := rapid.StringOfN(rapid.SampledFrom([]rune("ab/")), 0, 3, -1)
 	return Content{
@@ -21,10 +22,10 @@
 		a, b := drawContent(t, "first"), drawContent(t, "second")
 		same := a.Organisation == b.Organisation && a.Method == b.Method && a.Host == b.Host && a.Target == b.Target && string(a.Body) == string(b.Body)
 		if got := a.Fingerprint() == b.Fingerprint(); got != same {
-			t.Fatalf("%+v and %+v: same fingerprint %v", a, b, got)
+			t.Fatalf("contents %+v and %+v: same fingerprint is %v, want the opposite", a, b, got)
 		}
 		if parsed, err := parseFingerprint(a.Fingerprint().String()); err != nil || parsed != a.Fingerprint() {
-			t.Fatalf("%s read as %s, %v", a.Fingerprint(), parsed, err)
+			t.Fatalf("fingerprint %s is parsed as %s, error %v", a.Fingerprint(), parsed, err)
 		}
 	})
 }
@@ -32,7 +33,7 @@
 func TestMalformedFingerprintsAreRejected(t *testing.T) {
 	for _, text := range []string{"", "ab", "zz", "00112233445566778899aabbccddeeff00"} {
 		if _, err := parseFingerprint(text); err == nil {
-			t.Errorf("%q is read as a fingerprint", text)
+			t.Errorf("%q is accepted as a fingerprint", text)
 		}
 	}
 }
--- a/internal/quarantine/gossip.go
+++ b/internal/quarantine/gossip.go
@@ -10,35 +10,38 @@
 )
 
 const (
-	// ServiceName is under which Exchange is registered, see peer.Server.
+	// ServiceName is the name under which PeerService is registered with a peer.Server.
 	ServiceName = "Quarantine"
-	// swapInterval is the pause between two calls to neighbours while the log is away.
+	// swapInterval is the pause between two calls to neighbours while the log is
+	// unavailable.
 	swapInterval = 500 * time.Millisecond
-	// swapTimeout bounds one call: round trips take a few milliseconds.
+	// swapTimeout bounds one call; round trips take a few milliseconds.
 	swapTimeout = 200 * time.Millisecond
 )
 
-// SwapArgs has what the calling instance knows, encoded, by fingerprint.
+// SwapArgs holds the records of the calling instance, encoded as on the log, by
+// fingerprint.
 type SwapArgs struct{ Records map[string][]byte }
 
-// SwapReply has what the called one knows.
+// SwapReply holds the records of the called instance, in the form of SwapArgs.
 type SwapReply struct{ Records map[string][]byte }
 
-// PeerService is the service that other instances of the zone call while the log is away.
+// PeerService is the RPC service that other instances of the availability zone call while
+// the log is unavailable.
 type PeerService struct{ syncer *Syncer }
 
-// NewPeerService returns the service of a keeper.
+// NewPeerService returns the service that exchanges the records of s.
 func NewPeerService(s *Syncer) *PeerService { return &PeerService{syncer: s} }
 
-// Swap takes what the caller knows and answers with what is known here.
+// Swap merges the caller's records and returns those that this instance had before.
 func (p *PeerService) Swap(args SwapArgs, reply *SwapReply) error {
 	reply.Records = p.syncer.encodeRecords()
 	p.syncer.mergeRecords(args.Records)
 	return nil
 }
 
-// runExchange exchanges what is known with instances of the own zone, one after the other,
-// while the log is away, until ctx ends.
+// runExchange exchanges records with the other instances of the availability zone, one
+// after the other, while the log is unavailable. It returns when ctx ends.
 func (s *Syncer) runExchange(ctx context.Context) {
 	for turn := 0; ctx.Err() == nil; turn++ {
 		logstore.Pause(ctx, swapInterval, nil)
@@ -46,11 +49,12 @@
 		if !s.logUnavailable.Load() || len(neighbours) == 0 {
 			continue
 		}
-		slices.Sort(neighbours) // So that each has its turn.
+		slices.Sort(neighbours) // In a fixed order each has its turn.
 		s.exchangeWith(ctx, neighbours[turn%len(neighbours)])
 	}
 }
 
+// exchangeWith sends this instance's records to a neighbour and merges the neighbour's.
 func (s *Syncer) exchangeWith(ctx context.Context, neighbour record.InstanceID) {
 	ctx, cancel := context.WithTimeout(ctx, swapTimeout)
 	defer cancel()
@@ -62,20 +66,20 @@
 	s.mergeRecords(reply.Records)
 }
 
-// encodeRecords returns what is known, encoded, by fingerprint.
+// encodeRecords returns the records of all entries, encoded, by fingerprint.
 func (s *Syncer) encodeRecords() map[string][]byte {
 	out := map[string][]byte{}
 	for f, r := range s.Table.records() {
 		if value, err := r.encode(); err == nil {
 			out[f.String()] = value
 		} else {
-			s.Logger.Error().Err(err).Stringer("content", f).Msg("quarantine: record not sent")
+			s.Logger.Error().Err(err).Stringer("content", f).Msg("quarantine: record not encoded, not sent to neighbour")
 		}
 	}
 	return out
 }
 
-// mergeRecords takes what another instance knows.
+// mergeRecords merges the encoded records of another instance into the table.
 func (s *Syncer) mergeRecords(records map[string][]byte) {
 	for key, value := range records {
 		s.observe(logstore.KeyedRecord{Key: key, Value: value}, false)
--- a/internal/quarantine/syncer.go
+++ b/internal/quarantine/keeper.go
@@ -18,60 +18,65 @@
 )
 
 const (
-	// maxReadWait is the longest wait of one read. Records are rare; a connection that
-	// fell silent without an error is noticed after it.
+	// maxReadWait is how long one read of the log waits for new records. Records are
+	// rare; a connection that fell silent without an error is noticed after this time.
 	maxReadWait = 5 * time.Second
-	// readInterval spaces reads while endpoints end.
+	// readInterval is the pause between two reads. It limits the reads while records
+	// arrive because endpoints crash.
 	readInterval = 200 * time.Millisecond
-	// writeInterval gathers what is written at once.
+	// writeInterval is how long records are gathered for one write.
 	writeInterval = 100 * time.Millisecond
 	// writeRetryDelay is the pause after a write that failed.
 	writeRetryDelay = 150 * time.Millisecond
-	// sweepInterval is the pause between two looks for what is no more worth keeping.
+	// sweepInterval is the pause between two removals of expired entries.
 	sweepInterval = time.Second
-	// maxWriteBatch bounds the records of one write.
+	// maxWriteBatch bounds the number of records in one write.
 	maxWriteBatch = 256
-	// probeTimeout bounds the look whether an endpoint is gone: its host refuses
-	// connections at once, and one that does not answer says nothing.
+	// probeTimeout bounds the probe that shows whether an endpoint is gone. The host of
+	// a crashed process refuses connections at once; one that does not answer shows
+	// nothing.
 	probeTimeout = 100 * time.Millisecond
-	// retestClaimTimeout is how long a request waits for the right to a retest, some round trips
-	// to the log; retestPollInterval is how often it is looked for.
+	// retestClaimTimeout bounds how long a request waits to acquire a retest, which
+	// takes some round trips to the log. retestPollInterval is how often the table is
+	// checked meanwhile.
 	retestClaimTimeout, retestPollInterval = 500 * time.Millisecond, 5 * time.Millisecond
 )
 
-// Probe makes a connection to an endpoint by name and address (IP:port), to be kept for use.
+// Probe makes a connection to an endpoint by its ID and address (IP:port), and keeps it for
+// later requests.
 type Probe func(ctx context.Context, endpoint, address string) error
 
-// Options are what a Keeper works with. All must be set.
+// Options are the dependencies of a Syncer. All must be set.
 type Options struct {
 	Self  record.InstanceID
-	Log   logstore.Keyed
+	Log   logstore.Keyed // The platform's log.
 	Probe Probe
-	// Caller reaches the instances that Neighbours lists: those of the own zone.
+	// Caller calls the instances that Neighbours returns, the other ones of this
+	// instance's availability zone.
 	Caller        peer.Caller
 	Neighbours    func() []record.InstanceID
 	Logger        zerolog.Logger
-	ThinnedLogger zerolog.Logger // For lines that come with load; thinned.
+	ThinnedLogger zerolog.Logger // For lines that increase with load; may drop some.
 }
 
-// Syncer runs a Table against the log. It is safe for concurrent use.
+// Syncer synchronises a Table with the platform's log. It is safe for concurrent use.
 type Syncer struct {
 	Options
 	Table *Table
 
-	probeGroup     singleflight.Group
-	retestGroup    singleflight.Group
-	readNow        chan struct{} // Reads the log at once.
-	writeNow       chan struct{} // Writes at once.
+	probeGroup     singleflight.Group // By endpoint ID.
+	retestGroup    singleflight.Group // By fingerprint.
+	readNow        chan struct{}      // Triggers a read of the log.
+	writeNow       chan struct{}      // Triggers a write to the log.
 	loaded         atomic.Bool
-	logUnavailable atomic.Bool // The reads fail.
+	logUnavailable atomic.Bool // The last read failed.
 
-	mu            sync.Mutex // Guards pending.
-	pendingWrites map[Fingerprint]*entryRecord
-	lastEpoch     uint64 // Of the last write.
+	mu            sync.Mutex                   // Guards pendingWrites.
+	pendingWrites map[Fingerprint]*entryRecord // nil clears the request.
+	lastEpoch     uint64                       // Of the last write; only for writeBatch.
 }
 
-// NewSyncer returns a Keeper; Run makes it work.
+// NewSyncer returns a Syncer for an empty table. It does nothing before Run.
 func NewSyncer(o Options) *Syncer {
 	return &Syncer{
 		Options: o, Table: NewTable(o.Self),
@@ -79,7 +84,8 @@
 	}
 }
 
-// Run follows the log and writes to it until ctx ends.
+// Run reads from the log, writes to it and exchanges records with neighbours until ctx
+// ends.
 func (s *Syncer) Run(ctx context.Context) {
 	var group errgroup.Group
 	group.Go(func() error { s.newFollower().Run(ctx); return nil })
@@ -89,11 +95,12 @@
 	_ = group.Wait()
 }
 
-// Loaded says whether the log has been read.
+// Loaded reports whether the records that were on the log have been read.
 func (s *Syncer) Loaded() bool { return s.loaded.Load() }
 
-// Admit says whether a request may be sent. It fails with a HeldError. Where a hold has
-// ended it waits for the right to try the request for the whole fleet.
+// Admit returns nil if the request may be sent, and a *QuarantinedError if it is
+// quarantined. If the quarantine has ended, it first tries to acquire the retest, that is,
+// the right to send the request once on behalf of the whole fleet.
 func (s *Syncer) Admit(ctx context.Context, c Content) error {
 	f, known := s.Table.find(c)
 	if !known {
@@ -113,13 +120,14 @@
 	return quarantined
 }
 
-// acquireRetest asks for the right to a retest and says whether this request has it.
+// acquireRetest claims the next retest on the log and reports whether the calling request
+// may run it. Concurrent calls share one claim.
 func (s *Syncer) acquireRetest(ctx context.Context, f Fingerprint) bool {
 	acquired := false
 	_, _, _ = s.retestGroup.Do(f.String(), func() (any, error) {
 		r := s.Table.retestClaim(f, time.Now())
 		if r == nil {
-			acquired = true // Cleared meanwhile.
+			acquired = true // The request has been cleared meanwhile.
 			return nil, nil
 		}
 		s.enqueue(f, r)
@@ -132,12 +140,13 @@
 		}
 		return nil, nil
 	})
-	return acquired // Of those that asked together, the one whose call it was.
+	return acquired // Of concurrent calls only the one that ran the function sets this.
 }
 
-// Broke tells that the connection to an endpoint broke with a request under way there for
-// that long. It looks whether the endpoint is gone, reports the request if it is, and
-// returns that.
+// Broke records that the connection to an endpoint broke when the request had been in
+// progress there for underWay. It probes whether the endpoint is gone and returns the
+// result. If it is gone, the request has crashed it or was in progress beside the one
+// that did, and a record of that is written to the log.
 func (s *Syncer) Broke(ctx context.Context, c Content, endpoint, address string, underWay time.Duration) (gone bool) {
 	if !s.isGone(ctx, endpoint, address) {
 		return false
@@ -157,8 +166,8 @@
 	return true
 }
 
-// isGone says whether the endpoint's host refuses connections. All requests that broke
-// there ask together.
+// isGone reports whether the endpoint's host refuses connections. Concurrent calls for one
+// endpoint share a probe.
 func (s *Syncer) isGone(ctx context.Context, endpoint, address string) bool {
 	gone, _, _ := s.probeGroup.Do(endpoint, func() (any, error) {
 		ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), probeTimeout)
@@ -168,7 +177,8 @@
 	return gone.(bool)
 }
 
-// Answered tells that an endpoint has answered a request: it is not to blame.
+// Answered records that an endpoint has answered the request, which is therefore not to
+// blame for a crash, and clears it.
 func (s *Syncer) Answered(c Content) {
 	f, known := s.Table.find(c)
 	if !known || !s.Table.clear(f) {
@@ -178,13 +188,15 @@
 	s.enqueue(f, nil)
 }
 
-// enqueue has a report written; nil clears the request.
+// enqueue adds a record to the next write, in place of a pending one of the same request;
+// nil clears the request on the log.
 func (s *Syncer) enqueue(f Fingerprint, r *entryRecord) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.pendingWrites[f] = r
 }
 
+// newFollower returns a reader that passes the records of the log to observe.
 func (s *Syncer) newFollower() *logstore.Follower {
 	replaying := false
 	return &logstore.Follower{
@@ -199,11 +211,12 @@
 	}
 }
 
-// observe takes a record of the log; old says that it has been there for a while.
+// observe applies a record of the log, or of another instance, to the table. replayed states
+// that it was on the log before this instance began to follow it.
 func (s *Syncer) observe(record logstore.KeyedRecord, replayed bool) {
 	f, err := parseFingerprint(record.Key)
 	if err != nil {
-		s.Logger.Error().Err(err).Str("key", record.Key).Msg("quarantine: unreadable record passed over")
+		s.Logger.Error().Err(err).Str("key", record.Key).Msg("quarantine: unreadable record skipped")
 		return
 	}
 	if record.Value == nil {
@@ -212,13 +225,13 @@
 	}
 	r, err := decodeRecord(record.Value)
 	if err != nil {
-		s.Logger.Error().Err(err).Str("key", record.Key).Msg("quarantine: unreadable record passed over")
+		s.Logger.Error().Err(err).Str("key", record.Key).Msg("quarantine: unreadable record skipped")
 		return
 	}
 	s.Table.observe(f, r, replayed, time.Now())
 }
 
-// runWriter runWriter what is pending until ctx ends.
+// runWriter writes pending records to the log until ctx ends.
 func (s *Syncer) runWriter(ctx context.Context) {
 	for ctx.Err() == nil {
 		logstore.Pause(ctx, writeInterval, s.writeNow)
@@ -235,7 +248,7 @@
 	}
 }
 
-// nextBatch returns pending reports, no more than one write may have.
+// nextBatch removes and returns pending records, at most maxWriteBatch.
 func (s *Syncer) nextBatch() map[Fingerprint]*entryRecord {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -250,7 +263,8 @@
 	return batch
 }
 
-// requeue keeps what was not written, but for what is newer.
+// requeue makes records that were not written pending again, except where a newer one of
+// the same request is pending.
 func (s *Syncer) requeue(batch map[Fingerprint]*entryRecord) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -261,8 +275,8 @@
 	}
 }
 
-// writeBatch writes records. Each write has an epoch of its own: one that arrives late is fenced
-// off by those after it.
+// writeBatch writes records to the log. Each write has a higher epoch than the one before,
+// so that the log rejects a delayed write that arrives after a later one.
 func (s *Syncer) writeBatch(ctx context.Context, batch map[Fingerprint]*entryRecord) error {
 	records := make([]logstore.KeyedRecord, 0, len(batch))
 	for f, r := range batch {
@@ -270,7 +284,7 @@
 		if r != nil {
 			value, err := r.encode()
 			if err != nil {
-				s.Logger.Error().Err(err).Stringer("content", f).Msg("quarantine: record not written")
+				s.Logger.Error().Err(err).Stringer("content", f).Msg("quarantine: record not encoded, not written")
 				continue
 			}
 			keyed.Value = value
@@ -282,7 +296,7 @@
 	return s.Log.Put(ctx, logstore.TopicQuarantine, write, records)
 }
 
-// runSweeper clears what is no more worth keeping, until ctx ends.
+// runSweeper removes expired entries and clears them on the log until ctx ends.
 func (s *Syncer) runSweeper(ctx context.Context) {
 	for ctx.Err() == nil {
 		logstore.Pause(ctx, sweepInterval, nil)
--- a/internal/quarantine/syncer_test.go
+++ b/internal/quarantine/keeper_test.go
@@ -19,6 +19,7 @@
 	"guavapier/internal/standin"
 )
 
+// crashingContent is the content of a request that crashes endpoints.
 var crashingContent = Content{Organisation: "org", Method: "POST", Host: "h", Target: "/x", Body: []byte("deadly")}
 
 // refusingProbe is the probe of an endpoint that is gone.
@@ -26,7 +27,7 @@
 	return fmt.Errorf("dial: %w", syscall.ECONNREFUSED)
 }
 
-// newTestSyncer returns an instance without neighbours.
+// newTestSyncer returns the Syncer of an instance without neighbours.
 func newTestSyncer(self string, log logstore.Keyed, probe Probe) *Syncer {
 	return NewSyncer(Options{
 		Self: record.InstanceID(self), Log: log, Probe: probe, Neighbours: func() []record.InstanceID { return nil },
@@ -34,7 +35,7 @@
 	})
 }
 
-// startSyncers runs instances on one log.
+// startSyncers runs n instances that share a log, and waits until they have read it.
 func startSyncers(t *testing.T, log *standin.Keyed, n int) []*Syncer {
 	t.Helper()
 	var syncers []*Syncer
@@ -52,17 +53,19 @@
 	return syncers
 }
 
-// crashThreeEndpoints has three endpoints end under the content, each seen by another instance.
+// crashThreeEndpoints lets three endpoints crash while serving crashingContent, one after the
+// other, each seen by the next of the instances.
 func crashThreeEndpoints(t *testing.T, syncers []*Syncer) {
 	t.Helper()
 	for i := range 3 {
 		if !syncers[i%len(syncers)].Broke(t.Context(), crashingContent, fmt.Sprint("e", i), "address", 50*time.Millisecond) {
-			t.Fatal("endpoint not taken for gone")
+			t.Fatal("an endpoint that refuses connections does not count as gone")
 		}
 		time.Sleep(time.Second)
 	}
 }
 
+// isQuarantined reports whether err is the error for a quarantined request.
 func isQuarantined(err error) bool {
 	var quarantined *QuarantinedError
 	return errors.As(err, &quarantined)
@@ -74,13 +77,13 @@
 		crashThreeEndpoints(t, syncers[:3])
 		for i, s := range syncers {
 			if err := s.Admit(t.Context(), crashingContent); !isQuarantined(err) {
-				t.Errorf("instance %d: %v a second after the third end", i, err)
+				t.Errorf("instance %d admits with %v a second after the third crash, want a QuarantinedError", i, err)
 			}
 		}
 		other := crashingContent
 		other.Organisation = "other"
 		if err := syncers[0].Admit(t.Context(), other); err != nil {
-			t.Errorf("another organisation's request: %v", err)
+			t.Errorf("another organisation's request is refused: %v", err)
 		}
 	})
 }
@@ -107,7 +110,7 @@
 			return last.Load(), admitted.Load()
 		}
 		if _, n := admit(); n != 0 {
-			t.Errorf("%d admitted while it is held", n)
+			t.Errorf("%d requests are admitted during the quarantine", n)
 		}
 		time.Sleep(initialQuarantine)
 		retester, n := admit()
@@ -115,24 +118,24 @@
 			t.Fatalf("%d retests, want 1", n)
 		}
 		if _, n := admit(); n != 0 {
-			t.Errorf("%d admitted while a retest is under way", n)
+			t.Errorf("%d requests are admitted during a retest", n)
 		}
 		retester.Broke(t.Context(), crashingContent, "e9", "address", 50*time.Millisecond)
 		time.Sleep(initialQuarantine)
 		if _, n := admit(); n != 0 {
-			t.Errorf("%d admitted after a retest that failed and the first hold's time", n)
+			t.Errorf("%d requests are admitted after a failed retest and the time of the first quarantine", n)
 		}
 		time.Sleep(quarantineDuration(1))
 		if retester, n = admit(); n != 1 {
-			t.Fatalf("%d retests after the second hold, want 1", n)
+			t.Fatalf("%d retests after the second quarantine, want 1", n)
 		}
 		retester.Answered(crashingContent)
 		time.Sleep(time.Second)
 		if _, n := admit(); n != 20 {
-			t.Errorf("%d of 20 admitted after an answer", n)
+			t.Errorf("%d of 20 requests are admitted after an answer, want all", n)
 		}
 		if page, err := log.Newest(t.Context(), logstore.TopicQuarantine); err != nil || len(page.Records) > 0 {
-			t.Errorf("%d records left, %v", len(page.Records), err)
+			t.Errorf("%d records are left on the log after an answer, error %v", len(page.Records), err)
 		}
 	})
 }
@@ -147,27 +150,27 @@
 		time.Sleep(initialQuarantine)
 		start := time.Now()
 		if err := s.Admit(t.Context(), crashingContent); !isQuarantined(err) || time.Since(start) > 0 {
-			t.Errorf("%v after %s; want to be held at once", err, time.Since(start))
+			t.Errorf("admitted with %v after %s, want a QuarantinedError at once", err, time.Since(start))
 		}
 		log.SetDown(false)
 		time.Sleep(10 * time.Second)
 		if page, err := log.Newest(t.Context(), logstore.TopicQuarantine); err != nil || len(page.Records) != 1 {
-			t.Errorf("%d records after the log is back, %v; want 1", len(page.Records), err)
+			t.Errorf("%d records on the log after it has recovered, error %v; want 1", len(page.Records), err)
 		}
 	})
 }
 
 func TestOnlyARefusedConnectionMeansThatAnEndpointIsGone(t *testing.T) {
 	for name, probe := range map[string]Probe{
-		"takes them":  func(context.Context, string, string) error { return nil },
-		"is silent":   func(ctx context.Context, _, _ string) error { <-ctx.Done(); return ctx.Err() },
-		"unreachable": func(context.Context, string, string) error { return syscall.EHOSTUNREACH },
+		"accepts connections": func(context.Context, string, string) error { return nil },
+		"is silent":           func(ctx context.Context, _, _ string) error { <-ctx.Done(); return ctx.Err() },
+		"unreachable":         func(context.Context, string, string) error { return syscall.EHOSTUNREACH },
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				s := newTestSyncer("me", standin.NewKeyed(), probe)
 				if s.Broke(t.Context(), crashingContent, "e", "address", time.Second) || len(s.Table.View(time.Now())) > 0 {
-					t.Error("reported")
+					t.Error("the endpoint counts as gone or the request is recorded")
 				}
 			})
 		})
@@ -182,12 +185,13 @@
 		syncers := startSyncers(t, log, 2)
 		crashThreeEndpoints(t, syncers)
 		if err := syncers[1].Admit(t.Context(), crashingContent); !isQuarantined(err) {
-			t.Errorf("%v; want to be held", err)
+			t.Errorf("admitted with %v, want a QuarantinedError", err)
 		}
 	})
 }
 
-// testCaller reaches keepers by their names, but for those that are cut off.
+// testCaller calls syncers by the IDs of their instances, except for those that are
+// unreachable.
 type testCaller struct {
 	syncers     map[record.InstanceID]*Syncer
 	unreachable map[record.InstanceID]bool
@@ -225,13 +229,13 @@
 		time.Sleep(2 * time.Second)
 		for i, s := range syncers[:4] {
 			if err := s.Admit(t.Context(), crashingContent); !isQuarantined(err) {
-				t.Errorf("instance %d: %v", i, err)
+				t.Errorf("instance %d admits with %v, want a QuarantinedError", i, err)
 			}
 		}
 		log.SetDown(false)
 		time.Sleep(10 * time.Second)
 		if err := syncers[4].Admit(t.Context(), crashingContent); !isQuarantined(err) {
-			t.Errorf("the one that was cut off, when the log is back: %v", err)
+			t.Errorf("the unreachable instance admits with %v after the log has recovered, want a QuarantinedError", err)
 		}
 	})
 }
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -10,23 +10,26 @@
 	"guavapier/internal/record"
 )
 
-// entryRecord is a record on the log, under the fingerprint of a request: what its writer knows
-// of it. The newest one is enough for an instance that starts. A record without a value
-// clears the request.
+// entryRecord is the value of a record on the log, whose key is the fingerprint of a request.
+// It holds all that its writer knows of the request, so that an instance that starts only
+// needs the newest record. A record without a value clears the request.
 type entryRecord struct {
 	Team   record.Team       `cbor:"1,keyasint,omitempty"`
 	Writer record.InstanceID `cbor:"2,keyasint"`
-	// Endpoints have ended under the request, the latest last.
+	// Endpoints are the IDs of the endpoints that crashed while serving the request,
+	// the latest last.
 	Endpoints []string `cbor:"3,keyasint"`
-	// UnderWay is for how long the request had been under way at the last of them.
+	// UnderWay is how long the request had been in progress on the last of them.
 	UnderWay time.Duration `cbor:"4,keyasint,omitempty"`
-	// Crashes counts those that ended one after the other.
+	// Crashes is the number of endpoints that crashed one after the other.
 	Crashes int `cbor:"5,keyasint"`
-	// RetestRound counts retests. The first record of a round on the log has the right to it.
+	// RetestRound is the number of retests. The writer of the first record of a round
+	// on the log acquires the retest.
 	RetestRound int `cbor:"6,keyasint,omitempty"`
-	// RetestBy has the right to the last retest.
+	// RetestBy is the instance that has acquired the latest retest, or claims it with
+	// this record.
 	RetestBy record.InstanceID `cbor:"8,keyasint,omitempty"`
-	// Until is the end of the hold in Unix milliseconds; 0 for none.
+	// Until is the end of the quarantine in Unix milliseconds; 0 for none.
 	Until int64 `cbor:"7,keyasint,omitempty"`
 }
 
@@ -49,7 +52,7 @@
 	return r
 }
 
-// until is the end of the hold; zero for none.
+// until returns the end of the quarantine; the zero time for none.
 func (r *entryRecord) until() time.Time {
 	if r.Until == 0 {
 		return time.Time{}
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -11,36 +11,37 @@
 )
 
 const (
-	// maxEntries bounds the table, mostOfTeam what one organisation may have in it.
+	// maxEntries bounds the table, maxEntriesPerTeam the entries of one organisation.
 	maxEntries        = 4096
 	maxEntriesPerTeam = 256
 )
 
-// Table knows requests under which endpoints have ended. It is safe for concurrent use.
+// Table holds the requests that were in progress on endpoints that crashed, and decides
+// which of them are quarantined. It is safe for concurrent use.
 type Table struct {
 	self record.InstanceID
-	size atomic.Int64 // Of entries.
+	size atomic.Int64 // Length of entries, for use without the lock.
 
-	mu              sync.Mutex // Guards the rest.
+	mu              sync.Mutex // Guards the fields below.
 	entries         map[Fingerprint]*entry
-	countByMetadata map[metadataHash]int // Entries by place.
-	countByTeam     map[record.Team]int  // Entries by organisation.
-	crashes         map[string]*crash    // By the endpoint that ended.
+	countByMetadata map[metadataHash]int // Number of entries.
+	countByTeam     map[record.Team]int  // Number of entries.
+	crashes         map[string]*crash    // By endpoint ID.
 }
 
-// crash is an endpoint's end.
+// crash is the crash of an endpoint.
 type crash struct {
-	knownSince time.Time // Since when.
-	entries    []*entry  // Of requests that were under way there.
+	knownSince time.Time // When this instance first knew of it.
+	entries    []*entry  // Requests that were in progress on the endpoint.
 }
 
-// NewTable returns the empty table of an instance.
+// NewTable returns an empty table for the instance self.
 func NewTable(self record.InstanceID) *Table {
 	return &Table{self: self, entries: map[Fingerprint]*entry{}, countByMetadata: map[metadataHash]int{}, countByTeam: map[record.Team]int{}, crashes: map[string]*crash{}}
 }
 
-// find returns the content's fingerprint if the table has it. The body is hashed only if
-// a request with the same place is known.
+// find reports whether the table has an entry for the request, and returns the fingerprint
+// if it has. The body is only hashed if there is an entry with the same metadata hash.
 func (t *Table) find(c Content) (Fingerprint, bool) {
 	if t.size.Load() == 0 {
 		return Fingerprint{}, false
@@ -57,8 +58,9 @@
 	return f, t.entries[f] != nil
 }
 
-// recordCrash notes that an endpoint recordCrash under a request, and returns what others are to
-// know of that; nil for nothing.
+// recordCrash records that this instance saw an endpoint crash when the request had been in
+// progress there for underWay. It returns the record for the other instances; nil if the
+// crash was known.
 func (t *Table) recordCrash(f Fingerprint, team record.Team, endpoint string, underWay time.Duration, now time.Time) *entryRecord {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -73,6 +75,7 @@
 	return r
 }
 
+// addCrash records the crash with the entry and the entry with the crash.
 func (t *Table) addCrash(e *entry, endpoint string, startedAt, now time.Time, local bool) {
 	if dropped := e.addCrash(endpoint, startedAt, now, local); dropped != "" {
 		t.unlinkCrash(dropped, e)
@@ -83,7 +86,9 @@
 	t.crashes[endpoint].entries = append(t.crashes[endpoint].entries, e)
 }
 
-// observe takes a record of the log; old says that it has been there for a while.
+// observe merges a record of another instance or of the log. replayed states that it was on
+// the log before this instance began to follow it: the records of other requests for the
+// same crashes are then there as well.
 func (t *Table) observe(f Fingerprint, r *entryRecord, replayed bool, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -104,7 +109,7 @@
 	if r.Crashes > e.crashes {
 		e.crashes, e.lastCrash, e.seenLocally = r.Crashes, now, false
 	}
-	e.extendQuarantine(earlier(r.until(), now.Add(quarantineDuration(e.retestRound)))) // The clocks of two instances may differ.
+	e.extendQuarantine(earlier(r.until(), now.Add(quarantineDuration(e.retestRound)))) // The writer's clock may differ.
 }
 
 func earlier(a, b time.Time) time.Time {
@@ -114,14 +119,15 @@
 	return b
 }
 
-// clear forgets a request and says whether it was known.
+// clear removes the entry of a request and reports whether there was one.
 func (t *Table) clear(f Fingerprint) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.remove(f)
 }
 
-// check returns a HeldError while the request is check; due says that it may be tried.
+// check returns an error while the request is quarantined, else nil. retestDue reports that
+// the time of the quarantine is over and the request may be retested.
 func (t *Table) check(f Fingerprint, now time.Time) (quarantined *QuarantinedError, retestDue bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -132,13 +138,17 @@
 	return &QuarantinedError{Fingerprint: f, Crashes: e.crashes, RetryAfter: max(e.quarantinedUntil.Sub(now), 0)}, !now.Before(e.quarantinedUntil)
 }
 
+// isQuarantined reports whether the request is to blame for enough crashes, and the entry
+// has not expired.
 func (t *Table) isQuarantined(e *entry, now time.Time) bool {
 	return e.crashes >= crashesToQuarantine && e.staleFor(now) < 0 && t.unexplainedCrashes(e, now) >= crashesToQuarantine
 }
 
-// unexplainedCrashes counts the endpoints whose end no other request explains better that was
-// under way there: one under which more endpoints have ended, or as many as long as they
-// are the fewest that can be blamed. Ends of which reports may be on their way don't count.
+// unexplainedCrashes counts the entry's crashes that no other request explains better. A
+// request explains a crash better if it was in progress on the same endpoint and has more
+// crashes. If both have exactly crashesToQuarantine, each explains the other's, so that
+// requests that always occur together are quarantined one crash later. Crashes for which
+// records may still arrive don't count.
 func (t *Table) unexplainedCrashes(e *entry, now time.Time) int {
 	ownCrashes, count := t.fullyReportedCrashes(e, now), 0
 	explainsBetter := func(other *entry) bool {
@@ -153,7 +163,7 @@
 	return count
 }
 
-// fullyReportedCrashes counts the endpoints that ended under a request, as far as all is known of that.
+// fullyReportedCrashes counts the entry's crashes for which no more records are expected.
 func (t *Table) fullyReportedCrashes(e *entry, now time.Time) (n int) {
 	for _, endpoint := range e.endpoints {
 		if t.crashes[endpoint].isFullyReported(now) {
@@ -163,11 +173,13 @@
 	return n
 }
 
+// isFullyReported reports whether the records of all instances have had time to arrive.
 func (c *crash) isFullyReported(now time.Time) bool {
 	return now.Sub(c.knownSince) >= reportGracePeriod
 }
 
-// retestClaim returns the record that asks for the right to the next retest.
+// retestClaim returns the record with which this instance claims the next retest; nil if
+// there is no entry.
 func (t *Table) retestClaim(f Fingerprint, now time.Time) *entryRecord {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -182,7 +194,7 @@
 	return r
 }
 
-// records returns what is known of each request.
+// records returns the record of each entry.
 func (t *Table) records() map[Fingerprint]*entryRecord {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -193,19 +205,20 @@
 	return records
 }
 
-// retestResult says whether a retest has been given, and whether to this instance.
+// retestResult reports whether the retest of this round has been acquired by an instance,
+// and whether by this one. A request without an entry has been cleared and may be sent.
 func (t *Table) retestResult(f Fingerprint, round int) (decided, won bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.entries[f]
 	if e == nil {
-		return true, true // Cleared meanwhile.
+		return true, true
 	}
 	return e.retestRound >= round, e.retestRound == round && e.retestBy == t.self
 }
 
-// sweep forgets what is no more worth keeping, and returns what is to be cleared on the
-// log: an instance's own records, and later those of instances that are gone.
+// sweep removes expired entries and returns their fingerprints, to be cleared on the log.
+// An entry that another instance has written is only removed after its orphanGracePeriod.
 func (t *Table) sweep(now time.Time) []Fingerprint {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -221,13 +234,14 @@
 	return cleared
 }
 
-// ensureEntry returns the ensureEntry of a request, a new one if there is none.
+// ensureEntry returns the entry of a request, and adds one if there is none.
 func (t *Table) ensureEntry(f Fingerprint, team record.Team) *entry {
 	if e := t.entries[f]; e != nil {
 		return e
 	}
 	t.evictIfFull(team)
-	e := &entry{team: team, orphanGracePeriod: entryTTL + rand.N(entryTTL)} // Not all instances at once.
+	// The random part keeps instances from clearing an orphaned entry all at once.
+	e := &entry{team: team, orphanGracePeriod: entryTTL + rand.N(entryTTL)}
 	t.entries[f] = e
 	t.countByMetadata[f.metadataHash()]++
 	t.countByTeam[team]++
@@ -235,8 +249,9 @@
 	return e
 }
 
-// evictIfFull keeps to the bounds. The organisation that has the most loses what says least,
-// so that none can push out another's.
+// evictIfFull removes an entry if the team or the table has reached its bound: the team's
+// least relevant entry or, if the table is full, that of the team with the most entries, so
+// that no organisation can displace another's entries.
 func (t *Table) evictIfFull(team record.Team) {
 	evictFrom := team
 	switch {
@@ -260,6 +275,8 @@
 	t.remove(victim)
 }
 
+// isLessRelevant reports whether e has fewer crashes than other, or as many and an older
+// last one.
 func (e *entry) isLessRelevant(other *entry) bool {
 	if e.crashes != other.crashes {
 		return e.crashes < other.crashes
@@ -267,6 +284,7 @@
 	return e.lastCrash.Before(other.lastCrash)
 }
 
+// remove removes the entry of a request and reports whether there was one.
 func (t *Table) remove(f Fingerprint) bool {
 	e := t.entries[f]
 	if e == nil {
@@ -282,7 +300,7 @@
 	return true
 }
 
-// unlinkCrash takes a request from those under which an endpoint ended.
+// unlinkCrash removes the entry from those of an endpoint's crash.
 func (t *Table) unlinkCrash(endpoint string, e *entry) {
 	c := t.crashes[endpoint]
 	c.entries = slices.DeleteFunc(c.entries, func(other *entry) bool { return other == e })
@@ -291,23 +309,24 @@
 	}
 }
 
+// decrement decrements the count of key and deletes it at 0.
 func decrement[K comparable](counts map[K]int, key K) {
 	if counts[key]--; counts[key] <= 0 {
 		delete(counts, key)
 	}
 }
 
-// Row is one request as a state dump shows it.
+// Row is the state of one request in a state dump.
 type Row struct {
-	Content          string      `json:"content"`
+	Content          string      `json:"content"` // Fingerprint in hexadecimal.
 	Organisation     record.Team `json:"organisation"`
-	Crashes          int         `json:"ends"`
-	Endpoints        []string    `json:"endpoints"`
-	Retests          int         `json:"retests"`
-	QuarantinedUntil *time.Time  `json:"held_until,omitempty"`
+	Crashes          int         `json:"ends"`                 // Those that count; see entry.
+	Endpoints        []string    `json:"endpoints"`            // IDs, the latest crash last.
+	Retests          int         `json:"retests"`              // Number of retests.
+	QuarantinedUntil *time.Time  `json:"held_until,omitempty"` // nil if not quarantined.
 }
 
-// View copies the table as it is at that time.
+// View returns a row for each entry as of now, in no particular order.
 func (t *Table) View(now time.Time) []Row {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -323,7 +342,7 @@
 	return rows
 }
 
-// CountQuarantined returns how many requests are held at that time.
+// CountQuarantined returns the number of requests that are quarantined at now.
 func (t *Table) CountQuarantined(now time.Time) (n int64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/quarantine/table_test.go
+++ b/internal/quarantine/table_test.go
@@ -12,11 +12,12 @@
 
 var startTime = time.Date(2030, 1, 2, 3, 4, 5, 0, time.UTC)
 
+// fingerprint returns the fingerprint of a request with this name in its path.
 func fingerprint(name string) Fingerprint {
 	return Content{Organisation: "org", Method: "POST", Host: "h", Target: "/" + name}.Fingerprint()
 }
 
-// isQuarantinedAt says whether the table holds a request at that time.
+// isQuarantinedAt reports whether the request is quarantined at now.
 func (t *Table) isQuarantinedAt(f Fingerprint, now time.Time) bool {
 	quarantined, _ := t.check(f, now)
 	return quarantined != nil
@@ -27,25 +28,25 @@
 	for i := range 3 {
 		now := startTime.Add(time.Duration(i) * time.Second)
 		if table.isQuarantinedAt(f, now) {
-			t.Errorf("held after %d ends", i)
+			t.Errorf("quarantined after %d crashes", i)
 		}
 		if r := table.recordCrash(f, "org", fmt.Sprint("e", i), 50*time.Millisecond, now); r == nil || r.Crashes != i+1 {
-			t.Errorf("end %d told as %+v", i+1, r)
+			t.Errorf("record of crash %d is %+v", i+1, r)
 		}
 	}
 	third := startTime.Add(2 * time.Second)
 	if table.isQuarantinedAt(f, third) {
-		t.Error("held before the other instances' reports can be there")
+		t.Error("quarantined before the records of other instances can have arrived")
 	}
 	quarantined, retestDue := table.check(f, third.Add(reportGracePeriod))
 	if quarantined == nil || retestDue || quarantined.RetryAfter != initialQuarantine-reportGracePeriod || quarantined.Crashes != 3 {
-		t.Errorf("held %+v, due %v", quarantined, retestDue)
+		t.Errorf("after reportGracePeriod: %+v, retest due %v", quarantined, retestDue)
 	}
 	if quarantined, retestDue := table.check(f, third.Add(initialQuarantine)); quarantined == nil || !retestDue || quarantined.RetryAfter != 0 {
-		t.Errorf("at the hold's end: %+v, due %v", quarantined, retestDue)
+		t.Errorf("at the end of the quarantine: %+v, retest due %v", quarantined, retestDue)
 	}
 	if table.isQuarantinedAt(f, third.Add(initialQuarantine+entryTTL)) {
-		t.Error("held when it is forgotten")
+		t.Error("quarantined after the entry has expired")
 	}
 }
 
@@ -54,13 +55,14 @@
 	for i := range 5 {
 		r := table.recordCrash(f, "org", "e", time.Millisecond, startTime.Add(time.Duration(i)*time.Second))
 		if (r != nil) != (i == 0) {
-			t.Errorf("report %d told as %+v", i, r)
+			t.Errorf("record of report %d for one endpoint is %+v, want one for report 0 only", i, r)
 		}
 	}
 }
 
-// A much asked content is under way at all endpoints that are lost at one moment; it is
-// reported by several instances, some reads of the log apart.
+// A frequent request is in progress on all of several endpoints that are lost at the same
+// moment. Several instances report that, and their records arrive over several reads of the
+// log.
 func TestEndpointsThatAreLostAtOneMomentCountAsOne(t *testing.T) {
 	table, f := NewTable("me"), fingerprint("x")
 	for i := range 6 {
@@ -68,12 +70,12 @@
 		table.observe(f, &entryRecord{Team: "org", Writer: "other", Endpoints: []string{fmt.Sprint("e", i)}, UnderWay: 20 * time.Millisecond, Crashes: 1}, false, now)
 	}
 	if table.isQuarantinedAt(f, startTime.Add(time.Minute)) {
-		t.Error("held after one loss of six endpoints")
+		t.Error("quarantined after six endpoints were lost at the same moment")
 	}
 }
 
-// Endpoints end under one request. Others are under way at most of these; they come
-// again as long as they are not answered.
+// Endpoints crash while serving one request. Others are in progress on most of these
+// endpoints, because they are repeated until they are answered.
 func TestOtherRequestsOnCrashedEndpointsAreNotQuarantined(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table, culprit := NewTable("me"), fingerprint("culprit")
@@ -86,7 +88,7 @@
 			endpoint := fmt.Sprint("e", i)
 			table.recordCrash(culprit, "org", endpoint, 10*time.Millisecond, now)
 			for o := range others {
-				// An innocent request is somewhere else at one end at least.
+				// A request that is not to blame is elsewhere at one crash at least.
 				if rapid.Bool().Draw(t, "beside") && sharedCrashes[o] < crashes-1 {
 					sharedCrashes[o]++
 					table.recordCrash(fingerprint(fmt.Sprint(o)), "org", endpoint, 10*time.Millisecond, now)
@@ -95,30 +97,31 @@
 		}
 		now = now.Add(reportGracePeriod)
 		if !table.isQuarantinedAt(culprit, now) {
-			t.Fatalf("not held after %d ends", crashes)
+			t.Fatalf("not quarantined after %d crashes", crashes)
 		}
 		for o := range others {
 			if table.isQuarantinedAt(fingerprint(fmt.Sprint(o)), now) {
-				t.Fatalf("request %d held, beside at %d of %d ends", o, sharedCrashes[o], crashes)
+				t.Fatalf("request %d is quarantined, although in progress at only %d of %d crashes", o, sharedCrashes[o], crashes)
 			}
 		}
 	})
 }
 
-// Two requests that always come together can't be told apart: both are held, one end later.
+// Two requests that always occur together can't be told apart. Both are quarantined, one
+// crash later.
 func TestRequestsThatAreAlwaysTogetherAreQuarantinedAtTheFourthCrash(t *testing.T) {
 	table, first, second := NewTable("me"), fingerprint("a"), fingerprint("b")
 	for i := range 4 {
 		now := startTime.Add(time.Duration(i) * time.Second)
 		if table.isQuarantinedAt(first, now) || table.isQuarantinedAt(second, now) {
-			t.Errorf("held after %d ends", i)
+			t.Errorf("quarantined after %d crashes", i)
 		}
 		table.recordCrash(first, "org", fmt.Sprint("e", i), time.Millisecond, now)
 		table.recordCrash(second, "org", fmt.Sprint("e", i), time.Millisecond, now)
 	}
 	now := startTime.Add(3*time.Second + reportGracePeriod)
 	if !table.isQuarantinedAt(first, now) || !table.isQuarantinedAt(second, now) {
-		t.Error("not held after four ends")
+		t.Error("not quarantined after four crashes")
 	}
 }
 
@@ -132,7 +135,7 @@
 	fresh.observe(f, last, true, now)
 	quarantined, _ := fresh.check(f, now)
 	if quarantined == nil || quarantined.RetryAfter != last.until().Sub(now) {
-		t.Errorf("held %+v, want until %s", quarantined, last.until())
+		t.Errorf("quarantine is %+v, want until %s", quarantined, last.until())
 	}
 }
 
@@ -140,7 +143,7 @@
 	table, f := NewTable("me"), fingerprint("x")
 	table.observe(f, &entryRecord{Writer: "other", Endpoints: []string{"a", "b", "c"}, Crashes: 3, Until: startTime.Add(24 * time.Hour).UnixMilli()}, true, startTime)
 	if quarantined, _ := table.check(f, startTime); quarantined == nil || quarantined.RetryAfter != initialQuarantine {
-		t.Errorf("held %+v, want %s at most", quarantined, initialQuarantine)
+		t.Errorf("quarantine is %+v, want for %s", quarantined, initialQuarantine)
 	}
 }
 
@@ -156,7 +159,7 @@
 			t.Errorf("retest %d: decided %v, won %v", round+1, decided, won)
 		}
 		if quarantined, retestDue := table.check(f, now); quarantined == nil || retestDue || quarantined.RetryAfter != want {
-			t.Errorf("after retest %d: %+v, due %v; want %s", round+1, quarantined, retestDue, want)
+			t.Errorf("after retest %d: %+v, retest due %v; want a quarantine of %s", round+1, quarantined, retestDue, want)
 		}
 		now = now.Add(want)
 	}
@@ -175,10 +178,10 @@
 		table.observe(f, second, false, now)
 	}
 	if _, won := me.retestResult(f, 1); won {
-		t.Error("the second claim won")
+		t.Error("the second claim on the log acquired the retest")
 	}
 	if _, won := other.retestResult(f, 1); !won {
-		t.Error("the first claim lost")
+		t.Error("the first claim on the log did not acquire the retest")
 	}
 }
 
@@ -192,22 +195,22 @@
 		table.recordCrash(fingerprint(fmt.Sprint(i)), "hostile", fmt.Sprint("e", i), time.Millisecond, startTime.Add(time.Hour))
 	}
 	if n := table.countByTeam["hostile"]; n != maxEntriesPerTeam {
-		t.Errorf("%d entries of one organisation, at most %d", n, maxEntriesPerTeam)
+		t.Errorf("%d entries of one organisation, want %d", n, maxEntriesPerTeam)
 	}
 	for i := range 2 * maxEntries {
 		table.recordCrash(fingerprint(fmt.Sprint("of many ", i)), record.Team(fmt.Sprint("team ", i%100)), fmt.Sprint("m", i), time.Millisecond, startTime.Add(time.Hour))
 	}
 	if n := len(table.entries); n > maxEntries || int64(n) != table.size.Load() {
-		t.Errorf("%d entries, at most %d; counted %d", n, maxEntries, table.size.Load())
+		t.Errorf("%d entries, want at most %d; size is %d", n, maxEntries, table.size.Load())
 	}
 	if table.entries[victim] == nil {
-		t.Error("another organisation's request was pushed out")
+		t.Error("another organisation's entry was evicted")
 	}
 	for f := range table.entries {
 		table.clear(f)
 	}
 	if len(table.countByMetadata)+len(table.countByTeam)+len(table.crashes) > 0 {
-		t.Errorf("left behind: %d places, %d teams, %d ends", len(table.countByMetadata), len(table.countByTeam), len(table.crashes))
+		t.Errorf("after clearing all entries %d metadata hashes, %d teams and %d crashes are left", len(table.countByMetadata), len(table.countByTeam), len(table.crashes))
 	}
 }
 
@@ -217,13 +220,13 @@
 	table.recordCrash(mine, "org", "e1", time.Millisecond, startTime)
 	table.observe(theirs, &entryRecord{Writer: "other", Endpoints: []string{"e2"}, Crashes: 1}, false, startTime)
 	if cleared := table.sweep(startTime.Add(entryTTL - time.Second)); len(cleared) > 0 {
-		t.Errorf("cleared early: %v", cleared)
+		t.Errorf("cleared before expiry: %v", cleared)
 	}
 	if cleared := table.sweep(startTime.Add(entryTTL)); len(cleared) != 1 || cleared[0] != mine {
-		t.Errorf("cleared %v, want the own one", cleared)
+		t.Errorf("cleared %v at expiry, want the entry that this instance wrote", cleared)
 	}
 	if cleared := table.sweep(startTime.Add(4 * entryTTL)); len(cleared) != 1 || cleared[0] != theirs {
-		t.Errorf("cleared %v, want that of an instance that is gone", cleared)
+		t.Errorf("cleared %v long after expiry, want the entry of the other instance", cleared)
 	}
 }
 
@@ -231,24 +234,25 @@
 	table := NewTable("me")
 	c := Content{Organisation: "org", Method: "POST", Host: "h", Target: "/x", Body: []byte("body")}
 	if _, known := table.find(c); known {
-		t.Error("known in an empty table")
+		t.Error("the request is found in an empty table")
 	}
 	table.recordCrash(c.Fingerprint(), "org", "e", time.Millisecond, startTime)
 	if f, known := table.find(c); !known || f != c.Fingerprint() {
-		t.Errorf("%s, known %v", f, known)
+		t.Errorf("fingerprint is %s, found %v", f, known)
 	}
 	for _, body := range []string{"ydob", "another"} {
 		c.Body = []byte(body)
 		if _, known := table.find(c); known {
-			t.Errorf("body %q is known", body)
+			t.Errorf("a request with body %q is found", body)
 		}
 	}
 	if c.metadataHash() == (Content{Organisation: "org", Method: "POST", Host: "h", Target: "/x", Body: []byte("body")}).metadataHash() {
-		t.Error("a body of another length has the same place")
+		t.Error("a body of another length has the same metadata hash")
 	}
 }
 
-// Many instances know the records of one that is gone; they don't all clear them at once.
+// Many instances have the entries of one that is gone. They don't all clear them at the same
+// time.
 func TestOrphansAreClearedByOneAfterTheOther(t *testing.T) {
 	const instances = 40
 	cleared := 0
