--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -320,7 +320,7 @@
 type Row struct {
 	Content          string      `json:"content"` // Fingerprint in hexadecimal.
 	Organisation     record.Team `json:"organisation"`
-	Crashes          int         `json:"ends"`                 // Those that count; see entry.
+	Crashes          int         `json:"ends"`                 // Those one after the other.
 	Endpoints        []string    `json:"endpoints"`            // IDs, the latest crash last.
 	Retests          int         `json:"retests"`              // Number of retests.
 	QuarantinedUntil *time.Time  `json:"held_until,omitempty"` // nil if not quarantined.
--- a/internal/quarantine/table_test.go
+++ b/internal/quarantine/table_test.go
@@ -80,7 +80,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		table, culprit := NewTable("me"), fingerprint("culprit")
 		others := rapid.IntRange(1, 8).Draw(t, "others")
-		crashes := rapid.IntRange(crashesToQuarantine+1, 12).Draw(t, "ends")
+		crashes := rapid.IntRange(crashesToQuarantine+1, 12).Draw(t, "crashes")
 		sharedCrashes := make([]int, others)
 		now := startTime
 		for i := range crashes {
@@ -89,7 +89,7 @@
 			table.recordCrash(culprit, "org", endpoint, 10*time.Millisecond, now)
 			for o := range others {
 				// A request that is not to blame is elsewhere at one crash at least.
-				if rapid.Bool().Draw(t, "beside") && sharedCrashes[o] < crashes-1 {
+				if rapid.Bool().Draw(t, "in progress") && sharedCrashes[o] < crashes-1 {
 					sharedCrashes[o]++
 					table.recordCrash(fingerprint(fmt.Sprint(o)), "org", endpoint, 10*time.Millisecond, now)
 				}
