--- a/internal/placement/fetch.go
+++ b/internal/placement/fetch.go
@@ -87,7 +87,8 @@
 
 // announceInterval is how long after the last known send of a prompt's shared parts to
 // an endpoint the next one is announced to the other instances. It is shorter than
-// cachedPartTTL, so that they are told before they discard the last announcement.
+// cachedPartTTL, so that they are told before they discard the last announcement. Of
+// sends that follow each other at shorter intervals only the first is announced.
 const announceInterval = cachedPartTTL / 2
 
 // partsToAnnounce returns the IDs of the prompt's shared parts for announcement to the
