--- a/internal/forward/log.go
+++ b/internal/forward/log.go
@@ -24,7 +24,7 @@
 // logAttempt writes the attempt's line: what chose the endpoint and how it
 // ended. Those that gave the final answer in time are the bulk, and only for
 // debugging.
-func (c *call) logAttempt(k *placement.Ticket, r attemptResult, status int, began time.Time) {
+func (c *call) logAttempt(k *placement.Assignment, r attemptResult, status int, began time.Time) {
 	level := zerolog.InfoLevel
 	if r.final && !c.late() {
 		level = zerolog.DebugLevel
@@ -37,7 +37,7 @@
 		line.Stringer("content", c.content().Fingerprint())
 	}
 	line.Str("request", c.ID).Int("attempt", c.attempts).Str("endpoint", k.Endpoint.ID).
-		Str("address", k.Endpoint.Address).Str("zone", k.Endpoint.Zone).Float64("cost_ms", k.Cost).Float64("missing_tokens", k.Missing).
+		Str("address", k.Endpoint.Address).Str("zone", k.Endpoint.Zone).Float64("cost_ms", k.Cost).Float64("missing_tokens", k.MissingTokens).
 		Int("in_flight", k.InFlight).Str("fetch", k.FetchFrom).Int("status", status).Str("reason", string(r.reason)).Bool("may_have_run", c.mayRun).
 		Dur("took", time.Since(began)).AnErr("error", r.err).Msg("forward: attempt ended")
 }
@@ -53,9 +53,9 @@
 }
 
 // logHeld writes why the request is held back.
-func (c *call) logHeld(held *quarantine.HeldError) {
+func (c *call) logHeld(held *quarantine.QuarantinedError) {
 	c.f.Log.Info().Str("request", c.ID).Str("team", string(c.team())).Stringer("content", held.Fingerprint).
-		Int("ends", held.Ends).Dur("after", held.After).Msg("forward: request held back")
+		Int("ends", held.Crashes).Dur("after", held.RetryAfter).Msg("forward: request held back")
 }
 
 // late says whether the answer began after its route's target.
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -99,7 +99,7 @@
 	peerPool         *peer.Pool   // Calls to other instances.
 	peerServer       *peer.Server // Calls from other instances.
 	retryLimiter     *retry.Limiter
-	quarantine       *quarantine.Keeper // Requests that must not be sent to endpoints.
+	quarantine       *quarantine.Syncer // Requests that must not be sent to endpoints.
 	linkMeter        linkload.Meter
 	linkShedder      *linkload.Shedder
 	upstreamPool     *upstream.Pool
@@ -132,7 +132,7 @@
 		return nil, err
 	}
 	g.upstreamPool = upstream.NewPool(upstream.Options{
-		DialWithin: requestDialTimeout, DialLast: maxDialDuration, IdleFor: endpointIdleTimeout, Dial: g.linkMeter.Dial(upstream.TCP(endpointAckTimeout)),
+		DialWithin: requestDialTimeout, DialLast: maxDialDuration, IdleFor: endpointIdleTimeout, Dial: g.linkMeter.WrapDial(upstream.TCP(endpointAckTimeout)),
 	})
 	g.callerConns = callers.New(g.callersListener.(*net.TCPListener), defaultCallerIdleTimeout, &g.linkMeter)
 	p.Store = instrumentedStore{p.Store, g.metrics}
@@ -147,11 +147,11 @@
 	zone := allocator.New(allocator.Self{Key: self.Key, Peer: peersAddr, Zone: self.Zone, LinkMbps: s.Gateway.LinkMbps})
 	g.peerPool = peer.NewPool(self.Key, accounts, peer.Options{})
 	g.budgets = prepaid.NewKeeper(accounts, zone, prepaid.NewPeers(g.peerPool, g.sampledLog), p.Store, clock, log)
-	g.quarantine = quarantine.NewKeeper(quarantine.Options{
-		Self: self.Key, Log: p.Store, Probe: g.upstreamPool.Probe, Caller: g.peerPool, Neighbours: accounts.Neighbours, Logs: log, Busy: g.sampledLog,
+	g.quarantine = quarantine.NewSyncer(quarantine.Options{
+		Self: self.Key, Log: p.Store, Probe: g.upstreamPool.Probe, Caller: g.peerPool, Neighbours: accounts.Neighbours, Logger: log, ThinnedLogger: g.sampledLog,
 	})
 	g.peerServer = peer.NewServer(self.Key)
-	if err := g.peerServer.Register(quarantine.ServiceName, quarantine.NewExchange(g.quarantine)); err != nil {
+	if err := g.peerServer.Register(quarantine.ServiceName, quarantine.NewPeerService(g.quarantine)); err != nil {
 		return nil, err
 	}
 	if err := g.peerServer.Register(prepaid.ServiceName, prepaid.NewTransfers(g.budgets)); err != nil {
@@ -226,19 +226,19 @@
 // isReady reports whether the load balancer should send callers to this instance. Losing
 // the store does not end readiness: the instance keeps serving from its last copies.
 func (g *Gateway) isReady() bool {
-	return !g.isDraining.Load() && !g.linkShedder.Sheds() && !g.isOutdated() && g.config.Load() != nil && g.endpoints.isLoaded.Load() && g.budgets.Loaded() && g.quarantine.Loaded()
+	return !g.isDraining.Load() && !g.linkShedder.IsShedding() && !g.isOutdated() && g.config.Load() != nil && g.endpoints.isLoaded.Load() && g.budgets.Loaded() && g.quarantine.Loaded()
 }
 
 // closesCallerConns reports whether responses ask callers to close their connections and so
 // to move to another instance.
 func (g *Gateway) closesCallerConns() bool {
-	return g.isDraining.Load() || g.isOutdated() || g.linkShedder.SendsAway(g.clock())
+	return g.isDraining.Load() || g.isOutdated() || g.linkShedder.ShouldCloseConnections(g.clock())
 }
 
 // isOutdated reports whether this instance's copy of the desired state or of the endpoint
 // list is older than those of other instances that its callers can reach.
 func (g *Gateway) isOutdated() bool {
-	linkCongested := g.linkShedder.Crowded()
+	linkCongested := g.linkShedder.IsCongested()
 	return g.stateFreshness.isOutdated(linkCongested) || g.endpoints.freshness.isOutdated(linkCongested)
 }
 
--- a/internal/gateway/loads.go
+++ b/internal/gateway/loads.go
@@ -70,8 +70,8 @@
 func (l *loadReporter) Tell(args TellArgs, _ *TellReply) error {
 	now := l.clock()
 	for _, prompt := range args.Sent {
-		l.endpoints.Busy(prompt.Endpoint, min(max(prompt.Work, 0), time.Minute), now)
-		l.endpoints.Sent(prompt.Endpoint, prompt.Parts, now)
+		l.endpoints.RecordRemotePrefill(prompt.Endpoint, min(max(prompt.Work, 0), time.Minute), now)
+		l.endpoints.RecordRemoteParts(prompt.Endpoint, prompt.Parts, now)
 	}
 	return nil
 }
@@ -79,13 +79,13 @@
 // reportPlacement queues a report of an attempt that is about to be sent. Nothing is
 // reported in a large fleet: the number of calls would grow with the square of its size, and
 // each instance sends too little for its reports to matter.
-func (l *loadReporter) reportPlacement(ticket *placement.Ticket) {
+func (l *loadReporter) reportPlacement(assignment *placement.Assignment) {
 	if l.accounts.Pooled() {
 		return
 	}
-	report := SentPrompt{Endpoint: ticket.Endpoint.ID, Parts: ticket.News}
-	if ticket.Work >= minReportedWork {
-		report.Work = ticket.Work
+	report := SentPrompt{Endpoint: assignment.Endpoint.ID, Parts: assignment.PartsToAnnounce}
+	if assignment.PrefillTime >= minReportedWork {
+		report.Work = assignment.PrefillTime
 	}
 	if report.Work == 0 && len(report.Parts) == 0 {
 		return
--- a/internal/gateway/loads_test.go
+++ b/internal/gateway/loads_test.go
@@ -57,14 +57,14 @@
 	accounts.Apply("other", claimRecord, time.Second)
 	accounts.Fresh(time.Second)
 	query := placement.Query{Service: "s", Parts: []placement.Part{{ID: "shared", Tokens: 400}, {ID: "own", Tokens: 100}}}
-	ticket := sender.endpoints.Place(query, sender.clock())
-	if ticket.Work >= minReportedWork {
-		t.Fatalf("prefill takes %s, so the prompt is reported for that alone", ticket.Work)
+	assignment := sender.endpoints.Place(query, sender.clock())
+	if assignment.PrefillTime >= minReportedWork {
+		t.Fatalf("prefill takes %s, so the prompt is reported for that alone", assignment.PrefillTime)
 	}
-	sender.reportPlacement(ticket)
+	sender.reportPlacement(assignment)
 	isObserved := func() bool {
 		for _, row := range receiver.endpoints.View() {
-			if row.ID == ticket.Endpoint.ID {
+			if row.ID == assignment.Endpoint.ID {
 				return row.Parts > 0
 			}
 		}
--- a/internal/gateway/observe.go
+++ b/internal/gateway/observe.go
@@ -28,7 +28,7 @@
 	g.metrics.Gauge(metrics.GatewayState, g.stateVersion)
 	g.metrics.Gauge(metrics.GatewayStateAge, func() int64 { return g.stateFreshness.age().Milliseconds() })
 	g.metrics.Gauge(metrics.GatewayListAge, func() int64 { return g.endpoints.freshness.age().Milliseconds() })
-	g.metrics.Gauge(metrics.GatewayHeldBack, func() int64 { return g.quarantine.Table.Held(time.Now()) })
+	g.metrics.Gauge(metrics.GatewayHeldBack, func() int64 { return g.quarantine.Table.CountQuarantined(time.Now()) })
 	g.registerBudgetGauges()
 	if g.platform.LinesDropped != nil {
 		g.metrics.Gauge(metrics.GatewayDropped, g.platform.LinesDropped)
--- a/internal/gateway/probes.go
+++ b/internal/gateway/probes.go
@@ -48,6 +48,6 @@
 	if err := p.pool.Probe(ctx, e.ID, e.Address); err != nil {
 		return // Still unreachable; the attempt that found out was logged.
 	}
-	p.endpoints.Reached(e.ID)
+	p.endpoints.MarkReachable(e.ID)
 	p.log.Info().Str("endpoint", e.ID).Str("address", e.Address).Msg("gateway: endpoint reachable again")
 }
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -62,10 +62,10 @@
 // updateLinkLoad samples the link's load, which decides whether callers are sent to other
 // instances, and logs when that decision changes.
 func (g *Gateway) updateLinkLoad() {
-	if !g.linkShedder.Look(g.linkMeter.Total(), g.clock()) {
+	if !g.linkShedder.Sample(g.linkMeter.Total(), g.clock()) {
 		return
 	}
-	g.log.Warn().Bool("sheds", g.linkShedder.Sheds()).Float64("load", g.linkShedder.Load()).
+	g.log.Warn().Bool("sheds", g.linkShedder.IsShedding()).Float64("load", g.linkShedder.Load()).
 		Msg("gateway: callers sent elsewhere, or taken again, for the load of the link")
 }
 
--- a/internal/linkload/meter.go
+++ b/internal/linkload/meter.go
@@ -1,5 +1,5 @@
-// Package linkload watches how full an instance's network link is, and decides when
-// its callers are sent to other instances.
+// Package linkload measures the utilisation of an instance's network link and decides
+// when callers are sent to other instances (load shedding).
 package linkload
 
 import (
@@ -10,60 +10,63 @@
 	"guavapier/internal/dial"
 )
 
-// Meter counts the bytes that cross the link, by direction. A nil Meter counts nothing.
+// Meter counts the bytes that are transferred over the link, by direction. The zero
+// value is ready for use, and CountReceived and CountSent do nothing on a nil Meter. It
+// is safe for concurrent use.
 type Meter struct {
 	in, out atomic.Int64
 }
 
-// Read counts bytes that came in.
-func (m *Meter) Read(n int) {
+// CountReceived adds n bytes to those received.
+func (m *Meter) CountReceived(n int) {
 	if m != nil {
 		m.in.Add(int64(n))
 	}
 }
 
-// Written counts bytes that went out.
-func (m *Meter) Written(n int) {
+// CountSent adds n bytes to those sent.
+func (m *Meter) CountSent(n int) {
 	if m != nil {
 		m.out.Add(int64(n))
 	}
 }
 
-// Total returns the bytes since the start.
-func (m *Meter) Total() Bytes { return Bytes{In: m.in.Load(), Out: m.out.Load()} }
+// Total returns the bytes that have been counted since the process started.
+func (m *Meter) Total() ByteCounts { return ByteCounts{In: m.in.Load(), Out: m.out.Load()} }
 
-// Bytes are counts by direction.
-type Bytes struct {
+// ByteCounts are numbers of bytes received (In) and sent (Out).
+type ByteCounts struct {
 	In, Out int64
 }
 
-// Dial counts the bytes of the connections that next makes.
-func (m *Meter) Dial(next dial.Func) dial.Func {
+// WrapDial returns a dial function that counts the bytes of the connections that next
+// makes.
+func (m *Meter) WrapDial(next dial.Func) dial.Func {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		c, err := next(ctx, network, address)
 		if err != nil {
 			return nil, err
 		}
-		return &conn{Conn: c, meter: m}, nil
+		return &countingConn{Conn: c, meter: m}, nil
 	}
 }
 
-// conn is a connection whose bytes are counted.
-type conn struct {
+// countingConn is a connection whose bytes are counted by a Meter.
+type countingConn struct {
 	net.Conn
 	meter *Meter
 }
 
 // Read implements net.Conn.
-func (c *conn) Read(p []byte) (int, error) {
+func (c *countingConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	c.meter.Read(n)
+	c.meter.CountReceived(n)
 	return n, err
 }
 
 // Write implements net.Conn.
-func (c *conn) Write(p []byte) (int, error) {
+func (c *countingConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
-	c.meter.Written(n)
+	c.meter.CountSent(n)
 	return n, err
 }
--- a/internal/linkload/shedder.go
+++ b/internal/linkload/shedder.go
@@ -6,109 +6,114 @@
 )
 
 const (
-	// fullShare is the part of a link's speed above which callers are sent elsewhere.
-	// What is not counted (headers of packets, calls to other instances and the store)
-	// takes up to a fifth, and queues grow before a link is full.
-	fullShare = 0.7
-	// clearShare is the part below which they are taken again.
-	clearShare = 0.5
-	// rateOver is the time over which the rate is taken: prompts come in bursts.
-	rateOver = time.Second
-	// outOfRotation is how long it takes until a balancer that asks once a second sends
-	// no new connections: answers that close connections before would bring the callers
-	// back at once.
-	outOfRotation = 2 * time.Second
-	// longestShed ends a shedding that did not clear the link: where all instances are
-	// as full, callers gain nothing by going elsewhere.
-	longestShed = 6 * time.Second
-	// restCleared and restInVain are how long callers are taken again after one that
-	// cleared the link, and after one that did not.
-	restCleared = 2 * time.Second
-	restInVain  = 12 * time.Second
+	// shedThreshold is the utilisation of the link above which shedding starts.
+	// Traffic that is not counted (packet headers, calls to other instances and to
+	// the store) takes up to a fifth of the link, and queues grow before it is full.
+	shedThreshold = 0.7
+	// clearThreshold is the utilisation at or below which shedding ends.
+	clearThreshold = 0.5
+	// rateWindow is the time over which the utilisation is averaged, because prompts
+	// arrive in bursts.
+	rateWindow = time.Second
+	// balancerReactionTime is how long a load balancer that checks once a second takes
+	// to stop sending new connections. Callers whose connections are closed before that
+	// would be sent back at once.
+	balancerReactionTime = 2 * time.Second
+	// maxShedDuration bounds a phase of shedding that does not clear the link: if all
+	// instances are equally loaded, callers gain nothing by going elsewhere.
+	maxShedDuration = 6 * time.Second
+	// cooldownAfterClear is the minimum time from the end of a phase of shedding that
+	// cleared the link to the next one, cooldownAfterTimeout after one that did not.
+	cooldownAfterClear   = 2 * time.Second
+	cooldownAfterTimeout = 12 * time.Second
 )
 
-// Shedder decides when callers are sent to other instances because the own link is
-// nearly full: the balancer spreads callers unevenly, and on a full link nothing comes
-// in time, the instance's own calls included. It does no input or output and has no
-// clock. Times are since any one origin. It is safe for concurrent use.
+// Shedder decides when callers are sent to other instances because this instance's link
+// is nearly full. The load balancer spreads callers unevenly, and a full link delays all
+// traffic, including the instance's own calls. Shedder does no I/O and has no clock:
+// callers pass the current time as a duration since a fixed origin. It is safe for
+// concurrent use.
 type Shedder struct {
-	perSecond float64 // Bytes that the link carries in one direction; 0 for unknown.
+	bytesPerSecond float64 // Capacity of the link in each direction; 0 for unknown.
 
-	mu       sync.Mutex
-	looks    []look // Of the last rateOver, the oldest first.
-	load     float64
-	shedding bool
-	since    time.Duration // When the shedding began.
-	notUntil time.Duration // When it may begin again.
+	mu          sync.Mutex // Guards the fields below.
+	samples     []sample   // Those within rateWindow and the last before it, oldest first.
+	load        float64    // Utilisation of the busier direction; 1 is full.
+	shedding    bool
+	shedStart   time.Duration // Start of the latest phase of shedding.
+	cooldownEnd time.Duration // Earliest start of the next one.
 }
 
-// look is one reading of the Meter.
-type look struct {
+// sample is a reading of the Meter.
+type sample struct {
 	at    time.Duration
-	total Bytes
+	total ByteCounts
 }
 
-// NewShedder returns a Shedder for a link of so many Mbit/s; 0 for unknown, which never
-// sheds.
+// NewShedder returns a Shedder for a link with this capacity in Mbit/s. 0 stands for an
+// unknown capacity, with which the Shedder never sheds.
 func NewShedder(linkMbps float64) *Shedder {
 	const bytesPerMbit = 1e6 / 8
-	return &Shedder{perSecond: linkMbps * bytesPerMbit}
+	return &Shedder{bytesPerSecond: linkMbps * bytesPerMbit}
 }
 
-// Look takes a reading of the Meter and returns whether that began or ended the
-// shedding.
-func (s *Shedder) Look(total Bytes, now time.Duration) (changed bool) {
+// Sample updates the utilisation with a reading of the Meter, and reports whether shedding
+// has started or ended.
+func (s *Shedder) Sample(total ByteCounts, now time.Duration) (changed bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.rate(total, now)
+	s.updateLoad(total, now)
 	switch {
-	case s.perSecond <= 0:
+	case s.bytesPerSecond <= 0:
 		return false
-	case s.shedding && s.load <= clearShare:
-		s.shedding, s.notUntil = false, now+restCleared
-	case s.shedding && now-s.since >= longestShed:
-		s.shedding, s.notUntil = false, now+restInVain
-	case !s.shedding && s.load > fullShare && now >= s.notUntil:
-		s.shedding, s.since = true, now
+	case s.shedding && s.load <= clearThreshold:
+		s.shedding, s.cooldownEnd = false, now+cooldownAfterClear
+	case s.shedding && now-s.shedStart >= maxShedDuration:
+		s.shedding, s.cooldownEnd = false, now+cooldownAfterTimeout
+	case !s.shedding && s.load > shedThreshold && now >= s.cooldownEnd:
+		s.shedding, s.shedStart = true, now
 	default:
 		return false
 	}
 	return true
 }
 
-// rate renews the load from what crossed the link in the last rateOver.
-func (s *Shedder) rate(total Bytes, now time.Duration) {
-	s.looks = append(s.looks, look{now, total})
-	for len(s.looks) > 2 && now-s.looks[1].at >= rateOver {
-		s.looks = s.looks[1:]
+// updateLoad computes the load from the bytes that were transferred within rateWindow.
+// Until the samples cover that time it stays 0.
+func (s *Shedder) updateLoad(total ByteCounts, now time.Duration) {
+	s.samples = append(s.samples, sample{now, total})
+	for len(s.samples) > 2 && now-s.samples[1].at >= rateWindow {
+		s.samples = s.samples[1:]
 	}
-	first := s.looks[0]
-	if took := now - first.at; took >= rateOver && s.perSecond > 0 {
-		crossed := max(total.In-first.total.In, total.Out-first.total.Out)
-		s.load = float64(crossed) / took.Seconds() / s.perSecond
+	oldest := s.samples[0]
+	if elapsed := now - oldest.at; elapsed >= rateWindow && s.bytesPerSecond > 0 {
+		transferred := max(total.In-oldest.total.In, total.Out-oldest.total.Out)
+		s.load = float64(transferred) / elapsed.Seconds() / s.bytesPerSecond
 	}
 }
 
-// Load returns the fuller direction's part of the link's speed.
+// Load returns the utilisation of the busier direction, as a share of the link's capacity;
+// 0 if that is unknown.
 func (s *Shedder) Load() float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.load
 }
 
-// Crowded says whether the link is too full to take callers.
-func (s *Shedder) Crowded() bool { return s.Load() > clearShare }
+// IsCongested reports whether the utilisation is too high to take on more callers.
+func (s *Shedder) IsCongested() bool { return s.Load() > clearThreshold }
 
-// Sheds says whether the balancer is told to send no new callers.
-func (s *Shedder) Sheds() bool {
+// IsShedding reports whether the load balancer should send no new callers.
+func (s *Shedder) IsShedding() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.shedding
 }
 
-// SendsAway says whether answers ask callers to leave their connections.
-func (s *Shedder) SendsAway(now time.Duration) bool {
+// ShouldCloseConnections reports whether answers should ask callers to close their
+// connections, which they then open again to another instance.
+func (s *Shedder) ShouldCloseConnections(now time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.shedding && now-s.since >= outOfRotation
+	return s.shedding && now-s.shedStart >= balancerReactionTime
 }
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -1,11 +1,13 @@
-// Package placement chooses the endpoint of each request by its cost in
-// milliseconds. It does no input or output and has no clock: the caller gives
-// it the time, as the time since any origin.
+// Package placement chooses the endpoint for each request by its estimated cost in
+// milliseconds. It does no I/O and has no clock: callers pass the current time as a
+// duration since a fixed origin.
 //
-// It is made for a fleet of small instances that each see only their own
-// sends. Costs of all kinds are on one scale, so that affinity to a cached
-// prompt gives way to a queue as soon as the queue costs more than reading the
-// prompt again.
+// Prefill is the processing of a prompt before the first token of the answer.
+// Endpoints cache prompts, so that only the parts of a prompt that are not cached have
+// to be computed. Each gateway instance sees only the requests that it sends itself and
+// what other instances announce. Costs of all kinds are on one scale, so that a request
+// leaves the endpoint that has its prompt cached as soon as the queue there costs more
+// than computing the prompt again.
 package placement
 
 import (
@@ -19,83 +21,91 @@
 	"guavapier/internal/discovery"
 )
 
-// Part is a shared part of a prompt.
+// Part is a section of a prompt. Prompts that have a section in common use the same ID
+// for it.
 type Part struct {
 	ID     string
 	Tokens int64
 }
 
-// Query is a request to place.
+// Query describes a request to place.
 type Query struct {
 	Service string
-	Zone    string // The instance's own.
-	// Parts are the prompt's shared parts in order.
+	Zone    string // Availability zone of this instance.
+	// Parts are the sections of the prompt in order. All but the last may be shared
+	// with other prompts; the last belongs to this request alone.
 	Parts []Part
-	// Avoid lists endpoints that this request has been sent to.
-	Avoid []string
+	// Exclude lists the IDs of endpoints that the request has already been sent to.
+	Exclude []string
 
-	home          *row   // Where all instances send the prompt first.
-	first, second source // Where its shared parts can be fetched from.
+	preferred                     *endpointState // See Table.preferredEndpoint.
+	bestSource, alternativeSource fetchSource    // See Table.fetchSources.
 }
 
-type row struct {
+// endpointState is an endpoint with what the table knows of its load, cache and speed.
+type endpointState struct {
 	discovery.Endpoint
-	hash     uint64 // Of its identity.
-	inFlight int
-	// waiting are the starts of attempts whose answer has not begun.
-	waiting map[uint64]pending
-	sent    map[string]time.Duration // When each part was last sent there.
-	// busyUntil is when the endpoint will have read the long prompts that other
-	// instances sent there.
-	busyUntil time.Duration
-	speed     speed
-	perMS     float64 // Prompt tokens read in a millisecond.
-	// unreachable is set until a connection could be made again.
-	unreachable bool
-	begunAt     time.Duration // When an answer last began; 0 for never.
-	fails       int
-	pause       time.Duration
-	until       time.Duration // Avoided until then.
+	idHash   uint64 // Hash of the endpoint's ID.
+	inFlight int    // This instance's requests.
+	// unanswered holds the attempts whose answer has not started, by assignment ID.
+	unanswered map[uint64]unansweredAttempt
+	partSentAt map[string]time.Duration // When each part was last sent, by part ID.
+	// busyUntil is when the endpoint is expected to have finished the prefills that
+	// other instances announced.
+	busyUntil             time.Duration
+	speed                 speedEstimator
+	normalizedTokensPerMS float64 // Prefill speed for costs; see normalizeSpeeds.
+	// unreachable is set when a connection fails and cleared when one succeeds.
+	unreachable         bool
+	lastAnswerAt        time.Duration // When an answer last started; 0 for never.
+	consecutiveFailures int
+	backoff             time.Duration // Length of the latest back-off; 0 for none.
+	avoidedUntil        time.Duration // End of the latest back-off.
 }
 
-// Table holds the endpoints. It is safe for concurrent use.
+// Table holds the known endpoints and places requests on them. It is safe for
+// concurrent use.
 type Table struct {
-	mu     sync.Mutex
-	rng    *rand.Rand
-	rows   map[string]*row
-	lastID uint64
+	mu        sync.Mutex
+	rng       *rand.Rand
+	endpoints map[string]*endpointState
+	lastID    uint64 // Of the latest assignment.
 }
 
-// New returns an empty table; seed makes ties repeat in tests.
+// New returns an empty table. The seed determines how ties are broken, so that tests are
+// reproducible.
 func New(seed uint64) *Table {
-	return &Table{rng: rand.New(rand.NewPCG(seed, seed)), rows: map[string]*row{}}
+	return &Table{rng: rand.New(rand.NewPCG(seed, seed)), endpoints: map[string]*endpointState{}}
 }
 
-// Put adds or changes an endpoint. A reborn one loses what was learned of it.
+// Put adds or updates an endpoint. All that was recorded of it is discarded if it has
+// restarted with a new incarnation.
 func (t *Table) Put(e discovery.Endpoint) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	r, known := t.rows[e.ID]
-	if !known || r.Born != e.Born {
-		r = &row{speed: newSpeed(), perMS: assumedPerMS, hash: xxhash.Sum64String(e.ID), waiting: map[uint64]pending{}, sent: map[string]time.Duration{}}
-		t.rows[e.ID] = r
+	state, known := t.endpoints[e.ID]
+	if !known || state.Born != e.Born {
+		state = &endpointState{speed: newSpeedEstimator(), normalizedTokensPerMS: defaultTokensPerMS, idHash: xxhash.Sum64String(e.ID), unanswered: map[uint64]unansweredAttempt{}, partSentAt: map[string]time.Duration{}}
+		t.endpoints[e.ID] = state
 	}
-	r.Endpoint = e
+	state.Endpoint = e
 }
 
-// Remove takes an endpoint out.
+// Remove removes the endpoint with this ID.
 func (t *Table) Remove(id string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	delete(t.rows, id)
+	delete(t.endpoints, id)
 }
 
-// Place returns the cheapest endpoint, or nil if none may take the request.
-func (t *Table) Place(q Query, now time.Duration) *Ticket {
+// Place assigns the request to the cheapest endpoint and counts it as in flight there
+// until Done is called. Endpoints that are unreachable or in a back-off are used only if
+// there is no other. The result is nil if no endpoint may take the request.
+func (t *Table) Place(q Query, now time.Duration) *Assignment {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	q.home = t.home(q)
-	q.first, q.second = t.sources(q, now)
+	q.preferred = t.preferredEndpoint(q)
+	q.bestSource, q.alternativeSource = t.fetchSources(q, now)
 	best := t.cheapest(q, now, false)
 	if best == nil {
 		best = t.cheapest(q, now, true)
@@ -103,94 +113,96 @@
 	if best == nil {
 		return nil
 	}
-	reading := best.reading(q, now)
-	k := &Ticket{
-		Endpoint: best.Endpoint, Cost: best.cost(q, now), Missing: reading.missing, InFlight: best.inFlight,
-		Work: time.Duration(reading.ms * float64(time.Millisecond)), row: best, table: t,
+	prefill := best.estimatePrefill(q, now)
+	a := &Assignment{
+		Endpoint: best.Endpoint, Cost: best.cost(q, now), MissingTokens: prefill.missingTokens, InFlight: best.inFlight,
+		PrefillTime: time.Duration(prefill.ms * float64(time.Millisecond)), endpointState: best, table: t,
 	}
-	if reading.from != nil {
-		k.FetchFrom = reading.from.Address
+	if prefill.fetchFrom != nil {
+		a.FetchFrom = prefill.fetchFrom.Address
 	}
-	k.News = best.news(q, now)
+	a.PartsToAnnounce = best.partsToAnnounce(q, now)
 	t.lastID++
-	k.id = t.lastID
+	a.id = t.lastID
 	best.inFlight++
-	best.waiting[t.lastID] = pending{
-		since: now, work: reading.ms, missing: reading.missing,
-		learns: reading.from == nil && len(q.Parts) > 0,
+	best.unanswered[t.lastID] = unansweredAttempt{
+		sentAt: now, prefillMS: prefill.ms, missingTokens: prefill.missingTokens,
+		updatesSpeed: prefill.fetchFrom == nil && len(q.Parts) > 0,
 	}
 	for _, p := range q.Parts {
-		best.sent[p.ID] = now
+		best.partSentAt[p.ID] = now
 	}
-	return k
+	return a
 }
 
-// cheapest picks among the service's endpoints; those paused only if desperate.
-func (t *Table) cheapest(q Query, now time.Duration, desperate bool) *row {
-	var best *row
-	least, ties := 0.0, 0
-	for _, r := range t.rows {
-		if r.Service != q.Service || r.Leaving || slices.Contains(q.Avoid, r.ID) || (r.avoided(now) && !desperate) {
+// cheapest returns the cheapest of the service's endpoints that are neither leaving nor
+// excluded, breaking ties at random; nil if there is none. Avoided endpoints are
+// considered only if includeAvoided is set.
+func (t *Table) cheapest(q Query, now time.Duration, includeAvoided bool) *endpointState {
+	var best *endpointState
+	lowest, ties := 0.0, 0
+	for _, e := range t.endpoints {
+		if e.Service != q.Service || e.Leaving || slices.Contains(q.Exclude, e.ID) || (e.isAvoided(now) && !includeAvoided) {
 			continue
 		}
-		cost := r.cost(q, now)
+		cost := e.cost(q, now)
 		switch {
-		case best == nil || cost < least:
-			best, least, ties = r, cost, 1
-		case cost == least:
+		case best == nil || cost < lowest:
+			best, lowest, ties = e, cost, 1
+		case cost == lowest:
 			ties++
 			if t.rng.IntN(ties) == 0 {
-				best = r
+				best = e
 			}
 		}
 	}
 	return best
 }
 
-// Busy tells that another instance has sent the endpoint a prompt that takes so
-// long to read.
-func (t *Table) Busy(endpoint string, work, now time.Duration) {
+// RecordRemotePrefill records that another instance has sent the endpoint a prompt with
+// this prefill time. An unknown endpoint is ignored.
+func (t *Table) RecordRemotePrefill(endpoint string, prefillTime, now time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if r := t.rows[endpoint]; r != nil {
-		r.busyUntil = max(r.busyUntil, now) + work
+	if e := t.endpoints[endpoint]; e != nil {
+		e.busyUntil = max(e.busyUntil, now) + prefillTime
 	}
 }
 
-// Sweep forgets parts that count as evicted, and compares the endpoints' speeds.
-// It is called some times a second.
+// Sweep discards parts that were sent longer ago than cachedPartTTL, and compares the
+// endpoints' speeds. It has to be called several times a second.
 func (t *Table) Sweep(now time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	services := map[string]bool{}
-	for _, r := range t.rows {
-		services[r.Service] = true
-		for id, at := range r.sent {
-			if now-at >= remember {
-				delete(r.sent, id)
+	for _, e := range t.endpoints {
+		services[e.Service] = true
+		for id, at := range e.partSentAt {
+			if now-at >= cachedPartTTL {
+				delete(e.partSentAt, id)
 			}
 		}
 	}
 	for service := range services {
-		t.setPace(service)
+		t.normalizeSpeeds(service)
 	}
 }
 
-// Row is one endpoint as a state dump shows it.
+// Row is the state of one endpoint in a state dump.
 type Row struct {
 	discovery.Endpoint
-	InFlight int
-	Failures int
-	Parts    int
+	InFlight int // This instance's requests.
+	Failures int // Consecutive ones.
+	Parts    int // Parts that are assumed to be cached.
 }
 
-// View copies the table.
+// View returns a row for each endpoint, in no particular order.
 func (t *Table) View() []Row {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var rows []Row
-	for _, r := range t.rows {
-		rows = append(rows, Row{Endpoint: r.Endpoint, InFlight: r.inFlight, Failures: r.fails, Parts: len(r.sent)})
+	for _, e := range t.endpoints {
+		rows = append(rows, Row{Endpoint: e.Endpoint, InFlight: e.inFlight, Failures: e.consecutiveFailures, Parts: len(e.partSentAt)})
 	}
 	return rows
 }
--- a/internal/placement/speed.go
+++ b/internal/placement/speed.go
@@ -5,81 +5,85 @@
 	"time"
 )
 
-// speed learns how fast an endpoint reads prompts from the times to the first
-// token that it is seen to take.
+// speedEstimator estimates how fast an endpoint processes prompts from the observed
+// times to first token (TTFT).
 //
-// Load: endpoints of any make, and of several makes in one service. Harm
-// prevented: a cost that is off by the factor between an endpoint and what was
-// assumed, so that slow endpoints get as much to read as fast ones. Limit: it
-// follows a low quantile of the times, since waiting behind others only adds to
-// them, and moves by a few percent with each answer, so that a second of a full
-// queue moves it by less than a fifth.
-type speed struct {
-	base     float64 // ms to the first token of a prompt that is cached whole.
-	perToken float64 // ms for each token to read.
+// Endpoints may run on any hardware, and on several kinds within one service. If one
+// speed were assumed for all, costs would be wrong by the ratio of the speeds and slow
+// endpoints would get as many prompt tokens as fast ones.
+//
+// The estimate follows a low quantile of the TTFTs, because queueing only adds to them.
+// It changes by a few percent with each answer, so that a queue that is full for a
+// second changes it by less than a fifth.
+type speedEstimator struct {
+	baseMS     float64 // TTFT of a fully cached prompt in milliseconds.
+	msPerToken float64 // Milliseconds for each token that is not cached.
 }
 
 const (
-	// assumedPerMS is how many prompt tokens an endpoint reads in a millisecond
-	// until it has been seen to: 92 to 112, beside streams, on the deployments
-	// that we know.
-	assumedPerMS = 92.0
-	// assumedBase is the time to the first token of a cached prompt there.
-	assumedBase = 30.0 // ms
-	// slowestPerMS and fastestPerMS bound what is learned.
-	slowestPerMS, fastestPerMS = 10.0, 1000.0
-	// speedQuantile is the share of times that lie below what is learned.
-	speedQuantile = 0.3
-	// speedStep is the largest change by one answer, a share.
-	speedStep = 0.06
-	// plainTokens is the length from which a prompt tells more of the reading
-	// than of all else.
-	plainTokens = assumedBase * assumedPerMS
+	// defaultTokensPerMS is the assumed prefill speed, in tokens per millisecond, of
+	// an endpoint without observations. Known deployments reach 92 to 112 while
+	// serving streams.
+	defaultTokensPerMS = 92.0
+	// defaultBaseMS is the assumed TTFT of a fully cached prompt.
+	defaultBaseMS = 30.0 // ms
+	// minTokensPerMS and maxTokensPerMS bound the estimated speed.
+	minTokensPerMS, maxTokensPerMS = 10.0, 1000.0
+	// estimatedQuantile is the share of the TTFTs that lie below the estimate.
+	estimatedQuantile = 0.3
+	// maxStep is the upper bound of the relative change by one answer.
+	maxStep = 0.06
+	// crossoverTokens is the number of uncached tokens above which a TTFT says more
+	// about the prefill speed than about the base time.
+	crossoverTokens = defaultBaseMS * defaultTokensPerMS
 )
 
-func newSpeed() speed { return speed{base: assumedBase, perToken: 1 / assumedPerMS} }
+func newSpeedEstimator() speedEstimator {
+	return speedEstimator{baseMS: defaultBaseMS, msPerToken: 1 / defaultTokensPerMS}
+}
 
-// perMS is how many tokens are read in a millisecond.
-func (s *speed) perMS() float64 { return 1 / s.perToken }
+// tokensPerMS returns the estimated prefill speed in tokens per millisecond.
+func (s *speedEstimator) tokensPerMS() float64 { return 1 / s.msPerToken }
 
-// sameSpeed is the factor within which endpoints count as equally fast: what is
-// learned of equal ones differs by a tenth or two.
-const sameSpeed = 1.6
+// equalSpeedFactor is the ratio up to which endpoints count as equally fast. The
+// estimates of identical endpoints differ by 10 to 20 %.
+const equalSpeedFactor = 1.6
 
-// setPace sets how fast each of the service's endpoints reads: what is assumed,
-// times how it compares with the others. Costs of other kinds were weighed against
-// what is assumed, and only differences choose an endpoint.
-func (t *Table) setPace(service string) {
-	sum, n := 0.0, 0.0
-	for _, r := range t.rows {
-		if r.Service == service {
-			sum += math.Log(r.speed.perMS())
-			n++
+// normalizeSpeeds sets the speeds that the costs of the service's endpoints are computed
+// with: the default speed, times the ratio of the endpoint's estimate to the geometric
+// mean of all if that is outside equalSpeedFactor. The costs of other kinds are balanced
+// against the default speed, and only differences in cost decide on an endpoint.
+func (t *Table) normalizeSpeeds(service string) {
+	logSum, count := 0.0, 0.0
+	for _, e := range t.endpoints {
+		if e.Service == service {
+			logSum += math.Log(e.speed.tokensPerMS())
+			count++
 		}
 	}
-	mean := math.Exp(sum / max(1, n))
-	for _, r := range t.rows {
-		if r.Service != service {
+	geometricMean := math.Exp(logSum / max(1, count))
+	for _, e := range t.endpoints {
+		if e.Service != service {
 			continue
 		}
-		r.perMS = assumedPerMS
-		if ratio := r.speed.perMS() / mean; ratio < 1/sameSpeed || ratio > sameSpeed {
-			r.perMS *= ratio
+		e.normalizedTokensPerMS = defaultTokensPerMS
+		if ratio := e.speed.tokensPerMS() / geometricMean; ratio < 1/equalSpeedFactor || ratio > equalSpeedFactor {
+			e.normalizedTokensPerMS *= ratio
 		}
 	}
 }
 
-// learn takes the time to the first token of a prompt of which so many tokens were
-// to be read: the expected time moves up or down by fixed steps, so that the share
-// of times below it comes to be the quantile (a stochastic quantile regression).
-func (s *speed) learn(tokens float64, took time.Duration) {
-	step := speedStep * speedQuantile
-	if inMS(took) < s.base+s.perToken*tokens {
-		step = -speedStep * (1 - speedQuantile)
+// observe updates the estimate with the TTFT of a prompt of which this many tokens were
+// not cached. The expected TTFT moves up or down by fixed steps, so that the share of
+// TTFTs below it converges to estimatedQuantile (stochastic quantile regression).
+func (s *speedEstimator) observe(tokens float64, ttft time.Duration) {
+	step := maxStep * estimatedQuantile
+	if milliseconds(ttft) < s.baseMS+s.msPerToken*tokens {
+		step = -maxStep * (1 - estimatedQuantile)
 	}
-	ofReading := tokens / (tokens + plainTokens)
-	s.perToken *= math.Exp(step * ofReading)
-	s.perToken = min(max(s.perToken, 1/fastestPerMS), 1/slowestPerMS)
-	s.base *= math.Exp(step * (1 - ofReading))
-	s.base = max(s.base, 1)
+	prefillShare := tokens / (tokens + crossoverTokens)
+	s.msPerToken *= math.Exp(step * prefillShare)
+	s.msPerToken = min(max(s.msPerToken, 1/maxTokensPerMS), 1/minTokensPerMS)
+	s.baseMS *= math.Exp(step * (1 - prefillShare))
+	s.baseMS = max(s.baseMS, 1)
 }
--- a/internal/placement/ticket.go
+++ b/internal/placement/ticket.go
@@ -6,81 +6,86 @@
 	"guavapier/internal/discovery"
 )
 
-// Outcome is how an attempt ended, for learning.
+// Outcome is how an attempt ended, as far as it concerns the choice of endpoints.
 type Outcome uint8
 
 // The outcomes.
 const (
-	// Answered by the endpoint, whatever the status.
+	// Answered means that the endpoint answered, with any status.
 	Answered Outcome = iota
-	// Failed: refused, broken off, silent or an error of the endpoint's own.
+	// Failed means that the endpoint refused the request, broke the connection, did
+	// not answer or reported an error of its own.
 	Failed
-	// Unreachable: no connection could be made.
+	// Unreachable means that no connection could be made.
 	Unreachable
-	// Abandoned: the caller left; says nothing about the endpoint.
+	// Abandoned means that the caller left, which says nothing about the endpoint.
 	Abandoned
 )
 
-// pending is an attempt whose answer has not begun.
-type pending struct {
-	since time.Duration
-	// work is what reading its prompt takes, in milliseconds.
-	work float64
-	// missing are the tokens to read; learns is false if some are fetched.
-	missing float64
-	learns  bool
+// unansweredAttempt is an attempt whose answer has not started.
+type unansweredAttempt struct {
+	sentAt time.Duration
+	// prefillMS is the expected prefill time in milliseconds.
+	prefillMS float64
+	// missingTokens is the expected number of tokens to compute. updatesSpeed is false
+	// if tokens are fetched or the prompt's parts are unknown, because the TTFT then
+	// says nothing about the prefill speed.
+	missingTokens float64
+	updatesSpeed  bool
 }
 
-// Ticket is one placed attempt.
-type Ticket struct {
+// Assignment is an attempt at a request that has been placed on an endpoint.
+type Assignment struct {
 	Endpoint discovery.Endpoint
-	// Cost, Missing and InFlight are what decided: the endpoint's cost in
-	// milliseconds, the prompt tokens that it lacked, and the own requests
-	// there, this one not included.
-	Cost     float64
-	Missing  float64
-	InFlight int
-	// FetchFrom is the address of an endpoint that has shared parts of the prompt;
-	// "" for none.
+	// Cost, MissingTokens and InFlight explain the choice in logs: the endpoint's
+	// cost in milliseconds, the expected number of prompt tokens that it has to
+	// compute, and this instance's requests there without this one.
+	Cost          float64
+	MissingTokens float64
+	InFlight      int
+	// FetchFrom is the address (IP:port) of an endpoint from which shared parts of the
+	// prompt can be fetched; "" for none.
 	FetchFrom string
-	// News are shared parts of the prompt that the other instances are to know of.
-	News []string
-	// Work is how long the endpoint is expected to read the prompt.
-	Work  time.Duration
-	id    uint64
-	row   *row
-	table *Table
+	// PartsToAnnounce are the IDs of the shared parts that the other instances should
+	// know the endpoint to have cached; nil if they have been announced.
+	PartsToAnnounce []string
+	// PrefillTime is the expected duration of the prefill, including a fetch.
+	PrefillTime   time.Duration
+	id            uint64
+	endpointState *endpointState
+	table         *Table
 }
 
-// Begun tells that an answer has begun; read says that the endpoint has read the
-// prompt for it, as a refusal has not.
-func (k *Ticket) Begun(now time.Duration, read bool) {
-	k.table.mu.Lock()
-	defer k.table.mu.Unlock()
-	if p, waits := k.row.waiting[k.id]; waits && read && p.learns {
-		k.row.speed.learn(p.missing, now-p.since)
+// OnAnswerStart records that an answer has started. prefilled states that the endpoint
+// has processed the prompt for it, which it has not for a refusal.
+func (a *Assignment) OnAnswerStart(now time.Duration, prefilled bool) {
+	a.table.mu.Lock()
+	defer a.table.mu.Unlock()
+	if p, waiting := a.endpointState.unanswered[a.id]; waiting && prefilled && p.updatesSpeed {
+		a.endpointState.speed.observe(p.missingTokens, now-p.sentAt)
 	}
-	delete(k.row.waiting, k.id)
-	k.row.unreachable, k.row.begunAt = false, now
+	delete(a.endpointState.unanswered, a.id)
+	a.endpointState.unreachable, a.endpointState.lastAnswerAt = false, now
 }
 
-// Done ends the attempt.
-func (k *Ticket) Done(o Outcome, now time.Duration) {
-	k.table.mu.Lock()
-	defer k.table.mu.Unlock()
-	r := k.row
-	r.inFlight--
-	delete(r.waiting, k.id)
-	switch o {
+// Done records the end of the attempt. It has to be called exactly once.
+func (a *Assignment) Done(outcome Outcome, now time.Duration) {
+	a.table.mu.Lock()
+	defer a.table.mu.Unlock()
+	e := a.endpointState
+	e.inFlight--
+	delete(e.unanswered, a.id)
+	switch outcome {
 	case Answered:
-		r.fails, r.pause = 0, 0
+		e.consecutiveFailures, e.backoff = 0, 0
 	case Failed:
-		r.fails++
-		if r.fails >= failuresToPause {
-			r.avoid(now)
+		e.consecutiveFailures++
+		if e.consecutiveFailures >= failuresBeforeBackoff {
+			e.startBackoff(now)
 		}
 	case Unreachable:
-		// An endpoint that takes no connection is down or cut off.
-		r.unreachable = true
+		// The endpoint is down or cut off by a network partition. It is avoided
+		// until a connection succeeds.
+		e.unreachable = true
 	}
 }
--- a/internal/quarantine/gossip.go
+++ b/internal/quarantine/gossip.go
@@ -10,74 +10,78 @@
 )
 
 const (
-	// ServiceName is under which Exchange is registered, see peer.Server.
+	// ServiceName is the name under which PeerService is registered with a peer.Server.
 	ServiceName = "Quarantine"
-	// swapEvery is the pause between two calls to neighbours while the log is away.
-	swapEvery = 500 * time.Millisecond
-	// swapWithin bounds one call: round trips take a few milliseconds.
-	swapWithin = 200 * time.Millisecond
+	// swapInterval is the pause between two calls to neighbours while the log is
+	// unavailable.
+	swapInterval = 500 * time.Millisecond
+	// swapTimeout bounds one call; round trips take a few milliseconds.
+	swapTimeout = 200 * time.Millisecond
 )
 
-// SwapArgs has what the calling instance knows, encoded, by fingerprint.
+// SwapArgs holds the records of the calling instance, encoded as on the log, by
+// fingerprint.
 type SwapArgs struct{ Records map[string][]byte }
 
-// SwapReply has what the called one knows.
+// SwapReply holds the records of the called instance, in the form of SwapArgs.
 type SwapReply struct{ Records map[string][]byte }
 
-// Exchange is the service that other instances of the zone call while the log is away.
-type Exchange struct{ keeper *Keeper }
+// PeerService is the RPC service that other instances of the availability zone call while
+// the log is unavailable.
+type PeerService struct{ syncer *Syncer }
 
-// NewExchange returns the service of a keeper.
-func NewExchange(k *Keeper) *Exchange { return &Exchange{keeper: k} }
+// NewPeerService returns the service that exchanges the records of s.
+func NewPeerService(s *Syncer) *PeerService { return &PeerService{syncer: s} }
 
-// Swap takes what the caller knows and answers with what is known here.
-func (x *Exchange) Swap(args SwapArgs, reply *SwapReply) error {
-	reply.Records = x.keeper.records()
-	x.keeper.take(args.Records)
+// Swap merges the caller's records and returns those that this instance had before.
+func (p *PeerService) Swap(args SwapArgs, reply *SwapReply) error {
+	reply.Records = p.syncer.encodeRecords()
+	p.syncer.mergeRecords(args.Records)
 	return nil
 }
 
-// swaps exchanges what is known with instances of the own zone, one after the other,
-// while the log is away, until ctx ends.
-func (k *Keeper) swaps(ctx context.Context) {
+// runExchange exchanges records with the other instances of the availability zone, one
+// after the other, while the log is unavailable. It returns when ctx ends.
+func (s *Syncer) runExchange(ctx context.Context) {
 	for turn := 0; ctx.Err() == nil; turn++ {
-		logstore.Pause(ctx, swapEvery, nil)
-		neighbours := k.Neighbours()
-		if !k.away.Load() || len(neighbours) == 0 {
+		logstore.Pause(ctx, swapInterval, nil)
+		neighbours := s.Neighbours()
+		if !s.logUnavailable.Load() || len(neighbours) == 0 {
 			continue
 		}
-		slices.Sort(neighbours) // So that each has its turn.
-		k.swap(ctx, neighbours[turn%len(neighbours)])
+		slices.Sort(neighbours) // In a fixed order each has its turn.
+		s.exchangeWith(ctx, neighbours[turn%len(neighbours)])
 	}
 }
 
-func (k *Keeper) swap(ctx context.Context, with record.InstanceID) {
-	ctx, cancel := context.WithTimeout(ctx, swapWithin)
+// exchangeWith sends this instance's records to a neighbour and merges the neighbour's.
+func (s *Syncer) exchangeWith(ctx context.Context, neighbour record.InstanceID) {
+	ctx, cancel := context.WithTimeout(ctx, swapTimeout)
 	defer cancel()
 	var reply SwapReply
-	if err := k.Caller.Call(ctx, with, ServiceName+".Swap", SwapArgs{Records: k.records()}, &reply); err != nil {
-		k.Busy.Info().Err(err).Str("instance", string(with)).Msg("quarantine: neighbour not reached")
+	if err := s.Caller.Call(ctx, neighbour, ServiceName+".Swap", SwapArgs{Records: s.encodeRecords()}, &reply); err != nil {
+		s.ThinnedLogger.Info().Err(err).Str("instance", string(neighbour)).Msg("quarantine: neighbour not reached")
 		return
 	}
-	k.take(reply.Records)
+	s.mergeRecords(reply.Records)
 }
 
-// records returns what is known, encoded, by fingerprint.
-func (k *Keeper) records() map[string][]byte {
+// encodeRecords returns the records of all entries, encoded, by fingerprint.
+func (s *Syncer) encodeRecords() map[string][]byte {
 	out := map[string][]byte{}
-	for f, r := range k.Table.all() {
+	for f, r := range s.Table.records() {
 		if value, err := r.encode(); err == nil {
 			out[f.String()] = value
 		} else {
-			k.Logs.Error().Err(err).Stringer("content", f).Msg("quarantine: record not sent")
+			s.Logger.Error().Err(err).Stringer("content", f).Msg("quarantine: record not encoded, not sent to neighbour")
 		}
 	}
 	return out
 }
 
-// take takes what another instance knows.
-func (k *Keeper) take(records map[string][]byte) {
+// mergeRecords merges the encoded records of another instance into the table.
+func (s *Syncer) mergeRecords(records map[string][]byte) {
 	for key, value := range records {
-		k.hear(logstore.KeyedRecord{Key: key, Value: value}, false)
+		s.observe(logstore.KeyedRecord{Key: key, Value: value}, false)
 	}
 }
--- a/internal/quarantine/keeper.go
+++ b/internal/quarantine/keeper.go
@@ -18,276 +18,290 @@
 )
 
 const (
-	// followWait is the longest wait of one read. Records are rare; a connection that
-	// fell silent without an error is noticed after it.
-	followWait = 5 * time.Second
-	// followPause spaces reads while endpoints end.
-	followPause = 200 * time.Millisecond
-	// writeEvery gathers what is written at once.
-	writeEvery = 100 * time.Millisecond
-	// writeAgain is the pause after a write that failed.
-	writeAgain = 150 * time.Millisecond
-	// sweepEvery is the pause between two looks for what is no more worth keeping.
-	sweepEvery = time.Second
-	// mostWritten bounds the records of one write.
-	mostWritten = 256
-	// probeWithin bounds the look whether an endpoint is gone: its host refuses
-	// connections at once, and one that does not answer says nothing.
-	probeWithin = 100 * time.Millisecond
-	// retestWithin is how long a request waits for the right to a retest, some round trips
-	// to the log; retestLook is how often it is looked for.
-	retestWithin, retestLook = 500 * time.Millisecond, 5 * time.Millisecond
+	// maxReadWait is how long one read of the log waits for new records. Records are
+	// rare; a connection that fell silent without an error is noticed after this time.
+	maxReadWait = 5 * time.Second
+	// readInterval is the pause between two reads. It limits the reads while records
+	// arrive because endpoints crash.
+	readInterval = 200 * time.Millisecond
+	// writeInterval is how long records are gathered for one write.
+	writeInterval = 100 * time.Millisecond
+	// writeRetryDelay is the pause after a write that failed.
+	writeRetryDelay = 150 * time.Millisecond
+	// sweepInterval is the pause between two removals of expired entries.
+	sweepInterval = time.Second
+	// maxWriteBatch bounds the number of records in one write.
+	maxWriteBatch = 256
+	// probeTimeout bounds the probe that shows whether an endpoint is gone. The host of
+	// a crashed process refuses connections at once; one that does not answer shows
+	// nothing.
+	probeTimeout = 100 * time.Millisecond
+	// retestClaimTimeout bounds how long a request waits to acquire a retest, which
+	// takes some round trips to the log. retestPollInterval is how often the table is
+	// checked meanwhile.
+	retestClaimTimeout, retestPollInterval = 500 * time.Millisecond, 5 * time.Millisecond
 )
 
-// Probe makes a connection to an endpoint by name and address (IP:port), to be kept for use.
+// Probe makes a connection to an endpoint by its ID and address (IP:port), and keeps it for
+// later requests.
 type Probe func(ctx context.Context, endpoint, address string) error
 
-// Options are what a Keeper works with. All must be set.
+// Options are the dependencies of a Syncer. All must be set.
 type Options struct {
 	Self  record.InstanceID
-	Log   logstore.Keyed
+	Log   logstore.Keyed // The platform's log.
 	Probe Probe
-	// Caller reaches the instances that Neighbours lists: those of the own zone.
-	Caller     peer.Caller
-	Neighbours func() []record.InstanceID
-	Logs       zerolog.Logger
-	Busy       zerolog.Logger // For lines that come with load; thinned.
+	// Caller calls the instances that Neighbours returns, the other ones of this
+	// instance's availability zone.
+	Caller        peer.Caller
+	Neighbours    func() []record.InstanceID
+	Logger        zerolog.Logger
+	ThinnedLogger zerolog.Logger // For lines that increase with load; may drop some.
 }
 
-// Keeper runs a Table against the log. It is safe for concurrent use.
-type Keeper struct {
+// Syncer synchronises a Table with the platform's log. It is safe for concurrent use.
+type Syncer struct {
 	Options
 	Table *Table
 
-	probes singleflight.Group
-	claims singleflight.Group
-	kick   chan struct{} // Reads the log at once.
-	write  chan struct{} // Writes at once.
-	loaded atomic.Bool
-	away   atomic.Bool // The reads fail.
+	probeGroup     singleflight.Group // By endpoint ID.
+	retestGroup    singleflight.Group // By fingerprint.
+	readNow        chan struct{}      // Triggers a read of the log.
+	writeNow       chan struct{}      // Triggers a write to the log.
+	loaded         atomic.Bool
+	logUnavailable atomic.Bool // The last read failed.
 
-	mu      sync.Mutex // Guards pending.
-	pending map[Fingerprint]*report
-	epoch   uint64 // Of the last write.
+	mu            sync.Mutex                   // Guards pendingWrites.
+	pendingWrites map[Fingerprint]*entryRecord // nil clears the request.
+	lastEpoch     uint64                       // Of the last write; only for writeBatch.
 }
 
-// NewKeeper returns a Keeper; Run makes it work.
-func NewKeeper(o Options) *Keeper {
-	return &Keeper{
+// NewSyncer returns a Syncer for an empty table. It does nothing before Run.
+func NewSyncer(o Options) *Syncer {
+	return &Syncer{
 		Options: o, Table: NewTable(o.Self),
-		kick: make(chan struct{}, 1), write: make(chan struct{}, 1), pending: map[Fingerprint]*report{},
+		readNow: make(chan struct{}, 1), writeNow: make(chan struct{}, 1), pendingWrites: map[Fingerprint]*entryRecord{},
 	}
 }
 
-// Run follows the log and writes to it until ctx ends.
-func (k *Keeper) Run(ctx context.Context) {
+// Run reads from the log, writes to it and exchanges records with neighbours until ctx
+// ends.
+func (s *Syncer) Run(ctx context.Context) {
 	var group errgroup.Group
-	group.Go(func() error { k.follower().Run(ctx); return nil })
-	group.Go(func() error { k.writes(ctx); return nil })
-	group.Go(func() error { k.sweeps(ctx); return nil })
-	group.Go(func() error { k.swaps(ctx); return nil })
+	group.Go(func() error { s.newFollower().Run(ctx); return nil })
+	group.Go(func() error { s.runWriter(ctx); return nil })
+	group.Go(func() error { s.runSweeper(ctx); return nil })
+	group.Go(func() error { s.runExchange(ctx); return nil })
 	_ = group.Wait()
 }
 
-// Loaded says whether the log has been read.
-func (k *Keeper) Loaded() bool { return k.loaded.Load() }
+// Loaded reports whether the records that were on the log have been read.
+func (s *Syncer) Loaded() bool { return s.loaded.Load() }
 
-// Admit says whether a request may be sent. It fails with a HeldError. Where a hold has
-// ended it waits for the right to try the request for the whole fleet.
-func (k *Keeper) Admit(ctx context.Context, c Content) error {
-	f, known := k.Table.find(c)
+// Admit returns nil if the request may be sent, and a *QuarantinedError if it is
+// quarantined. If the quarantine has ended, it first tries to acquire the retest, that is,
+// the right to send the request once on behalf of the whole fleet.
+func (s *Syncer) Admit(ctx context.Context, c Content) error {
+	f, known := s.Table.find(c)
 	if !known {
 		return nil
 	}
-	held, due := k.Table.held(f, time.Now())
-	if held == nil {
+	quarantined, retestDue := s.Table.check(f, time.Now())
+	if quarantined == nil {
 		return nil
 	}
-	if due && !k.away.Load() && k.mayRetest(ctx, f) {
-		k.Logs.Info().Stringer("content", f).Int("ends", held.Ends).Msg("quarantine: held request is retested")
+	if retestDue && !s.logUnavailable.Load() && s.acquireRetest(ctx, f) {
+		s.Logger.Info().Stringer("content", f).Int("ends", quarantined.Crashes).Msg("quarantine: held request is retested")
 		return nil
 	}
-	if again, _ := k.Table.held(f, time.Now()); again != nil {
-		return again
+	if current, _ := s.Table.check(f, time.Now()); current != nil {
+		return current
 	}
-	return held
+	return quarantined
 }
 
-// mayRetest asks for the right to a retest and says whether this request has it.
-func (k *Keeper) mayRetest(ctx context.Context, f Fingerprint) bool {
-	mine := false
-	_, _, _ = k.claims.Do(f.String(), func() (any, error) {
-		r := k.Table.claim(f, time.Now())
+// acquireRetest claims the next retest on the log and reports whether the calling request
+// may run it. Concurrent calls share one claim.
+func (s *Syncer) acquireRetest(ctx context.Context, f Fingerprint) bool {
+	acquired := false
+	_, _, _ = s.retestGroup.Do(f.String(), func() (any, error) {
+		r := s.Table.retestClaim(f, time.Now())
 		if r == nil {
-			mine = true // Cleared meanwhile.
+			acquired = true // The request has been cleared meanwhile.
 			return nil, nil
 		}
-		k.tell(f, r)
-		logstore.Kick(k.write)
-		ctx, cancel := context.WithTimeout(ctx, retestWithin)
+		s.enqueue(f, r)
+		logstore.Kick(s.writeNow)
+		ctx, cancel := context.WithTimeout(ctx, retestClaimTimeout)
 		defer cancel()
 		for decided := false; !decided && ctx.Err() == nil; {
-			logstore.Pause(ctx, retestLook, nil)
-			decided, mine = k.Table.decided(f, r.Round)
+			logstore.Pause(ctx, retestPollInterval, nil)
+			decided, acquired = s.Table.retestResult(f, r.RetestRound)
 		}
 		return nil, nil
 	})
-	return mine // Of those that asked together, the one whose call it was.
+	return acquired // Of concurrent calls only the one that ran the function sets this.
 }
 
-// Broke tells that the connection to an endpoint broke with a request under way there for
-// that long. It looks whether the endpoint is gone, reports the request if it is, and
-// returns that.
-func (k *Keeper) Broke(ctx context.Context, c Content, endpoint, address string, underWay time.Duration) (gone bool) {
-	if !k.isGone(ctx, endpoint, address) {
+// Broke records that the connection to an endpoint broke when the request had been in
+// progress there for underWay. It probes whether the endpoint is gone and returns the
+// result. If it is gone, the request has crashed it or was in progress beside the one
+// that did, and a record of that is written to the log.
+func (s *Syncer) Broke(ctx context.Context, c Content, endpoint, address string, underWay time.Duration) (gone bool) {
+	if !s.isGone(ctx, endpoint, address) {
 		return false
 	}
 	f := c.Fingerprint()
-	r := k.Table.ended(f, c.Organisation, endpoint, underWay, time.Now())
+	r := s.Table.recordCrash(f, c.Organisation, endpoint, underWay, time.Now())
 	if r == nil {
 		return true
 	}
-	line := k.Busy.Info()
-	if r.Ends >= endsToHold {
-		line = k.Logs.Warn()
+	line := s.ThinnedLogger.Info()
+	if r.Crashes >= crashesToQuarantine {
+		line = s.Logger.Warn()
 	}
-	line.Stringer("content", f).Str("team", string(c.Organisation)).Str("endpoint", endpoint).Int("ends", r.Ends).
+	line.Stringer("content", f).Str("team", string(c.Organisation)).Str("endpoint", endpoint).Int("ends", r.Crashes).
 		Dur("under_way", underWay).Msg("quarantine: endpoint ended under a request")
-	k.tell(f, r)
+	s.enqueue(f, r)
 	return true
 }
 
-// isGone says whether the endpoint's host refuses connections. All requests that broke
-// there ask together.
-func (k *Keeper) isGone(ctx context.Context, endpoint, address string) bool {
-	gone, _, _ := k.probes.Do(endpoint, func() (any, error) {
-		ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), probeWithin)
+// isGone reports whether the endpoint's host refuses connections. Concurrent calls for one
+// endpoint share a probe.
+func (s *Syncer) isGone(ctx context.Context, endpoint, address string) bool {
+	gone, _, _ := s.probeGroup.Do(endpoint, func() (any, error) {
+		ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), probeTimeout)
 		defer cancel()
-		return errors.Is(k.Probe(ctx, endpoint, address), syscall.ECONNREFUSED), nil
+		return errors.Is(s.Probe(ctx, endpoint, address), syscall.ECONNREFUSED), nil
 	})
 	return gone.(bool)
 }
 
-// Answered tells that an endpoint has answered a request: it is not to blame.
-func (k *Keeper) Answered(c Content) {
-	f, known := k.Table.find(c)
-	if !known || !k.Table.clear(f) {
+// Answered records that an endpoint has answered the request, which is therefore not to
+// blame for a crash, and clears it.
+func (s *Syncer) Answered(c Content) {
+	f, known := s.Table.find(c)
+	if !known || !s.Table.clear(f) {
 		return
 	}
-	k.Busy.Info().Stringer("content", f).Msg("quarantine: request answered, cleared")
-	k.tell(f, nil)
+	s.ThinnedLogger.Info().Stringer("content", f).Msg("quarantine: request answered, cleared")
+	s.enqueue(f, nil)
 }
 
-// tell has a report written; nil clears the request.
-func (k *Keeper) tell(f Fingerprint, r *report) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.pending[f] = r
+// enqueue adds a record to the next write, in place of a pending one of the same request;
+// nil clears the request on the log.
+func (s *Syncer) enqueue(f Fingerprint, r *entryRecord) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.pendingWrites[f] = r
 }
 
-func (k *Keeper) follower() *logstore.Follower {
-	old := false
+// newFollower returns a reader that passes the records of the log to observe.
+func (s *Syncer) newFollower() *logstore.Follower {
+	replaying := false
 	return &logstore.Follower{
-		Log: k.Log, Topic: logstore.TopicQuarantine, Wait: followWait, Pause: followPause, Kick: k.kick,
-		Reset: func() { old = true }, Record: func(r logstore.KeyedRecord) { k.hear(r, old) },
-		Loaded: func() { old = false; k.loaded.Store(true) },
+		Log: s.Log, Topic: logstore.TopicQuarantine, Wait: maxReadWait, Pause: readInterval, Kick: s.readNow,
+		Reset: func() { replaying = true }, Record: func(r logstore.KeyedRecord) { s.observe(r, replaying) },
+		Loaded: func() { replaying = false; s.loaded.Store(true) },
 		Outcome: func(err error) {
-			if was := k.away.Swap(err != nil); err != nil && !was {
-				k.Logs.Warn().Err(err).Msg("quarantine: log lost; holding back what is known here")
+			if wasUnavailable := s.logUnavailable.Swap(err != nil); err != nil && !wasUnavailable {
+				s.Logger.Warn().Err(err).Msg("quarantine: log lost; holding back what is known here")
 			}
 		},
 	}
 }
 
-// hear takes a record of the log; old says that it has been there for a while.
-func (k *Keeper) hear(record logstore.KeyedRecord, old bool) {
+// observe applies a record of the log, or of another instance, to the table. replayed states
+// that it was on the log before this instance began to follow it.
+func (s *Syncer) observe(record logstore.KeyedRecord, replayed bool) {
 	f, err := parseFingerprint(record.Key)
 	if err != nil {
-		k.Logs.Error().Err(err).Str("key", record.Key).Msg("quarantine: unreadable record passed over")
+		s.Logger.Error().Err(err).Str("key", record.Key).Msg("quarantine: unreadable record skipped")
 		return
 	}
 	if record.Value == nil {
-		k.Table.clear(f)
+		s.Table.clear(f)
 		return
 	}
-	r, err := decodeReport(record.Value)
+	r, err := decodeRecord(record.Value)
 	if err != nil {
-		k.Logs.Error().Err(err).Str("key", record.Key).Msg("quarantine: unreadable record passed over")
+		s.Logger.Error().Err(err).Str("key", record.Key).Msg("quarantine: unreadable record skipped")
 		return
 	}
-	k.Table.hear(f, r, old, time.Now())
+	s.Table.observe(f, r, replayed, time.Now())
 }
 
-// writes writes what is pending until ctx ends.
-func (k *Keeper) writes(ctx context.Context) {
+// runWriter writes pending records to the log until ctx ends.
+func (s *Syncer) runWriter(ctx context.Context) {
 	for ctx.Err() == nil {
-		logstore.Pause(ctx, writeEvery, k.write)
-		batch := k.nextBatch()
+		logstore.Pause(ctx, writeInterval, s.writeNow)
+		batch := s.nextBatch()
 		if len(batch) == 0 {
 			continue
 		}
-		if err := k.put(ctx, batch); err != nil {
-			k.putBack(batch)
-			logstore.Pause(ctx, writeAgain, nil)
+		if err := s.writeBatch(ctx, batch); err != nil {
+			s.requeue(batch)
+			logstore.Pause(ctx, writeRetryDelay, nil)
 			continue
 		}
-		logstore.Kick(k.kick)
+		logstore.Kick(s.readNow)
 	}
 }
 
-// nextBatch returns pending reports, no more than one write may have.
-func (k *Keeper) nextBatch() map[Fingerprint]*report {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	batch := map[Fingerprint]*report{}
-	for f, r := range k.pending {
-		if len(batch) == mostWritten {
+// nextBatch removes and returns pending records, at most maxWriteBatch.
+func (s *Syncer) nextBatch() map[Fingerprint]*entryRecord {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	batch := map[Fingerprint]*entryRecord{}
+	for f, r := range s.pendingWrites {
+		if len(batch) == maxWriteBatch {
 			break
 		}
 		batch[f] = r
-		delete(k.pending, f)
+		delete(s.pendingWrites, f)
 	}
 	return batch
 }
 
-// putBack keeps what was not written, but for what is newer.
-func (k *Keeper) putBack(batch map[Fingerprint]*report) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+// requeue makes records that were not written pending again, except where a newer one of
+// the same request is pending.
+func (s *Syncer) requeue(batch map[Fingerprint]*entryRecord) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	for f, r := range batch {
-		if _, newer := k.pending[f]; !newer {
-			k.pending[f] = r
+		if _, newer := s.pendingWrites[f]; !newer {
+			s.pendingWrites[f] = r
 		}
 	}
 }
 
-// put writes records. Each write has an epoch of its own: one that arrives late is fenced
-// off by those after it.
-func (k *Keeper) put(ctx context.Context, batch map[Fingerprint]*report) error {
+// writeBatch writes records to the log. Each write has a higher epoch than the one before,
+// so that the log rejects a delayed write that arrives after a later one.
+func (s *Syncer) writeBatch(ctx context.Context, batch map[Fingerprint]*entryRecord) error {
 	records := make([]logstore.KeyedRecord, 0, len(batch))
 	for f, r := range batch {
-		out := logstore.KeyedRecord{Key: f.String()}
+		keyed := logstore.KeyedRecord{Key: f.String()}
 		if r != nil {
 			value, err := r.encode()
 			if err != nil {
-				k.Logs.Error().Err(err).Stringer("content", f).Msg("quarantine: record not written")
+				s.Logger.Error().Err(err).Stringer("content", f).Msg("quarantine: record not encoded, not written")
 				continue
 			}
-			out.Value = value
+			keyed.Value = value
 		}
-		records = append(records, out)
+		records = append(records, keyed)
 	}
-	k.epoch++
-	w := logstore.Write{Writer: string(k.Table.self), Epoch: k.epoch}
-	return k.Log.Put(ctx, logstore.TopicQuarantine, w, records)
+	s.lastEpoch++
+	write := logstore.Write{Writer: string(s.Table.self), Epoch: s.lastEpoch}
+	return s.Log.Put(ctx, logstore.TopicQuarantine, write, records)
 }
 
-// sweeps clears what is no more worth keeping, until ctx ends.
-func (k *Keeper) sweeps(ctx context.Context) {
+// runSweeper removes expired entries and clears them on the log until ctx ends.
+func (s *Syncer) runSweeper(ctx context.Context) {
 	for ctx.Err() == nil {
-		logstore.Pause(ctx, sweepEvery, nil)
-		for _, f := range k.Table.sweep(time.Now()) {
-			k.tell(f, nil)
+		logstore.Pause(ctx, sweepInterval, nil)
+		for _, f := range s.Table.sweep(time.Now()) {
+			s.enqueue(f, nil)
 		}
 	}
 }
--- a/internal/quarantine/keeper_test.go
+++ b/internal/quarantine/keeper_test.go
@@ -19,68 +19,71 @@
 	"guavapier/internal/standin"
 )
 
-var deadly = Content{Organisation: "org", Method: "POST", Host: "h", Target: "/x", Body: []byte("deadly")}
+// crashingContent is the content of a request that crashes endpoints.
+var crashingContent = Content{Organisation: "org", Method: "POST", Host: "h", Target: "/x", Body: []byte("deadly")}
 
-// refuses is the probe of an endpoint that is gone.
-func refuses(context.Context, string, string) error {
+// refusingProbe is the probe of an endpoint that is gone.
+func refusingProbe(context.Context, string, string) error {
 	return fmt.Errorf("dial: %w", syscall.ECONNREFUSED)
 }
 
-// newKeeper returns an instance without neighbours.
-func newKeeper(self string, log logstore.Keyed, probe Probe) *Keeper {
-	return NewKeeper(Options{
+// newTestSyncer returns the Syncer of an instance without neighbours.
+func newTestSyncer(self string, log logstore.Keyed, probe Probe) *Syncer {
+	return NewSyncer(Options{
 		Self: record.InstanceID(self), Log: log, Probe: probe, Neighbours: func() []record.InstanceID { return nil },
-		Logs: zerolog.Nop(), Busy: zerolog.Nop(),
+		Logger: zerolog.Nop(), ThinnedLogger: zerolog.Nop(),
 	})
 }
 
-// startKeepers runs instances on one log.
-func startKeepers(t *testing.T, log *standin.Keyed, n int) []*Keeper {
+// startSyncers runs n instances that share a log, and waits until they have read it.
+func startSyncers(t *testing.T, log *standin.Keyed, n int) []*Syncer {
 	t.Helper()
-	var keepers []*Keeper
+	var syncers []*Syncer
 	for i := range n {
-		k := newKeeper(fmt.Sprint("instance-", i), log, refuses)
-		go k.Run(t.Context())
-		keepers = append(keepers, k)
+		s := newTestSyncer(fmt.Sprint("instance-", i), log, refusingProbe)
+		go s.Run(t.Context())
+		syncers = append(syncers, s)
 	}
 	time.Sleep(time.Second)
-	for i, k := range keepers {
-		if !k.Loaded() {
+	for i, s := range syncers {
+		if !s.Loaded() {
 			t.Fatalf("instance %d has not read the log", i)
 		}
 	}
-	return keepers
+	return syncers
 }
 
-// endThree has three endpoints end under the content, each seen by another instance.
-func endThree(t *testing.T, keepers []*Keeper) {
+// crashThreeEndpoints lets three endpoints crash while serving crashingContent, one after the
+// other, each seen by the next of the instances.
+func crashThreeEndpoints(t *testing.T, syncers []*Syncer) {
 	t.Helper()
 	for i := range 3 {
-		if !keepers[i%len(keepers)].Broke(t.Context(), deadly, fmt.Sprint("e", i), "address", 50*time.Millisecond) {
-			t.Fatal("endpoint not taken for gone")
+		if !syncers[i%len(syncers)].Broke(t.Context(), crashingContent, fmt.Sprint("e", i), "address", 50*time.Millisecond) {
+			t.Fatal("an endpoint that refuses connections does not count as gone")
 		}
 		time.Sleep(time.Second)
 	}
 }
 
-func isHeld(err error) bool {
-	var held *HeldError
-	return errors.As(err, &held)
+// isQuarantined reports whether err is the error for a quarantined request.
+func isQuarantined(err error) bool {
+	var quarantined *QuarantinedError
+	return errors.As(err, &quarantined)
 }
 
-func TestAllInstancesHoldWhatEachHasSeenOnce(t *testing.T) {
+func TestAllInstancesQuarantineAfterThreeInstancesSeeOneCrashEach(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		keepers := startKeepers(t, standin.NewKeyed(), 4)
-		endThree(t, keepers[:3])
-		for i, k := range keepers {
-			if err := k.Admit(t.Context(), deadly); !isHeld(err) {
-				t.Errorf("instance %d: %v a second after the third end", i, err)
+		syncers := startSyncers(t, standin.NewKeyed(), 4)
+		crashThreeEndpoints(t, syncers[:3])
+		for i, s := range syncers {
+			if err := s.Admit(t.Context(), crashingContent); !isQuarantined(err) {
+				t.Errorf("instance %d admits with %v a second after the third crash, want a QuarantinedError", i, err)
 			}
 		}
-		other := deadly
+		other := crashingContent
 		other.Organisation = "other"
-		if err := keepers[0].Admit(t.Context(), other); err != nil {
-			t.Errorf("another organisation's request: %v", err)
+		if err := syncers[0].Admit(t.Context(), other); err != nil {
+			t.Errorf("another organisation's request is refused: %v", err)
 		}
 	})
 }
@@ -88,86 +91,86 @@
 func TestOneRetestInTheFleetAtATime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := standin.NewKeyed()
-		keepers := startKeepers(t, log, 4)
-		endThree(t, keepers[:3])
-		admit := func() (tried *Keeper, n int32) {
+		syncers := startSyncers(t, log, 4)
+		crashThreeEndpoints(t, syncers[:3])
+		admit := func() (admittedBy *Syncer, n int32) {
 			var admitted atomic.Int32
-			var winner atomic.Pointer[Keeper]
+			var last atomic.Pointer[Syncer]
 			var all sync.WaitGroup
 			for i := range 20 {
 				all.Go(func() {
-					k := keepers[i%len(keepers)]
-					if k.Admit(t.Context(), deadly) == nil {
+					s := syncers[i%len(syncers)]
+					if s.Admit(t.Context(), crashingContent) == nil {
 						admitted.Add(1)
-						winner.Store(k)
+						last.Store(s)
 					}
 				})
 			}
 			all.Wait()
-			return winner.Load(), admitted.Load()
+			return last.Load(), admitted.Load()
 		}
 		if _, n := admit(); n != 0 {
-			t.Errorf("%d admitted while it is held", n)
+			t.Errorf("%d requests are admitted during the quarantine", n)
 		}
-		time.Sleep(firstHold)
-		tried, n := admit()
+		time.Sleep(initialQuarantine)
+		retester, n := admit()
 		if n != 1 {
 			t.Fatalf("%d retests, want 1", n)
 		}
 		if _, n := admit(); n != 0 {
-			t.Errorf("%d admitted while a retest is under way", n)
+			t.Errorf("%d requests are admitted during a retest", n)
 		}
-		tried.Broke(t.Context(), deadly, "e9", "address", 50*time.Millisecond)
-		time.Sleep(firstHold)
+		retester.Broke(t.Context(), crashingContent, "e9", "address", 50*time.Millisecond)
+		time.Sleep(initialQuarantine)
 		if _, n := admit(); n != 0 {
-			t.Errorf("%d admitted after a retest that failed and the first hold's time", n)
+			t.Errorf("%d requests are admitted after a failed retest and the time of the first quarantine", n)
 		}
-		time.Sleep(holdOf(1))
-		if tried, n = admit(); n != 1 {
-			t.Fatalf("%d retests after the second hold, want 1", n)
+		time.Sleep(quarantineDuration(1))
+		if retester, n = admit(); n != 1 {
+			t.Fatalf("%d retests after the second quarantine, want 1", n)
 		}
-		tried.Answered(deadly)
+		retester.Answered(crashingContent)
 		time.Sleep(time.Second)
 		if _, n := admit(); n != 20 {
-			t.Errorf("%d of 20 admitted after an answer", n)
+			t.Errorf("%d of 20 requests are admitted after an answer, want all", n)
 		}
 		if page, err := log.Newest(t.Context(), logstore.TopicQuarantine); err != nil || len(page.Records) > 0 {
-			t.Errorf("%d records left, %v", len(page.Records), err)
+			t.Errorf("%d records are left on the log after an answer, error %v", len(page.Records), err)
 		}
 	})
 }
 
-func TestARequestIsRefusedAtOnceWhileTheLogIsAway(t *testing.T) {
+func TestAQuarantinedRequestIsRefusedAtOnceWhileTheLogIsUnavailable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := standin.NewKeyed()
-		k := startKeepers(t, log, 1)[0]
+		s := startSyncers(t, log, 1)[0]
 		log.SetDown(true)
 		time.Sleep(10 * time.Second)
-		endThree(t, []*Keeper{k})
-		time.Sleep(firstHold)
-		began := time.Now()
-		if err := k.Admit(t.Context(), deadly); !isHeld(err) || time.Since(began) > 0 {
-			t.Errorf("%v after %s; want to be held at once", err, time.Since(began))
+		crashThreeEndpoints(t, []*Syncer{s})
+		time.Sleep(initialQuarantine)
+		start := time.Now()
+		if err := s.Admit(t.Context(), crashingContent); !isQuarantined(err) || time.Since(start) > 0 {
+			t.Errorf("admitted with %v after %s, want a QuarantinedError at once", err, time.Since(start))
 		}
 		log.SetDown(false)
 		time.Sleep(10 * time.Second)
 		if page, err := log.Newest(t.Context(), logstore.TopicQuarantine); err != nil || len(page.Records) != 1 {
-			t.Errorf("%d records after the log is back, %v; want 1", len(page.Records), err)
+			t.Errorf("%d records on the log after it has recovered, error %v; want 1", len(page.Records), err)
 		}
 	})
 }
 
-func TestAnEndpointThatTakesConnectionsIsNotGone(t *testing.T) {
+func TestOnlyARefusedConnectionMeansThatAnEndpointIsGone(t *testing.T) {
 	for name, probe := range map[string]Probe{
-		"takes them":  func(context.Context, string, string) error { return nil },
-		"is silent":   func(ctx context.Context, _, _ string) error { <-ctx.Done(); return ctx.Err() },
-		"unreachable": func(context.Context, string, string) error { return syscall.EHOSTUNREACH },
+		"accepts connections": func(context.Context, string, string) error { return nil },
+		"is silent":           func(ctx context.Context, _, _ string) error { <-ctx.Done(); return ctx.Err() },
+		"unreachable":         func(context.Context, string, string) error { return syscall.EHOSTUNREACH },
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				k := newKeeper("me", standin.NewKeyed(), probe)
-				if k.Broke(t.Context(), deadly, "e", "address", time.Second) || len(k.Table.View(time.Now())) > 0 {
-					t.Error("reported")
+				s := newTestSyncer("me", standin.NewKeyed(), probe)
+				if s.Broke(t.Context(), crashingContent, "e", "address", time.Second) || len(s.Table.View(time.Now())) > 0 {
+					t.Error("the endpoint counts as gone or the request is recorded")
 				}
 			})
 		})
@@ -178,60 +181,61 @@
 	synctest.Test(t, func(t *testing.T) {
 		log := standin.NewKeyed()
 		log.Set(logstore.TopicQuarantine, "no fingerprint", []byte("x"))
-		log.Set(logstore.TopicQuarantine, deadly.Fingerprint().String(), []byte("x"))
-		keepers := startKeepers(t, log, 2)
-		endThree(t, keepers)
-		if err := keepers[1].Admit(t.Context(), deadly); !isHeld(err) {
-			t.Errorf("%v; want to be held", err)
+		log.Set(logstore.TopicQuarantine, crashingContent.Fingerprint().String(), []byte("x"))
+		syncers := startSyncers(t, log, 2)
+		crashThreeEndpoints(t, syncers)
+		if err := syncers[1].Admit(t.Context(), crashingContent); !isQuarantined(err) {
+			t.Errorf("admitted with %v, want a QuarantinedError", err)
 		}
 	})
 }
 
-// callerTo reaches keepers by their names, but for those that are cut off.
-type callerTo struct {
-	keepers map[record.InstanceID]*Keeper
-	cut     map[record.InstanceID]bool
+// testCaller calls syncers by the IDs of their instances, except for those that are
+// unreachable.
+type testCaller struct {
+	syncers     map[record.InstanceID]*Syncer
+	unreachable map[record.InstanceID]bool
 }
 
 // Call implements peer.Caller.
-func (c callerTo) Call(_ context.Context, to record.InstanceID, method string, args, reply any) error {
-	if c.cut[to] || method != ServiceName+".Swap" {
+func (c testCaller) Call(_ context.Context, to record.InstanceID, method string, args, reply any) error {
+	if c.unreachable[to] || method != ServiceName+".Swap" {
 		return fmt.Errorf("%s of %q not reached", method, to)
 	}
-	return NewExchange(c.keepers[to]).Swap(args.(SwapArgs), reply.(*SwapReply))
+	return NewPeerService(c.syncers[to]).Swap(args.(SwapArgs), reply.(*SwapReply))
 }
 
-func TestInstancesOfAZoneTellEachOtherWhileTheLogIsAway(t *testing.T) {
+func TestInstancesOfAZoneExchangeRecordsWhileTheLogIsUnavailable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := standin.NewKeyed()
-		caller := callerTo{map[record.InstanceID]*Keeper{}, map[record.InstanceID]bool{"instance-4": true}}
+		caller := testCaller{map[record.InstanceID]*Syncer{}, map[record.InstanceID]bool{"instance-4": true}}
 		var names []record.InstanceID
-		var keepers []*Keeper
+		var syncers []*Syncer
 		for i := range 5 {
-			k := newKeeper(fmt.Sprint("instance-", i), log, refuses)
-			k.Caller, k.Neighbours = caller, func() []record.InstanceID {
-				return slices.DeleteFunc(slices.Clone(names), func(name record.InstanceID) bool { return name == k.Self })
+			s := newTestSyncer(fmt.Sprint("instance-", i), log, refusingProbe)
+			s.Caller, s.Neighbours = caller, func() []record.InstanceID {
+				return slices.DeleteFunc(slices.Clone(names), func(name record.InstanceID) bool { return name == s.Self })
 			}
-			names, keepers = append(names, k.Self), append(keepers, k)
-			caller.keepers[k.Self] = k
+			names, syncers = append(names, s.Self), append(syncers, s)
+			caller.syncers[s.Self] = s
 		}
-		for _, k := range keepers {
-			go k.Run(t.Context())
+		for _, s := range syncers {
+			go s.Run(t.Context())
 		}
 		time.Sleep(time.Second)
 		log.SetDown(true)
 		time.Sleep(10 * time.Second)
-		endThree(t, keepers[:3])
+		crashThreeEndpoints(t, syncers[:3])
 		time.Sleep(2 * time.Second)
-		for i, k := range keepers[:4] {
-			if err := k.Admit(t.Context(), deadly); !isHeld(err) {
-				t.Errorf("instance %d: %v", i, err)
+		for i, s := range syncers[:4] {
+			if err := s.Admit(t.Context(), crashingContent); !isQuarantined(err) {
+				t.Errorf("instance %d admits with %v, want a QuarantinedError", i, err)
 			}
 		}
 		log.SetDown(false)
 		time.Sleep(10 * time.Second)
-		if err := keepers[4].Admit(t.Context(), deadly); !isHeld(err) {
-			t.Errorf("the one that was cut off, when the log is back: %v", err)
+		if err := syncers[4].Admit(t.Context(), crashingContent); !isQuarantined(err) {
+			t.Errorf("the unreachable instance admits with %v after the log has recovered, want a QuarantinedError", err)
 		}
 	})
 }
