--- a/internal/forward/answer.go
+++ b/internal/forward/answer.go
@@ -13,61 +13,61 @@
 
 // The reasons.
 const (
-	ReasonNoState      Reason = "no desired state yet"
-	ReasonOutdated     Reason = "instance behind the store"
-	ReasonEnding       Reason = "instance ends"
-	ReasonBadRequest   Reason = "malformed request"
-	ReasonNoRoute      Reason = "no route"
-	ReasonUnknownKey   Reason = "unknown key"
-	ReasonHeadTooLarge Reason = "head too large"
-	ReasonBodyTooLarge Reason = "body too large"
-	ReasonBodyBroken   Reason = "body not received"
-	ReasonExhausted    Reason = "budget exhausted"
-	ReasonShort        Reason = "budget not at hand"
-	ReasonNoEndpoint   Reason = "no endpoint"
-	ReasonRefused      Reason = "endpoints refused"
-	ReasonHeld         Reason = "endpoints ended under this request"
-	ReasonUnreachable  Reason = "endpoint unreachable"
-	ReasonTimeout      Reason = "timeout"
-	ReasonBroken       Reason = "answer broken off"
-	ReasonCallerLeft   Reason = "caller left"
-	ReasonCut          Reason = "cut at the end of the drain"
+	ReasonNoDesiredState     Reason = "no desired state yet"
+	ReasonOutdated           Reason = "instance behind the store"
+	ReasonShuttingDown       Reason = "instance ends"
+	ReasonBadRequest         Reason = "malformed request"
+	ReasonNoRoute            Reason = "no route"
+	ReasonUnknownKey         Reason = "unknown key"
+	ReasonHeaderTooLarge     Reason = "head too large"
+	ReasonBodyTooLarge       Reason = "body too large"
+	ReasonBodyIncomplete     Reason = "body not received"
+	ReasonBudgetExhausted    Reason = "budget exhausted"
+	ReasonInsufficientTokens Reason = "budget not at hand"
+	ReasonNoEndpoint         Reason = "no endpoint"
+	ReasonEndpointsRefused   Reason = "endpoints refused"
+	ReasonQuarantined        Reason = "endpoints ended under this request"
+	ReasonUnreachable        Reason = "endpoint unreachable"
+	ReasonTimeout            Reason = "timeout"
+	ReasonAnswerFailed       Reason = "answer broken off"
+	ReasonCallerDisconnected Reason = "caller left"
+	ReasonDrainTimeout       Reason = "cut at the end of the drain"
 )
 
 // refusal is a final answer of the instance's own.
 type refusal struct {
 	status int
 	reason Reason
-	// after is when coming back helps; set where nothing has run.
-	after time.Duration
+	// retryAfter is when coming back helps; set where nothing has run.
+	retryAfter time.Duration
 }
 
 const (
-	// againSoon suits what other instances or the next moment may serve.
-	againSoon = 250 * time.Millisecond
-	// againShort suits a budget whose tokens are held elsewhere: a claim takes
+	// defaultRetryAfter suits what other instances or the next moment may serve.
+	defaultRetryAfter = 250 * time.Millisecond
+	// tokensRetryAfter suits a budget whose tokens are held elsewhere: a claim takes
 	// a round trip, a give-back by another instance up to a second.
-	againShort = time.Second
-	// spreadShort spreads callers that all wait for the same moment.
-	spreadShort = 200 * time.Millisecond
-	// againStart suits an instance that has no desired state yet; another one
+	tokensRetryAfter = time.Second
+	// tokensRetryJitter spreads callers that all wait for the same moment.
+	tokensRetryJitter = 200 * time.Millisecond
+	// noStateRetryAfter suits an instance that has no desired state yet; another one
 	// has.
-	againStart = 500 * time.Millisecond
+	noStateRetryAfter = 500 * time.Millisecond
 )
 
-func notRun(reason Reason, after time.Duration) *refusal {
-	return &refusal{status: http.StatusServiceUnavailable, reason: reason, after: after}
+func notRun(reason Reason, retryAfter time.Duration) *refusal {
+	return &refusal{status: http.StatusServiceUnavailable, reason: reason, retryAfter: retryAfter}
 }
 
 // write sends the refusal.
-func (f *refusal) write(w http.ResponseWriter) {
+func (r *refusal) write(w http.ResponseWriter) {
 	h := w.Header()
 	h.Set("Content-Type", "text/plain; charset=utf-8")
-	if f.after > 0 {
-		h.Set("Retry-After", strconv.FormatFloat(f.after.Seconds(), 'f', 2, 64))
+	if r.retryAfter > 0 {
+		h.Set("Retry-After", strconv.FormatFloat(r.retryAfter.Seconds(), 'f', 2, 64))
 	}
-	body := fmt.Sprintf("%s\n", f.reason)
+	body := fmt.Sprintf("%s\n", r.reason)
 	h.Set("Content-Length", strconv.Itoa(len(body)))
-	w.WriteHeader(f.status)
+	w.WriteHeader(r.status)
 	_, _ = w.Write([]byte(body))
 }
--- a/internal/forward/ending_test.go
+++ b/internal/forward/ending_test.go
@@ -21,83 +21,83 @@
 	"guavapier/internal/upstream"
 )
 
-// plainCodec reads a request that needs tokens.
-type plainCodec struct{}
+// stubCodec reads a request that needs tokens.
+type stubCodec struct{}
 
-func (plainCodec) Request(r *http.Request) (forward.Request, error) {
-	return forward.Request{ID: "r1", Path: r.URL.Path, Host: r.Host, Key: "key", Patience: time.Minute, PromptTokens: 10}, nil
+func (stubCodec) Request(r *http.Request) (forward.Request, error) {
+	return forward.Request{ID: "r1", Path: r.URL.Path, Host: r.Host, Key: "key", Timeout: time.Minute, PromptTokens: 10}, nil
 }
 
-func (plainCodec) Attempt(*forward.Request, forward.Attempt) http.Header { return http.Header{} }
+func (stubCodec) Attempt(*forward.Request, forward.Attempt) http.Header { return http.Header{} }
 
-func (plainCodec) Reply(int, http.Header) forward.Reply { return forward.Reply{} }
+func (stubCodec) Reply(int, http.Header) forward.Reply { return forward.Reply{} }
 
 // slowBudgets have the tokens after a wait.
-type slowBudgets struct{ wait time.Duration }
+type slowBudgets struct{ delay time.Duration }
 
 func (b slowBudgets) Reserve(context.Context, record.Team, int64) (forward.Reservation, error) {
-	time.Sleep(b.wait)
+	time.Sleep(b.delay)
 	return reservation{}, nil
 }
 
 func (slowBudgets) Explain(record.Team) prepaid.Balance { return prepaid.Balance{} }
 
-// openQuarantine holds nothing.
-type openQuarantine struct{}
+// emptyQuarantine holds nothing.
+type emptyQuarantine struct{}
 
-func (openQuarantine) Admit(context.Context, quarantine.Content) error { return nil }
+func (emptyQuarantine) Admit(context.Context, quarantine.Content) error { return nil }
 
-func (openQuarantine) Broke(context.Context, quarantine.Content, string, string, time.Duration) bool {
+func (emptyQuarantine) Broke(context.Context, quarantine.Content, string, string, time.Duration) bool {
 	return false
 }
 
-func (openQuarantine) Answered(quarantine.Content) {}
+func (emptyQuarantine) Answered(quarantine.Content) {}
 
 type reservation struct{}
 
 func (reservation) Tokens() int64 { return 10 }
 func (reservation) Settle(int64)  {}
 
-// draining returns an instance without endpoints that begins to refuse what
+// newDrainingForwarder returns an instance without endpoints that begins to refuse what
 // outlasts it in four seconds, and ends in ten.
-func draining(wait time.Duration) *forward.Forwarder {
+func newDrainingForwarder(tokensDelay time.Duration) *forward.Forwarder {
 	prepaidTokens := int64(1000)
 	config := route.Compile(route.State{
 		Routes:        []route.Route{{Name: "reports", Host: "h", Prefix: "/", Backends: []route.Backend{{Service: "s", Weight: 1}}}},
 		Services:      []route.Service{{Name: "s"}},
 		Organisations: []route.Organisation{{Name: "org", Keys: []string{"key"}, Prepaid: &prepaidTokens}},
 	})
-	now := time.Now()
-	ends := func() time.Time {
-		if time.Since(now) < 4*time.Second {
+	start := time.Now()
+	shutdownTime := func() time.Time {
+		if time.Since(start) < 4*time.Second {
 			return time.Time{}
 		}
-		return now.Add(10 * time.Second)
+		return start.Add(10 * time.Second)
 	}
 	return &forward.Forwarder{
-		Codec: plainCodec{}, State: func() *route.Config { return config }, Budgets: slowBudgets{wait},
-		Endpoints: placement.New(1), Retries: retry.NewKeeper(retry.Budget{}, 1), Quarantine: openQuarantine{}, Pool: upstream.NewPool(upstream.Options{}),
-		Clock: func() time.Duration { return time.Since(now) }, SendsAway: func() bool { return true }, Outdated: func() bool { return false }, Ends: ends, Cut: func() bool { return false },
-		Log: zerolog.Nop(), Observe: func(forward.Event) {}, Placed: func(*placement.Ticket) {},
+		Codec: stubCodec{}, State: func() *route.Config { return config }, Budgets: slowBudgets{tokensDelay},
+		Endpoints: placement.New(1), Retries: retry.NewKeeper(retry.Budget{}, 1), Quarantine: emptyQuarantine{}, Pool: upstream.NewPool(upstream.Options{}),
+		Clock: func() time.Duration { return time.Since(start) }, ClosesConnections: func() bool { return true }, IsOutdated: func() bool { return false }, ShutdownTime: shutdownTime, IsForceClosing: func() bool { return false },
+		Log: zerolog.Nop(), OnRequestEnd: func(forward.RequestSummary) {}, OnPlaced: func(*placement.Ticket) {},
 	}
 }
 
 // A request that waits for tokens has less time afterwards: one that would then be
 // cut is refused instead of sent.
-func TestInADrainARequestIsAskedAgainAfterItsWaitForTokens(t *testing.T) {
+func TestDrainingInstanceRefusesARequestThatOutlastsItAfterItsWaitForTokens(t *testing.T) {
 	for _, c := range []struct {
-		wait   time.Duration
-		reason forward.Reason
-	}{{0, forward.ReasonNoEndpoint}, {4500 * time.Millisecond, forward.ReasonEnding}} {
+		tokensDelay time.Duration
+		reason      forward.Reason
+	}{{0, forward.ReasonNoEndpoint}, {4500 * time.Millisecond, forward.ReasonShuttingDown}} {
 		synctest.Test(t, func(t *testing.T) {
-			f := draining(c.wait)
+			f := newDrainingForwarder(c.tokensDelay)
 			w := httptest.NewRecorder()
 			f.ServeHTTP(w, httptest.NewRequest(http.MethodPost, "http://h/", nil))
 			if got := strings.TrimSpace(w.Body.String()); w.Code != http.StatusServiceUnavailable || got != string(c.reason) {
-				t.Errorf("after %v: %d %q, want %q", c.wait, w.Code, got, c.reason)
+				t.Errorf("after %v: %d %q, want %q", c.tokensDelay, w.Code, got, c.reason)
 			}
 			if w.Header().Get("Connection") != "close" || w.Header().Get("Retry-After") == "" {
-				t.Errorf("after %v: %v", c.wait, w.Header())
+				t.Errorf("after %v: %v", c.tokensDelay, w.Header())
 			}
 		})
 	}
--- a/internal/forward/log.go
+++ b/internal/forward/log.go
@@ -24,22 +24,22 @@
 // logAttempt writes the attempt's line: what chose the endpoint and how it
 // ended. Those that gave the final answer in time are the bulk, and only for
 // debugging.
-func (c *call) logAttempt(k *placement.Ticket, r attemptResult, status int, began time.Time) {
+func (c *call) logAttempt(ticket *placement.Ticket, result attemptResult, status int, start time.Time) {
 	level := zerolog.InfoLevel
-	if r.final && !c.late() {
+	if result.final && !c.isLate() {
 		level = zerolog.DebugLevel
 	}
 	line := c.f.Log.WithLevel(level)
 	if line == nil {
 		return
 	}
-	if r.reason == ReasonBroken {
+	if result.reason == ReasonAnswerFailed {
 		line.Stringer("content", c.content().Fingerprint())
 	}
-	line.Str("request", c.ID).Int("attempt", c.attempts).Str("endpoint", k.Endpoint.ID).
-		Str("address", k.Endpoint.Address).Str("zone", k.Endpoint.Zone).Float64("cost_ms", k.Cost).Float64("missing_tokens", k.Missing).
-		Int("in_flight", k.InFlight).Str("fetch", k.FetchFrom).Int("status", status).Str("reason", string(r.reason)).Bool("may_have_run", c.mayRun).
-		Dur("took", time.Since(began)).AnErr("error", r.err).Msg("forward: attempt ended")
+	line.Str("request", c.ID).Int("attempt", c.attempts).Str("endpoint", ticket.Endpoint.ID).
+		Str("address", ticket.Endpoint.Address).Str("zone", ticket.Endpoint.Zone).Float64("cost_ms", ticket.Cost).Float64("missing_tokens", ticket.Missing).
+		Int("in_flight", ticket.InFlight).Str("fetch", ticket.FetchFrom).Int("status", status).Str("reason", string(result.reason)).Bool("may_have_run", c.mayHaveRun).
+		Dur("took", time.Since(start)).AnErr("error", result.err).Msg("forward: attempt ended")
 }
 
 // logBudget writes what decided on the request's budget.
@@ -52,23 +52,25 @@
 		Interface("budget", c.f.Budgets.Explain(c.org.Name)).Msg("forward: budget refused")
 }
 
-// logHeld writes why the request is held back.
-func (c *call) logHeld(held *quarantine.HeldError) {
-	c.f.Log.Info().Str("request", c.ID).Str("team", string(c.team())).Stringer("content", held.Fingerprint).
-		Int("ends", held.Ends).Dur("after", held.After).Msg("forward: request held back")
+// logQuarantined writes why the request is held back.
+func (c *call) logQuarantined(quarantined *quarantine.HeldError) {
+	c.f.Log.Info().Str("request", c.ID).Str("team", string(c.team())).Stringer("content", quarantined.Fingerprint).
+		Int("ends", quarantined.Ends).Dur("after", quarantined.After).Msg("forward: request held back")
 }
 
-// late says whether the answer began after its route's target.
-func (c *call) late() bool { return c.route != nil && c.route.Target > 0 && c.first > c.route.Target }
+// isLate says whether the answer began after its route's target.
+func (c *call) isLate() bool {
+	return c.route != nil && c.route.Target > 0 && c.timeToHeader > c.route.Target
+}
 
-// finish writes the request's line.
-func (c *call) finish(status int) {
-	took := time.Since(c.began)
+// recordEnd writes the request's line.
+func (c *call) recordEnd(status int) {
+	took := time.Since(c.start)
 	name := ""
 	if c.route != nil {
 		name = c.route.Name
 	}
-	c.f.Observe(Event{Route: name, Status: status, Reason: c.reason, Attempts: c.attempts, Took: took, First: c.first})
+	c.f.OnRequestEnd(RequestSummary{Route: name, Status: status, Reason: c.reason, Attempts: c.attempts, Duration: took, TimeToHeader: c.timeToHeader})
 	level := zerolog.InfoLevel
 	if status == 0 || status >= http.StatusBadRequest {
 		level = zerolog.WarnLevel
@@ -79,12 +81,12 @@
 	}
 	line.Str("request", c.ID).Str("route", name).Str("team", string(c.team())).Int("status", status).
 		Str("reason", string(c.reason)).Str("endpoint", c.endpoint).Str("zone", c.f.Zone).Int("attempts", c.attempts).
-		Bool("late", c.late()).Str("phase", string(c.phase)).
-		Dur("took", took).Dur("first", c.first).Int64("events", c.pieces).
-		Int64("prompt", c.PromptTokens).Int64("state", c.version()).Msg("forward: request ended")
+		Bool("late", c.isLate()).Str("phase", string(c.phase)).
+		Dur("took", took).Dur("first", c.timeToHeader).Int64("events", c.events).
+		Int64("prompt", c.PromptTokens).Int64("state", c.stateVersion()).Msg("forward: request ended")
 }
 
-func (c *call) version() int64 {
+func (c *call) stateVersion() int64 {
 	if c.config == nil {
 		return 0
 	}
--- a/internal/forward/size.go
+++ b/internal/forward/size.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// smallShare and middleShare are the parts of a route's target up to which
+// smallPromptShare and mediumPromptShare are the parts of a route's target up to which
 // reading a prompt counts as small and as middling.
-const smallShare, middleShare = 0.2, 0.66
+const smallPromptShare, mediumPromptShare = 0.2, 0.66
 
-// sizeOf is a request's size for its endpoint's queue: 0, 1 or 2, by how long its
+// promptSizeClass is a request's size for its endpoint's queue: 0, 1 or 2, by how long its
 // prompt takes to read against the route's target for the first token.
 //
 // Lengths differ a hundredfold: a short prompt must not be late behind a long one, which
 // is late anyway or has time.
-func sizeOf(work, target time.Duration) int {
+func promptSizeClass(readTime, target time.Duration) int {
 	switch {
-	case target <= 0 || float64(work) <= smallShare*float64(target):
+	case target <= 0 || float64(readTime) <= smallPromptShare*float64(target):
 		return 0
-	case float64(work) <= middleShare*float64(target):
+	case float64(readTime) <= mediumPromptShare*float64(target):
 		return 1
 	}
 	return 2
--- a/internal/forward/size_test.go
+++ b/internal/forward/size_test.go
@@ -9,40 +9,40 @@
 
 // prompt is a request at an endpoint that reads one prompt at a time.
 type prompt struct {
-	at, work time.Duration
-	level    int
+	arrival, readTime time.Duration
+	urgency           int
 }
 
-// played is what callers got.
-type played struct{ inTime, late, lost, longLost, long int }
+// queueResult is what callers got.
+type queueResult struct{ inTime, late, lost, longLost, long int }
 
-// playReading has an endpoint read prompts by level, then by arrival, and counts
+// simulateQueue has an endpoint read prompts by level, then by arrival, and counts
 // the first tokens within the target and the callers that left.
-func playReading(prompts []prompt, target, patience time.Duration) (out played) {
+func simulateQueue(prompts []prompt, target, patience time.Duration) (out queueResult) {
 	var waiting []prompt
 	now := time.Duration(0)
 	for next := 0; next < len(prompts) || len(waiting) > 0; {
-		for next < len(prompts) && (prompts[next].at <= now || len(waiting) == 0) {
-			now = max(now, prompts[next].at)
+		for next < len(prompts) && (prompts[next].arrival <= now || len(waiting) == 0) {
+			now = max(now, prompts[next].arrival)
 			waiting = append(waiting, prompts[next])
 			next++
 		}
 		best := 0
 		for i, p := range waiting {
-			if p.level < waiting[best].level {
+			if p.urgency < waiting[best].urgency {
 				best = i
 			}
 		}
 		p := waiting[best]
 		waiting = append(waiting[:best], waiting[best+1:]...)
-		now += p.work
-		out.count(p, now-p.at, target, patience)
+		now += p.readTime
+		out.count(p, now-p.arrival, target, patience)
 	}
 	return out
 }
 
-func (o *played) count(p prompt, took, target, patience time.Duration) {
-	long := sizeOf(p.work, target) > 0
+func (o *queueResult) count(p prompt, took, target, patience time.Duration) {
+	long := promptSizeClass(p.readTime, target) > 0
 	if long {
 		o.long++
 	}
@@ -61,17 +61,17 @@
 
 // mixedPrompts draws prompts whose lengths spread like documents do, so that the
 // endpoint is busy for that share of the time.
-func mixedPrompts(n int, load float64) []prompt {
+func mixedPrompts(count int, load float64) []prompt {
 	const mean, spread = float64(25 * time.Millisecond), 1.0
 	rng := rand.New(rand.NewPCG(1, 2))
-	at := 0.0
-	list := make([]prompt, n)
-	for i := range list {
-		at += rng.ExpFloat64() * mean / load
-		work := mean * math.Exp(spread*rng.NormFloat64()-spread*spread/2)
-		list[i] = prompt{at: time.Duration(at), work: time.Duration(work)}
+	arrival := 0.0
+	prompts := make([]prompt, count)
+	for i := range prompts {
+		arrival += rng.ExpFloat64() * mean / load
+		readTime := mean * math.Exp(spread*rng.NormFloat64()-spread*spread/2)
+		prompts[i] = prompt{arrival: time.Duration(arrival), readTime: time.Duration(readTime)}
 	}
-	return list
+	return prompts
 }
 
 // At 70 % and 85 % of what an endpoint can read, sizes as levels of urgency bring
@@ -81,12 +81,12 @@
 func TestShortPromptsFirstBringsMoreInTime(t *testing.T) {
 	const target, patience = 250 * time.Millisecond, 5 * time.Second
 	for _, load := range []float64{0.7, 0.85} {
-		list := mixedPrompts(20_000, load)
-		before := playReading(list, target, patience)
-		for i := range list {
-			list[i].level = sizeOf(list[i].work, target)
+		prompts := mixedPrompts(20_000, load)
+		before := simulateQueue(prompts, target, patience)
+		for i := range prompts {
+			prompts[i].urgency = promptSizeClass(prompts[i].readTime, target)
 		}
-		after := playReading(list, target, patience)
+		after := simulateQueue(prompts, target, patience)
 		t.Logf("at %.0f %%: by arrival %+v, by size %+v", 100*load, before, after)
 		if after.inTime <= before.inTime {
 			t.Errorf("at %.0f %%: %d in time, %d by arrival", 100*load, after.inTime, before.inTime)
@@ -101,11 +101,11 @@
 // their turn, and all get it while their callers wait.
 func TestLongPromptsAreNotShutOut(t *testing.T) {
 	const target, patience = 250 * time.Millisecond, 5 * time.Second
-	list := mixedPrompts(260, 1.3)
-	for i := range list {
-		list[i].level = sizeOf(list[i].work, target)
+	prompts := mixedPrompts(260, 1.3)
+	for i := range prompts {
+		prompts[i].urgency = promptSizeClass(prompts[i].readTime, target)
 	}
-	if got := playReading(list, target, patience); got.longLost > 0 {
+	if got := simulateQueue(prompts, target, patience); got.longLost > 0 {
 		t.Errorf("%d of %d long prompts lost: %+v", got.longLost, got.long, got)
 	}
 }
@@ -122,7 +122,7 @@
 		{41 * time.Millisecond, 800 * time.Millisecond, 0},
 		{150 * time.Millisecond, 200 * time.Millisecond, 2},
 	} {
-		if got := sizeOf(c.work, c.target); got != c.want {
+		if got := promptSizeClass(c.work, c.target); got != c.want {
 			t.Errorf("%s against %s: %d, want %d", c.work, c.target, got, c.want)
 		}
 	}
--- a/internal/forward/stream.go
+++ b/internal/forward/stream.go
@@ -12,56 +12,56 @@
 	"guavapier/internal/upstream"
 )
 
-// maxEvent bounds one event of a stream.
-const maxEvent = 1 << 20
+// maxEventBytes bounds one event of a stream.
+const maxEventBytes = 1 << 20
 
 // errEventTooLarge says that an event is larger than maxEvent.
 var errEventTooLarge = errors.New("forward: event too large")
 
-// stream passes a stream's events on as they come, whole ones only: a stream
+// forwardStream passes a forwardStream's events on as they come, whole ones only: a forwardStream
 // that breaks off can then be resumed behind the last one. It ends as complete
 // only if the endpoint's answer did.
-func (c *call) stream(ctx context.Context, a *upstream.Answer) attemptResult {
+func (c *call) forwardStream(ctx context.Context, a *upstream.Answer) attemptResult {
 	events := bufio.NewReader(a.Body)
 	for {
 		event, err := readEvent(events)
 		if errors.Is(err, io.EOF) && len(event) == 0 {
-			c.open(a)
-			c.finishStream()
-			return done(a.Status)
+			c.sendHeader(a)
+			c.flush()
+			return finalResult(a.Status)
 		}
 		if err != nil {
-			return attemptResult{reason: brokenOff(ctx), sent: true, err: err}
+			return attemptResult{reason: streamErrorReason(ctx), sent: true, err: err}
 		}
-		c.open(a)
-		if !c.pass(event) {
-			return attemptResult{reason: ReasonCallerLeft, sent: true}
+		c.sendHeader(a)
+		if !c.writeEvent(event) {
+			return attemptResult{reason: ReasonCallerDisconnected, sent: true}
 		}
 	}
 }
 
-func brokenOff(ctx context.Context) Reason {
+func streamErrorReason(ctx context.Context) Reason {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return ReasonTimeout
 	}
-	return ReasonBroken
+	return ReasonAnswerFailed
 }
 
-// open sends the answer's head, once: a resumed stream keeps the first one.
-func (c *call) open(a *upstream.Answer) {
-	if c.opened {
+// sendHeader sends the answer's head, once: a resumed stream keeps the first one.
+func (c *call) sendHeader(a *upstream.Answer) {
+	if c.headerSent {
 		return
 	}
-	c.opened = true
-	c.first = time.Since(c.began)
+	c.headerSent = true
+	c.timeToHeader = time.Since(c.start)
 	copyHeader(c.w.Header(), a.Header)
 	c.w.WriteHeader(a.Status)
 }
 
-// pass sends one event at once and says whether the caller still takes it.
-func (c *call) pass(event []byte) bool {
+// writeEvent sends one event at once and says whether the caller still takes it.
+func (c *call) writeEvent(event []byte) bool {
 	c.phase = phaseCaller
-	c.pieces++ // Charged even if the write fails: it may have arrived.
+	c.events++ // Charged even if the write fails: it may have arrived.
 	if _, err := c.w.Write(event); err != nil {
 		return false
 	}
@@ -70,12 +70,12 @@
 	}
 	c.phase = phaseEndpoint
 	if id := eventID(event); id != "" {
-		c.lastID = id
+		c.lastEventID = id
 	}
 	return true
 }
 
-func (c *call) finishStream() { _ = http.NewResponseController(c.w).Flush() }
+func (c *call) flush() { _ = http.NewResponseController(c.w).Flush() }
 
 // readEvent reads up to the empty line that ends an event. At the stream's end
 // it returns io.EOF with whatever is left.
@@ -86,7 +86,7 @@
 		event = append(event, line...)
 		switch {
 		case errors.Is(err, bufio.ErrBufferFull):
-			if len(event) > maxEvent {
+			if len(event) > maxEventBytes {
 				return nil, errEventTooLarge
 			}
 			continue
@@ -96,7 +96,7 @@
 			}
 			return event, err
 		}
-		if len(event) > maxEvent {
+		if len(event) > maxEventBytes {
 			return nil, errEventTooLarge
 		}
 		if isBlank(line) && len(event) > len(line) {
--- a/internal/forward/types.go
+++ b/internal/forward/types.go
@@ -29,31 +29,31 @@
 	// Header is what goes on to the endpoint but for what the Codec adds.
 	Header http.Header
 	Key    string
-	// Patience is how long the caller waits; 0 if it does not say.
-	Patience time.Duration
-	Model    string
+	// Timeout is how long the caller waits; 0 if it does not say.
+	Timeout time.Duration
+	Model   string
 	// PromptTokens and MaxOutput size a model request; 0 for a plain one.
-	PromptTokens int64
-	MaxOutput    int64
-	Parts        []placement.Part
-	// LastEvent is the identity of the last event that the caller has of a
+	PromptTokens    int64
+	MaxOutputTokens int64
+	PromptParts     []placement.Part
+	// LastEventID is the identity of the last event that the caller has of a
 	// stream that it resumes.
-	LastEvent string
+	LastEventID string
 }
 
 // Attempt is one send of a request to an endpoint.
 type Attempt struct {
 	Endpoint     string // Its identity; any other endpoint is to refuse.
 	Organisation record.Team
-	// Left is how long the endpoint may work.
-	Left time.Duration
+	// Timeout is how long the endpoint may work.
+	Timeout time.Duration
 	// FetchFrom is the address of an endpoint from which this one is to get what
 	// it lacks of the prompt; "" for none.
 	FetchFrom string
 	// Urgency is below route.UrgencyLevels, 0 first.
 	Urgency int
-	// LastEvent is the last event that the caller has; "" for none.
-	LastEvent string
+	// LastEventID is the last event that the caller has; "" for none.
+	LastEventID string
 }
 
 // Reply is what the head of an endpoint's answer says.
@@ -92,7 +92,7 @@
 	Admit(ctx context.Context, c quarantine.Content) error
 	// Broke tells that the connection to an endpoint broke with the request under way
 	// there for that long, and returns whether the endpoint is gone.
-	Broke(ctx context.Context, c quarantine.Content, endpoint, address string, underWay time.Duration) (gone bool)
+	Broke(ctx context.Context, c quarantine.Content, endpoint, address string, duration time.Duration) (gone bool)
 	// Answered tells that an endpoint has answered the request.
 	Answered(c quarantine.Content)
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -191,7 +191,7 @@
 	handler := &forward.Forwarder{
 		Zone: g.settings.Gateway.Zone, Codec: g.platform.Codec, State: g.config.Load, Budgets: budgets{g.keeper},
 		Endpoints: g.endpoints.placed, Retries: g.retries, Quarantine: g.held, Pool: g.pool, Clock: g.clock,
-		SendsAway: g.sendsAway, Outdated: g.outdated, Ends: g.endsAt, Cut: g.cut.Load, Log: g.busyLog, Observe: g.observer(), Placed: g.loads.placed,
+		ClosesConnections: g.sendsAway, IsOutdated: g.outdated, ShutdownTime: g.endsAt, IsForceClosing: g.cut.Load, Log: g.busyLog, OnRequestEnd: g.observer(), OnPlaced: g.loads.placed,
 	}
 	server := &http.Server{Handler: g.counting(handler), MaxHeaderBytes: headerBytes, ConnState: g.conns.ConnState}
 	server.DisableGeneralOptionsHandler = true
--- a/internal/gateway/observe.go
+++ b/internal/gateway/observe.go
@@ -73,17 +73,17 @@
 }
 
 // observer counts requests' ends.
-func (g *Gateway) observer() func(forward.Event) {
+func (g *Gateway) observer() func(forward.RequestSummary) {
 	requests := g.metrics.Counter(metrics.GatewayRequests)
 	attempts := g.metrics.Counter(metrics.GatewayAttempts)
 	latency := g.metrics.Histogram(metrics.GatewayLatency)
 	first := g.metrics.Histogram(metrics.GatewayFirst)
-	return func(e forward.Event) {
+	return func(e forward.RequestSummary) {
 		requests.Inc(1)
 		attempts.Inc(int64(e.Attempts))
-		latency.Update(e.Took.Microseconds())
-		if e.First > 0 {
-			first.Update(e.First.Microseconds())
+		latency.Update(e.Duration.Microseconds())
+		if e.TimeToHeader > 0 {
+			first.Update(e.TimeToHeader.Microseconds())
 		}
 		if e.Reason != "" {
 			g.metrics.Counter(metrics.GatewayEnds + strings.ReplaceAll(string(e.Reason), " ", "_")).Inc(1)
--- a/internal/report/report.go
+++ b/internal/report/report.go
@@ -101,7 +101,7 @@
 	case (l.Status == 0 || l.Status >= firstNoSuccess) && l.Reason != "":
 		return l.Reason
 	case l.Status == 0 || l.Status >= firstNoSuccess:
-		return Outcome(forward.ReasonBroken)
+		return Outcome(forward.ReasonAnswerFailed)
 	case l.Late:
 		return Late
 	}
