--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -105,10 +105,10 @@
 // endpoint may be tried.
 func (c *call) withAttemptTimeout(ctx context.Context) (context.Context, context.CancelFunc) {
 	mayTryAnother := c.sentCount+1 < c.route.MaxEndpoints
-	if c.route.Repeat != route.Idempotent || !mayTryAnother || c.route.Target <= 0 {
+	if c.route.Repeat != route.Idempotent || !mayTryAnother || c.route.LatencyTarget <= 0 {
 		return context.WithCancel(ctx)
 	}
-	return context.WithTimeout(ctx, max(attemptTimeoutFactor*c.route.Target, minAttemptTimeout))
+	return context.WithTimeout(ctx, max(attemptTimeoutFactor*c.route.LatencyTarget, minAttemptTimeout))
 }
 
 func (c *call) outgoing(ticket *placement.Ticket) *upstream.Outgoing {
@@ -120,7 +120,7 @@
 		Method: c.Method, Target: c.Target, Host: c.Host, Body: c.body,
 		Header: c.f.Codec.Attempt(&c.Request, Attempt{
 			Endpoint: ticket.Endpoint.ID, Organisation: c.team(), Timeout: time.Until(c.deadline),
-			Urgency: c.config.Urgency(c.route, c.org, promptSizeClass(ticket.Work, c.route.Target)), LastEventID: lastEventID, FetchFrom: ticket.FetchFrom,
+			Urgency: c.config.Urgency(c.route, c.org, promptSizeClass(ticket.Work, c.route.LatencyTarget)), LastEventID: lastEventID, FetchFrom: ticket.FetchFrom,
 		}),
 		Matches: c.matchesAnswer,
 	}
--- a/internal/forward/ending_test.go
+++ b/internal/forward/ending_test.go
@@ -65,7 +65,7 @@
 	config := route.Compile(route.State{
 		Routes:        []route.Route{{Name: "reports", Host: "h", Prefix: "/", Backends: []route.Backend{{Service: "s", Weight: 1}}}},
 		Services:      []route.Service{{Name: "s"}},
-		Organisations: []route.Organisation{{Name: "org", Keys: []string{"key"}, Prepaid: &prepaidTokens}},
+		Organisations: []route.Organisation{{Name: "org", Keys: []string{"key"}, PrepaidTotal: &prepaidTokens}},
 	})
 	start := time.Now()
 	shutdownTime := func() time.Time {
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -162,7 +162,7 @@
 	if c.f.IsOutdated() {
 		return notRun(ReasonOutdated, defaultRetryAfter)
 	}
-	if limit := c.config.Limits.HeaderBytes; limit > 0 && headerBytes(r) > limit {
+	if limit := c.config.Limits.MaxHeaderBytes; limit > 0 && headerBytes(r) > limit {
 		return &refusal{status: http.StatusRequestHeaderFieldsTooLarge, reason: ReasonHeaderTooLarge}
 	}
 	var err error
@@ -172,7 +172,7 @@
 	if c.route = c.config.Match(c.Host, c.Path); c.route == nil {
 		return &refusal{status: http.StatusNotFound, reason: ReasonNoRoute}
 	}
-	c.org = c.config.KeyHolder(c.Key)
+	c.org = c.config.OrganisationByKey(c.Key)
 	if c.org == nil && c.config.NeedsKey(c.route) {
 		return &refusal{status: http.StatusUnauthorized, reason: ReasonUnknownKey}
 	}
@@ -180,7 +180,7 @@
 		c.org = nil
 	}
 	c.deadline = c.start.Add(c.callerTimeout())
-	c.service = c.route.Pick(rand.Float64())
+	c.service = c.route.PickService(rand.Float64())
 	c.f.Retries.Request(c.service, c.f.Clock())
 	return c.readBody(r)
 }
@@ -213,7 +213,7 @@
 // readBody takes the whole body before anything is sent on, so that an attempt
 // can be repeated and no half request reaches an endpoint.
 func (c *call) readBody(r *http.Request) *refusal {
-	limit := c.config.Limits.BodyBytes
+	limit := c.config.Limits.MaxBodyBytes
 	if limit <= 0 {
 		limit = defaultMaxBodyBytes
 	}
@@ -233,7 +233,7 @@
 // reserve sets the request's tokens aside; nil if it needs none.
 func (c *call) reserve(ctx context.Context) (Reservation, *refusal) {
 	tokens := c.PromptTokens + c.MaxOutputTokens
-	if c.org == nil || c.org.Prepaid == nil || tokens <= 0 {
+	if c.org == nil || c.org.PrepaidTotal == nil || tokens <= 0 {
 		return nil, nil
 	}
 	c.phase = phaseTokens
--- a/internal/forward/log.go
+++ b/internal/forward/log.go
@@ -60,7 +60,7 @@
 
 // isLate says whether the answer began after its route's target.
 func (c *call) isLate() bool {
-	return c.route != nil && c.route.Target > 0 && c.timeToHeader > c.route.Target
+	return c.route != nil && c.route.LatencyTarget > 0 && c.timeToHeader > c.route.LatencyTarget
 }
 
 // recordEnd writes the request's line.
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -83,17 +83,17 @@
 
 // idleLimit is how long callers' kept connections may idle.
 func idleLimit(s route.State) time.Duration {
-	if s.Limits.Idle <= 0 {
+	if s.Limits.IdleTimeout <= 0 {
 		return idleCallers
 	}
-	return s.Limits.Idle
+	return s.Limits.IdleTimeout
 }
 
 func prepaidTotals(s route.State) map[record.Team]int64 {
 	totals := map[record.Team]int64{}
 	for _, org := range s.Organisations {
-		if org.Prepaid != nil {
-			totals[org.Name] = *org.Prepaid
+		if org.PrepaidTotal != nil {
+			totals[org.Name] = *org.PrepaidTotal
 		}
 	}
 	return totals
--- a/internal/route/config_test.go
+++ b/internal/route/config_test.go
@@ -6,7 +6,7 @@
 	"guavapier/internal/route"
 )
 
-func compiled() *route.Config {
+func newTestConfig() *route.Config {
 	priority := 0
 	return route.Compile(route.State{
 		Version: 1,
@@ -22,7 +22,7 @@
 }
 
 func TestTheLongestPrefixOfTheHostMatches(t *testing.T) {
-	c := compiled()
+	c := newTestConfig()
 	for _, test := range []struct{ host, path, want string }{
 		{"a.example", "/x/y/z", "deep"}, {"A.EXAMPLE:8080", "/x/yz", "x"}, {"a.example", "/x", "all"},
 		{"b.example", "/x/", "other"}, {"b.example", "/y/", ""}, {"c.example", "/x/", ""}, {"", "", ""},
@@ -38,24 +38,24 @@
 }
 
 func TestServicesByWeight(t *testing.T) {
-	deep := compiled().Match("a.example", "/x/y/")
+	deep := newTestConfig().Match("a.example", "/x/y/")
 	for draw, want := range map[float64]string{0: "s", 0.89: "s", 0.91: "t", 0.999: "t"} {
-		if got := deep.Pick(draw); got != want {
+		if got := deep.PickService(draw); got != want {
 			t.Errorf("%g picks %q, want %q", draw, got, want)
 		}
 	}
-	if !deep.Allows("t") || deep.Allows("u") || deep.Allows("v") {
+	if !deep.AllowsService("t") || deep.AllowsService("u") || deep.AllowsService("v") {
 		t.Error("a service without weight is allowed, or one with weight is not")
 	}
-	if got := (&route.Route{}).Pick(0.5); got != "" {
+	if got := (&route.Route{}).PickService(0.5); got != "" {
 		t.Errorf("a route without services picks %q", got)
 	}
 }
 
 func TestKeysAndPriorities(t *testing.T) {
-	c := compiled()
-	o, p := c.KeyHolder("k2"), c.KeyHolder("k3")
-	if o.Name != "o" || p.Name != "p" || c.KeyHolder("") != nil || c.KeyHolder("k4") != nil {
+	c := newTestConfig()
+	o, p := c.OrganisationByKey("k2"), c.OrganisationByKey("k3")
+	if o.Name != "o" || p.Name != "p" || c.OrganisationByKey("") != nil || c.OrganisationByKey("k4") != nil {
 		t.Error("keys")
 	}
 	all, x := c.Match("a.example", "/"), c.Match("a.example", "/x/")
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -10,12 +10,12 @@
 	"guavapier/internal/record"
 )
 
-// Repeat says what a failed request's instance may do with it.
-type Repeat uint8
+// RepeatPolicy says what a failed request's instance may do with it.
+type RepeatPolicy uint8
 
 const (
 	// AtMostOnce requests run once at most.
-	AtMostOnce Repeat = iota
+	AtMostOnce RepeatPolicy = iota
 	// Idempotent requests may run again.
 	Idempotent
 )
@@ -27,7 +27,7 @@
 	Prefix string // Begins and ends with a slash.
 	// Backends are the services that share the route's requests by weight.
 	Backends []Backend
-	Repeat   Repeat
+	Repeat   RepeatPolicy
 	// Streams says that answers are event streams, measured to the first event.
 	Streams bool
 	// Resumable streams go on at another endpoint after the last event that
@@ -35,10 +35,10 @@
 	Resumable bool
 	// Timeout is the longest that a caller is kept waiting for the whole answer.
 	Timeout time.Duration
-	// Target is the time within which an answer (a stream's first event) is on time.
-	Target time.Duration
-	// MaxGap is the longest pause between two events of a stream on time.
-	MaxGap time.Duration
+	// LatencyTarget is the time within which an answer (a stream's first event) is on time.
+	LatencyTarget time.Duration
+	// MaxEventGap is the longest pause between two events of a stream on time.
+	MaxEventGap time.Duration
 	// Priority orders requests; 0 goes first.
 	Priority int
 	// MaxEndpoints is how many endpoints one request may be sent to.
@@ -70,16 +70,16 @@
 	Keys []string
 	// Priority goes before the route's; nil where none is set.
 	Priority *int
-	// Prepaid is the total of tokens that may be spent; nil for no budget.
-	Prepaid *int64
+	// PrepaidTotal is the total of tokens that may be spent; nil for no budget.
+	PrepaidTotal *int64
 }
 
 // Limits bound what a caller may send and how long its connection may idle.
 type Limits struct {
-	HeaderBytes int
-	BodyBytes   int64
-	HeaderRead  time.Duration
-	Idle        time.Duration
+	MaxHeaderBytes int
+	MaxBodyBytes   int64
+	HeaderTimeout  time.Duration
+	IdleTimeout    time.Duration
 }
 
 // State is one version of the desired state.
--- a/internal/route/urgency.go
+++ b/internal/route/urgency.go
@@ -5,8 +5,8 @@
 // UrgencyLevels is how many levels of urgency endpoints tell apart, 0 first.
 const UrgencyLevels = 10
 
-// ranks lists the priorities that a state gives to requests, in order.
-func ranks(s State) []int {
+// distinctPriorities lists the priorities that a state gives to requests, in order.
+func distinctPriorities(s State) []int {
 	var list []int
 	for i := range s.Routes {
 		list = append(list, s.Routes[i].Priority)
@@ -26,6 +26,6 @@
 // priority.
 func (c *Config) Urgency(r *Route, org *Organisation, size int) int {
 	rank, _ := slices.BinarySearch(c.priorities, EffectivePriority(r, org))
-	sizes := max(1, UrgencyLevels/max(1, len(c.priorities)))
-	return min(rank*sizes+min(max(size, 0), sizes-1), UrgencyLevels-1)
+	levelsPerPriority := max(1, UrgencyLevels/max(1, len(c.priorities)))
+	return min(rank*levelsPerPriority+min(max(size, 0), levelsPerPriority-1), UrgencyLevels-1)
 }
--- a/internal/route/urgency_test.go
+++ b/internal/route/urgency_test.go
@@ -8,7 +8,7 @@
 	"guavapier/internal/route"
 )
 
-func state(routes []int, organisations []int) route.State {
+func newState(routes []int, organisations []int) route.State {
 	var s route.State
 	for _, p := range routes {
 		s.Routes = append(s.Routes, route.Route{Priority: p})
@@ -27,10 +27,10 @@
 	rapid.Check(t, func(t *rapid.T) {
 		routes := rapid.SliceOfN(priority, 1, 12).Draw(t, "routes")
 		organisations := rapid.SliceOfN(priority, 0, 4).Draw(t, "organisations")
-		c := route.Compile(state(routes, organisations))
-		different := map[int]bool{}
+		c := route.Compile(newState(routes, organisations))
+		distinct := map[int]bool{}
 		for _, p := range append(routes, organisations...) {
-			different[p] = true
+			distinct[p] = true
 		}
 		a, b := &c.Routes[0], &c.Routes[len(c.Routes)-1]
 		for size := range 3 {
@@ -44,7 +44,7 @@
 						a.Priority, size, level, b.Priority, other, c.Urgency(b, nil, other))
 				}
 			}
-			if size > 0 && len(different) <= 3 && level <= c.Urgency(a, nil, size-1) {
+			if size > 0 && len(distinct) <= 3 && level <= c.Urgency(a, nil, size-1) {
 				t.Fatalf("sizes %d and %d are not told apart", size-1, size)
 			}
 		}
@@ -52,7 +52,7 @@
 }
 
 func TestAnOrganisationsPriorityGoesBeforeItsRoutes(t *testing.T) {
-	c := route.Compile(state([]int{4, 7}, []int{2}))
+	c := route.Compile(newState([]int{4, 7}, []int{2}))
 	org := &c.Organisations[0]
 	if got, want := c.Urgency(&c.Routes[1], org, 0), 0; got != want {
 		t.Errorf("level %d, want %d", got, want)
