--- a/internal/forward/answer.go
+++ b/internal/forward/answer.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// Reason says in a log line and a refusal's body why a request was not
-// answered by an endpoint.
+// Reason states, in log lines, metrics and the body of a refusal, why a request
+// or one attempt got no endpoint's answer.
 type Reason string
 
-// The reasons.
+// Values of Reason. Reports and metrics use their text.
 const (
 	ReasonNoDesiredState     Reason = "no desired state yet"
 	ReasonOutdated           Reason = "instance behind the store"
@@ -34,32 +34,39 @@
 	ReasonDrainTimeout       Reason = "cut at the end of the drain"
 )
 
-// refusal is a final answer of the instance's own.
+// refusal is a final answer that this instance gives itself, without an endpoint.
 type refusal struct {
 	status int
 	reason Reason
-	// retryAfter is when coming back helps; set where nothing has run.
+	// retryAfter is sent as the Retry-After header, in seconds. It is set only if
+	// the request has not run; 0 sends no header.
 	retryAfter time.Duration
 }
 
 const (
-	// defaultRetryAfter suits what other instances or the next moment may serve.
+	// defaultRetryAfter applies when another instance, or this one shortly after,
+	// may be able to serve the request.
 	defaultRetryAfter = 250 * time.Millisecond
-	// tokensRetryAfter suits a budget whose tokens are held elsewhere: a claim takes
-	// a round trip, a give-back by another instance up to a second.
+	// tokensRetryAfter applies when the budget's tokens are held by other
+	// instances: claiming more takes a round trip, and another instance takes up
+	// to a second to return tokens. It is also the minimum delay for a quarantined
+	// request.
 	tokensRetryAfter = time.Second
-	// tokensRetryJitter spreads callers that all wait for the same moment.
+	// tokensRetryJitter bounds the random delay that is added when tokens become
+	// free at a known time, so that the callers waiting for them don't all retry at
+	// once.
 	tokensRetryJitter = 200 * time.Millisecond
-	// noStateRetryAfter suits an instance that has no desired state yet; another one
-	// has.
+	// noStateRetryAfter applies while this instance has not loaded a desired state;
+	// other instances have one.
 	noStateRetryAfter = 500 * time.Millisecond
 )
 
+// notRun returns a 503 refusal, which promises that the request has not run.
 func notRun(reason Reason, retryAfter time.Duration) *refusal {
 	return &refusal{status: http.StatusServiceUnavailable, reason: reason, retryAfter: retryAfter}
 }
 
-// write sends the refusal.
+// write sends the refusal with the reason as a plain-text body.
 func (r *refusal) write(w http.ResponseWriter) {
 	h := w.Header()
 	h.Set("Content-Type", "text/plain; charset=utf-8")
--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -15,44 +15,47 @@
 	"guavapier/internal/upstream"
 )
 
-// attemptResult is how one attempt ended, if not with the final answer.
+// attemptResult is the outcome of one attempt: the final answer, or the reason why
+// there is none.
 type attemptResult struct {
 	final  bool
-	status int // Of the final answer.
+	status int // HTTP status of the final answer; set if final.
 	reason Reason
-	// sent says that an endpoint was sent the request.
+	// sent reports whether the request was sent to an endpoint.
 	sent bool
-	// noEndpoint says that there was no endpoint to send it to.
+	// noEndpoint reports whether no endpoint was available.
 	noEndpoint bool
-	// failure is the endpoint's own failing answer, held whole.
+	// failure is the endpoint's complete answer if its status was 5xx.
 	failure *bufferedAnswer
-	// err is what ended the connection under way, or kept it from being made.
+	// err is the error that broke the connection or prevented it.
 	err error
 }
 
-// bufferedAnswer is an answer that has been read to its end.
+// bufferedAnswer is an endpoint's answer with its whole body in memory.
 type bufferedAnswer struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
+// finalResult returns the result of an attempt whose answer went to the caller.
 func finalResult(status int) attemptResult { return attemptResult{final: true, status: status} }
 
-// maxCrashes is how many endpoints may end under one request's own attempts: one is bad
-// luck, and the request may come again.
+// maxCrashes is the number of endpoints that may crash while serving the attempts of
+// one request before it is given up. A single crash can be a coincidence, so the request
+// is retried after it.
 const maxCrashes = 2
 
-// attemptTimeoutFactor is the multiple of a route's target after which an attempt of an
-// idempotent request is given up for another endpoint, and minAttemptTimeout its
-// floor. An endpoint that went dark answers nothing; one in a queue answers
-// within a few targets.
+// An attempt of an idempotent request is given up for another endpoint after
+// attemptTimeoutFactor times the route's latency target, but not before
+// minAttemptTimeout. An endpoint that is unreachable never answers; one with a queue
+// answers within a few times the target.
 const (
 	attemptTimeoutFactor = 3
 	minAttemptTimeout    = 250 * time.Millisecond
 )
 
-// attempt places the request and sends it to one endpoint.
+// attempt selects one endpoint, sends it the request and passes on its answer.
 func (c *call) attempt(ctx context.Context) attemptResult {
 	ticket := c.f.Endpoints.Place(placement.Query{
 		Service: c.service, Zone: c.f.Zone, Parts: c.PromptParts, Avoid: c.tried,
@@ -89,7 +92,8 @@
 	return result
 }
 
-// updateQuarantine tells the quarantine what the attempt says of the request.
+// updateQuarantine reports to the quarantine that the request was answered, or that the
+// connection broke while an endpoint was serving it.
 func (c *call) updateQuarantine(ctx context.Context, ticket *placement.Ticket, result attemptResult, start time.Time) {
 	switch {
 	case result.final:
@@ -101,8 +105,8 @@
 	}
 }
 
-// withAttemptTimeout gives an idempotent attempt less than the whole time while another
-// endpoint may be tried.
+// withAttemptTimeout limits an attempt of an idempotent request to less than the
+// remaining time if another endpoint may be tried after it.
 func (c *call) withAttemptTimeout(ctx context.Context) (context.Context, context.CancelFunc) {
 	mayTryAnother := c.sentCount+1 < c.route.MaxEndpoints
 	if c.route.Repeat != route.Idempotent || !mayTryAnother || c.route.LatencyTarget <= 0 {
@@ -111,6 +115,7 @@
 	return context.WithTimeout(ctx, max(attemptTimeoutFactor*c.route.LatencyTarget, minAttemptTimeout))
 }
 
+// outgoing builds the request for the endpoint of the ticket.
 func (c *call) outgoing(ticket *placement.Ticket) *upstream.Outgoing {
 	lastEventID := c.lastEventID
 	if lastEventID == "" {
@@ -126,8 +131,8 @@
 	}
 }
 
-// matchesAnswer says whether an answer is to this request. One without an identity is,
-// if it says that the request was not run.
+// matchesAnswer reports whether an answer belongs to this request. An answer without a
+// request ID does if it states that the request was not run or if it is unsigned.
 func (c *call) matchesAnswer(status int, h http.Header) bool {
 	reply := c.f.Codec.Reply(status, h)
 	if reply.RequestID == "" {
@@ -136,7 +141,8 @@
 	return reply.RequestID == c.ID
 }
 
-// handleSendError is the end of an attempt without an answer.
+// handleSendError returns the result of an attempt that got no answer, and sets
+// outcome to what the placement table is to record for the endpoint.
 func (c *call) handleSendError(ctx context.Context, err error, outcome *placement.Outcome) attemptResult {
 	if errors.Is(ctx.Err(), context.Canceled) {
 		*outcome = placement.Abandoned
@@ -153,13 +159,14 @@
 	return attemptResult{reason: ReasonAnswerFailed, sent: true, err: err}
 }
 
-// handleAnswer turns an endpoint's answer into the caller's, or into a failed attempt.
+// handleAnswer passes an endpoint's answer on to the caller, or returns why the attempt
+// failed.
 func (c *call) handleAnswer(ctx context.Context, a *upstream.Answer) attemptResult {
 	reply := c.f.Codec.Reply(a.Status, a.Header)
 	c.tried = append(c.tried, c.endpoint)
 	c.sentCount++
 	if reply.NotRun {
-		_, _ = io.Copy(io.Discard, io.LimitReader(a.Body, maxBufferedAnswerBytes)) // So that the connection can be kept.
+		_, _ = io.Copy(io.Discard, io.LimitReader(a.Body, maxBufferedAnswerBytes)) // The connection can be reused only if the body was read to its end.
 		return attemptResult{reason: ReasonEndpointsRefused, sent: true}
 	}
 	c.mayHaveRun = true
@@ -171,7 +178,7 @@
 		return c.forwardStream(ctx, a)
 	}
 	if c.headerSent {
-		return attemptResult{reason: ReasonAnswerFailed, sent: true} // A resumed stream that failed.
+		return attemptResult{reason: ReasonAnswerFailed, sent: true} // An error answer can't continue a stream that has begun.
 	}
 	body, err := io.ReadAll(io.LimitReader(a.Body, maxBufferedAnswerBytes))
 	if err != nil {
@@ -184,12 +191,12 @@
 	return finalResult(c.writeBuffered(buffered))
 }
 
-// isSuccess says whether a status is one of success.
+// isSuccess reports whether an HTTP status is 2xx.
 func isSuccess(status int) bool {
 	return status >= http.StatusOK && status < http.StatusMultipleChoices
 }
 
-// writeBuffered sends an answer that was read to its end.
+// writeBuffered sends a complete answer to the caller and returns its status.
 func (c *call) writeBuffered(a *bufferedAnswer) int {
 	copyHeader(c.w.Header(), a.header)
 	c.w.Header().Set("Content-Length", strconv.Itoa(len(a.body)))
@@ -197,21 +204,22 @@
 	c.headerSent = true
 	c.phase = phaseCaller
 	if isSuccess(a.status) {
-		c.events = max(1, c.MaxOutputTokens) // How many tokens the body holds is not told: all are charged.
+		c.events = max(1, c.MaxOutputTokens) // The body's token count is unknown, so the maximum is charged.
 	}
 	c.w.WriteHeader(a.status)
 	_, _ = io.Copy(c.w, bytes.NewReader(a.body))
 	return a.status
 }
 
-// hopByHopHeaders are the header fields that concern one connection only.
+// hopByHopHeaders are the header fields that apply to a single connection and are not
+// forwarded. Content-Length is among them because it is set anew for each connection.
 var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length",
 }
 
-// copyHeader copies an answer's header but for what concerns one connection:
-// what stands in to about the caller's own stays.
+// copyHeader copies an answer's header from src to dst without the hop-by-hop fields;
+// those that dst holds for the caller's connection stay.
 func copyHeader(dst, src http.Header) {
 	dropped := HopByHopHeaders(src)
 	for name, values := range src {
@@ -221,8 +229,8 @@
 	}
 }
 
-// HopByHopHeaders lists the fields of h that concern one connection only, those
-// named by its Connection field included.
+// HopByHopHeaders returns the canonical names of the header fields that must not be
+// forwarded: the standard ones and those that h names in its Connection field.
 func HopByHopHeaders(h http.Header) []string {
 	names := hopByHopHeaders
 	for _, value := range h.Values("Connection") {
--- a/internal/forward/ending_test.go
+++ b/internal/forward/ending_test.go
@@ -21,7 +21,7 @@
 	"guavapier/internal/upstream"
 )
 
-// stubCodec reads a request that needs tokens.
+// stubCodec decodes every request as one that needs 10 prompt tokens.
 type stubCodec struct{}
 
 func (stubCodec) Request(r *http.Request) (forward.Request, error) {
@@ -32,7 +32,7 @@
 
 func (stubCodec) Reply(int, http.Header) forward.Reply { return forward.Reply{} }
 
-// slowBudgets have the tokens after a wait.
+// slowBudgets grants every reservation after a delay.
 type slowBudgets struct{ delay time.Duration }
 
 func (b slowBudgets) Reserve(context.Context, record.Team, int64) (forward.Reservation, error) {
@@ -42,7 +42,7 @@
 
 func (slowBudgets) Explain(record.Team) prepaid.Balance { return prepaid.Balance{} }
 
-// emptyQuarantine holds nothing.
+// emptyQuarantine admits every request.
 type emptyQuarantine struct{}
 
 func (emptyQuarantine) Admit(context.Context, quarantine.Content) error { return nil }
@@ -58,8 +58,9 @@
 func (reservation) Tokens() int64 { return 10 }
 func (reservation) Settle(int64)  {}
 
-// newDrainingForwarder returns an instance without endpoints that begins to refuse what
-// outlasts it in four seconds, and ends in ten.
+// newDrainingForwarder returns a forwarder without endpoints whose instance shuts down in
+// ten seconds and, from four seconds on, refuses requests that may outlast it. Its budgets
+// grant tokens after tokensDelay.
 func newDrainingForwarder(tokensDelay time.Duration) *forward.Forwarder {
 	prepaidTokens := int64(1000)
 	config := route.Compile(route.State{
@@ -82,8 +83,8 @@
 	}
 }
 
-// A request that waits for tokens has less time afterwards: one that would then be
-// cut is refused instead of sent.
+// Guards against sending a request that the shutdown would cut off. Checking it only on
+// arrival missed requests for which the refusals begin while they wait for tokens.
 func TestDrainingInstanceRefusesARequestThatOutlastsItAfterItsWaitForTokens(t *testing.T) {
 	for _, c := range []struct {
 		tokensDelay time.Duration
@@ -94,10 +95,10 @@
 			w := httptest.NewRecorder()
 			f.ServeHTTP(w, httptest.NewRequest(http.MethodPost, "http://h/", nil))
 			if got := strings.TrimSpace(w.Body.String()); w.Code != http.StatusServiceUnavailable || got != string(c.reason) {
-				t.Errorf("after %v: %d %q, want %q", c.tokensDelay, w.Code, got, c.reason)
+				t.Errorf("tokens after %v: status %d, reason %q; want 503, %q", c.tokensDelay, w.Code, got, c.reason)
 			}
 			if w.Header().Get("Connection") != "close" || w.Header().Get("Retry-After") == "" {
-				t.Errorf("after %v: %v", c.tokensDelay, w.Header())
+				t.Errorf("tokens after %v: Connection: close or Retry-After missing in %v", c.tokensDelay, w.Header())
 			}
 		})
 	}
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -20,62 +20,67 @@
 )
 
 const (
-	// defaultCallerTimeout bounds a request whose caller does not say how long it
+	// defaultCallerTimeout bounds a request whose caller does not state how long it
 	// waits.
 	defaultCallerTimeout = 30 * time.Second
-	// defaultMaxBodyBytes bounds a body where the desired state sets no limit.
+	// defaultMaxBodyBytes bounds a request body if the desired state sets no limit.
 	defaultMaxBodyBytes = 4 << 20
-	// maxBufferedAnswerBytes bounds an answer that is held whole before it is passed on.
+	// maxBufferedAnswerBytes bounds an answer that is read into memory before it is
+	// passed on.
 	maxBufferedAnswerBytes = 16 << 20
-	// maxAttempts bounds the endpoints tried for one request, those that could
-	// not be reached included: behind a cut of one zone in four, one of four
-	// tries in a row meets only lost ones in 1 of 250 requests.
+	// maxAttempts bounds the endpoints tried for one request, including unreachable
+	// ones. If one of four availability zones is cut off, 1 of 250 requests would find
+	// only unreachable endpoints in four attempts.
 	maxAttempts = 5
-	// minSendTimeLeft is the shortest time for which a send to an endpoint is worth
-	// its arrival there.
-	minSendTimeLeft = 20 * time.Millisecond
+	// minRetryTimeLeft is the least time before the deadline at which a request is
+	// still retried: with less, it would hardly reach another endpoint in time.
+	minRetryTimeLeft = 20 * time.Millisecond
 )
 
-// Forwarder serves callers. All fields must be set.
+// Forwarder is the HTTP handler for callers' requests: it forwards each to an endpoint
+// of the service that its route selects. All fields must be set.
 type Forwarder struct {
-	Zone      string
+	Zone      string // Availability zone of this instance.
 	Codec     Codec
-	State     func() *route.Config // Nil before the first desired state.
+	State     func() *route.Config // Returns nil until a desired state is loaded.
 	Budgets   Budgets
 	Endpoints *placement.Table
 	Retries   *retry.Keeper
-	// Quarantine knows which requests are not to be sent.
+	// Quarantine rejects requests that crash endpoints.
 	Quarantine Quarantine
 	Pool       *upstream.Pool
-	Clock      func() time.Duration
-	// ClosesConnections says whether answers ask callers to leave the connection, since this
-	// instance is about to end or its link is full.
+	Clock      func() time.Duration // Monotonic time since an arbitrary start.
+	// ClosesConnections reports whether answers carry Connection: close, so that callers
+	// move to other instances: this one is draining, outdated or its link is overloaded.
 	ClosesConnections func() bool
-	// IsOutdated says that this instance knows less than others that callers can reach.
+	// IsOutdated reports whether this instance's data is older than that of other instances
+	// that callers can reach.
 	IsOutdated func() bool
-	// ShutdownTime is when this instance ends, once it is so near that callers had time to
-	// go elsewhere; zero before.
+	// ShutdownTime returns when this instance shuts down. It is zero until the last part
+	// of a drain, so that callers first have time to move to other instances.
 	ShutdownTime func() time.Time
-	// IsForceClosing says that callers' connections are being closed with their requests
-	// under way, so that a caller who is gone has not left.
+	// IsForceClosing reports whether the drain has timed out and this instance closes
+	// callers' connections with requests in progress. A connection that ends then was not
+	// closed by its caller.
 	IsForceClosing func() bool
 	Log            zerolog.Logger
-	OnRequestEnd   func(RequestSummary)
-	// OnPlaced is told of each attempt that is about to be sent.
+	// OnRequestEnd is called once for each request when it has ended.
+	OnRequestEnd func(RequestSummary)
+	// OnPlaced is called before each attempt is sent.
 	OnPlaced func(*placement.Ticket)
 }
 
-// RequestSummary is a request's end, for metrics.
+// RequestSummary describes an ended request, for metrics.
 type RequestSummary struct {
-	Route        string
-	Status       int
-	Reason       Reason
+	Route        string // "" if none matched.
+	Status       int    // HTTP status sent; 0 if the connection was aborted.
+	Reason       Reason // Of the refusal or the last failed attempt; "" if the first attempt was answered.
 	Attempts     int
 	Duration     time.Duration
-	TimeToHeader time.Duration // To the head of the answer; 0 if none went out.
+	TimeToHeader time.Duration // From arrival to sending the header of an endpoint's answer; 0 if there was none.
 }
 
-// call is one request under way.
+// call is the state of one request while it is served.
 type call struct {
 	Request
 	f       *Forwarder
@@ -87,15 +92,15 @@
 	body    []byte
 
 	start        time.Time
-	deadline     time.Time // When the caller leaves or the route's timeout ends.
-	tried        []string  // Endpoints that were tried.
-	sentCount    int       // Those of them that were sent the request.
-	crashes      int       // Those of them that ended with it under way.
-	mayHaveRun   bool      // An attempt may have run.
+	deadline     time.Time // Earlier of the caller's and the route's timeout.
+	tried        []string  // IDs of the endpoints that were tried.
+	sentCount    int       // Endpoints that were sent the request.
+	crashes      int       // Endpoints that crashed while serving it.
+	mayHaveRun   bool      // An endpoint may have run the request.
 	attempts     int
-	events       int64 // Events that went to the caller.
+	events       int64 // Stream events sent to the caller; output tokens for a buffered answer.
 	lastEventID  string
-	headerSent   bool // The answer's head has gone out.
+	headerSent   bool // The answer's status and header were sent to the caller.
 	timeToHeader time.Duration
 	reason       Reason
 	endpoint     string
@@ -111,7 +116,7 @@
 	returned := false
 	defer func() {
 		if !returned {
-			c.recordEnd(0) // The answer was aborted.
+			c.recordEnd(0) // The connection was aborted by a panic.
 		}
 	}()
 	status := c.serve(r)
@@ -119,14 +124,14 @@
 	c.recordEnd(status)
 }
 
-// serve answers the request and returns the status that went out.
+// serve answers the request and returns the status that was sent.
 func (c *call) serve(r *http.Request) int {
 	refused := c.admit(r)
 	if refused != nil {
 		return c.refuse(refused)
 	}
 	if c.mayOutliveInstance() {
-		return c.refuse(notRun(ReasonShuttingDown, defaultRetryAfter)) // Before it waits for tokens.
+		return c.refuse(notRun(ReasonShuttingDown, defaultRetryAfter)) // Refused before it waits for tokens.
 	}
 	ctx, cancel := context.WithDeadline(r.Context(), c.deadline)
 	defer cancel()
@@ -143,17 +148,20 @@
 	return c.forward(ctx, r.Context())
 }
 
-// mayOutliveInstance says whether the request may last longer than this instance.
+// mayOutliveInstance reports whether the request's deadline is after the instance's
+// shutdown.
 //
-// Another instance serves it whole, where this one would cut it. Only near the end, since
-// most streams are shorter than their callers' patience. It is asked before each send: a
-// wait for tokens or for an endpoint that refuses takes it to the end.
+// Such a request is refused so that another instance serves it completely; this one would
+// cut it off. It applies only close to the shutdown, since most streams end long before
+// their deadline. The check is repeated before each send, because waiting for tokens or
+// for an endpoint that refuses uses up the time until the shutdown.
 func (c *call) mayOutliveInstance() bool {
 	shutdown := c.f.ShutdownTime()
 	return !shutdown.IsZero() && c.deadline.After(shutdown)
 }
 
-// admit reads the request and finds its route, organisation and service.
+// admit reads the request and determines its route, organisation, service and deadline.
+// It returns the refusal of a request that can't be served, else nil.
 func (c *call) admit(r *http.Request) *refusal {
 	c.config = c.f.State()
 	if c.config == nil {
@@ -185,10 +193,10 @@
 	return c.readBody(r)
 }
 
-// headerBytes is the size of a request's head as it came, near enough: the server
-// has parsed it.
+// headerBytes returns the approximate size in bytes of a request's first line and header.
+// The server has parsed them, so the exact size is unknown.
 func headerBytes(r *http.Request) int {
-	const separators = 4 // ": " and the line's end.
+	const separators = 4 // ": " and CRLF.
 	size := len(r.Method) + len(r.RequestURI) + len(r.Proto) + separators + len("Host") + len(r.Host) + separators
 	for name, values := range r.Header {
 		for _, value := range values {
@@ -198,7 +206,8 @@
 	return size
 }
 
-// callerTimeout is how long the caller may be kept waiting.
+// callerTimeout returns how long the request may take: the caller's timeout, at most that
+// of the route.
 func (c *call) callerTimeout() time.Duration {
 	timeout := c.Timeout
 	if timeout <= 0 {
@@ -210,8 +219,8 @@
 	return timeout
 }
 
-// readBody takes the whole body before anything is sent on, so that an attempt
-// can be repeated and no half request reaches an endpoint.
+// readBody reads the whole body before the request is sent, so that an attempt can be
+// retried and no endpoint receives an incomplete request.
 func (c *call) readBody(r *http.Request) *refusal {
 	limit := c.config.Limits.MaxBodyBytes
 	if limit <= 0 {
@@ -230,7 +239,8 @@
 	return nil
 }
 
-// reserve sets the request's tokens aside; nil if it needs none.
+// reserve reserves the request's tokens in its organisation's budget. The reservation is
+// nil if the request needs no tokens or the organisation has no budget.
 func (c *call) reserve(ctx context.Context) (Reservation, *refusal) {
 	tokens := c.PromptTokens + c.MaxOutputTokens
 	if c.org == nil || c.org.PrepaidTotal == nil || tokens <= 0 {
@@ -250,8 +260,9 @@
 	return reserved, nil
 }
 
-// budgetRetryAfter says when coming back helps a request without tokens: when those
-// that are held here are free, spread a little, else after some round trips.
+// budgetRetryAfter returns the retry delay for a request that got no tokens: until the
+// tokens held by this instance become free, plus a random delay, if that is known, else
+// long enough for other instances to return tokens.
 func budgetRetryAfter(err error) time.Duration {
 	var insufficient *prepaid.ShortError
 	if errors.As(err, &insufficient) {
@@ -260,9 +271,9 @@
 	return tokensRetryAfter
 }
 
-// chargedTokens is what a request costs its organisation: once the caller has had
-// anything, its prompt and the output that went to it. A run of which the
-// caller got nothing is not charged.
+// chargedTokens returns the tokens that the organisation is charged, at most limit: the
+// prompt and the output that was sent to the caller. A run of which the caller received
+// nothing is not charged.
 func (c *call) chargedTokens(limit int64) int64 {
 	if c.events == 0 {
 		return 0
@@ -274,8 +285,8 @@
 	return min(limit, c.PromptTokens+min(c.MaxOutputTokens, c.events*perEvent))
 }
 
-// forward sends the request to endpoints until there is a final answer.
-// caller ends when the caller leaves, ctx also at the deadline.
+// forward sends the request to endpoints until there is a final answer, and returns its
+// status. The context caller ends when the caller disconnects, ctx also at the deadline.
 func (c *call) forward(ctx, caller context.Context) int {
 	for {
 		if !c.mayHaveRun && c.mayOutliveInstance() {
@@ -292,12 +303,12 @@
 		switch {
 		case caller.Err() != nil:
 			c.abortDisconnected()
-		case ctx.Err() != nil || time.Until(c.deadline) < minSendTimeLeft:
+		case ctx.Err() != nil || time.Until(c.deadline) < minRetryTimeLeft:
 			return c.fail(ReasonTimeout, http.StatusGatewayTimeout, result)
 		case !c.mayRetry(result):
 			return c.fail(result.reason, http.StatusBadGateway, result)
 		case result.sent && !c.f.Retries.Allow(c.service, c.f.Clock()):
-			// A send that reached no endpoint is no load on any, and free.
+			// An attempt that could not connect puts no load on endpoints and uses no retry budget.
 			return c.fail(result.reason, http.StatusBadGateway, result)
 		case c.crashes >= maxCrashes || result.sent && c.checkQuarantine(ctx) != nil:
 			return c.fail(ReasonQuarantined, http.StatusBadGateway, result)
@@ -305,7 +316,7 @@
 	}
 }
 
-// checkQuarantine returns the refusal of a request that is not to be sent, else nil.
+// checkQuarantine returns the refusal of a quarantined request, or nil if it may be sent.
 func (c *call) checkQuarantine(ctx context.Context) *refusal {
 	var quarantined *quarantine.HeldError
 	if !errors.As(c.f.Quarantine.Admit(ctx, c.content()), &quarantined) {
@@ -315,7 +326,7 @@
 	return notRun(ReasonQuarantined, max(quarantined.After, tokensRetryAfter))
 }
 
-// mayRetry says whether the request may go to another endpoint.
+// mayRetry reports whether the request may be sent to another endpoint after result.
 func (c *call) mayRetry(result attemptResult) bool {
 	if result.noEndpoint || c.sentCount >= c.route.MaxEndpoints || c.attempts >= maxAttempts {
 		return false
@@ -329,8 +340,9 @@
 	return c.route.Repeat == route.Idempotent
 }
 
-// fail ends a request that has no answer: with the endpoint's own failure if
-// there is one, as not run if that is known, else with the status for unknown.
+// fail ends a request without a successful answer and returns the status sent. It aborts
+// an answer that has begun, refuses a request that has certainly not run as such, and
+// else passes on the endpoint's 5xx answer if there is one, or sends unknownStatus.
 func (c *call) fail(reason Reason, unknownStatus int, lastResult attemptResult) int {
 	switch {
 	case c.headerSent:
@@ -345,21 +357,23 @@
 	return c.refuse(&refusal{status: unknownStatus, reason: reason})
 }
 
+// refuse sends the refusal and returns its status.
 func (c *call) refuse(r *refusal) int {
 	c.reason = r.reason
 	r.write(c.w)
 	return r.status
 }
 
-// abortDisconnected ends a request whose caller is gone, by a cut: a caller that only shut
-// down its sending side still reads, and a handler that returns without a word
-// makes the server send an empty 200 that no endpoint gave.
+// abortDisconnected ends a request whose caller has disconnected by aborting the
+// connection. A caller that closed only its sending side still reads, and if the handler
+// returned normally the server would send it an empty 200 that no endpoint gave.
 func (c *call) abortDisconnected() {
 	c.reason = c.disconnectReason()
 	c.abort()
 }
 
-// disconnectReason tells a caller who left from one whose connection this instance closes.
+// disconnectReason tells a caller that disconnected from a connection that this instance
+// closed at the end of its drain.
 func (c *call) disconnectReason() Reason {
 	if c.f.IsForceClosing() {
 		return ReasonDrainTimeout
@@ -367,14 +381,16 @@
 	return ReasonCallerDisconnected
 }
 
-// abort cuts the answer so that it can't look complete.
+// abort closes the connection so that a partial answer can't be taken for a complete one.
 func (c *call) abort() { panic(http.ErrAbortHandler) }
 
-// content is what the request has in common with its repeats.
+// content returns the parts of the request by which the quarantine recognises it when it
+// is sent again.
 func (c *call) content() quarantine.Content {
 	return quarantine.Content{Organisation: c.team(), Method: c.Method, Host: c.Host, Target: c.Target, Body: c.body}
 }
 
+// team returns the name of the request's organisation, or "" if it has none.
 func (c *call) team() record.Team {
 	if c.org == nil {
 		return ""
--- a/internal/forward/log.go
+++ b/internal/forward/log.go
@@ -10,20 +10,20 @@
 	"guavapier/internal/quarantine"
 )
 
-// phase is what a request waits for, as its last line tells it.
+// phase is what a request is waiting for; its last value is logged when the request ends.
 type phase string
 
-// The phases.
+// Values of phase, in the order in which a request first reaches them.
 const (
 	phaseBody     phase = "body"
 	phaseTokens   phase = "tokens"
 	phaseEndpoint phase = "endpoint"
-	phaseCaller   phase = "caller" // It takes what the endpoint has sent.
+	phaseCaller   phase = "caller" // For the caller to read what the endpoint has sent.
 )
 
-// logAttempt writes the attempt's line: what chose the endpoint and how it
-// ended. Those that gave the final answer in time are the bulk, and only for
-// debugging.
+// logAttempt logs an attempt: the values by which the endpoint was selected and how the
+// attempt ended. Attempts that gave the final answer within the latency target are by far
+// the most and are logged at debug level only.
 func (c *call) logAttempt(ticket *placement.Ticket, result attemptResult, status int, start time.Time) {
 	level := zerolog.InfoLevel
 	if result.final && !c.isLate() {
@@ -42,28 +42,29 @@
 		Dur("took", time.Since(start)).AnErr("error", result.err).Msg("forward: attempt ended")
 }
 
-// logBudget writes what decided on the request's budget.
+// logBudget logs why no tokens were reserved, with the state of the organisation's budget.
 func (c *call) logBudget(tokens int64, err error) {
 	line := c.f.Log.Info()
 	if line == nil {
-		return // Lines come too fast; the budget need not be read.
+		return // The line is not logged, so the budget need not be read.
 	}
 	line.Str("request", c.ID).Str("team", string(c.org.Name)).Int64("tokens", tokens).Err(err).
 		Interface("budget", c.f.Budgets.Explain(c.org.Name)).Msg("forward: budget refused")
 }
 
-// logQuarantined writes why the request is held back.
+// logQuarantined logs why the request is quarantined.
 func (c *call) logQuarantined(quarantined *quarantine.HeldError) {
 	c.f.Log.Info().Str("request", c.ID).Str("team", string(c.team())).Stringer("content", quarantined.Fingerprint).
 		Int("ends", quarantined.Ends).Dur("after", quarantined.After).Msg("forward: request held back")
 }
 
-// isLate says whether the answer began after its route's target.
+// isLate reports whether the answer began later than its route's latency target.
 func (c *call) isLate() bool {
 	return c.route != nil && c.route.LatencyTarget > 0 && c.timeToHeader > c.route.LatencyTarget
 }
 
-// recordEnd writes the request's line.
+// recordEnd reports the ended request to the metrics and logs it. A status of 0 means that
+// the connection was aborted.
 func (c *call) recordEnd(status int) {
 	took := time.Since(c.start)
 	name := ""
@@ -86,6 +87,8 @@
 		Int64("prompt", c.PromptTokens).Int64("state", c.stateVersion()).Msg("forward: request ended")
 }
 
+// stateVersion returns the version of the desired state that the request was served with,
+// or 0 if there was none.
 func (c *call) stateVersion() int64 {
 	if c.config == nil {
 		return 0
--- a/internal/forward/size.go
+++ b/internal/forward/size.go
@@ -2,15 +2,16 @@
 
 import "time"
 
-// smallPromptShare and mediumPromptShare are the parts of a route's target up to which
-// reading a prompt counts as small and as middling.
+// A prompt is small or medium if reading it takes at most smallPromptShare or
+// mediumPromptShare of the route's latency target.
 const smallPromptShare, mediumPromptShare = 0.2, 0.66
 
-// promptSizeClass is a request's size for its endpoint's queue: 0, 1 or 2, by how long its
-// prompt takes to read against the route's target for the first token.
+// promptSizeClass returns the size class of a prompt in an endpoint's queue: 0 for small,
+// 1 for medium and 2 for large, by the time to read it relative to the route's latency
+// target for the first token. Without a target every prompt is small.
 //
-// Lengths differ a hundredfold: a short prompt must not be late behind a long one, which
-// is late anyway or has time.
+// Prompt lengths differ by a factor of a hundred. A short prompt must not miss the target
+// because it waits behind a long one, which either misses it anyway or has time left.
 func promptSizeClass(readTime, target time.Duration) int {
 	switch {
 	case target <= 0 || float64(readTime) <= smallPromptShare*float64(target):
--- a/internal/forward/size_test.go
+++ b/internal/forward/size_test.go
@@ -7,17 +7,18 @@
 	"time"
 )
 
-// prompt is a request at an endpoint that reads one prompt at a time.
+// prompt is a request in the queue of an endpoint that reads one prompt at a time.
 type prompt struct {
 	arrival, readTime time.Duration
 	urgency           int
 }
 
-// queueResult is what callers got.
+// queueResult counts prompts by when their first token came, relative to the latency target
+// and the callers' timeout.
 type queueResult struct{ inTime, late, lost, longLost, long int }
 
-// simulateQueue has an endpoint read prompts by level, then by arrival, and counts
-// the first tokens within the target and the callers that left.
+// simulateQueue simulates an endpoint that reads prompts by urgency and then by arrival. It
+// counts the first tokens within the target, the later ones, and the callers that timed out.
 func simulateQueue(prompts []prompt, target, patience time.Duration) (out queueResult) {
 	var waiting []prompt
 	now := time.Duration(0)
@@ -59,8 +60,9 @@
 	}
 }
 
-// mixedPrompts draws prompts whose lengths spread like documents do, so that the
-// endpoint is busy for that share of the time.
+// mixedPrompts returns random prompts with exponential inter-arrival times and log-normal
+// read times, as document lengths are distributed. The endpoint is busy for the share of
+// the time that load gives.
 func mixedPrompts(count int, load float64) []prompt {
 	const mean, spread = float64(25 * time.Millisecond), 1.0
 	rng := rand.New(rand.NewPCG(1, 2))
@@ -74,10 +76,10 @@
 	return prompts
 }
 
-// At 70 % and 85 % of what an endpoint can read, sizes as levels of urgency bring
-// more first tokens in time than arrival alone: 2,583 and 7,083 of 20,000 are late
-// by arrival, 1,067 and 1,721 by size. Long prompts, which may not starve, are
-// lost in less than one of a hundred.
+// At 70 % and 85 % load, serving prompts by size class gives more first tokens within the
+// target than serving them by arrival: of 20,000, 2,583 and 7,083 are late by arrival, and
+// 1,067 and 1,721 by size class. Long prompts must not starve: only they may time out, and
+// at most one of a hundred.
 func TestShortPromptsFirstBringsMoreInTime(t *testing.T) {
 	const target, patience = 250 * time.Millisecond, 5 * time.Second
 	for _, load := range []float64{0.7, 0.85} {
@@ -87,18 +89,18 @@
 			prompts[i].urgency = promptSizeClass(prompts[i].readTime, target)
 		}
 		after := simulateQueue(prompts, target, patience)
-		t.Logf("at %.0f %%: by arrival %+v, by size %+v", 100*load, before, after)
+		t.Logf("at %.0f %% load: by arrival %+v, by size class %+v", 100*load, before, after)
 		if after.inTime <= before.inTime {
-			t.Errorf("at %.0f %%: %d in time, %d by arrival", 100*load, after.inTime, before.inTime)
+			t.Errorf("at %.0f %% load: %d first tokens in time by size class, %d by arrival", 100*load, after.inTime, before.inTime)
 		}
 		if after.lost != after.longLost || 100*after.longLost > after.long {
-			t.Errorf("at %.0f %%: %d callers left, %d of %d with long prompts", 100*load, after.lost, after.longLost, after.long)
+			t.Errorf("at %.0f %% load: %d prompts timed out, among them %d of %d long ones; want only long ones, at most 1 %%", 100*load, after.lost, after.longLost, after.long)
 		}
 	}
 }
 
-// In a burst of 5 s at 130 % of what an endpoint can read long prompts wait for
-// their turn, and all get it while their callers wait.
+// Guards against starvation of long prompts: in a burst of 5 s at 130 % load all of them
+// are read before their callers time out.
 func TestLongPromptsAreNotShutOut(t *testing.T) {
 	const target, patience = 250 * time.Millisecond, 5 * time.Second
 	prompts := mixedPrompts(260, 1.3)
@@ -106,7 +108,7 @@
 		prompts[i].urgency = promptSizeClass(prompts[i].readTime, target)
 	}
 	if got := simulateQueue(prompts, target, patience); got.longLost > 0 {
-		t.Errorf("%d of %d long prompts lost: %+v", got.longLost, got.long, got)
+		t.Errorf("%d of %d long prompts timed out: %+v", got.longLost, got.long, got)
 	}
 }
 
@@ -123,7 +125,7 @@
 		{150 * time.Millisecond, 200 * time.Millisecond, 2},
 	} {
 		if got := promptSizeClass(c.work, c.target); got != c.want {
-			t.Errorf("%s against %s: %d, want %d", c.work, c.target, got, c.want)
+			t.Errorf("size class of a prompt read in %s with target %s is %d, want %d", c.work, c.target, got, c.want)
 		}
 	}
 }
--- a/internal/forward/stream.go
+++ b/internal/forward/stream.go
@@ -12,15 +12,15 @@
 	"guavapier/internal/upstream"
 )
 
-// maxEventBytes bounds one event of a stream.
+// maxEventBytes bounds one event of a stream, since an event is buffered until complete.
 const maxEventBytes = 1 << 20
 
-// errEventTooLarge says that an event is larger than maxEvent.
-var errEventTooLarge = errors.New("forward: event too large")
+// errEventTooLarge is returned for a stream event larger than maxEventBytes.
+var errEventTooLarge = errors.New("forward: stream event exceeds the maximum size")
 
-// forwardStream passes a forwardStream's events on as they come, whole ones only: a forwardStream
-// that breaks off can then be resumed behind the last one. It ends as complete
-// only if the endpoint's answer did.
+// forwardStream passes a stream's events on to the caller as they arrive. Only complete
+// events are sent, so that a stream that breaks off can be resumed after the last one. The
+// result is final only if the endpoint's answer ended properly.
 func (c *call) forwardStream(ctx context.Context, a *upstream.Answer) attemptResult {
 	events := bufio.NewReader(a.Body)
 	for {
@@ -40,6 +40,7 @@
 	}
 }
 
+// streamErrorReason returns why reading the endpoint's stream failed.
 func streamErrorReason(ctx context.Context) Reason {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return ReasonTimeout
@@ -47,7 +48,8 @@
 	return ReasonAnswerFailed
 }
 
-// sendHeader sends the answer's head, once: a resumed stream keeps the first one.
+// sendHeader sends the answer's status and header unless they have been sent: a stream that
+// is resumed at another endpoint continues the first answer.
 func (c *call) sendHeader(a *upstream.Answer) {
 	if c.headerSent {
 		return
@@ -58,7 +60,7 @@
 	c.w.WriteHeader(a.Status)
 }
 
-// writeEvent sends one event at once and says whether the caller still takes it.
+// writeEvent sends one event without delay and reports whether the write succeeded.
 func (c *call) writeEvent(event []byte) bool {
 	c.phase = phaseCaller
 	c.events++ // Charged even if the write fails: it may have arrived.
@@ -75,10 +77,12 @@
 	return true
 }
 
+// flush sends what is buffered for the caller; errors are ignored.
 func (c *call) flush() { _ = http.NewResponseController(c.w).Flush() }
 
-// readEvent reads up to the empty line that ends an event. At the stream's end
-// it returns io.EOF with whatever is left.
+// readEvent reads one event including the empty line that ends it. It returns io.EOF at the
+// end of the stream, io.ErrUnexpectedEOF if the stream ends within an event, and
+// errEventTooLarge for an event larger than maxEventBytes.
 func readEvent(r *bufio.Reader) ([]byte, error) {
 	var event []byte
 	for {
@@ -105,9 +109,10 @@
 	}
 }
 
+// isBlank reports whether a line holds nothing but its line break.
 func isBlank(line []byte) bool { return len(bytes.TrimRight(line, "\r\n")) == 0 }
 
-// eventID returns the identity that an event carries, or "".
+// eventID returns the value of an event's id field, or "" if it has none.
 func eventID(event []byte) string {
 	for line := range bytes.Lines(event) {
 		if value, ok := bytes.CutPrefix(line, []byte("id:")); ok {
--- a/internal/forward/types.go
+++ b/internal/forward/types.go
@@ -1,11 +1,11 @@
-// Package forward takes one opaque request from a caller's connection to its
-// final answer: route, key, budget, placement, attempts, stream. Names of
-// headers that are not HTTP's own are the Codec's.
+// Package forward serves one caller's request from its arrival to the final answer: it
+// matches the route, checks the key, reserves tokens, selects an endpoint, retries and
+// streams the answer. The request's content is opaque to it, and a Codec translates the
+// header fields that HTTP does not define.
 //
-// An outcome is one of three. Answered: the endpoint's answer, unchanged. Not
-// run: a status that promises that the request has not run and never will.
-// Unknown: it may have run. "Not run" is said only where no attempt can have
-// run.
+// A request has one of three outcomes. Answered: the caller receives the endpoint's answer
+// unchanged. Not run: the status promises that the request has not run and never will.
+// Unknown: the request may have run. "Not run" is reported only if no attempt can have run.
 package forward
 
 import (
@@ -19,80 +19,89 @@
 	"guavapier/internal/record"
 )
 
-// Request is a caller's request as the Codec reads its head.
+// Request is a caller's request line and header, as decoded by the Codec.
 type Request struct {
 	ID     string
 	Method string
-	Target string // Path and query, as they came.
+	Target string // Path and query, as received.
 	Path   string
 	Host   string
-	// Header is what goes on to the endpoint but for what the Codec adds.
+	// Header is forwarded to the endpoint, together with the fields that the Codec adds
+	// for an attempt.
 	Header http.Header
-	Key    string
-	// Timeout is how long the caller waits; 0 if it does not say.
+	Key    string // The caller's API key; "" for none.
+	// Timeout is how long the caller waits; 0 if not stated.
 	Timeout time.Duration
-	Model   string
-	// PromptTokens and MaxOutput size a model request; 0 for a plain one.
+	Model   string // Name of the model; "" if not stated.
+	// PromptTokens and MaxOutputTokens are the size of a request to a model; both are 0
+	// for other requests.
 	PromptTokens    int64
 	MaxOutputTokens int64
-	PromptParts     []placement.Part
-	// LastEventID is the identity of the last event that the caller has of a
-	// stream that it resumes.
+	// PromptParts are the consecutive parts of the prompt that endpoints may have cached.
+	PromptParts []placement.Part
+	// LastEventID is the ID of the last event that the caller received of the stream that
+	// it resumes; "" for none.
 	LastEventID string
 }
 
-// Attempt is one send of a request to an endpoint.
+// Attempt holds what the Codec adds to a request when it is sent to an endpoint.
 type Attempt struct {
-	Endpoint     string // Its identity; any other endpoint is to refuse.
+	Endpoint     string // ID of the endpoint; any other one must refuse the request.
 	Organisation record.Team
-	// Timeout is how long the endpoint may work.
+	// Timeout is how long the endpoint may work on the request.
 	Timeout time.Duration
-	// FetchFrom is the address of an endpoint from which this one is to get what
-	// it lacks of the prompt; "" for none.
+	// FetchFrom is the address of another endpoint from which this one should fetch the
+	// cached parts of the prompt that it lacks; "" for none.
 	FetchFrom string
-	// Urgency is below route.UrgencyLevels, 0 first.
+	// Urgency is from 0, served first, to route.UrgencyLevels-1.
 	Urgency int
-	// LastEventID is the last event that the caller has; "" for none.
+	// LastEventID is the ID of the last event that the caller received; "" for none.
 	LastEventID string
 }
 
-// Reply is what the head of an endpoint's answer says.
+// Reply is the part of an endpoint's status and header that the Codec decodes.
 type Reply struct {
-	RequestID string // "" if it does not say.
-	// NotRun says that the endpoint did not run the request.
+	RequestID string // ID of the request that was answered; "" if not stated.
+	// NotRun reports whether the endpoint states that it has not run the request.
 	NotRun bool
-	// Signed says that the answer carries the endpoint's signature.
+	// Signed reports whether the answer carries the endpoint's signature; the signature is
+	// not verified.
 	Signed bool
 }
 
-// Codec names what is not HTTP's own.
+// Codec translates the header fields that HTTP does not define.
 type Codec interface {
+	// Request decodes a caller's request line and header. An error means that they are
+	// malformed.
 	Request(r *http.Request) (Request, error)
+	// Attempt returns the header to send to an endpoint.
 	Attempt(r *Request, a Attempt) http.Header
+	// Reply decodes the status and header of an endpoint's answer.
 	Reply(status int, h http.Header) Reply
 }
 
-// Reservation is a request's part of its organisation's budget.
+// Reservation is a number of tokens reserved for a request in its organisation's budget.
 type Reservation interface {
 	Tokens() int64
+	// Settle ends the reservation: used tokens are spent and the others returned.
 	Settle(used int64)
 }
 
-// Budgets reserve tokens.
+// Budgets reserves tokens in the organisations' budgets.
 type Budgets interface {
 	// Reserve fails with prepaid.ErrExhausted or prepaid.ErrShort.
 	Reserve(ctx context.Context, team record.Team, tokens int64) (Reservation, error)
-	// Explain returns what decides on the team's budget at the moment.
+	// Explain returns the current state of the team's budget, for the log.
 	Explain(team record.Team) prepaid.Balance
 }
 
-// Quarantine keeps back requests under which endpoints end.
+// Quarantine rejects requests that crashed the endpoints serving them.
 type Quarantine interface {
-	// Admit fails with a quarantine.HeldError where the request may not be sent.
+	// Admit fails with a quarantine.HeldError if the request must not be sent.
 	Admit(ctx context.Context, c quarantine.Content) error
-	// Broke tells that the connection to an endpoint broke with the request under way
-	// there for that long, and returns whether the endpoint is gone.
+	// Broke records that the connection to an endpoint broke after it had served the
+	// request for the given duration, and reports whether the endpoint is gone.
 	Broke(ctx context.Context, c quarantine.Content, endpoint, address string, duration time.Duration) (gone bool)
-	// Answered tells that an endpoint has answered the request.
+	// Answered records that an endpoint has answered the request.
 	Answered(c quarantine.Content)
 }
