--- a/internal/route/config.go
+++ b/internal/route/config.go
@@ -9,18 +9,18 @@
 	"guavapier/internal/record"
 )
 
-// Config is a State compiled for look-ups. It is immutable.
+// Config is a State with indexes for look-ups. It is immutable.
 type Config struct {
 	State
-	routesByHost        map[string][]*Route // By host, the longest prefix first.
+	routesByHost        map[string][]*Route // By host in lower case, the longest path prefix first.
 	servicesByName      map[string]*Service
 	organisationsByKey  map[string]*Organisation
 	organisationsByName map[record.Team]*Organisation
-	// priorities are all that requests can have, the most urgent first.
+	// priorities are the distinct priorities that requests can have, the most urgent first.
 	priorities []int
 }
 
-// Compile builds the look-up tables of a State.
+// Compile returns the Config of a State. The State's slices must not be changed afterwards.
 func Compile(s State) *Config {
 	c := &Config{
 		State: s, routesByHost: map[string][]*Route{}, servicesByName: map[string]*Service{},
@@ -47,8 +47,8 @@
 	return c
 }
 
-// Match returns the route with the longest prefix of the path among those of
-// the host, or nil. A port in host is ignored.
+// Match returns the route of the host with the longest prefix of the path, or nil if none
+// matches. The host's case and port are ignored.
 func (c *Config) Match(host, path string) *Route {
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
@@ -67,7 +67,7 @@
 // Organisation returns the organisation of that name, or nil.
 func (c *Config) Organisation(name record.Team) *Organisation { return c.organisationsByName[name] }
 
-// OrganisationByKey returns the organisation that holds the key, or nil.
+// OrganisationByKey returns the organisation that the API key belongs to, or nil.
 func (c *Config) OrganisationByKey(key string) *Organisation {
 	if key == "" {
 		return nil
@@ -75,16 +75,17 @@
 	return c.organisationsByKey[key]
 }
 
-// NeedsKey says whether a request of the route must carry a known key.
+// NeedsKey reports whether the route's requests must carry a known API key. Public routes
+// don't need one, and neither do any routes while there are no organisations.
 func (c *Config) NeedsKey(r *Route) bool { return !r.Public && len(c.Organisations) > 0 }
 
-// AllowsService says whether requests of the route may run at the service.
+// AllowsService reports whether the service is a backend of the route with a weight above 0.
 func (r *Route) AllowsService(service string) bool {
 	return slices.ContainsFunc(r.Backends, func(b Backend) bool { return b.Service == service && b.Weight > 0 })
 }
 
-// PickService returns the service for a draw in [0, 1), by weight; "" if the route
-// has no service with a weight.
+// PickService selects one of the route's services in proportion to their weights, given a
+// random number in [0, 1). It returns "" if no service has a weight above 0.
 func (r *Route) PickService(draw float64) string {
 	total := 0
 	for _, b := range r.Backends {
@@ -100,8 +101,8 @@
 	return ""
 }
 
-// EffectivePriority returns the organisation's priority if it has one, else
-// the route's.
+// EffectivePriority returns the priority of an organisation's requests on the route: the
+// organisation's if it has one, else the route's. org may be nil.
 func EffectivePriority(r *Route, org *Organisation) int {
 	if org != nil && org.Priority != nil {
 		return *org.Priority
--- a/internal/route/config_test.go
+++ b/internal/route/config_test.go
@@ -6,6 +6,8 @@
 	"guavapier/internal/route"
 )
 
+// newTestConfig returns a Config with four routes on two hosts and two organisations, the
+// first of which has a priority.
 func newTestConfig() *route.Config {
 	priority := 0
 	return route.Compile(route.State{
@@ -32,7 +34,7 @@
 			got = r.Name
 		}
 		if got != test.want {
-			t.Errorf("%s%s matches %q, want %q", test.host, test.path, got, test.want)
+			t.Errorf("host %q, path %q matches route %q, want %q", test.host, test.path, got, test.want)
 		}
 	}
 }
@@ -41,14 +43,14 @@
 	deep := newTestConfig().Match("a.example", "/x/y/")
 	for draw, want := range map[float64]string{0: "s", 0.89: "s", 0.91: "t", 0.999: "t"} {
 		if got := deep.PickService(draw); got != want {
-			t.Errorf("%g picks %q, want %q", draw, got, want)
+			t.Errorf("random number %g selects service %q, want %q", draw, got, want)
 		}
 	}
 	if !deep.AllowsService("t") || deep.AllowsService("u") || deep.AllowsService("v") {
-		t.Error("a service without weight is allowed, or one with weight is not")
+		t.Error("AllowsService allows a service without weight or refuses one with weight")
 	}
 	if got := (&route.Route{}).PickService(0.5); got != "" {
-		t.Errorf("a route without services picks %q", got)
+		t.Errorf("a route without services selects %q, want none", got)
 	}
 }
 
@@ -56,13 +58,13 @@
 	c := newTestConfig()
 	o, p := c.OrganisationByKey("k2"), c.OrganisationByKey("k3")
 	if o.Name != "o" || p.Name != "p" || c.OrganisationByKey("") != nil || c.OrganisationByKey("k4") != nil {
-		t.Error("keys")
+		t.Error("a key is mapped to the wrong organisation, or an unknown key to any")
 	}
 	all, x := c.Match("a.example", "/"), c.Match("a.example", "/x/")
 	if !c.NeedsKey(all) || c.NeedsKey(x) || route.Compile(route.State{}).NeedsKey(all) {
-		t.Error("which routes need a key")
+		t.Error("NeedsKey is wrong for a private route, a public route or a state without organisations")
 	}
 	if route.EffectivePriority(all, o) != 0 || route.EffectivePriority(all, p) != 2 || route.EffectivePriority(all, nil) != 2 {
-		t.Error("the organisation's priority goes first")
+		t.Error("the organisation's priority does not override the route's, or the route's does not apply without one")
 	}
 }
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -1,7 +1,7 @@
-// Package route holds the desired state that operators publish for the fleet:
-// routes, services, organisations and limits. It finds the route and the
-// organisation of a request. It does no input or output, and a Config is never
-// changed after Compile: readers share it without locks.
+// Package route represents the desired state that operators publish for the fleet: routes,
+// services, organisations and limits. A Config looks up the route and the organisation of a
+// request. It never changes after Compile, so readers share it without locks. The package
+// does no I/O.
 package route
 
 import (
@@ -10,73 +10,79 @@
 	"guavapier/internal/record"
 )
 
-// RepeatPolicy says what a failed request's instance may do with it.
+// RepeatPolicy states whether a request that may have run may be sent again.
 type RepeatPolicy uint8
 
 const (
-	// AtMostOnce requests run once at most.
+	// AtMostOnce requests must not run more than once.
 	AtMostOnce RepeatPolicy = iota
-	// Idempotent requests may run again.
+	// Idempotent requests may run several times.
 	Idempotent
 )
 
-// Route sends the requests of one host and path prefix to services.
+// Route assigns the requests of one host and path prefix to services.
 type Route struct {
 	Name   string
-	Host   string
-	Prefix string // Begins and ends with a slash.
-	// Backends are the services that share the route's requests by weight.
+	Host   string // Without a port; case doesn't matter.
+	Prefix string // Path prefix; begins and ends with a slash.
+	// Backends are the services among which the route's requests are divided by weight.
 	Backends []Backend
 	Repeat   RepeatPolicy
-	// Streams says that answers are event streams, measured to the first event.
+	// Streams reports whether answers are event streams, whose latency is measured to the
+	// first event.
 	Streams bool
-	// Resumable streams go on at another endpoint after the last event that
-	// the caller has.
+	// Resumable reports whether a stream that breaks off may be continued by another
+	// endpoint after the last event that the caller received.
 	Resumable bool
-	// Timeout is the longest that a caller is kept waiting for the whole answer.
+	// Timeout bounds the time to the end of the answer; 0 for no bound but the caller's.
 	Timeout time.Duration
-	// LatencyTarget is the time within which an answer (a stream's first event) is on time.
+	// LatencyTarget is the time within which an answer should begin; for a stream, its first
+	// event. 0 for no target.
 	LatencyTarget time.Duration
-	// MaxEventGap is the longest pause between two events of a stream on time.
+	// MaxEventGap is the longest time that should pass between two events of a stream.
 	MaxEventGap time.Duration
-	// Priority orders requests; 0 goes first.
+	// Priority orders requests in endpoints' queues; 0 is served first.
 	Priority int
-	// MaxEndpoints is how many endpoints one request may be sent to.
+	// MaxEndpoints is the number of endpoints that one request may be sent to.
 	MaxEndpoints int
-	// Public routes need no key.
+	// Public reports whether requests need no API key and are not charged to an
+	// organisation.
 	Public bool
 }
 
-// Backend is one service of a route.
+// Backend is a service of a route with its share of the requests.
 type Backend struct {
 	Service string
-	Weight  int
+	Weight  int // Relative to the route's other backends; 0 or less for no requests.
 }
 
-// Service is a set of endpoints.
+// Service is a set of interchangeable endpoints.
 type Service struct {
 	Name string
-	// MaxConnections bounds the connections of all callers to one endpoint.
+	// MaxConnections bounds the connections to one endpoint, of all callers together.
 	MaxConnections int
-	// Slots is how many requests a model endpoint runs at once; 0 for a plain service.
+	// Slots is the number of requests that an endpoint of a model runs at once; 0 for a
+	// service without a model.
 	Slots int
-	// TokensPerEvent is how many output tokens one event of a stream holds at most.
+	// TokensPerEvent is the maximum number of output tokens in one event of a stream; 0
+	// counts as 1.
 	TokensPerEvent int64
 }
 
-// Organisation is a customer with its keys and budget.
+// Organisation is a customer with its API keys and budget.
 type Organisation struct {
 	Name record.Team
 	Keys []string
-	// Priority goes before the route's; nil where none is set.
+	// Priority overrides the route's; nil if not set.
 	Priority *int
-	// PrepaidTotal is the total of tokens that may be spent; nil for no budget.
+	// PrepaidTotal is the number of tokens that may be spent in total; nil for no budget.
 	PrepaidTotal *int64
 }
 
-// Limits bound what a caller may send and how long its connection may idle.
+// Limits bounds what a caller may send and how long its connection may take or idle. A value
+// of 0 means that the limit is not set.
 type Limits struct {
-	MaxHeaderBytes int
+	MaxHeaderBytes int // Request line and header.
 	MaxBodyBytes   int64
 	HeaderTimeout  time.Duration
 	IdleTimeout    time.Duration
--- a/internal/route/urgency.go
+++ b/internal/route/urgency.go
@@ -2,10 +2,12 @@
 
 import "slices"
 
-// UrgencyLevels is how many levels of urgency endpoints tell apart, 0 first.
+// UrgencyLevels is the number of urgency levels that endpoints distinguish. Level 0 is
+// served first.
 const UrgencyLevels = 10
 
-// distinctPriorities lists the priorities that a state gives to requests, in order.
+// distinctPriorities returns the priorities of a state's routes and organisations, sorted
+// and without duplicates.
 func distinctPriorities(s State) []int {
 	var list []int
 	for i := range s.Routes {
@@ -20,10 +22,11 @@
 	return slices.Compact(list)
 }
 
-// Urgency returns the level of a request among those that endpoints tell apart:
-// by its effective priority, and within it by size, 0 the smallest. Sizes share
-// the levels that the state's priorities leave; none is put behind the next
-// priority.
+// Urgency returns the urgency level, from 0 to UrgencyLevels-1, of a request with the given
+// size class, 0 being the smallest. Requests are ordered by effective priority, and those of
+// one priority by size class. The levels are divided evenly among the state's priorities;
+// size classes for which a priority has no levels left share its last one. With more than
+// UrgencyLevels priorities, the least urgent ones share the last level.
 func (c *Config) Urgency(r *Route, org *Organisation, size int) int {
 	rank, _ := slices.BinarySearch(c.priorities, EffectivePriority(r, org))
 	levelsPerPriority := max(1, UrgencyLevels/max(1, len(c.priorities)))
--- a/internal/route/urgency_test.go
+++ b/internal/route/urgency_test.go
@@ -8,6 +8,7 @@
 	"guavapier/internal/route"
 )
 
+// newState returns a State with one route and one organisation for each given priority.
 func newState(routes []int, organisations []int) route.State {
 	var s route.State
 	for _, p := range routes {
@@ -19,9 +20,9 @@
 	return s
 }
 
-// Whatever priorities a state has, a size never puts a request behind one of the
-// next priority, levels stay within what endpoints know, and with up to three
-// priorities three sizes are told apart.
+// Checks for random priorities that a size class never puts a request at or behind the level
+// of the next priority, that levels are in range, and that with up to three priorities the
+// three size classes have different levels.
 func TestPrioritiesGoBeforeSizes(t *testing.T) {
 	priority := rapid.IntRange(0, 9)
 	rapid.Check(t, func(t *rapid.T) {
@@ -36,16 +37,16 @@
 		for size := range 3 {
 			level := c.Urgency(a, nil, size)
 			if level < 0 || level >= route.UrgencyLevels {
-				t.Fatalf("level %d", level)
+				t.Fatalf("urgency level %d is out of range", level)
 			}
 			for other := range 3 {
 				if a.Priority < b.Priority && level >= c.Urgency(b, nil, other) {
-					t.Fatalf("priority %d size %d has level %d, priority %d size %d has %d",
+					t.Fatalf("priority %d, size class %d has level %d, not before priority %d, size class %d with level %d",
 						a.Priority, size, level, b.Priority, other, c.Urgency(b, nil, other))
 				}
 			}
 			if size > 0 && len(distinct) <= 3 && level <= c.Urgency(a, nil, size-1) {
-				t.Fatalf("sizes %d and %d are not told apart", size-1, size)
+				t.Fatalf("size classes %d and %d are not in separate levels", size-1, size)
 			}
 		}
 	})
@@ -55,9 +56,9 @@
 	c := route.Compile(newState([]int{4, 7}, []int{2}))
 	org := &c.Organisations[0]
 	if got, want := c.Urgency(&c.Routes[1], org, 0), 0; got != want {
-		t.Errorf("level %d, want %d", got, want)
+		t.Errorf("with the organisation's priority: level %d, want %d", got, want)
 	}
 	if got, want := c.Urgency(&c.Routes[0], nil, 1), 4; got != want {
-		t.Errorf("level %d, want %d", got, want)
+		t.Errorf("with the route's priority: level %d, want %d", got, want)
 	}
 }
