--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -25,8 +25,8 @@
 	defaultCallerTimeout = 30 * time.Second
 	// defaultMaxBodyBytes bounds a request body if the desired state sets no limit.
 	defaultMaxBodyBytes = 4 << 20
-	// maxBufferedAnswerBytes bounds an answer that is read into memory before it is
-	// passed on.
+	// maxBufferedAnswerBytes bounds the body of an answer that is read into memory before
+	// it is passed on. Longer bodies are truncated.
 	maxBufferedAnswerBytes = 16 << 20
 	// maxAttempts bounds the endpoints tried for one request, including unreachable
 	// ones. If one of four availability zones is cut off, 1 of 250 requests would find
