--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -15,72 +15,75 @@
 	"guavapier/internal/upstream"
 )
 
-// attemptResult is how one attempt ended, if not with the final answer.
+// attemptResult is the outcome of one attempt: the final answer, or the reason why
+// there is none.
 type attemptResult struct {
 	final  bool
-	status int // Of the final answer.
+	status int // HTTP status of the final answer; set if final.
 	reason Reason
-	// sent says that an endpoint was sent the request.
+	// sent reports whether the request was sent to an endpoint.
 	sent bool
-	// none says that there was no endpoint to send it to.
-	none bool
-	// failure is the endpoint's own failing answer, held whole.
-	failure *whole
-	// err is what ended the connection under way, or kept it from being made.
+	// noEndpoint reports whether no endpoint was available.
+	noEndpoint bool
+	// failure is the endpoint's complete answer if its status was 5xx.
+	failure *bufferedAnswer
+	// err is the error that broke the connection or prevented it.
 	err error
 }
 
-// whole is an answer that has been read to its end.
-type whole struct {
+// bufferedAnswer is an endpoint's answer with its whole body in memory.
+type bufferedAnswer struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-func done(status int) attemptResult { return attemptResult{final: true, status: status} }
+// finalResult returns the result of an attempt whose answer went to the caller.
+func finalResult(status int) attemptResult { return attemptResult{final: true, status: status} }
 
-// mostEnded is how many endpoints may end under one request's own attempts: one is bad
-// luck, and the request may come again.
-const mostEnded = 2
+// maxCrashes is the number of endpoints that may crash while serving the attempts of
+// one request before it is given up. A single crash can be a coincidence, so the request
+// is retried after it.
+const maxCrashes = 2
 
-// slowAnswer is the multiple of a route's target after which an attempt of an
-// idempotent request is given up for another endpoint, and slowAnswerLeast its
-// floor. An endpoint that went dark answers nothing; one in a queue answers
-// within a few targets.
+// An attempt of an idempotent request is given up for another endpoint after
+// attemptTimeoutFactor times the route's latency target, but not before
+// minAttemptTimeout. An endpoint that is unreachable never answers; one with a queue
+// answers within a few times the target.
 const (
-	slowAnswer      = 3
-	slowAnswerLeast = 250 * time.Millisecond
+	attemptTimeoutFactor = 3
+	minAttemptTimeout    = 250 * time.Millisecond
 )
 
-// attempt places the request and sends it to one endpoint.
+// attempt selects one endpoint, sends it the request and passes on its answer.
 func (c *call) attempt(ctx context.Context) attemptResult {
-	ticket := c.f.Endpoints.Place(placement.Query{
-		Service: c.service, Zone: c.f.Zone, Parts: c.Parts, Exclude: c.tried,
+	assignment := c.f.Endpoints.Place(placement.Query{
+		Service: c.service, Zone: c.f.Zone, Parts: c.PromptParts, Exclude: c.tried,
 	}, c.f.Clock())
-	if ticket == nil {
-		return attemptResult{reason: ReasonNoEndpoint, none: true}
+	if assignment == nil {
+		return attemptResult{reason: ReasonNoEndpoint, noEndpoint: true}
 	}
 	c.attempts++
-	c.endpoint = ticket.Endpoint.ID
-	c.f.Placed(ticket)
+	c.endpoint = assignment.Endpoint.ID
+	c.f.OnPlaced(assignment)
 	c.phase = phaseEndpoint
-	outcome, began := placement.Failed, time.Now()
-	defer func() { ticket.Done(outcome, c.f.Clock()) }()
-	ctx, cancel := c.bound(ctx)
+	outcome, start := placement.Failed, time.Now()
+	defer func() { assignment.Done(outcome, c.f.Clock()) }()
+	ctx, cancel := c.withAttemptTimeout(ctx)
 	defer cancel()
-	answer, err := c.f.Pool.Send(ctx, ticket.Endpoint.ID, ticket.Endpoint.Address, c.outgoing(ticket))
+	answer, err := c.f.Pool.Send(ctx, assignment.Endpoint.ID, assignment.Endpoint.Address, c.outgoing(assignment))
 	if err != nil {
-		result := c.unanswered(ctx, err, &outcome)
-		c.logAttempt(ticket, result, 0, began)
-		c.learn(ctx, ticket, result, began)
+		result := c.handleSendError(ctx, err, &outcome)
+		c.logAttempt(assignment, result, 0, start)
+		c.updateQuarantine(ctx, assignment, result, start)
 		return result
 	}
 	defer answer.Close()
-	ticket.OnAnswerStart(c.f.Clock(), isSuccess(answer.Status))
-	result := c.take(ctx, answer)
-	c.logAttempt(ticket, result, answer.Status, began)
-	c.learn(ctx, ticket, result, began)
-	if result.final || result.reason == ReasonCallerLeft {
+	assignment.OnAnswerStart(c.f.Clock(), isSuccess(answer.Status))
+	result := c.handleAnswer(ctx, answer)
+	c.logAttempt(assignment, result, answer.Status, start)
+	c.updateQuarantine(ctx, assignment, result, start)
+	if result.final || result.reason == ReasonCallerDisconnected {
 		outcome = placement.Answered
 	}
 	if ctx.Err() != nil && errors.Is(context.Cause(ctx), context.Canceled) {
@@ -89,46 +92,48 @@
 	return result
 }
 
-// learn tells the quarantine what the attempt says of the request.
-func (c *call) learn(ctx context.Context, k *placement.Assignment, r attemptResult, began time.Time) {
+// updateQuarantine reports to the quarantine that the request was answered, or that the
+// connection broke while an endpoint was serving it.
+func (c *call) updateQuarantine(ctx context.Context, assignment *placement.Assignment, result attemptResult, start time.Time) {
 	switch {
-	case r.final:
+	case result.final:
 		c.f.Quarantine.Answered(c.content())
-	case r.sent && r.reason == ReasonBroken && r.err != nil && ctx.Err() == nil:
-		if c.f.Quarantine.Broke(ctx, c.content(), k.Endpoint.ID, k.Endpoint.Address, time.Since(began)) {
-			c.ended++
+	case result.sent && result.reason == ReasonAnswerFailed && result.err != nil && ctx.Err() == nil:
+		if c.f.Quarantine.Broke(ctx, c.content(), assignment.Endpoint.ID, assignment.Endpoint.Address, time.Since(start)) {
+			c.crashes++
 		}
 	}
 }
 
-// bound gives an idempotent attempt less than the whole time while another
-// endpoint may be tried.
-func (c *call) bound(ctx context.Context) (context.Context, context.CancelFunc) {
-	another := c.sent+1 < c.route.MaxEndpoints
-	if c.route.Repeat != route.Idempotent || !another || c.route.Target <= 0 {
+// withAttemptTimeout limits an attempt of an idempotent request to less than the
+// remaining time if another endpoint may be tried after it.
+func (c *call) withAttemptTimeout(ctx context.Context) (context.Context, context.CancelFunc) {
+	mayTryAnother := c.sentCount+1 < c.route.MaxEndpoints
+	if c.route.Repeat != route.Idempotent || !mayTryAnother || c.route.LatencyTarget <= 0 {
 		return context.WithCancel(ctx)
 	}
-	return context.WithTimeout(ctx, max(slowAnswer*c.route.Target, slowAnswerLeast))
+	return context.WithTimeout(ctx, max(attemptTimeoutFactor*c.route.LatencyTarget, minAttemptTimeout))
 }
 
-func (c *call) outgoing(k *placement.Assignment) *upstream.Outgoing {
-	last := c.lastID
-	if last == "" {
-		last = c.LastEvent
+// outgoing builds the request for the assigned endpoint.
+func (c *call) outgoing(assignment *placement.Assignment) *upstream.Outgoing {
+	lastEventID := c.lastEventID
+	if lastEventID == "" {
+		lastEventID = c.LastEventID
 	}
 	return &upstream.Outgoing{
 		Method: c.Method, Target: c.Target, Host: c.Host, Body: c.body,
 		Header: c.f.Codec.Attempt(&c.Request, Attempt{
-			Endpoint: k.Endpoint.ID, Organisation: c.team(), Left: time.Until(c.deadline),
-			Urgency: c.config.Urgency(c.route, c.org, sizeOf(k.PrefillTime, c.route.Target)), LastEvent: last, FetchFrom: k.FetchFrom,
+			Endpoint: assignment.Endpoint.ID, Organisation: c.team(), Timeout: time.Until(c.deadline),
+			Urgency: c.config.Urgency(c.route, c.org, promptSizeClass(assignment.PrefillTime, c.route.LatencyTarget)), LastEventID: lastEventID, FetchFrom: assignment.FetchFrom,
 		}),
-		Own: c.owns,
+		Matches: c.matchesAnswer,
 	}
 }
 
-// owns says whether an answer is to this request. One without an identity is,
-// if it says that the request was not run.
-func (c *call) owns(status int, h http.Header) bool {
+// matchesAnswer reports whether an answer belongs to this request. An answer without a
+// request ID does if it states that the request was not run or if it is unsigned.
+func (c *call) matchesAnswer(status int, h http.Header) bool {
 	reply := c.f.Codec.Reply(status, h)
 	if reply.RequestID == "" {
 		return reply.NotRun || !reply.Signed
@@ -136,8 +141,9 @@
 	return reply.RequestID == c.ID
 }
 
-// unanswered is the end of an attempt without an answer.
-func (c *call) unanswered(ctx context.Context, err error, outcome *placement.Outcome) attemptResult {
+// handleSendError returns the result of an attempt that got no answer, and sets
+// outcome to what the placement table is to record for the endpoint.
+func (c *call) handleSendError(ctx context.Context, err error, outcome *placement.Outcome) attemptResult {
 	if errors.Is(ctx.Err(), context.Canceled) {
 		*outcome = placement.Abandoned
 	}
@@ -148,83 +154,85 @@
 		}
 		return attemptResult{reason: ReasonUnreachable, err: err}
 	}
-	c.sent++
-	c.mayRun = true
-	return attemptResult{reason: ReasonBroken, sent: true, err: err}
+	c.sentCount++
+	c.mayHaveRun = true
+	return attemptResult{reason: ReasonAnswerFailed, sent: true, err: err}
 }
 
-// take turns an endpoint's answer into the caller's, or into a failed attempt.
-func (c *call) take(ctx context.Context, a *upstream.Answer) attemptResult {
+// handleAnswer passes an endpoint's answer on to the caller, or returns why the attempt
+// failed.
+func (c *call) handleAnswer(ctx context.Context, a *upstream.Answer) attemptResult {
 	reply := c.f.Codec.Reply(a.Status, a.Header)
 	c.tried = append(c.tried, c.endpoint)
-	c.sent++
+	c.sentCount++
 	if reply.NotRun {
-		_, _ = io.Copy(io.Discard, io.LimitReader(a.Body, wholeAnswer)) // So that the connection can be kept.
-		return attemptResult{reason: ReasonRefused, sent: true}
+		_, _ = io.Copy(io.Discard, io.LimitReader(a.Body, maxBufferedAnswerBytes)) // The connection can be reused only if the body was read to its end.
+		return attemptResult{reason: ReasonEndpointsRefused, sent: true}
 	}
-	c.mayRun = true
+	c.mayHaveRun = true
 	success := isSuccess(a.Status)
 	if success && (!reply.Signed || a.Header.Get("Content-Encoding") != "") {
-		return attemptResult{reason: ReasonBroken, sent: true}
+		return attemptResult{reason: ReasonAnswerFailed, sent: true}
 	}
 	if success && c.route.Streams {
-		return c.stream(ctx, a)
+		return c.forwardStream(ctx, a)
 	}
-	if c.opened {
-		return attemptResult{reason: ReasonBroken, sent: true} // A resumed stream that failed.
+	if c.headerSent {
+		return attemptResult{reason: ReasonAnswerFailed, sent: true} // An error answer can't continue a stream that has begun.
 	}
-	body, err := io.ReadAll(io.LimitReader(a.Body, wholeAnswer))
+	body, err := io.ReadAll(io.LimitReader(a.Body, maxBufferedAnswerBytes))
 	if err != nil {
-		return attemptResult{reason: ReasonBroken, sent: true, err: err}
+		return attemptResult{reason: ReasonAnswerFailed, sent: true, err: err}
 	}
-	got := &whole{status: a.Status, header: a.Header, body: body}
+	buffered := &bufferedAnswer{status: a.Status, header: a.Header, body: body}
 	if a.Status >= http.StatusInternalServerError {
-		return attemptResult{reason: ReasonBroken, sent: true, failure: got}
+		return attemptResult{reason: ReasonAnswerFailed, sent: true, failure: buffered}
 	}
-	return done(c.passWhole(got))
+	return finalResult(c.writeBuffered(buffered))
 }
 
-// isSuccess says whether a status is one of success.
+// isSuccess reports whether an HTTP status is 2xx.
 func isSuccess(status int) bool {
 	return status >= http.StatusOK && status < http.StatusMultipleChoices
 }
 
-// passWhole sends an answer that was read to its end.
-func (c *call) passWhole(a *whole) int {
+// writeBuffered sends a complete answer to the caller and returns its status.
+func (c *call) writeBuffered(a *bufferedAnswer) int {
 	copyHeader(c.w.Header(), a.header)
 	c.w.Header().Set("Content-Length", strconv.Itoa(len(a.body)))
-	c.first = time.Since(c.began)
-	c.opened = true
+	c.timeToHeader = time.Since(c.start)
+	c.headerSent = true
 	c.phase = phaseCaller
 	if isSuccess(a.status) {
-		c.pieces = max(1, c.MaxOutput) // How many tokens the body holds is not told: all are charged.
+		c.events = max(1, c.MaxOutputTokens) // The body's token count is unknown, so the maximum is charged.
 	}
 	c.w.WriteHeader(a.status)
 	_, _ = io.Copy(c.w, bytes.NewReader(a.body))
 	return a.status
 }
 
-// perConnection are the header fields that concern one connection only.
-var perConnection = []string{
+// hopByHopHeaders are the header fields that apply to a single connection and are not
+// forwarded. Content-Length is among them because it is set anew for each connection.
+var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length",
 }
 
-// copyHeader copies an answer's header but for what concerns one connection:
-// what stands in to about the caller's own stays.
-func copyHeader(to, from http.Header) {
-	dropped := PerConnection(from)
-	for name, values := range from {
+// copyHeader copies an answer's header from src to dst without the hop-by-hop fields;
+// those that dst holds for the caller's connection stay.
+func copyHeader(dst, src http.Header) {
+	dropped := HopByHopHeaders(src)
+	for name, values := range src {
 		if !slices.Contains(dropped, name) {
-			to[name] = values
+			dst[name] = values
 		}
 	}
 }
 
-// PerConnection lists the fields of h that concern one connection only, those
-// named by its Connection field included.
-func PerConnection(h http.Header) []string {
-	names := perConnection
+// HopByHopHeaders returns the canonical names of the header fields that must not be
+// forwarded: the standard ones and those that h names in its Connection field.
+func HopByHopHeaders(h http.Header) []string {
+	names := hopByHopHeaders
 	for _, value := range h.Values("Connection") {
 		for field := range bytes.SplitSeq([]byte(value), []byte(",")) {
 			names = append(names[:len(names):len(names)], http.CanonicalHeaderKey(string(bytes.TrimSpace(field))))
--- a/internal/forward/log.go
+++ b/internal/forward/log.go
@@ -10,65 +10,68 @@
 	"guavapier/internal/quarantine"
 )
 
-// phase is what a request waits for, as its last line tells it.
+// phase is what a request is waiting for; its last value is logged when the request ends.
 type phase string
 
-// The phases.
+// Values of phase, in the order in which a request first reaches them.
 const (
 	phaseBody     phase = "body"
 	phaseTokens   phase = "tokens"
 	phaseEndpoint phase = "endpoint"
-	phaseCaller   phase = "caller" // It takes what the endpoint has sent.
+	phaseCaller   phase = "caller" // For the caller to read what the endpoint has sent.
 )
 
-// logAttempt writes the attempt's line: what chose the endpoint and how it
-// ended. Those that gave the final answer in time are the bulk, and only for
-// debugging.
-func (c *call) logAttempt(k *placement.Assignment, r attemptResult, status int, began time.Time) {
+// logAttempt logs an attempt: the values by which the endpoint was selected and how the
+// attempt ended. Attempts that gave the final answer within the latency target are by far
+// the most and are logged at debug level only.
+func (c *call) logAttempt(assignment *placement.Assignment, result attemptResult, status int, start time.Time) {
 	level := zerolog.InfoLevel
-	if r.final && !c.late() {
+	if result.final && !c.isLate() {
 		level = zerolog.DebugLevel
 	}
 	line := c.f.Log.WithLevel(level)
 	if line == nil {
 		return
 	}
-	if r.reason == ReasonBroken {
+	if result.reason == ReasonAnswerFailed {
 		line.Stringer("content", c.content().Fingerprint())
 	}
-	line.Str("request", c.ID).Int("attempt", c.attempts).Str("endpoint", k.Endpoint.ID).
-		Str("address", k.Endpoint.Address).Str("zone", k.Endpoint.Zone).Float64("cost_ms", k.Cost).Float64("missing_tokens", k.MissingTokens).
-		Int("in_flight", k.InFlight).Str("fetch", k.FetchFrom).Int("status", status).Str("reason", string(r.reason)).Bool("may_have_run", c.mayRun).
-		Dur("took", time.Since(began)).AnErr("error", r.err).Msg("forward: attempt ended")
+	line.Str("request", c.ID).Int("attempt", c.attempts).Str("endpoint", assignment.Endpoint.ID).
+		Str("address", assignment.Endpoint.Address).Str("zone", assignment.Endpoint.Zone).Float64("cost_ms", assignment.Cost).Float64("missing_tokens", assignment.MissingTokens).
+		Int("in_flight", assignment.InFlight).Str("fetch", assignment.FetchFrom).Int("status", status).Str("reason", string(result.reason)).Bool("may_have_run", c.mayHaveRun).
+		Dur("took", time.Since(start)).AnErr("error", result.err).Msg("forward: attempt ended")
 }
 
-// logBudget writes what decided on the request's budget.
+// logBudget logs why no tokens were reserved, with the state of the organisation's budget.
 func (c *call) logBudget(tokens int64, err error) {
 	line := c.f.Log.Info()
 	if line == nil {
-		return // Lines come too fast; the budget need not be read.
+		return // The line is not logged, so the budget need not be read.
 	}
 	line.Str("request", c.ID).Str("team", string(c.org.Name)).Int64("tokens", tokens).Err(err).
 		Interface("budget", c.f.Budgets.Explain(c.org.Name)).Msg("forward: budget refused")
 }
 
-// logHeld writes why the request is held back.
-func (c *call) logHeld(held *quarantine.QuarantinedError) {
-	c.f.Log.Info().Str("request", c.ID).Str("team", string(c.team())).Stringer("content", held.Fingerprint).
-		Int("ends", held.Crashes).Dur("after", held.RetryAfter).Msg("forward: request held back")
+// logQuarantined logs why the request is quarantined.
+func (c *call) logQuarantined(quarantined *quarantine.QuarantinedError) {
+	c.f.Log.Info().Str("request", c.ID).Str("team", string(c.team())).Stringer("content", quarantined.Fingerprint).
+		Int("ends", quarantined.Crashes).Dur("after", quarantined.RetryAfter).Msg("forward: request held back")
 }
 
-// late says whether the answer began after its route's target.
-func (c *call) late() bool { return c.route != nil && c.route.Target > 0 && c.first > c.route.Target }
+// isLate reports whether the answer began later than its route's latency target.
+func (c *call) isLate() bool {
+	return c.route != nil && c.route.LatencyTarget > 0 && c.timeToHeader > c.route.LatencyTarget
+}
 
-// finish writes the request's line.
-func (c *call) finish(status int) {
-	took := time.Since(c.began)
+// recordEnd reports the ended request to the metrics and logs it. A status of 0 means that
+// the connection was aborted.
+func (c *call) recordEnd(status int) {
+	took := time.Since(c.start)
 	name := ""
 	if c.route != nil {
 		name = c.route.Name
 	}
-	c.f.Observe(Event{Route: name, Status: status, Reason: c.reason, Attempts: c.attempts, Took: took, First: c.first})
+	c.f.OnRequestEnd(RequestSummary{Route: name, Status: status, Reason: c.reason, Attempts: c.attempts, Duration: took, TimeToHeader: c.timeToHeader})
 	level := zerolog.InfoLevel
 	if status == 0 || status >= http.StatusBadRequest {
 		level = zerolog.WarnLevel
@@ -79,12 +82,14 @@
 	}
 	line.Str("request", c.ID).Str("route", name).Str("team", string(c.team())).Int("status", status).
 		Str("reason", string(c.reason)).Str("endpoint", c.endpoint).Str("zone", c.f.Zone).Int("attempts", c.attempts).
-		Bool("late", c.late()).Str("phase", string(c.phase)).
-		Dur("took", took).Dur("first", c.first).Int64("events", c.pieces).
-		Int64("prompt", c.PromptTokens).Int64("state", c.version()).Msg("forward: request ended")
+		Bool("late", c.isLate()).Str("phase", string(c.phase)).
+		Dur("took", took).Dur("first", c.timeToHeader).Int64("events", c.events).
+		Int64("prompt", c.PromptTokens).Int64("state", c.stateVersion()).Msg("forward: request ended")
 }
 
-func (c *call) version() int64 {
+// stateVersion returns the version of the desired state that the request was served with,
+// or 0 if there was none.
+func (c *call) stateVersion() int64 {
 	if c.config == nil {
 		return 0
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -132,7 +132,7 @@
 		return nil, err
 	}
 	g.upstreamPool = upstream.NewPool(upstream.Options{
-		DialWithin: requestDialTimeout, DialLast: maxDialDuration, IdleFor: endpointIdleTimeout, Dial: g.linkMeter.WrapDial(upstream.TCP(endpointAckTimeout)),
+		DialWaitTimeout: requestDialTimeout, DialTimeout: maxDialDuration, IdleTimeout: endpointIdleTimeout, Dial: g.linkMeter.WrapDial(upstream.TCPDialer(endpointAckTimeout)),
 	})
 	g.callerConns = callers.New(g.callersListener.(*net.TCPListener), defaultCallerIdleTimeout, &g.linkMeter)
 	p.Store = instrumentedStore{p.Store, g.metrics}
@@ -202,7 +202,7 @@
 	handler := &forward.Forwarder{
 		Zone: g.settings.Gateway.Zone, Codec: g.platform.Codec, State: g.config.Load, Budgets: budgetAdapter{g.budgets},
 		Endpoints: g.endpoints.placementTable, Retries: g.retryLimiter, Quarantine: g.quarantine, Pool: g.upstreamPool, Clock: g.clock,
-		SendsAway: g.closesCallerConns, Outdated: g.isOutdated, Ends: g.requestCutoffTime, Cut: g.abortingRequests.Load, Log: g.sampledLog, Observe: g.requestObserver(), Placed: g.loadReporter.reportPlacement,
+		ClosesConnections: g.closesCallerConns, IsOutdated: g.isOutdated, ShutdownTime: g.requestCutoffTime, IsForceClosing: g.abortingRequests.Load, Log: g.sampledLog, OnRequestEnd: g.requestObserver(), OnPlaced: g.loadReporter.reportPlacement,
 	}
 	server := &http.Server{Handler: g.countInFlight(handler), MaxHeaderBytes: maxHeaderBytes, ConnState: g.callerConns.ConnState}
 	server.DisableGeneralOptionsHandler = true
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -51,7 +51,7 @@
 		logstore.Pause(ctx, housekeepingInterval, nil)
 		droppedLines = g.logDroppedLines(droppedLines)
 		outdated = g.logOutdatedChange(outdated)
-		g.upstreamPool.Sweep()
+		g.upstreamPool.CloseExpired()
 		g.updateLinkLoad()
 		g.endpoints.sweep()
 		g.callerConns.Sweep()
