--- a/internal/allocator/allocator.go
+++ b/internal/allocator/allocator.go
@@ -27,9 +27,9 @@
 	"guavapier/internal/record"
 )
 
-// Slots is how many allocators a zone has: members go on at another one while one
+// SlotsPerZone is how many allocators a zone has: members go on at another one while one
 // is replaced.
-const Slots = 2
+const SlotsPerZone = 2
 
 // Role is an instance's part in its zone.
 type Role uint8
@@ -57,23 +57,23 @@
 }
 
 const (
-	// failingFor is how long an allocator may not be reached before its slot is
+	// unreachableTimeout is how long an allocator may not be reached before its slot is
 	// taken over: longer than most stalls of a loaded instance.
-	failingFor = 2 * time.Second
-	// claimAfter is how long an instance without a usable allocator waits before it
+	unreachableTimeout = 2 * time.Second
+	// claimFallbackDelay is how long an instance without a usable allocator waits before it
 	// claims for itself: longer than a slot takes to be filled again.
-	claimAfter = 4 * time.Second
-	// againAfter is how long an instance whose announcement was replaced leaves the
+	claimFallbackDelay = 4 * time.Second
+	// replacedCooldown is how long an instance whose announcement was replaced leaves the
 	// slots to others: it may be one that the zone does not reach.
-	againAfter = 30 * time.Second
-	// announceWithin is how long an own announcement may take to be heard back.
-	announceWithin = time.Second
-	// largestDelay is how long an instance with a link of 1 Mbit/s waits before it
+	replacedCooldown = 30 * time.Second
+	// announcementTimeout is how long an own announcement may take to be heard back.
+	announcementTimeout = time.Second
+	// takeoverDelayAt1Mbps is how long an instance with a link of 1 Mbit/s waits before it
 	// takes a vacant slot, and ever shorter with a faster one: allocators have the
 	// most to carry. It waits up to as long again, so that not all take it at once.
-	largestDelay = 20 * time.Second
-	// assumedLink is the speed where none is set, in Mbit/s.
-	assumedLink = 100
+	takeoverDelayAt1Mbps = 20 * time.Second
+	// defaultLinkMbps is the speed where none is set, in Mbit/s.
+	defaultLinkMbps = 100
 )
 
 // Announcement is an allocator's record on the log.
@@ -95,115 +95,115 @@
 // slot is one place for an allocator in the own zone.
 type slot struct {
 	Announcement
-	reached     bool          // By this process, at its last call.
-	missedSince time.Duration // Since when it has not been reached.
-	missed      bool
-	gone        bool // Another process answers at its address, or it is none any more.
-	vacantSince time.Duration
-	vacant      bool
+	reachable    bool          // By this process, at its last call.
+	failingSince time.Duration // Since when it has not been reached.
+	failing      bool
+	retired      bool // Another process answers at its address, or it is none any more.
+	vacantSince  time.Duration
+	vacant       bool
 }
 
-func (s *slot) filled() bool { return s.Key != "" }
+func (s *slot) isOccupied() bool { return s.Key != "" }
 
 // Directory knows the allocators of the own zone. It is safe for concurrent use.
 // Times are since any one origin.
 type Directory struct {
-	mu       sync.Mutex
-	self     Self
-	delay    time.Duration // Before it takes a vacant slot.
-	slots    [Slots]slot
-	mine     int // The slot that it holds; -1 for none.
-	notUntil time.Duration
-	loaded   bool
-	// without is since when no allocator is usable.
-	without time.Duration
+	mu              sync.Mutex
+	self            Self
+	takeoverDelay   time.Duration // Before it takes a vacant slot.
+	slots           [SlotsPerZone]slot
+	ownSlot         int // The slot that it holds; -1 for none.
+	noTakeoverUntil time.Duration
+	loaded          bool
+	// noneUsableSince is since when no allocator is usable.
+	noneUsableSince time.Duration
 }
 
 // New returns an empty Directory.
 func New(self Self) *Directory {
 	link := self.LinkMbps
 	if link <= 0 {
-		link = assumedLink
+		link = defaultLinkMbps
 	}
-	delay := time.Duration(float64(largestDelay) / max(1, link))
-	return &Directory{self: self, delay: delay + rand.N(delay+1), mine: -1}
+	takeoverDelay := time.Duration(float64(takeoverDelayAt1Mbps) / max(1, link))
+	return &Directory{self: self, takeoverDelay: takeoverDelay + rand.N(takeoverDelay+1), ownSlot: -1}
 }
 
 // SlotKey is the key of a zone's slot on the log.
 func SlotKey(zone string, slot int) string { return fmt.Sprintf("%s/%d", zone, slot) }
 
-// Encode returns the instance's announcement.
-func (d *Directory) Encode() ([]byte, error) {
+// EncodeAnnouncement returns the instance's announcement.
+func (d *Directory) EncodeAnnouncement() ([]byte, error) {
 	value, err := cbor.Marshal(Announcement{Key: d.self.Key, Peer: d.self.Peer})
 	return value, eris.Wrap(err, "allocator: encode announcement")
 }
 
-// Hear takes a record of the log.
-func (d *Directory) Hear(key string, value []byte, now time.Duration) error {
+// Observe takes a record of the log.
+func (d *Directory) Observe(key string, value []byte, now time.Duration) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for i := range d.slots {
 		if key != SlotKey(d.self.Zone, i) {
 			continue
 		}
-		var heard Announcement
-		if err := cbor.Unmarshal(value, &heard); err != nil {
+		var announcement Announcement
+		if err := cbor.Unmarshal(value, &announcement); err != nil {
 			return eris.Wrapf(err, "allocator: decode announcement of %q", key)
 		}
-		d.fill(i, heard, now)
+		d.setSlot(i, announcement, now)
 	}
 	return nil
 }
 
-func (d *Directory) fill(i int, heard Announcement, now time.Duration) {
-	if d.slots[i].Announcement == heard {
+func (d *Directory) setSlot(index int, announcement Announcement, now time.Duration) {
+	if d.slots[index].Announcement == announcement {
 		return
 	}
 	switch {
-	case heard.Key == d.self.Key:
-		d.mine = i
-	case d.mine == i:
-		d.mine, d.notUntil = -1, now+againAfter
+	case announcement.Key == d.self.Key:
+		d.ownSlot = index
+	case d.ownSlot == index:
+		d.ownSlot, d.noTakeoverUntil = -1, now+replacedCooldown
 	}
-	d.slots[i] = slot{Announcement: heard}
+	d.slots[index] = slot{Announcement: announcement}
 }
 
-// Loaded tells that the announcements have been read.
-func (d *Directory) Loaded(now time.Duration) {
+// MarkLoaded tells that the announcements have been read.
+func (d *Directory) MarkLoaded(now time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if !d.loaded {
-		d.loaded, d.without = true, now
+		d.loaded, d.noneUsableSince = true, now
 	}
 }
 
-// Reached tells that an allocator has answered.
-func (d *Directory) Reached(key record.InstanceID) {
+// MarkReachable tells that an allocator has answered.
+func (d *Directory) MarkReachable(key record.InstanceID) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if s := d.slot(key); s != nil {
-		s.reached, s.missed, s.gone, s.vacant = true, false, false, false
+	if s := d.findSlot(key); s != nil {
+		s.reachable, s.failing, s.retired, s.vacant = true, false, false, false
 	}
 }
 
-// Missed tells that an allocator did not answer; gone says that it is none any more.
+// MarkFailing tells that an allocator did not answer; gone says that it is none any more.
 // It returns whether that is news.
-func (d *Directory) Missed(key record.InstanceID, gone bool, now time.Duration) bool {
+func (d *Directory) MarkFailing(key record.InstanceID, retired bool, now time.Duration) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	s := d.slot(key)
+	s := d.findSlot(key)
 	if s == nil {
 		return false
 	}
-	news := !s.missed
-	if news {
-		s.reached, s.missed, s.missedSince = false, true, now
+	firstFailure := !s.failing
+	if firstFailure {
+		s.reachable, s.failing, s.failingSince = false, true, now
 	}
-	s.gone = s.gone || gone
-	return news
+	s.retired = s.retired || retired
+	return firstFailure
 }
 
-func (d *Directory) slot(key record.InstanceID) *slot {
+func (d *Directory) findSlot(key record.InstanceID) *slot {
 	for i := range d.slots {
 		if d.slots[i].Key == key {
 			return &d.slots[i]
@@ -218,31 +218,31 @@
 // Without a usable allocator a member waits until one of its zone has taken the slot:
 // instances that all read the log at once, after a loss of all, would keep it from
 // everybody for seconds.
-func (d *Directory) Role(pooled bool, now time.Duration) Role {
+func (d *Directory) Role(useAllocators bool, now time.Duration) Role {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if len(d.usable()) > 0 {
-		d.without = now
+		d.noneUsableSince = now
 	}
 	switch {
-	case d.mine >= 0:
+	case d.ownSlot >= 0:
 		return Allocator
-	case (pooled || d.announced()) && now-d.without < claimAfter:
+	case (useAllocators || d.hasAllocators()) && now-d.noneUsableSince < claimFallbackDelay:
 		return Member
 	default:
 		return Claimant
 	}
 }
 
-// Pooled says whether the zone has or had allocators.
-func (d *Directory) Pooled() bool {
+// HasAllocators says whether the zone has or had allocators.
+func (d *Directory) HasAllocators() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.announced()
+	return d.hasAllocators()
 }
 
-func (d *Directory) announced() bool {
-	return len(d.list(func(*slot) bool { return true })) > 0 || d.mine >= 0
+func (d *Directory) hasAllocators() bool {
+	return len(d.listOthers(func(*slot) bool { return true })) > 0 || d.ownSlot >= 0
 }
 
 // IsLoaded says whether the announcements have been read.
@@ -260,69 +260,69 @@
 }
 
 func (d *Directory) usable() []Announcement {
-	return d.list(func(s *slot) bool { return s.reached })
+	return d.listOthers(func(s *slot) bool { return s.reachable })
 }
 
 // Announced lists all allocators but the instance itself.
 func (d *Directory) Announced() []Announcement {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.list(func(*slot) bool { return true })
+	return d.listOthers(func(*slot) bool { return true })
 }
 
-// Unreached lists the allocators whose last call failed or that have not been called.
+// NotReachable lists the allocators whose last call failed or that have not been called.
 // Announcements outlive their processes, so that only an answer makes one usable.
-func (d *Directory) Unreached() []Announcement {
+func (d *Directory) NotReachable() []Announcement {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.list(func(s *slot) bool { return !s.reached })
+	return d.listOthers(func(s *slot) bool { return !s.reachable })
 }
 
-// list returns the others in the slots that are chosen, the instance's usual one first.
-func (d *Directory) list(chosen func(*slot) bool) []Announcement {
+// listOthers returns the others in the slots that are chosen, the instance's usual one first.
+func (d *Directory) listOthers(include func(*slot) bool) []Announcement {
 	var list []Announcement
-	first := int(xxhash.Sum64String(string(d.self.Key)) % Slots)
+	preferred := int(xxhash.Sum64String(string(d.self.Key)) % SlotsPerZone)
 	for i := range d.slots {
-		s := &d.slots[(first+i)%Slots]
-		if s.filled() && s.Key != d.self.Key && chosen(s) {
+		s := &d.slots[(preferred+i)%SlotsPerZone]
+		if s.isOccupied() && s.Key != d.self.Key && include(s) {
 			list = append(list, s.Announcement)
 		}
 	}
 	return list
 }
 
-// Vacancy returns the slot that the instance is to take now, if any. The instances
+// SlotToTake returns the slot that the instance is to take now, if any. The instances
 // of a zone wait for different times, so that mostly one takes it.
-func (d *Directory) Vacancy(pooled bool, now time.Duration) (slot int, ok bool) {
+func (d *Directory) SlotToTake(useAllocators bool, now time.Duration) (slot int, ok bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if !pooled && !d.announced() || !d.loaded || d.mine >= 0 || now < d.notUntil {
+	if !useAllocators && !d.hasAllocators() || !d.loaded || d.ownSlot >= 0 || now < d.noTakeoverUntil {
 		return 0, false
 	}
 	for i := range d.slots {
 		s := &d.slots[i]
-		if !s.free(now) {
+		if !s.isFree(now) {
 			s.vacant = false
 			continue
 		}
 		if !s.vacant {
 			s.vacant, s.vacantSince = true, now
 		}
-		if now-s.vacantSince >= d.delay {
-			d.notUntil = now + announceWithin
+		if now-s.vacantSince >= d.takeoverDelay {
+			d.noTakeoverUntil = now + announcementTimeout
 			return i, true
 		}
 	}
 	return 0, false
 }
 
-// IsFree says whether a slot may be taken.
-func (d *Directory) IsFree(slot int, now time.Duration) bool {
+// IsSlotFree says whether a slot may be taken.
+func (d *Directory) IsSlotFree(slot int, now time.Duration) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.slots[slot].free(now)
+	return d.slots[slot].isFree(now)
 }
 
-func (s *slot) free(now time.Duration) bool {
-	return !s.filled() || s.gone || s.missed && now-s.missedSince >= failingFor
+func (s *slot) isFree(now time.Duration) bool {
+	return !s.isOccupied() || s.retired || s.failing && now-s.failingSince >= unreachableTimeout
 }
--- a/internal/allocator/allocator_test.go
+++ b/internal/allocator/allocator_test.go
@@ -9,21 +9,21 @@
 	"guavapier/internal/record"
 )
 
-// zone is a zone's instances with the announcements that they have all heard.
-type zone struct {
-	t         *testing.T
-	instances []*allocator.Directory
-	now       time.Duration
-	announced int // Announcements in all.
-	holders   [allocator.Slots]int
+// simZone is a simZone's instances with the announcements that they have all heard.
+type simZone struct {
+	t             *testing.T
+	instances     []*allocator.Directory
+	now           time.Duration
+	announcements int // Announcements in all.
+	holders       [allocator.SlotsPerZone]int
 }
 
-func newZone(t *testing.T, links ...float64) *zone {
+func newSimZone(t *testing.T, links ...float64) *simZone {
 	t.Helper()
-	z := &zone{t: t, holders: [allocator.Slots]int{-1, -1}}
+	z := &simZone{t: t, holders: [allocator.SlotsPerZone]int{-1, -1}}
 	for i, link := range links {
 		d := allocator.New(allocator.Self{Key: key(i), Peer: fmt.Sprint("peer-", i), Zone: "z", LinkMbps: link})
-		d.Loaded(0)
+		d.MarkLoaded(0)
 		z.instances = append(z.instances, d)
 	}
 	return z
@@ -31,50 +31,50 @@
 
 func key(i int) record.InstanceID { return record.InstanceID(fmt.Sprint("instance-", i)) }
 
-// pass lets time pass; whoever may takes a vacant slot, and all hear of it 20 ms
+// advance lets time advance; whoever may takes a vacant slot, and all hear of it 20 ms
 // later. Living allocators answer calls.
-func (z *zone) pass(d time.Duration, answers func(i int) bool) {
+func (z *simZone) advance(duration time.Duration, answers func(i int) bool) {
 	const step = 20 * time.Millisecond
-	for end := z.now + d; z.now < end; z.now += step {
+	for end := z.now + duration; z.now < end; z.now += step {
 		for _, holder := range z.holders {
-			z.call(holder, answers)
+			z.callHolder(holder, answers)
 		}
 		for i, d := range z.instances {
-			if slot, ok := d.Vacancy(true, z.now); ok && answers(i) {
+			if slot, ok := d.SlotToTake(true, z.now); ok && answers(i) {
 				z.announce(slot, i)
 			}
 		}
 	}
 }
 
-func (z *zone) call(holder int, answers func(int) bool) {
+func (z *simZone) callHolder(holder int, answers func(int) bool) {
 	if holder < 0 {
 		return
 	}
 	for _, d := range z.instances {
 		if answers(holder) {
-			d.Reached(key(holder))
+			d.MarkReachable(key(holder))
 		} else {
-			d.Missed(key(holder), false, z.now)
+			d.MarkFailing(key(holder), false, z.now)
 		}
 	}
 }
 
-func (z *zone) announce(slot, i int) {
-	z.announced++
+func (z *simZone) announce(slot, i int) {
+	z.announcements++
 	z.holders[slot] = i
-	value, err := z.instances[i].Encode()
+	value, err := z.instances[i].EncodeAnnouncement()
 	if err != nil {
 		z.t.Fatal(err)
 	}
 	for _, d := range z.instances {
-		if err := d.Hear(allocator.SlotKey("z", slot), value, z.now); err != nil {
+		if err := d.Observe(allocator.SlotKey("z", slot), value, z.now); err != nil {
 			z.t.Fatal(err)
 		}
 	}
 }
 
-func (z *zone) roles() map[allocator.Role]int {
+func (z *simZone) countRoles() map[allocator.Role]int {
 	count := map[allocator.Role]int{}
 	for _, d := range z.instances {
 		count[d.Role(true, z.now)]++
@@ -82,12 +82,12 @@
 	return count
 }
 
-func all(int) bool { return true }
+func allAnswer(int) bool { return true }
 
 func TestAZoneGetsItsAllocatorsFromTheFastestLinks(t *testing.T) {
 	links := []float64{20, 20, 200, 20, 20, 200, 20, 200}
-	z := newZone(t, links...)
-	z.pass(5*time.Second, all)
+	z := newSimZone(t, links...)
+	z.advance(5*time.Second, allAnswer)
 	if z.holders[0] < 0 || z.holders[1] < 0 || z.holders[0] == z.holders[1] {
 		t.Fatalf("slots held by %v", z.holders)
 	}
@@ -96,7 +96,7 @@
 			t.Errorf("instance %d with %g Mbit/s is an allocator", holder, links[holder])
 		}
 	}
-	if got := z.roles(); got[allocator.Allocator] != 2 || got[allocator.Member] != len(links)-2 {
+	if got := z.countRoles(); got[allocator.Allocator] != 2 || got[allocator.Member] != len(links)-2 {
 		t.Errorf("roles %v", got)
 	}
 }
@@ -108,24 +108,24 @@
 	for i := range links {
 		links[i] = 20
 	}
-	z := newZone(t, links...)
-	z.pass(5*time.Second, all)
-	if z.announced > 4 {
-		t.Errorf("%d announcements for two slots", z.announced)
+	z := newSimZone(t, links...)
+	z.advance(5*time.Second, allAnswer)
+	if z.announcements > 4 {
+		t.Errorf("%d announcements for two slots", z.announcements)
 	}
-	first, before := z.holders[0], z.announced
-	z.pass(5*time.Second, func(i int) bool { return i != first })
-	if z.holders[0] == first || z.announced-before > 3 {
-		t.Errorf("slot held by %d after %d, %d announcements", z.holders[0], first, z.announced-before)
+	firstHolder, announcementsBefore := z.holders[0], z.announcements
+	z.advance(5*time.Second, func(i int) bool { return i != firstHolder })
+	if z.holders[0] == firstHolder || z.announcements-announcementsBefore > 3 {
+		t.Errorf("slot held by %d after %d, %d announcements", z.holders[0], firstHolder, z.announcements-announcementsBefore)
 	}
 }
 
 // A stall under failingFor moves members to the other slot and no slot.
 func TestAShortStallReplacesNobody(t *testing.T) {
-	z := newZone(t, 200, 200, 20, 20)
-	z.pass(3*time.Second, all)
+	z := newSimZone(t, 200, 200, 20, 20)
+	z.advance(3*time.Second, allAnswer)
 	holders, stalled := z.holders, z.holders[0]
-	z.pass(time.Second, func(i int) bool { return i != stalled })
+	z.advance(time.Second, func(i int) bool { return i != stalled })
 	for i, d := range z.instances {
 		if i == holders[0] || i == holders[1] {
 			continue
@@ -134,7 +134,7 @@
 			t.Errorf("instance %d draws from %v", i, usable)
 		}
 	}
-	z.pass(2*time.Second, all)
+	z.advance(2*time.Second, allAnswer)
 	if z.holders != holders {
 		t.Errorf("slots held by %v, before by %v", z.holders, holders)
 	}
@@ -143,17 +143,17 @@
 // An instance that the zone doesn't reach must not take the slot from those that it
 // does reach again and again.
 func TestAReplacedAllocatorLeavesTheSlotsToOthers(t *testing.T) {
-	z := newZone(t, 200, 200, 200, 20)
-	z.pass(2*time.Second, all)
-	cut := z.holders[0]
-	reached := func(i int) bool { return i != cut }
-	z.pass(5*time.Second, reached)
-	taken := z.announced
-	z.pass(20*time.Second, func(i int) bool { return reached(i) })
-	if z.holders[0] == cut || z.announced != taken {
-		t.Errorf("slot held by %d, %d more announcements", z.holders[0], z.announced-taken)
-	}
-	if role := z.instances[cut].Role(true, z.now); role == allocator.Allocator {
+	z := newSimZone(t, 200, 200, 200, 20)
+	z.advance(2*time.Second, allAnswer)
+	unreachable := z.holders[0]
+	isReachable := func(i int) bool { return i != unreachable }
+	z.advance(5*time.Second, isReachable)
+	announcementsBefore := z.announcements
+	z.advance(20*time.Second, func(i int) bool { return isReachable(i) })
+	if z.holders[0] == unreachable || z.announcements != announcementsBefore {
+		t.Errorf("slot held by %d, %d more announcements", z.holders[0], z.announcements-announcementsBefore)
+	}
+	if role := z.instances[unreachable].Role(true, z.now); role == allocator.Allocator {
 		t.Error("the replaced one goes on as an allocator")
 	}
 }
@@ -162,18 +162,18 @@
 // a slot is taken anew the instance waits, some time.
 func TestAnAnnouncementAloneMakesNoAllocatorUsable(t *testing.T) {
 	d := allocator.New(allocator.Self{Key: "me", Zone: "z", LinkMbps: 20})
-	d.Loaded(0)
+	d.MarkLoaded(0)
 	if role := d.Role(false, 0); role != allocator.Claimant {
 		t.Errorf("is %s in a small fleet", role)
 	}
-	old, err := allocator.New(allocator.Self{Key: "dead", Peer: "p"}).Encode()
+	old, err := allocator.New(allocator.Self{Key: "dead", Peer: "p"}).EncodeAnnouncement()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := d.Hear(allocator.SlotKey("z", 0), old, 0); err != nil {
+	if err := d.Observe(allocator.SlotKey("z", 0), old, 0); err != nil {
 		t.Fatal(err)
 	}
-	if usable := d.Usable(); len(usable) > 0 || !d.Pooled() {
+	if usable := d.Usable(); len(usable) > 0 || !d.HasAllocators() {
 		t.Errorf("draws from %v", usable)
 	}
 	for at, want := range map[time.Duration]allocator.Role{
@@ -183,23 +183,23 @@
 			t.Errorf("is %s after %s without an allocator, want %s", role, at, want)
 		}
 	}
-	d.Reached("dead")
+	d.MarkReachable("dead")
 	if role := d.Role(false, 11*time.Second); role != allocator.Member {
 		t.Errorf("is %s once an allocator has answered", role)
 	}
-	if !d.Missed("dead", true, 0) || d.Missed("dead", true, time.Second) {
+	if !d.MarkFailing("dead", true, 0) || d.MarkFailing("dead", true, time.Second) {
 		t.Error("a first miss is news, a second is not")
 	}
-	if err := d.Hear(allocator.SlotKey("z", 1), []byte{0xff}, 0); err == nil {
+	if err := d.Observe(allocator.SlotKey("z", 1), []byte{0xff}, 0); err == nil {
 		t.Error("an unreadable announcement is taken")
 	}
-	if err := d.Hear(allocator.SlotKey("other", 0), []byte{0xff}, 0); err != nil {
+	if err := d.Observe(allocator.SlotKey("other", 0), []byte{0xff}, 0); err != nil {
 		t.Errorf("another zone's announcement: %v", err)
 	}
 	small := allocator.New(allocator.Self{Key: "me", Zone: "z", LinkMbps: 20})
-	small.Loaded(0)
-	small.Vacancy(false, 0)
-	if _, ok := small.Vacancy(false, time.Minute); ok {
+	small.MarkLoaded(0)
+	small.SlotToTake(false, 0)
+	if _, ok := small.SlotToTake(false, time.Minute); ok {
 		t.Error("takes a slot in a small fleet")
 	}
 }
--- a/internal/prepaid/fleet_test.go
+++ b/internal/prepaid/fleet_test.go
@@ -91,7 +91,7 @@
 	}
 	for i, p := range f.living {
 		zone := i % zones
-		if i < allocator.Slots*zones {
+		if i < allocator.SlotsPerZone*zones {
 			p.SetRole(allocator.Allocator)
 			continue
 		}
@@ -172,7 +172,7 @@
 }
 
 func (f *sizedFleet) draw(r waiter) []func() {
-	a := f.allocators[r.p][f.rng.IntN(allocator.Slots)]
+	a := f.allocators[r.p][f.rng.IntN(allocator.SlotsPerZone)]
 	need := r.p.Drawing(team, r.tokens, f.now)
 	total, ok := a.Lend(r.p.key, team, need, f.now)
 	r.p.Take(a.key, team, total)
--- a/internal/prepaid/pool_test.go
+++ b/internal/prepaid/pool_test.go
@@ -46,7 +46,7 @@
 			case allocator.Claimant:
 			}
 		}
-		return len(allocators) == allocator.Slots && len(members) == len(keepers)-allocator.Slots
+		return len(allocators) == allocator.SlotsPerZone && len(members) == len(keepers)-allocator.SlotsPerZone
 	})
 	return allocators, members
 }
--- a/internal/prepaid/restart_test.go
+++ b/internal/prepaid/restart_test.go
@@ -49,7 +49,7 @@
 			return err == nil
 		})
 	}
-	if reads := log.NewestReads(logstore.TopicBudgets) - before; reads > 2*allocator.Slots {
+	if reads := log.NewestReads(logstore.TopicBudgets) - before; reads > 2*allocator.SlotsPerZone {
 		t.Errorf("the log was read whole %d times by %d instances", reads, instances)
 	}
 	waitFor(t, "members that know their predecessors", func() bool {
--- a/internal/prepaid/roles.go
+++ b/internal/prepaid/roles.go
@@ -51,7 +51,7 @@
 	away := false
 	follower := &logstore.Follower{
 		Log: k.Log, Topic: logstore.TopicAllocators, Wait: announcementsWait, Pause: rolesEvery,
-		Reset: func() {}, Loaded: func() { k.Zone.Loaded(k.Clock()) },
+		Reset: func() {}, Loaded: func() { k.Zone.MarkLoaded(k.Clock()) },
 		Outcome: func(err error) {
 			if err != nil && !away {
 				k.Logs.Warn().Err(err).Msg("prepaid: announcements of allocators lost; drawing from those known")
@@ -59,7 +59,7 @@
 			away = err != nil
 		},
 		Record: func(r logstore.KeyedRecord) {
-			if err := k.Zone.Hear(r.Key, r.Value, k.Clock()); err != nil {
+			if err := k.Zone.Observe(r.Key, r.Value, k.Clock()); err != nil {
 				k.Logs.Error().Err(err).Msg("prepaid: unreadable announcement passed over")
 			}
 		},
@@ -74,7 +74,7 @@
 		logstore.Pause(ctx, rolesEvery/10, nil)
 	}
 	stop := func() {}
-	if k.Zone.Pooled() {
+	if k.Zone.HasAllocators() {
 		k.Book.SetRole(allocator.Member)
 	} else {
 		stop = k.startReading(ctx)
@@ -87,7 +87,7 @@
 			k.Logs.Info().Stringer("was", was).Stringer("is", is).Int("instances", k.Book.Instances()).Msg("prepaid: part in the zone changed")
 			stop = k.become(ctx, is, stop)
 		}
-		if slot, ok := k.Zone.Vacancy(pooled, k.Clock()); ok && !k.leaving.Load() {
+		if slot, ok := k.Zone.SlotToTake(pooled, k.Clock()); ok && !k.leaving.Load() {
 			k.announce(ctx, slot)
 		}
 	}
@@ -130,10 +130,10 @@
 		k.Logs.Info().Err(err).Int("slot", slot).Msg("prepaid: slot left to others, the log does not answer at once")
 		return
 	}
-	if !k.Zone.IsFree(slot, k.Clock()) {
+	if !k.Zone.IsSlotFree(slot, k.Clock()) {
 		return
 	}
-	value, err := k.Zone.Encode()
+	value, err := k.Zone.EncodeAnnouncement()
 	if err != nil {
 		k.Logs.Error().Err(err).Msg("prepaid: announcement not written")
 		return
@@ -155,7 +155,7 @@
 		return err
 	}
 	for _, r := range page.Records {
-		if err := k.Zone.Hear(r.Key, r.Value, k.Clock()); err != nil {
+		if err := k.Zone.Observe(r.Key, r.Value, k.Clock()); err != nil {
 			return err
 		}
 	}
@@ -181,10 +181,10 @@
 func (k *Keeper) reach(ctx context.Context) {
 	for ctx.Err() == nil {
 		logstore.Pause(ctx, tryEvery, nil)
-		if !k.Book.Pooled() && !k.Zone.Pooled() {
+		if !k.Book.Pooled() && !k.Zone.HasAllocators() {
 			continue
 		}
-		for _, unreached := range k.Zone.Unreached() {
+		for _, unreached := range k.Zone.NotReachable() {
 			k.bring(ctx, unreached.Key, nil)
 		}
 	}
@@ -203,13 +203,13 @@
 // heard notes how a call to an allocator went.
 func (k *Keeper) heard(to record.InstanceID, err error, status FleetStatus) {
 	if err == nil {
-		k.Zone.Reached(to)
+		k.Zone.MarkReachable(to)
 		k.Book.HearStatus(status, k.Clock())
 		return
 	}
 	var refused rpc.ServerError
 	gone := errors.As(err, &refused) || errors.Is(err, peer.ErrOtherInstance)
-	if !k.Zone.Missed(to, gone, k.Clock()) {
+	if !k.Zone.MarkFailing(to, gone, k.Clock()) {
 		return
 	}
 	k.Logs.Warn().Err(err).Str("allocator", string(to)).Bool("gone", gone).Msg("prepaid: allocator not reached")
