--- a/internal/allocator/allocator.go
+++ b/internal/allocator/allocator.go
@@ -1,17 +1,17 @@
-// Package allocator decides which instances of an availability zone claim prepaid
-// tokens from the log for the others, and what part an instance has in that.
+// Package allocator assigns each instance of an availability zone its role in
+// claiming prepaid tokens: allocator, member or claimant.
 //
-// In a large fleet every instance sees a small part of each organisation's
-// requests. Claims of all instances on all budgets would have to be read by all,
-// and tokens would lie in amounts smaller than a request. So in each zone a few
-// instances, the allocators, claim for the whole zone, and the others, the members,
-// draw from them.
+// In a large fleet each instance receives only a small part of an organisation's
+// requests. If every instance claimed tokens of every budget, each would have to
+// read the claims of all others, and tokens would be split into amounts smaller
+// than a request. Therefore each zone has a few allocators, which claim tokens for
+// the whole zone, and members, which withdraw tokens from them.
 //
-// An allocator announces itself on the log under its zone and slot; the newest
-// announcement counts. Nothing that must hold rests on there being one allocator
-// in a slot, or any: an instance that reaches none claims for itself.
+// An allocator publishes an announcement on the log under its zone and slot; the
+// newest announcement of a slot is the valid one. Correctness does not depend on
+// how many instances act for a slot: one that reaches no allocator claims for itself.
 //
-// Directory does no input or output and has no clock.
+// Directory performs no I/O and reads no clock; callers pass the time.
 package allocator
 
 import (
@@ -27,20 +27,21 @@
 	"guavapier/internal/record"
 )
 
-// SlotsPerZone is how many allocators a zone has: members go on at another one while one
-// is replaced.
+// SlotsPerZone is the number of allocators in a zone. With more than one, members
+// can use another while one is being replaced.
 const SlotsPerZone = 2
 
-// Role is an instance's part in its zone.
+// Role is what an instance does in its zone.
 type Role uint8
 
-// The roles.
+// Roles of an instance in its zone.
 const (
-	// Claimant claims for itself: in a small fleet, or where no allocator is reached.
+	// Claimant claims tokens for itself only: in a small fleet, or while it reaches
+	// no allocator.
 	Claimant Role = iota
-	// Member draws from the zone's allocators.
+	// Member withdraws tokens from the allocators of its zone.
 	Member
-	// Allocator claims for the zone.
+	// Allocator claims tokens for all members of its zone.
 	Allocator
 )
 
@@ -57,69 +58,72 @@
 }
 
 const (
-	// unreachableTimeout is how long an allocator may not be reached before its slot is
-	// taken over: longer than most stalls of a loaded instance.
+	// unreachableTimeout is how long calls to an allocator must fail before its
+	// slot may be taken over. Most stalls of a loaded instance are shorter.
 	unreachableTimeout = 2 * time.Second
-	// claimFallbackDelay is how long an instance without a usable allocator waits before it
-	// claims for itself: longer than a slot takes to be filled again.
+	// claimFallbackDelay is how long an instance without a usable allocator waits
+	// before it claims for itself. Refilling a slot takes less.
 	claimFallbackDelay = 4 * time.Second
-	// replacedCooldown is how long an instance whose announcement was replaced leaves the
-	// slots to others: it may be one that the zone does not reach.
+	// replacedCooldown is how long an instance whose announcement was replaced takes
+	// no slot: the other instances of the zone may not be able to reach it.
 	replacedCooldown = 30 * time.Second
-	// announcementTimeout is how long an own announcement may take to be heard back.
+	// announcementTimeout is how long the instance waits to read its own
+	// announcement back from the log before it may take a slot again.
 	announcementTimeout = time.Second
-	// takeoverDelayAt1Mbps is how long an instance with a link of 1 Mbit/s waits before it
-	// takes a vacant slot, and ever shorter with a faster one: allocators have the
-	// most to carry. It waits up to as long again, so that not all take it at once.
+	// takeoverDelayAt1Mbps is the minimum time that an instance with a link of
+	// 1 Mbit/s waits before it takes a vacant slot. The delay is inversely
+	// proportional to the link speed, since allocators carry the most traffic. A
+	// random part of up to the same length keeps instances from acting at once.
 	takeoverDelayAt1Mbps = 20 * time.Second
-	// defaultLinkMbps is the speed where none is set, in Mbit/s.
+	// defaultLinkMbps is the link speed assumed where none is configured, in Mbit/s.
 	defaultLinkMbps = 100
 )
 
-// Announcement is an allocator's record on the log.
+// Announcement is the record that an allocator publishes under its slot.
 type Announcement struct {
 	Key record.InstanceID `cbor:"1,keyasint"`
-	// Peer is where other instances reach it (IP:port).
+	// Peer is the address (IP:port) at which other instances reach it.
 	Peer string `cbor:"2,keyasint"`
 }
 
-// Self is the instance that a Directory is for.
+// Self describes the instance that owns a Directory.
 type Self struct {
 	Key  record.InstanceID
 	Peer string
 	Zone string
-	// LinkMbps is the speed of its link; 0 for unknown.
+	// LinkMbps is the speed of its network link in Mbit/s; 0 if unknown.
 	LinkMbps float64
 }
 
-// slot is one place for an allocator in the own zone.
+// slot is the state of one allocator slot of the own zone. A holder that has not been
+// called since its announcement is neither reachable nor failing.
 type slot struct {
 	Announcement
-	reachable    bool          // By this process, at its last call.
-	failingSince time.Duration // Since when it has not been reached.
-	failing      bool
-	retired      bool // Another process answers at its address, or it is none any more.
-	vacantSince  time.Duration
+	reachable    bool          // The last call from this process was answered.
+	failingSince time.Duration // Time of the first failed call after the last answer.
+	failing      bool          // The last call from this process failed.
+	retired      bool          // The process at its address is another one or no longer an allocator.
+	vacantSince  time.Duration // Time at which the slot was first seen vacant.
 	vacant       bool
 }
 
 func (s *slot) isOccupied() bool { return s.Key != "" }
 
-// Directory knows the allocators of the own zone. It is safe for concurrent use.
-// Times are since any one origin.
+// Directory tracks the allocator slots of the own zone and decides the instance's
+// role. It is safe for concurrent use. All times are measured from one arbitrary origin.
 type Directory struct {
 	mu              sync.Mutex
 	self            Self
-	takeoverDelay   time.Duration // Before it takes a vacant slot.
+	takeoverDelay   time.Duration // How long a slot must be vacant before this instance takes it.
 	slots           [SlotsPerZone]slot
-	ownSlot         int // The slot that it holds; -1 for none.
-	noTakeoverUntil time.Duration
-	loaded          bool
-	// noneUsableSince is since when no allocator is usable.
+	ownSlot         int           // Slot held by this instance; -1 if none.
+	noTakeoverUntil time.Duration // This instance takes no slot before this time.
+	loaded          bool          // The announcements have been read from the log.
+	// noneUsableSince is the time since which no allocator has been reachable.
 	noneUsableSince time.Duration
 }
 
-// New returns an empty Directory.
+// New returns a Directory without announcements, with a random takeover delay.
 func New(self Self) *Directory {
 	link := self.LinkMbps
 	if link <= 0 {
@@ -129,16 +133,17 @@
 	return &Directory{self: self, takeoverDelay: takeoverDelay + rand.N(takeoverDelay+1), ownSlot: -1}
 }
 
-// SlotKey is the key of a zone's slot on the log.
+// SlotKey returns the log key of a zone's slot.
 func SlotKey(zone string, slot int) string { return fmt.Sprintf("%s/%d", zone, slot) }
 
-// EncodeAnnouncement returns the instance's announcement.
+// EncodeAnnouncement returns this instance's announcement in CBOR.
 func (d *Directory) EncodeAnnouncement() ([]byte, error) {
 	value, err := cbor.Marshal(Announcement{Key: d.self.Key, Peer: d.self.Peer})
 	return value, eris.Wrap(err, "allocator: encode announcement")
 }
 
-// Observe takes a record of the log.
+// Observe applies a record of the allocators topic; keys of other zones are ignored. It
+// returns an error if the value is not a valid announcement.
 func (d *Directory) Observe(key string, value []byte, now time.Duration) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -155,6 +160,8 @@
 	return nil
 }
 
+// setSlot records the holder of a slot. If this instance held the slot and another one
+// replaces it, the instance takes no slot for replacedCooldown.
 func (d *Directory) setSlot(index int, announcement Announcement, now time.Duration) {
 	if d.slots[index].Announcement == announcement {
 		return
@@ -168,7 +175,7 @@
 	d.slots[index] = slot{Announcement: announcement}
 }
 
-// MarkLoaded tells that the announcements have been read.
+// MarkLoaded records that the announcements have been read from the log.
 func (d *Directory) MarkLoaded(now time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -177,7 +184,7 @@
 	}
 }
 
-// MarkReachable tells that an allocator has answered.
+// MarkReachable records that an allocator answered a call.
 func (d *Directory) MarkReachable(key record.InstanceID) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -186,8 +193,9 @@
 	}
 }
 
-// MarkFailing tells that an allocator did not answer; gone says that it is none any more.
-// It returns whether that is news.
+// MarkFailing records that a call to an allocator failed. retired states that the
+// called process is another one or no longer an allocator. MarkFailing reports whether
+// this is the first failure since the last answer.
 func (d *Directory) MarkFailing(key record.InstanceID, retired bool, now time.Duration) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -203,6 +211,7 @@
 	return firstFailure
 }
 
+// findSlot returns the slot held by an instance, or nil.
 func (d *Directory) findSlot(key record.InstanceID) *slot {
 	for i := range d.slots {
 		if d.slots[i].Key == key {
@@ -212,12 +221,12 @@
 	return nil
 }
 
-// Role returns the instance's part now. pooled says that the fleet is large enough
-// for allocators; where some have been announced it is.
+// Role returns the instance's current role. useAllocators states that the fleet is large
+// enough for allocators; an existing announcement implies it.
 //
-// Without a usable allocator a member waits until one of its zone has taken the slot:
-// instances that all read the log at once, after a loss of all, would keep it from
-// everybody for seconds.
+// An instance without a usable allocator stays a member for claimFallbackDelay, until
+// another instance of its zone has taken the slot. After a loss of all instances,
+// reading the log at all of them at once would block it for seconds.
 func (d *Directory) Role(useAllocators bool, now time.Duration) Role {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -234,7 +243,7 @@
 	}
 }
 
-// HasAllocators says whether the zone has or had allocators.
+// HasAllocators reports whether an allocator of the zone, dead or alive, is announced.
 func (d *Directory) HasAllocators() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -245,14 +254,15 @@
 	return len(d.listOthers(func(*slot) bool { return true })) > 0 || d.ownSlot >= 0
 }
 
-// IsLoaded says whether the announcements have been read.
+// IsLoaded reports whether the announcements have been read from the log.
 func (d *Directory) IsLoaded() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.loaded
 }
 
-// Usable lists the allocators to draw from, the instance's usual one first.
+// Usable lists the allocators that tokens can be withdrawn from: those that answered
+// their last call, this instance's preferred one first.
 func (d *Directory) Usable() []Announcement {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -263,7 +273,7 @@
 	return d.listOthers(func(s *slot) bool { return s.reachable })
 }
 
-// Announced lists all allocators but the instance itself.
+// Announced lists all announced allocators except this instance.
 func (d *Directory) Announced() []Announcement {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -271,14 +281,15 @@
 }
 
 // NotReachable lists the allocators whose last call failed or that have not been called.
-// Announcements outlive their processes, so that only an answer makes one usable.
+// An announcement outlives its process, so an allocator is usable only after an answer.
 func (d *Directory) NotReachable() []Announcement {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.listOthers(func(s *slot) bool { return !s.reachable })
 }
 
-// listOthers returns the others in the slots that are chosen, the instance's usual one first.
+// listOthers returns the holders of the included slots except this instance. A hash of
+// the instance's key decides which slot comes first, which spreads members over slots.
 func (d *Directory) listOthers(include func(*slot) bool) []Announcement {
 	var list []Announcement
 	preferred := int(xxhash.Sum64String(string(d.self.Key)) % SlotsPerZone)
@@ -291,8 +302,8 @@
 	return list
 }
 
-// SlotToTake returns the slot that the instance is to take now, if any. The instances
-// of a zone wait for different times, so that mostly one takes it.
+// SlotToTake returns the slot that this instance should take now; ok is false if there is
+// none. Takeover delays differ between instances, so usually only one takes the slot.
 func (d *Directory) SlotToTake(useAllocators bool, now time.Duration) (slot int, ok bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -316,7 +327,7 @@
 	return 0, false
 }
 
-// IsSlotFree says whether a slot may be taken.
+// IsSlotFree reports whether a slot has no working allocator and may be taken.
 func (d *Directory) IsSlotFree(slot int, now time.Duration) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/allocator/allocator_test.go
+++ b/internal/allocator/allocator_test.go
@@ -14,8 +14,8 @@
 	t             *testing.T
 	instances     []*allocator.Directory
 	now           time.Duration
-	announcements int // Announcements in all.
-	holders       [allocator.SlotsPerZone]int
+	announcements int                         // Number of announcements so far.
+	holders       [allocator.SlotsPerZone]int // Instance that holds each slot; -1 if none.
 }
 
 func newSimZone(t *testing.T, links ...float64) *simZone {
@@ -31,8 +31,8 @@
 
 func key(i int) record.InstanceID { return record.InstanceID(fmt.Sprint("instance-", i)) }
 
-// advance lets time advance; whoever may takes a vacant slot, and all hear of it 20 ms
-// later. Living allocators answer calls.
+// advance moves the simulated time forward in steps of 20 ms. In each step every instance
+// calls the slot holders, and answering instances take the slots offered to them.
 func (z *simZone) advance(duration time.Duration, answers func(i int) bool) {
 	const step = 20 * time.Millisecond
 	for end := z.now + duration; z.now < end; z.now += step {
@@ -89,20 +89,20 @@
 	z := newSimZone(t, links...)
 	z.advance(5*time.Second, allAnswer)
 	if z.holders[0] < 0 || z.holders[1] < 0 || z.holders[0] == z.holders[1] {
-		t.Fatalf("slots held by %v", z.holders)
+		t.Fatalf("slots held by %v, want two different instances", z.holders)
 	}
 	for _, holder := range z.holders {
 		if links[holder] != 200 {
-			t.Errorf("instance %d with %g Mbit/s is an allocator", holder, links[holder])
+			t.Errorf("instance %d with %g Mbit/s is an allocator, want one with 200", holder, links[holder])
 		}
 	}
 	if got := z.countRoles(); got[allocator.Allocator] != 2 || got[allocator.Member] != len(links)-2 {
-		t.Errorf("roles %v", got)
+		t.Errorf("number of instances by role: %v", got)
 	}
 }
 
-// A zone of 50 that starts at once, or loses an allocator, must not have all of them
-// write to the log.
+// When 50 instances start at once or lose an allocator, only a few of them may write
+// announcements to the log.
 func TestFewInstancesTakeAVacantSlot(t *testing.T) {
 	links := make([]float64, 50)
 	for i := range links {
@@ -111,16 +111,17 @@
 	z := newSimZone(t, links...)
 	z.advance(5*time.Second, allAnswer)
 	if z.announcements > 4 {
-		t.Errorf("%d announcements for two slots", z.announcements)
+		t.Errorf("%d announcements for two slots, want at most 4", z.announcements)
 	}
 	firstHolder, announcementsBefore := z.holders[0], z.announcements
 	z.advance(5*time.Second, func(i int) bool { return i != firstHolder })
 	if z.holders[0] == firstHolder || z.announcements-announcementsBefore > 3 {
-		t.Errorf("slot held by %d after %d, %d announcements", z.holders[0], firstHolder, z.announcements-announcementsBefore)
+		t.Errorf("slot 0 held by instance %d after instance %d stopped answering, %d announcements; want another holder, at most 3 announcements", z.holders[0], firstHolder, z.announcements-announcementsBefore)
 	}
 }
 
-// A stall under failingFor moves members to the other slot and no slot.
+// A stall shorter than unreachableTimeout makes members use the other allocator and
+// leaves the slots to their holders.
 func TestAShortStallReplacesNobody(t *testing.T) {
 	z := newSimZone(t, 200, 200, 20, 20)
 	z.advance(3*time.Second, allAnswer)
@@ -131,17 +132,17 @@
 			continue
 		}
 		if usable := d.Usable(); len(usable) != 1 || usable[0].Key != key(holders[1]) {
-			t.Errorf("instance %d draws from %v", i, usable)
+			t.Errorf("instance %d can withdraw from %v, want only the allocator that answers", i, usable)
 		}
 	}
 	z.advance(2*time.Second, allAnswer)
 	if z.holders != holders {
-		t.Errorf("slots held by %v, before by %v", z.holders, holders)
+		t.Errorf("slots held by %v after a short stall, want %v as before", z.holders, holders)
 	}
 }
 
-// An instance that the zone doesn't reach must not take the slot from those that it
-// does reach again and again.
+// An allocator that its zone cannot reach was replaced. It must not keep retaking the slot
+// from the reachable instance that replaced it.
 func TestAReplacedAllocatorLeavesTheSlotsToOthers(t *testing.T) {
 	z := newSimZone(t, 200, 200, 200, 20)
 	z.advance(2*time.Second, allAnswer)
@@ -151,20 +152,20 @@
 	announcementsBefore := z.announcements
 	z.advance(20*time.Second, func(i int) bool { return isReachable(i) })
 	if z.holders[0] == unreachable || z.announcements != announcementsBefore {
-		t.Errorf("slot held by %d, %d more announcements", z.holders[0], z.announcements-announcementsBefore)
+		t.Errorf("slot 0 held by instance %d, %d more announcements; want another holder, none", z.holders[0], z.announcements-announcementsBefore)
 	}
 	if role := z.instances[unreachable].Role(true, z.now); role == allocator.Allocator {
-		t.Error("the replaced one goes on as an allocator")
+		t.Error("the replaced instance is still an allocator")
 	}
 }
 
-// Announcements outlive their processes: only an answer makes an allocator usable. Until
-// a slot is taken anew the instance waits, some time.
+// An announcement outlives its process, so an allocator is usable only after it answered
+// a call. Without one the instance stays a member at first and then claims for itself.
 func TestAnAnnouncementAloneMakesNoAllocatorUsable(t *testing.T) {
 	d := allocator.New(allocator.Self{Key: "me", Zone: "z", LinkMbps: 20})
 	d.MarkLoaded(0)
 	if role := d.Role(false, 0); role != allocator.Claimant {
-		t.Errorf("is %s in a small fleet", role)
+		t.Errorf("role is %s in a small fleet, want claimant", role)
 	}
 	old, err := allocator.New(allocator.Self{Key: "dead", Peer: "p"}).EncodeAnnouncement()
 	if err != nil {
@@ -174,27 +175,27 @@
 		t.Fatal(err)
 	}
 	if usable := d.Usable(); len(usable) > 0 || !d.HasAllocators() {
-		t.Errorf("draws from %v", usable)
+		t.Errorf("can withdraw from %v, want none before an answer", usable)
 	}
 	for at, want := range map[time.Duration]allocator.Role{
 		time.Second: allocator.Member, 10 * time.Second: allocator.Claimant,
 	} {
 		if role := d.Role(false, at); role != want {
-			t.Errorf("is %s after %s without an allocator, want %s", role, at, want)
+			t.Errorf("role is %s after %s without an allocator, want %s", role, at, want)
 		}
 	}
 	d.MarkReachable("dead")
 	if role := d.Role(false, 11*time.Second); role != allocator.Member {
-		t.Errorf("is %s once an allocator has answered", role)
+		t.Errorf("role is %s after an allocator answered, want member", role)
 	}
 	if !d.MarkFailing("dead", true, 0) || d.MarkFailing("dead", true, time.Second) {
-		t.Error("a first miss is news, a second is not")
+		t.Error("MarkFailing must report the first failure and not the second")
 	}
 	if err := d.Observe(allocator.SlotKey("z", 1), []byte{0xff}, 0); err == nil {
-		t.Error("an unreadable announcement is taken")
+		t.Error("an undecodable announcement was accepted")
 	}
 	if err := d.Observe(allocator.SlotKey("other", 0), []byte{0xff}, 0); err != nil {
-		t.Errorf("another zone's announcement: %v", err)
+		t.Errorf("announcement of another zone: %v, want it ignored", err)
 	}
 	small := allocator.New(allocator.Self{Key: "me", Zone: "z", LinkMbps: 20})
 	small.MarkLoaded(0)
