--- a/internal/allocator/allocator_test.go
+++ b/internal/allocator/allocator_test.go
@@ -9,7 +9,7 @@
 	"guavapier/internal/record"
 )
 
-// simZone is a simZone's instances with the announcements that they have all heard.
+// simZone simulates the instances of one zone, which all read each announcement at once.
 type simZone struct {
 	t             *testing.T
 	instances     []*allocator.Directory
