--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -253,7 +253,7 @@
 // whenShort says when coming back helps a request without tokens: when those
 // that are held here are free, spread a little, else after some round trips.
 func whenShort(err error) time.Duration {
-	var short *prepaid.ShortError
+	var short *prepaid.InsufficientError
 	if errors.As(err, &short) {
 		return short.After + rand.N(spreadShort)
 	}
--- a/internal/gateway/clock.go
+++ b/internal/gateway/clock.go
@@ -40,7 +40,7 @@
 		log.Warn().Err(err).Msg("gateway: boot identity not readable")
 	}
 	return prepaid.Clocks{
-		BootID: strings.TrimSpace(string(id)), Boot: bootTime,
+		BootID: strings.TrimSpace(string(id)), SinceBoot: bootTime,
 		Wall: func() int64 { return time.Now().UnixMilli() },
 	}
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -88,7 +88,7 @@
 	config     atomic.Pointer[route.Config]
 	stateFresh *freshness
 	endpoints  *endpoints
-	keeper     *prepaid.Keeper
+	keeper     *prepaid.Controller
 	loads      *loads
 	calls      *peer.Pool   // To other instances.
 	answers    *peer.Server // Their calls.
@@ -136,10 +136,10 @@
 		Key: record.NewInstanceID(s.Gateway.Name), Node: s.Gateway.Name + "@" + peers,
 		Started: time.Now().UnixMilli(), Peer: peers, Zone: s.Gateway.Zone,
 	}
-	book := prepaid.NewBook(self, prepaid.DefaultPolicy(), hostClocks(log))
+	book := prepaid.NewAccounts(self, prepaid.DefaultPolicy(), hostClocks(log))
 	zone := allocator.New(allocator.Self{Key: self.Key, Peer: peers, Zone: self.Zone, LinkMbps: s.Gateway.LinkMbps})
 	g.calls = peer.NewPool(self.Key, book, peer.Options{})
-	g.keeper = prepaid.NewKeeper(book, zone, prepaid.NewPeers(g.calls, g.busyLog), p.Store, clock, log)
+	g.keeper = prepaid.NewController(book, zone, prepaid.NewPeers(g.calls, g.busyLog), p.Store, clock, log)
 	g.held = quarantine.NewKeeper(quarantine.Options{
 		Self: self.Key, Log: p.Store, Probe: g.pool.Probe, Caller: g.calls, Neighbours: book.Neighbours, Logs: log, Busy: g.busyLog,
 	})
@@ -213,7 +213,7 @@
 // isReady says whether the instance takes callers. Once it was ready it stays
 // so while the store is away: it goes on from what it knows.
 func (g *Gateway) isReady() bool {
-	return !g.draining.Load() && !g.shedder.Sheds() && !g.outdated() && g.config.Load() != nil && g.endpoints.loaded.Load() && g.keeper.Loaded() && g.held.Loaded()
+	return !g.draining.Load() && !g.shedder.Sheds() && !g.outdated() && g.config.Load() != nil && g.endpoints.loaded.Load() && g.keeper.IsLoaded() && g.held.Loaded()
 }
 
 // sendsAway says whether answers ask callers to leave their connections.
@@ -228,7 +228,7 @@
 }
 
 // budgets gives the keeper's reservations their interface.
-type budgets struct{ keeper *prepaid.Keeper }
+type budgets struct{ keeper *prepaid.Controller }
 
 // Reserve implements forward.Budgets.
 func (b budgets) Reserve(ctx context.Context, team record.Team, tokens int64) (forward.Reservation, error) {
@@ -241,5 +241,5 @@
 
 // Explain implements forward.Budgets.
 func (b budgets) Explain(team record.Team) prepaid.Balance {
-	return b.keeper.Book.Balance(team, b.keeper.Clock())
+	return b.keeper.Accounts.Balance(team, b.keeper.Clock())
 }
--- a/internal/gateway/loads.go
+++ b/internal/gateway/loads.go
@@ -47,7 +47,7 @@
 // late costs a worse placement and nothing else.
 type loads struct {
 	caller  peer.Caller
-	book    *prepaid.Book // Knows the other instances.
+	book    *prepaid.Accounts // Knows the other instances.
 	table   *placement.Table
 	clock   func() time.Duration
 	news    chan SentPrompt
@@ -55,7 +55,7 @@
 	calling map[record.InstanceID]bool // One call to each at a time.
 }
 
-func newLoads(caller peer.Caller, book *prepaid.Book, table *placement.Table, clock func() time.Duration) *loads {
+func newLoads(caller peer.Caller, book *prepaid.Accounts, table *placement.Table, clock func() time.Duration) *loads {
 	return &loads{
 		caller: caller, book: book, table: table, clock: clock, news: make(chan SentPrompt, mostTold),
 		calling: map[record.InstanceID]bool{},
@@ -76,7 +76,7 @@
 // calls would grow with the square of its size, and each instance sends too little for
 // its news to matter.
 func (l *loads) placed(k *placement.Ticket) {
-	if l.book.Pooled() {
+	if l.book.NeedsAllocators() {
 		return
 	}
 	told := SentPrompt{Endpoint: k.Endpoint.ID, Parts: k.News}
@@ -118,7 +118,7 @@
 }
 
 func (l *loads) tell(sent []SentPrompt) {
-	for _, other := range l.book.Heirs() {
+	for _, other := range l.book.TransferTargets() {
 		if l.begin(other.Key) {
 			go l.call(other.Key, sent)
 		}
--- a/internal/gateway/loads_test.go
+++ b/internal/gateway/loads_test.go
@@ -20,7 +20,7 @@
 }
 
 // newFleetmate starts an instance's service of loads; its book knows the others.
-func newFleetmate(t *testing.T, key record.InstanceID) (*fleetmate, *prepaid.Statement, *prepaid.Book) {
+func newFleetmate(t *testing.T, key record.InstanceID) (*fleetmate, *prepaid.ClaimRecord, *prepaid.Accounts) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -29,7 +29,7 @@
 	clock := bootClock()
 	address := listener.Addr().String()
 	self := prepaid.Identity{Key: key, Node: string(key), Started: 1, Peer: address}
-	book := prepaid.NewBook(self, prepaid.DefaultPolicy(), prepaid.Clocks{Boot: bootTime, Wall: func() int64 { return 1 }})
+	book := prepaid.NewAccounts(self, prepaid.DefaultPolicy(), prepaid.Clocks{SinceBoot: bootTime, Wall: func() int64 { return 1 }})
 	pool := peer.NewPool(key, book, peer.Options{})
 	table := placement.New(1)
 	for _, id := range []string{"e1", "e2"} {
@@ -45,7 +45,7 @@
 	go func() { _ = server.Serve(listener); close(ended) }()
 	go mate.run(ctx)
 	t.Cleanup(func() { stop(); _ = listener.Close(); server.Close(); pool.Close(); <-ended })
-	return mate, &prepaid.Statement{Node: string(key), Started: 1, Peer: address}, book
+	return mate, &prepaid.ClaimRecord{Node: string(key), Started: 1, Peer: address}, book
 }
 
 // Where one instance sent a session's prompt, another one finds its shared parts,
@@ -54,7 +54,7 @@
 	one, _, book := newFleetmate(t, "one")
 	other, statement, _ := newFleetmate(t, "other")
 	book.Apply("other", statement, time.Second)
-	book.Fresh(time.Second)
+	book.MarkCaughtUp(time.Second)
 	q := placement.Query{Service: "s", Parts: []placement.Part{{ID: "shared", Tokens: 400}, {ID: "own", Tokens: 100}}}
 	k := one.table.Place(q, one.clock())
 	if k.Work >= worthTelling {
--- a/internal/gateway/observe.go
+++ b/internal/gateway/observe.go
@@ -15,14 +15,14 @@
 )
 
 func (g *Gateway) registerTables() {
-	g.tables.Register("budgets", func() any { return g.keeper.Book.View(g.clock()) })
+	g.tables.Register("budgets", func() any { return g.keeper.Accounts.Balances(g.clock()) })
 	g.tables.Register("endpoints", func() any { return g.endpoints.placed.View() })
 	g.tables.Register("zone", func() any { return g.zoneView() })
 	g.tables.Register("quarantine", func() any { return g.held.Table.View(time.Now()) })
 	g.tables.Register("state", func() any {
 		return map[string]int64{"version": g.version(), "age_ms": g.stateFresh.age().Milliseconds()}
 	})
-	g.metrics.Gauge(metrics.GatewayInstances, func() int64 { return int64(g.keeper.Book.Instances()) })
+	g.metrics.Gauge(metrics.GatewayInstances, func() int64 { return int64(g.keeper.Accounts.Instances()) })
 	g.metrics.Gauge(metrics.GatewayState, g.version)
 	g.metrics.Gauge(metrics.GatewayStateAge, func() int64 { return g.stateFresh.age().Milliseconds() })
 	g.metrics.Gauge(metrics.GatewayListAge, func() int64 { return g.endpoints.fresh.age().Milliseconds() })
@@ -42,9 +42,9 @@
 }
 
 func (g *Gateway) zoneView() zoneView {
-	zone := g.keeper.Zone
+	zone := g.keeper.Directory
 	return zoneView{
-		Role: g.keeper.Book.Role().String(), Instances: g.keeper.Book.Instances(),
+		Role: g.keeper.Accounts.Role().String(), Instances: g.keeper.Accounts.Instances(),
 		Allocators: zone.Announced(), Reached: zone.Usable(),
 	}
 }
@@ -52,20 +52,20 @@
 // budgetGauges publish sums over all budgets.
 func (g *Gateway) budgetGauges() {
 	for name, of := range map[string]func(prepaid.Balance) int64{
-		metrics.GatewayHeld: func(b prepaid.Balance) int64 { return b.Claimed + b.Taken - b.Given - b.Settled - b.Reserved },
+		metrics.GatewayHeld: func(b prepaid.Balance) int64 { return b.Claimed + b.Received - b.Transferred - b.Settled - b.Reserved },
 		metrics.GatewayUsed: func(b prepaid.Balance) int64 { return b.Settled + b.Reserved },
 		metrics.GatewayLost: func(b prepaid.Balance) int64 { return b.Lost },
 	} {
 		g.metrics.Gauge(name, func() int64 {
 			sum := int64(0)
-			for _, b := range g.keeper.Book.View(g.clock()) {
+			for _, b := range g.keeper.Accounts.Balances(g.clock()) {
 				sum += of(b)
 			}
 			return sum
 		})
 	}
-	g.metrics.Gauge(metrics.GatewayReadAge, func() int64 { return g.keeper.Book.Balance("", g.clock()).ReadAgeMS })
-	g.metrics.Gauge(metrics.GatewayTouchAge, func() int64 { return g.keeper.Book.Balance("", g.clock()).TouchAgeMS })
+	g.metrics.Gauge(metrics.GatewayReadAge, func() int64 { return g.keeper.Accounts.Balance("", g.clock()).ReadAgeMS })
+	g.metrics.Gauge(metrics.GatewayTouchAge, func() int64 { return g.keeper.Accounts.Balance("", g.clock()).RenewalAgeMS })
 	g.metrics.Gauge(metrics.GatewayReclaimed, g.keeper.Reclaimed)
 	g.metrics.Gauge(metrics.GatewayRepeats, func() int64 { allowed, _ := g.retries.Counts(); return allowed })
 	g.metrics.Gauge(metrics.GatewayLinkLoad, func() int64 { return int64(100 * g.shedder.Load()) })
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -53,7 +53,7 @@
 		g.watchLink()
 		g.endpoints.sweep()
 		g.conns.Sweep()
-		g.retries.SetInstances(g.keeper.Book.Instances())
+		g.retries.SetInstances(g.keeper.Accounts.Instances())
 	}
 }
 
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -67,7 +67,7 @@
 		return
 	}
 	config := route.Compile(decoded)
-	g.keeper.Book.SetPrepaid(prepaidTotals(decoded))
+	g.keeper.Accounts.SetPrepaid(prepaidTotals(decoded))
 	g.conns.SetIdleLimit(idleLimit(decoded))
 	g.config.Store(config)
 	g.log.Info().Int64("state", decoded.Version).Int("routes", len(decoded.Routes)).
--- a/internal/prepaid/balance.go
+++ b/internal/prepaid/balance.go
@@ -17,56 +17,56 @@
 	Claimed         int64  `json:"claimed"`
 	Settled         int64  `json:"settled"`
 	Reserved        int64  `json:"reserved"`
-	Given           int64  `json:"given"`
-	Taken           int64  `json:"taken"`
-	Mark            int64  `json:"mark"`
-	AtHand          int64  `json:"at_hand"`
+	Transferred     int64  `json:"given"`
+	Received        int64  `json:"taken"`
+	InitialBound    int64  `json:"mark"`
+	Spendable       int64  `json:"at_hand"`
 	ClaimedByOthers int64  `json:"claimed_by_others"`
 	UsedByOthers    int64  `json:"used_by_others"`
 	// Lost is what dead processes hold for good.
-	Lost  int64 `json:"lost"`
-	Short int64 `json:"short"`
+	Lost      int64 `json:"lost"`
+	Shortfall int64 `json:"short"`
 	// ReadAgeMS is the time since the log was last read up to its end;
 	// TouchAgeMS since it last took a statement.
-	ReadAgeMS  int64 `json:"read_age_ms"`
-	TouchAgeMS int64 `json:"touch_age_ms"`
+	ReadAgeMS    int64 `json:"read_age_ms"`
+	RenewalAgeMS int64 `json:"touch_age_ms"`
 }
 
 // Balance returns one budget.
-func (b *Book) Balance(team record.Team, now time.Duration) Balance {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.balance(team, now)
+func (a *Accounts) Balance(team record.Team, now time.Duration) Balance {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.balance(team, now)
 }
 
-func (b *Book) balance(team record.Team, now time.Duration) Balance {
-	a := b.accounts[team]
-	if a == nil {
-		a = &account{} // Nothing is held of it; a look must not open it.
+func (a *Accounts) balance(team record.Team, now time.Duration) Balance {
+	acct := a.accounts[team]
+	if acct == nil {
+		acct = &account{} // Nothing is held of it; a look must not open it.
 	}
-	row := Balance{
-		Team: team, Role: b.role.String(), Prepaid: b.prepaid[team], Claimed: a.claimed, Settled: a.settled, Reserved: a.reserved,
-		Given: a.givenSum, Taken: a.takenSum, Mark: a.onLog.mark, AtHand: a.atHand(now),
-		ClaimedByOthers: b.claimedByOthers(team), Short: a.short,
-		ReadAgeMS: (now - b.freshAt).Milliseconds(), TouchAgeMS: (now - b.touchAt).Milliseconds(),
+	balance := Balance{
+		Team: team, Role: a.role.String(), Prepaid: a.prepaidTotals[team], Claimed: acct.claimed, Settled: acct.settled, Reserved: acct.reserved,
+		Transferred: acct.transferred, Received: acct.received, InitialBound: acct.loggedBound.initial, Spendable: acct.spendable(now),
+		ClaimedByOthers: a.claimedByOthers(team), Shortfall: acct.shortfall,
+		ReadAgeMS: (now - a.caughtUpAt).Milliseconds(), RenewalAgeMS: (now - a.renewedAt).Milliseconds(),
 	}
-	for _, h := range b.others {
-		r := h.row(team)
-		row.UsedByOthers += r.Used
-		if !b.alive(h) {
-			row.Lost += r.lost() - r.Used
+	for _, p := range a.others {
+		claim := p.claim(team)
+		balance.UsedByOthers += claim.Used
+		if !a.isAlive(p) {
+			balance.Lost += claim.allotment() - claim.Used
 		}
 	}
-	return row
+	return balance
 }
 
-// View copies the budgets.
-func (b *Book) View(now time.Duration) []Balance {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// Balances copies the budgets.
+func (a *Accounts) Balances(now time.Duration) []Balance {
+	a.mu.Lock()
+	defer a.mu.Unlock()
 	var list []Balance
-	for _, team := range b.teams() {
-		list = append(list, b.balance(team, now))
+	for _, team := range a.sortedTeams() {
+		list = append(list, a.balance(team, now))
 	}
 	return list
 }
--- a/internal/prepaid/bench_test.go
+++ b/internal/prepaid/bench_test.go
@@ -15,65 +15,65 @@
 // statements against each other, and an instance of a fifth of a core that got a
 // busy organisation's flood answered nothing in time.
 func BenchmarkRefusalAmong81Instances(b *testing.B) {
-	book, _ := largeFleet()
+	accounts, _ := largeFleet()
 	b.ReportAllocs()
 	for b.Loop() {
-		if err := book.Reserve("organisation-7", 250, 0); !errors.Is(err, prepaid.ErrShort) {
+		if err := accounts.Reserve("organisation-7", 250, 0); !errors.Is(err, prepaid.ErrInsufficient) {
 			b.Fatal(err)
 		}
-		book.Findable("organisation-7")
+		accounts.MayFindTokens("organisation-7")
 	}
 }
 
-// BenchmarkNothingToStateAmong81Instances is a look for a statement too soon
+// BenchmarkNoRecordDueAmong81Instances is a look for a statement too soon
 // after the last one, while a request waits: each waiting request asks for it
 // whenever anything changes. 258 us while the rows were drafted first, 4.4 us now.
-func BenchmarkNothingToStateAmong81Instances(b *testing.B) {
-	book, rows := largeFleet()
-	book.Want("organisation-7", 250)
-	s := book.Draft(0)
-	book.Taken(s, 0)
-	book.Apply("self", s, 0)
+func BenchmarkNoRecordDueAmong81Instances(b *testing.B) {
+	accounts, rows := largeFleet()
+	accounts.AddShortfall("organisation-7", 250)
+	s := accounts.NextRecord(0)
+	accounts.MarkAcknowledged(s, 0)
+	accounts.Apply("self", s, 0)
 	b.ReportAllocs()
 	for b.Loop() {
-		book.Apply("node-1", &prepaid.Statement{Node: "node-1", Started: 1, Peer: "node-1", Rows: rows}, 0)
-		if book.Draft(time.Millisecond) != nil {
+		accounts.Apply("node-1", &prepaid.ClaimRecord{Node: "node-1", Started: 1, Peer: "node-1", Claims: rows}, 0)
+		if accounts.NextRecord(time.Millisecond) != nil {
 			b.Fatal("a statement")
 		}
 	}
 }
 
-// BenchmarkStatementAmong81Instances is the drafting of a statement: 266 us with a
+// BenchmarkNextRecordAmong81Instances is the drafting of a statement: 266 us with a
 // sum over all instances for each budget, 133 us with one pass.
-func BenchmarkStatementAmong81Instances(b *testing.B) {
-	book, rows := largeFleet()
+func BenchmarkNextRecordAmong81Instances(b *testing.B) {
+	accounts, rows := largeFleet()
 	now := time.Duration(0)
 	b.ReportAllocs()
 	for b.Loop() {
 		now += 2 * time.Second
-		book.Apply("node-1", &prepaid.Statement{Node: "node-1", Started: 1, Peer: "node-1", Rows: rows}, now)
-		s := book.Draft(now)
+		accounts.Apply("node-1", &prepaid.ClaimRecord{Node: "node-1", Started: 1, Peer: "node-1", Claims: rows}, now)
+		s := accounts.NextRecord(now)
 		if s == nil {
 			b.Fatal("no statement")
 		}
-		book.Taken(s, now)
-		book.Apply("self", s, now)
+		accounts.MarkAcknowledged(s, now)
+		accounts.Apply("self", s, now)
 	}
 }
 
-func largeFleet() (*prepaid.Book, []prepaid.Row) {
-	book := prepaid.NewBook(prepaid.Identity{Key: "self", Node: "self"}, prepaid.DefaultPolicy(), hostClocks())
+func largeFleet() (*prepaid.Accounts, []prepaid.BudgetClaim) {
+	accounts := prepaid.NewAccounts(prepaid.Identity{Key: "self", Node: "self"}, prepaid.DefaultPolicy(), hostClocks())
 	totals := map[record.Team]int64{}
-	var rows []prepaid.Row
+	var claims []prepaid.BudgetClaim
 	for i := range 24 {
 		name := record.Team(fmt.Sprintf("organisation-%d", i))
 		totals[name] = 1000
-		rows = append(rows, prepaid.Row{Team: name, Claimed: 10, Reserved: 1, Used: 10})
+		claims = append(claims, prepaid.BudgetClaim{Team: name, Claimed: 10, Reserved: 1, Used: 10})
 	}
-	book.SetPrepaid(totals)
+	accounts.SetPrepaid(totals)
 	for i := range 80 {
 		node := fmt.Sprintf("node-%d", i)
-		book.Apply(record.InstanceID(node), &prepaid.Statement{Node: node, Started: 1, Peer: node, Rows: rows}, 0)
+		accounts.Apply(record.InstanceID(node), &prepaid.ClaimRecord{Node: node, Started: 1, Peer: node, Claims: claims}, 0)
 	}
-	return book, rows
+	return accounts, claims
 }
--- a/internal/prepaid/book.go
+++ b/internal/prepaid/book.go
@@ -46,244 +46,244 @@
 	// ErrExhausted says that the budget cannot cover the request: what has
 	// been used for good leaves too little.
 	ErrExhausted = eris.New("prepaid: budget exhausted")
-	// ErrShort says that this instance holds too little at the moment.
-	ErrShort = eris.New("prepaid: too little held here")
+	// ErrInsufficient says that this instance holds too little at the moment.
+	ErrInsufficient = eris.New("prepaid: too little held here")
 )
 
-// ShortError is an ErrShort that knows when the tokens held here are free again.
-type ShortError struct{ After time.Duration }
+// InsufficientError is an ErrShort that knows when the tokens held here are free again.
+type InsufficientError struct{ After time.Duration }
 
 // Error implements error.
-func (e *ShortError) Error() string { return ErrShort.Error() }
+func (e *InsufficientError) Error() string { return ErrInsufficient.Error() }
 
 // Is makes it an ErrShort.
-func (e *ShortError) Is(target error) bool { return target == ErrShort }
+func (e *InsufficientError) Is(target error) bool { return target == ErrInsufficient }
 
 // account is the own part of one budget.
 type account struct {
-	claimed  int64 // Valid.
-	settled  int64
-	reserved int64
-	given    map[record.InstanceID]int64 // In all, by the other process.
-	taken    map[record.InstanceID]int64
-	givenSum int64
-	takenSum int64
+	claimed       int64 // Valid.
+	settled       int64
+	reserved      int64
+	transferredTo map[record.InstanceID]int64 // In all, by the other process.
+	receivedFrom  map[record.InstanceID]int64
+	transferred   int64
+	received      int64
 
-	stated  int64     // Claimed in the last statement.
-	onLog   allowance // Of the last statement that the log took.
-	drafted allowance // Of the statement under way; else as onLog.
-	short   int64     // Wanted by requests that wait.
-	wanted  int64     // Short at the last draft, or what came late for it.
-	// wantedUntil is how long wanted is kept although no request waits; 0 if it is not.
-	wantedUntil time.Duration
-	rate        rate
-	largest     float64       // Decaying maximum of a request's size.
-	statedGone  int64         // Used and given in the last statement.
-	lead        time.Duration // How much of its use a member may hold.
+	publishedClaim    int64         // Claimed in the last statement.
+	loggedBound       spendingBound // Of the last statement that the log took.
+	preparedBound     spendingBound // Of the statement under way; else as onLog.
+	shortfall         int64         // Wanted by requests that wait.
+	recordedShortfall int64         // Short at the last draft, or what came late for it.
+	// shortfallKeptUntil is how long wanted is kept although no request waits; 0 if it is not.
+	shortfallKeptUntil time.Duration
+	rate               decayingRate
+	largestRequest     float64       // Decaying maximum of a request's size.
+	publishedConsumed  int64         // Used and given in the last statement.
+	headroom           time.Duration // How much of its use a member may hold.
 }
 
 func (a *account) used() int64 { return a.settled + a.reserved }
 
-// gone is what the process can't use again.
-func (a *account) gone() int64 { return a.used() + a.givenSum }
+// consumed is what the process can't use again.
+func (a *account) consumed() int64 { return a.used() + a.transferred }
 
-// drawn is what of its own claim the process can't use again.
-func (a *account) drawn() int64 { return a.gone() - a.takenSum }
+// claimConsumed is what of its own claim the process can't use again.
+func (a *account) claimConsumed() int64 { return a.consumed() - a.received }
 
 // unspent is what it holds.
-func (a *account) unspent() int64 { return a.claimed - a.drawn() }
+func (a *account) unspent() int64 { return a.claimed - a.claimConsumed() }
 
-// Book is safe for concurrent use. Times are since any one origin and count
+// Accounts is safe for concurrent use. Times are since any one origin and count
 // time for which the host was suspended.
-type Book struct {
-	mu         sync.Mutex
-	self       Identity
-	policy     Policy
-	clocks     Clocks
-	prepaid    map[record.Team]int64
-	others     map[record.InstanceID]*holder
-	accounts   map[record.Team]*account
-	sums       map[record.Team]sums
-	latest     map[string]int64 // By node, the start of its latest process.
-	pending    *Statement       // Being written, or written and not yet seen on the log.
-	sequence   uint64
-	toldAt     time.Duration
-	freshAt    time.Duration // When the log was last read up to its end.
-	caughtUp   bool          // It has been read since the others were forgotten.
-	touched    Stamp         // When the log last took a statement.
-	touchAt    time.Duration // The same by the caller's time.
-	inTouch    bool          // touched is set.
-	started    Stamp
-	leaving    bool // Nothing is held beyond what requests want.
-	role       allocator.Role
-	statedRole allocator.Role // In the last statement.
-	pool       pool
-	closed     bool
-	changed    chan struct{} // Closed and replaced when more may be at hand.
-	skews      map[string]skew
-	offset     int64 // Of the own time of day against the time since boot.
+type Accounts struct {
+	mu            sync.Mutex
+	self          Identity
+	policy        Policy
+	clocks        Clocks
+	prepaidTotals map[record.Team]int64
+	others        map[record.InstanceID]*otherProcess
+	accounts      map[record.Team]*account
+	recordSums    map[record.Team]recordSums
+	latestStart   map[string]int64 // By node, the start of its latest process.
+	pending       *ClaimRecord     // Being written, or written and not yet seen on the log.
+	sequence      uint64
+	preparedAt    time.Duration
+	caughtUpAt    time.Duration // When the log was last read up to its end.
+	caughtUp      bool          // It has been read since the others were forgotten.
+	renewed       ClockReading  // When the log last took a statement.
+	renewedAt     time.Duration // The same by the caller's time.
+	hasRenewed    bool          // touched is set.
+	started       ClockReading
+	leaving       bool // Nothing is held beyond what requests want.
+	role          allocator.Role
+	publishedRole allocator.Role // In the last statement.
+	memberView    memberView
+	closed        bool
+	changed       chan struct{} // Closed and replaced when more may be at hand.
+	skews         map[string]clockSkew
+	wallOffset    int64 // Of the own time of day against the time since boot.
 }
 
-// NewBook returns a Book without budgets.
-func NewBook(self Identity, policy Policy, clocks Clocks) *Book {
-	return &Book{
-		self: self, policy: policy, clocks: clocks, prepaid: map[record.Team]int64{}, others: map[record.InstanceID]*holder{},
-		accounts: map[record.Team]*account{}, sums: map[record.Team]sums{}, latest: map[string]int64{}, changed: make(chan struct{}), skews: map[string]skew{}, started: clocks.Now(), offset: clocks.offset(),
+// NewAccounts returns a Book without budgets.
+func NewAccounts(self Identity, policy Policy, clocks Clocks) *Accounts {
+	return &Accounts{
+		self: self, policy: policy, clocks: clocks, prepaidTotals: map[record.Team]int64{}, others: map[record.InstanceID]*otherProcess{},
+		accounts: map[record.Team]*account{}, recordSums: map[record.Team]recordSums{}, latestStart: map[string]int64{}, changed: make(chan struct{}), skews: map[string]clockSkew{}, started: clocks.Now(), wallOffset: clocks.offset(),
 	}
 }
 
 // SetPrepaid takes the prepaid totals of all budgets.
-func (b *Book) SetPrepaid(totals map[record.Team]int64) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.prepaid = totals
-	b.wake()
+func (a *Accounts) SetPrepaid(totals map[record.Team]int64) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.prepaidTotals = totals
+	a.notifyWaiters()
 }
 
-func (b *Book) account(team record.Team) *account {
-	a := b.accounts[team]
-	if a == nil {
-		a = &account{given: map[record.InstanceID]int64{}, taken: map[record.InstanceID]int64{}}
-		b.accounts[team] = a
+func (a *Accounts) account(team record.Team) *account {
+	acct := a.accounts[team]
+	if acct == nil {
+		acct = &account{transferredTo: map[record.InstanceID]int64{}, receivedFrom: map[record.InstanceID]int64{}}
+		a.accounts[team] = acct
 	}
-	return a
+	return acct
 }
 
-// atHand is what may be used or given now: what is held, as far as the
+// spendable is what may be used or given now: what is held, as far as the
 // allowances go. Either of the two may be the one that a later process finds.
-func (a *account) atHand(now time.Duration) int64 {
-	return min(a.claimed, a.onLog.at(now), a.drafted.at(now)) - a.drawn()
+func (a *account) spendable(now time.Duration) int64 {
+	return min(a.claimed, a.loggedBound.at(now), a.preparedBound.at(now)) - a.claimConsumed()
 }
 
-// whenAtHand is how long it takes until that many tokens are at hand by the
+// timeUntilSpendable is how long it takes until that many tokens are at hand by the
 // allowances alone; ok is false if too few are held.
-func (a *account) whenAtHand(tokens int64, now time.Duration) (after time.Duration, ok bool) {
-	need := a.drawn() + tokens
-	return max(a.onLog.until(need, now), a.drafted.until(need, now)), a.unspent() >= tokens
+func (a *account) timeUntilSpendable(tokens int64, now time.Duration) (after time.Duration, ok bool) {
+	neededBound := a.claimConsumed() + tokens
+	return max(a.loggedBound.timeUntil(neededBound, now), a.preparedBound.timeUntil(neededBound, now)), a.unspent() >= tokens
 }
 
 // Reserve sets tokens aside for a request at its most.
-func (b *Book) Reserve(team record.Team, tokens int64, now time.Duration) error {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	a := b.account(team)
-	if a.atHand(now) >= tokens && !b.closed {
-		a.reserved += tokens
-		a.rate.add(float64(tokens), now)
-		a.largest = max(a.largest*largestDecay, float64(tokens))
+func (a *Accounts) Reserve(team record.Team, tokens int64, now time.Duration) error {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	acct := a.account(team)
+	if acct.spendable(now) >= tokens && !a.closed {
+		acct.reserved += tokens
+		acct.rate.add(float64(tokens), now)
+		acct.largestRequest = max(acct.largestRequest*largestRequestDecay, float64(tokens))
 		return nil
 	}
-	if b.spentForGood(team)+tokens > b.prepaid[team] {
+	if a.permanentlySpent(team)+tokens > a.prepaidTotals[team] {
 		return ErrExhausted
 	}
-	if after, ok := a.whenAtHand(tokens, now); ok {
-		return &ShortError{After: after}
+	if after, ok := acct.timeUntilSpendable(tokens, now); ok {
+		return &InsufficientError{After: after}
 	}
-	return ErrShort
+	return ErrInsufficient
 }
 
 // Settle ends a reservation: used of its tokens stay spent.
-func (b *Book) Settle(team record.Team, reserved, used int64) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	a := b.account(team)
-	a.reserved -= reserved
-	a.settled += min(max(used, 0), reserved)
+func (a *Accounts) Settle(team record.Team, reserved, used int64) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	acct := a.account(team)
+	acct.reserved -= reserved
+	acct.settled += min(max(used, 0), reserved)
 }
 
-// Want adds to what waiting requests lack; a negative number takes it back.
-func (b *Book) Want(team record.Team, tokens int64) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.account(team).short += tokens
+// AddShortfall adds to what waiting requests lack; a negative number takes it back.
+func (a *Accounts) AddShortfall(team record.Team, tokens int64) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.account(team).shortfall += tokens
 }
 
 // Changed returns a channel that is closed when more may be at hand.
-func (b *Book) Changed() <-chan struct{} {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.changed
+func (a *Accounts) Changed() <-chan struct{} {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.changed
 }
 
-func (b *Book) wake() {
-	close(b.changed)
-	b.changed = make(chan struct{})
+func (a *Accounts) notifyWaiters() {
+	close(a.changed)
+	a.changed = make(chan struct{})
 }
 
 // Apply takes the next record of the log, in order. A nil statement ends the key.
-func (b *Book) Apply(key record.InstanceID, s *Statement, now time.Duration) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if key == b.self.Key {
-		if s != nil && b.pending != nil && s.Sequence == b.pending.Sequence {
-			b.confirm(now)
+func (a *Accounts) Apply(key record.InstanceID, rec *ClaimRecord, now time.Duration) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if key == a.self.Key {
+		if rec != nil && a.pending != nil && rec.Sequence == a.pending.Sequence {
+			a.confirmPending(now)
 		}
 		return
 	}
-	clear(b.sums)
-	if s == nil {
-		delete(b.others, key)
+	clear(a.recordSums)
+	if rec == nil {
+		delete(a.others, key)
 		return
 	}
-	b.others[key] = newHolder(s, now)
-	b.latest[s.Node] = max(b.latest[s.Node], s.Started)
-	b.hear(s, now)
+	a.others[key] = newOtherProcess(rec, now)
+	a.latestStart[rec.Node] = max(a.latestStart[rec.Node], rec.Started)
+	a.observeClock(rec, now)
 }
 
-// confirm makes the raises of the own pending statement valid, if at its place
+// confirmPending makes the raises of the own pending statement valid, if at its place
 // on the log all claims stay within the prepaid totals.
-func (b *Book) confirm(now time.Duration) {
-	for _, r := range b.pending.Rows {
-		a := b.account(r.Team)
-		if r.Claimed > a.claimed && b.claimedByOthers(r.Team)+r.Claimed <= b.prepaid[r.Team] {
-			a.claimed = r.Claimed
+func (a *Accounts) confirmPending(now time.Duration) {
+	for _, claim := range a.pending.Claims {
+		acct := a.account(claim.Team)
+		if claim.Claimed > acct.claimed && a.claimedByOthers(claim.Team)+claim.Claimed <= a.prepaidTotals[claim.Team] {
+			acct.claimed = claim.Claimed
 		}
-		a.late(r, now)
+		acct.keepLateTokens(claim, now)
 	}
-	b.pending = nil
-	b.wake()
+	a.pending = nil
+	a.notifyWaiters()
 }
 
-// Taken tells that the log has taken the statement.
-func (b *Book) Taken(s *Statement, now time.Duration) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for _, r := range s.Rows {
-		a := b.account(r.Team)
-		a.onLog = a.drafted
+// MarkAcknowledged tells that the log has taken the statement.
+func (a *Accounts) MarkAcknowledged(rec *ClaimRecord, now time.Duration) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	for _, claim := range rec.Claims {
+		acct := a.account(claim.Team)
+		acct.loggedBound = acct.preparedBound
 	}
-	if s.Member && b.pending == s {
-		b.pending = nil // It raises nothing, so that nothing need be read back.
+	if rec.Member && a.pending == rec {
+		a.pending = nil // It raises nothing, so that nothing need be read back.
 	}
-	b.touched, b.touchAt, b.inTouch = b.stamp(now), now, true
-	b.wake()
+	a.renewed, a.renewedAt, a.hasRenewed = a.clockReading(now), now, true
+	a.notifyWaiters()
 }
 
-// Reload forgets the others before the newest records are applied anew: part of
+// ResetOthers forgets the others before the newest records are applied anew: part of
 // the history was lost. A pending raise can't be judged then and is dropped;
 // the next statement takes it back.
-func (b *Book) Reload() {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.others = map[record.InstanceID]*holder{}
-	clear(b.sums)
-	clear(b.latest)
-	b.pending, b.freshAt, b.caughtUp = nil, 0, false
+func (a *Accounts) ResetOthers() {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.others = map[record.InstanceID]*otherProcess{}
+	clear(a.recordSums)
+	clear(a.latestStart)
+	a.pending, a.caughtUpAt, a.caughtUp = nil, 0, false
 }
 
 // PeerAddr implements peer.Addresses: the address of a process by its statement.
-func (b *Book) PeerAddr(id record.InstanceID) (string, bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if h, known := b.others[id]; known && h.Peer != "" {
-		return h.Peer, true
+func (a *Accounts) PeerAddr(id record.InstanceID) (string, bool) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if p, known := a.others[id]; known && p.Peer != "" {
+		return p.Peer, true
 	}
-	return b.pool.address(id)
+	return a.memberView.address(id)
 }
 
-// Fresh tells that the log has been read up to its end.
-func (b *Book) Fresh(now time.Duration) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.freshAt, b.caughtUp = now, true
+// MarkCaughtUp tells that the log has been read up to its end.
+func (a *Accounts) MarkCaughtUp(now time.Duration) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.caughtUpAt, a.caughtUp = now, true
 }
--- a/internal/prepaid/clocks.go
+++ b/internal/prepaid/clocks.go
@@ -10,98 +10,100 @@
 // Clocks read one host's clocks.
 type Clocks struct {
 	BootID string
-	// Boot returns the time since the host's boot, time suspended included.
-	Boot func() time.Duration
+	// SinceBoot returns the time since the host's boot, time suspended included.
+	SinceBoot func() time.Duration
 	// Wall returns the time of day in Unix milliseconds.
 	Wall func() int64
 }
 
 // Now returns the present moment, uncorrected.
-func (c Clocks) Now() Stamp { return Stamp{BootID: c.BootID, Boot: c.Boot(), Wall: c.Wall()} }
+func (c Clocks) Now() ClockReading {
+	return ClockReading{BootID: c.BootID, SinceBoot: c.SinceBoot(), Wall: c.Wall()}
+}
 
 const (
 	// skewMargin covers what correcting a clock by the fleet's median leaves: a
 	// statement is read up to 0.35 s after it was drafted (a write and the pause
 	// between two reads), and the least of several readings counts.
 	skewMargin = 450 * time.Millisecond
-	// bootMargin covers reading two clocks one after the other.
-	bootMargin = 50 * time.Millisecond
-	// sameBoot is how far the two clocks may drift apart over one boot.
-	sameBoot = time.Minute
-	// skewsNeeded is how many other hosts' clocks make a median.
-	skewsNeeded = 2
-	// skewsAgree is how far the two middle ones of an even number may lie apart.
-	skewsAgree = 250 * time.Millisecond
-	// clockMoved is a change of the time of day against the time since boot
+	// bootClockMargin covers reading two clocks one after the other.
+	bootClockMargin = 50 * time.Millisecond
+	// maxBootClockDrift is how far the two clocks may drift apart over one boot.
+	maxBootClockDrift = time.Minute
+	// minSkews is how many other hosts' clocks make a median.
+	minSkews = 2
+	// maxMedianSpread is how far the two middle ones of an even number may lie apart.
+	maxMedianSpread = 250 * time.Millisecond
+	// minClockStep is a change of the time of day against the time since boot
 	// that no slewing of a clock makes between two looks.
-	clockMoved = 100 * time.Millisecond
-	// skewFresh is how long another host's clock counts after it was heard.
-	skewFresh = 5 * time.Second
+	minClockStep = 100 * time.Millisecond
+	// skewTTL is how long another host's clock counts after it was heard.
+	skewTTL = 5 * time.Second
 )
 
-// skew is how far the own time of day stands before another host's.
-type skew struct {
-	ms int64
-	at time.Duration
+// clockSkew is how far the own time of day stands before another host's.
+type clockSkew struct {
+	ms         int64
+	observedAt time.Duration
 }
 
 // offset is how far the time of day stands before the time since boot. It
 // changes only when someone sets the clock.
-func (c Clocks) offset() int64 { return c.Wall() - c.Boot().Milliseconds() }
+func (c Clocks) offset() int64 { return c.Wall() - c.SinceBoot().Milliseconds() }
 
-// watchClock forgets all skews when the own clock was set: they were heard by
+// detectClockStep forgets all skews when the own clock was set: they were heard by
 // the old one.
-func (b *Book) watchClock() {
-	now := b.clocks.offset()
-	if moved := now - b.offset; moved > clockMoved.Milliseconds() || moved < -clockMoved.Milliseconds() {
-		clear(b.skews)
-		b.pool.skew = skew{}
+func (a *Accounts) detectClockStep() {
+	offset := a.clocks.offset()
+	if moved := offset - a.wallOffset; moved > minClockStep.Milliseconds() || moved < -minClockStep.Milliseconds() {
+		clear(a.skews)
+		a.memberView.skew = clockSkew{}
 	}
-	b.offset = now
+	a.wallOffset = offset
 }
 
-// hear notes the clock of a statement that has just been drafted. Those read
+// observeClock notes the clock of a statement that has just been drafted. Those read
 // while the log is caught up with are older and don't count.
-func (b *Book) hear(s *Statement, now time.Duration) {
-	b.watchClock()
-	if s.Closed || b.freshAt == 0 || now-b.freshAt > skewFresh {
+func (a *Accounts) observeClock(rec *ClaimRecord, now time.Duration) {
+	a.detectClockStep()
+	if rec.Closed || a.caughtUpAt == 0 || now-a.caughtUpAt > skewTTL {
 		return
 	}
-	ms := b.clocks.Wall() - s.Wall
-	if known, ok := b.skews[s.Node]; ok && known.ms < ms && now-known.at < skewFresh {
+	ms := a.clocks.Wall() - rec.Wall
+	if known, ok := a.skews[rec.Node]; ok && known.ms < ms && now-known.observedAt < skewTTL {
 		return // A statement that was read sooner tells more.
 	}
-	b.skews[s.Node] = skew{ms: ms, at: now}
+	a.skews[rec.Node] = clockSkew{ms: ms, observedAt: now}
 }
 
-// skewMS returns how far the own time of day stands before the fleet's median;
+// medianSkewMS returns how far the own time of day stands before the fleet's median;
 // ok is false if too few others were heard of late, or they are at odds.
-func (b *Book) skewMS(now time.Duration) (ms int64, ok bool) {
-	b.watchClock()
-	if known := b.pool.skew; b.role == allocator.Member && known.at > 0 {
-		return known.ms, now-known.at <= skewFresh
+func (a *Accounts) medianSkewMS(now time.Duration) (ms int64, ok bool) {
+	a.detectClockStep()
+	if known := a.memberView.skew; a.role == allocator.Member && known.observedAt > 0 {
+		return known.ms, now-known.observedAt <= skewTTL
 	}
 	var known []int64
-	for node, s := range b.skews {
-		if now-s.at > skewFresh {
-			delete(b.skews, node)
+	for node, s := range a.skews {
+		if now-s.observedAt > skewTTL {
+			delete(a.skews, node)
 			continue
 		}
 		known = append(known, s.ms)
 	}
 	n := len(known)
-	if n < skewsNeeded {
+	if n < minSkews {
 		return 0, false
 	}
 	slices.Sort(known)
-	low, high := known[(n-1)/2], known[n/2]
-	return low, high-low <= skewsAgree.Milliseconds()
+	lower, upper := known[(n-1)/2], known[n/2]
+	return lower, upper-lower <= maxMedianSpread.Milliseconds()
 }
 
-// stamp returns the present moment, corrected if the fleet's clocks are known.
-func (b *Book) stamp(now time.Duration) Stamp {
-	ms, ok := b.skewMS(now)
-	s := b.clocks.Now()
+// clockReading returns the present moment, corrected if the fleet's clocks are known.
+func (a *Accounts) clockReading(now time.Duration) ClockReading {
+	ms, ok := a.medianSkewMS(now)
+	s := a.clocks.Now()
 	if ok {
 		s.Wall, s.Corrected = s.Wall-ms, true
 	}
@@ -110,19 +112,19 @@
 
 // ageAtStart returns the time from a dead process's last touch to this process's
 // start, on the same host, at its most. known is false if that can't be told.
-func (b *Book) ageAtStart(s *Statement, now time.Duration) (age time.Duration, known bool) {
-	if s.Touched.Wall == 0 {
+func (a *Accounts) ageAtStart(rec *ClaimRecord, now time.Duration) (age time.Duration, known bool) {
+	if rec.Renewed.Wall == 0 {
 		return 0, false // It never was in touch.
 	}
-	ms, ok := b.skewMS(now)
-	boot := b.started.Boot - s.Touched.Boot
+	ms, ok := a.medianSkewMS(now)
+	boot := a.started.SinceBoot - rec.Renewed.SinceBoot
 	// The start by the clock as it is set now.
-	started := b.clocks.Wall() - (b.clocks.Boot() - b.started.Boot).Milliseconds()
-	wall := time.Duration(started-s.Touched.Wall) * time.Millisecond
-	if b.started.BootID == s.Touched.BootID && (boot-wall).Abs() < sameBoot {
-		return boot + bootMargin, boot >= 0
+	started := a.clocks.Wall() - (a.clocks.SinceBoot() - a.started.SinceBoot).Milliseconds()
+	wall := time.Duration(started-rec.Renewed.Wall) * time.Millisecond
+	if a.started.BootID == rec.Renewed.BootID && (boot-wall).Abs() < maxBootClockDrift {
+		return boot + bootClockMargin, boot >= 0
 	}
-	if !ok || !s.Touched.Corrected {
+	if !ok || !rec.Renewed.Corrected {
 		return 0, false
 	}
 	age = wall - time.Duration(ms)*time.Millisecond + skewMargin
--- a/internal/prepaid/crowd_test.go
+++ b/internal/prepaid/crowd_test.go
@@ -9,32 +9,32 @@
 	"guavapier/internal/record"
 )
 
-// crowd returns a book that has heard of so many other living instances.
-func crowd(others int, now time.Duration) *prepaid.Book {
-	b := prepaid.NewBook(prepaid.Identity{Key: "self", Node: "self", Started: 1}, prepaid.DefaultPolicy(), hostClocks())
+// newLargeFleet returns a book that has heard of so many other living instances.
+func newLargeFleet(others int, now time.Duration) *prepaid.Accounts {
+	b := prepaid.NewAccounts(prepaid.Identity{Key: "self", Node: "self", Started: 1}, prepaid.DefaultPolicy(), hostClocks())
 	b.SetPrepaid(map[record.Team]int64{team: 1 << 40})
 	for n := range others {
 		key := fmt.Sprint("other-", n)
-		b.Apply(record.InstanceID(key), &prepaid.Statement{Node: key, Started: 1, Sequence: 1}, now)
+		b.Apply(record.InstanceID(key), &prepaid.ClaimRecord{Node: key, Started: 1, Sequence: 1}, now)
 	}
-	b.Fresh(now)
+	b.MarkCaughtUp(now)
 	return b
 }
 
-// stated plays a busy second in steps of 5 ms and counts the statements. Where
+// countRecords plays a busy second in steps of 5 ms and counts the statements. Where
 // requests wait, one lacks tokens all the time.
-func stated(b *prepaid.Book, waiting bool) (count int) {
+func countRecords(b *prepaid.Accounts, waiting bool) (count int) {
 	if waiting {
-		b.Want(team, 1<<30)
+		b.AddShortfall(team, 1<<30)
 	}
 	for now := time.Duration(0); now < time.Second; now += 5 * time.Millisecond {
-		if s := b.Draft(now); s != nil {
+		if s := b.NextRecord(now); s != nil {
 			count++
-			b.Taken(s, now)
+			b.MarkAcknowledged(s, now)
 			b.Apply("self", s, now)
 		}
 		if waiting {
-			b.Want(team, 1<<30)
+			b.AddShortfall(team, 1<<30)
 		}
 		if b.Reserve(team, 10, now) == nil {
 			b.Settle(team, 10, 10)
@@ -43,25 +43,25 @@
 	return count
 }
 
-// TestStatementsOfACrowd bounds the statements that one instance has to read:
+// TestRecordsPublishedInALargeFleetAreBounded bounds the statements that one instance has to read:
 // the sum over the fleet must not grow with the fleet.
-func TestStatementsOfACrowd(t *testing.T) {
+func TestRecordsPublishedInALargeFleetAreBounded(t *testing.T) {
 	for name, c := range map[string]struct {
-		others  int
-		waiting bool
-		least   int
-		most    int // By all instances in the second.
+		others   int
+		waiting  bool
+		minOwn   int
+		maxByAll int // By all instances in the second.
 	}{
-		"small":                  {others: 7, least: 5, most: 8 * 7},
-		"large":                  {others: 69, least: 1, most: 140},
-		"small, requests wait":   {others: 7, waiting: true, least: 50, most: 8 * 200},
-		"large, requests wait":   {others: 69, waiting: true, least: 3, most: 350},
-		"hundreds, few requests": {others: 299, least: 1, most: 310},
+		"small":                  {others: 7, minOwn: 5, maxByAll: 8 * 7},
+		"large":                  {others: 69, minOwn: 1, maxByAll: 140},
+		"small, requests wait":   {others: 7, waiting: true, minOwn: 50, maxByAll: 8 * 200},
+		"large, requests wait":   {others: 69, waiting: true, minOwn: 3, maxByAll: 350},
+		"hundreds, few requests": {others: 299, minOwn: 1, maxByAll: 310},
 	} {
 		t.Run(name, func(t *testing.T) {
-			n := stated(crowd(c.others, 0), c.waiting)
-			if n < c.least || n*(c.others+1) > c.most {
-				t.Fatalf("%d statements in a second, %d by all; want %d at least, %d by all at most", n, n*(c.others+1), c.least, c.most)
+			n := countRecords(newLargeFleet(c.others, 0), c.waiting)
+			if n < c.minOwn || n*(c.others+1) > c.maxByAll {
+				t.Fatalf("%d statements in a second, %d by all; want %d at least, %d by all at most", n, n*(c.others+1), c.minOwn, c.maxByAll)
 			}
 		})
 	}
--- a/internal/prepaid/draft.go
+++ b/internal/prepaid/draft.go
@@ -9,110 +9,110 @@
 	"guavapier/internal/record"
 )
 
-// Draft returns the next statement to write, or nil if there is nothing to say.
+// NextRecord returns the next statement to write, or nil if there is nothing to say.
 // What it gives back is no longer used from here on; what it claims is used
 // once it has been seen on the log. The caller writes one at a time, each until
 // the log has taken it.
-func (b *Book) Draft(now time.Duration) *Statement {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.pending != nil || b.closed || !b.caughtUp && b.role != allocator.Member {
+func (a *Accounts) NextRecord(now time.Duration) *ClaimRecord {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.pending != nil || a.closed || !a.caughtUp && a.role != allocator.Member {
 		return nil
 	}
 	// A new allocator says so at once; the many new members of a fleet that starts
 	// would only be in its way.
-	first := b.sequence == 0 || b.role != b.statedRole && b.role == allocator.Allocator
-	since := now - b.toldAt
-	if !first && since < b.pause(b.waiting()) {
+	immediate := a.sequence == 0 || a.role != a.publishedRole && a.role == allocator.Allocator
+	sincePrepared := now - a.preparedAt
+	if !immediate && sincePrepared < a.publishInterval(a.hasWaitingRequests()) {
 		return nil // Too soon whatever the rows say, and those cost 0.1 ms in a large fleet.
 	}
-	rows, pressing, news := b.draftRows(now)
-	if !first && (since < b.pause(pressing) || !news && !pressing && since < b.policy.Heartbeat) {
+	claims, urgent, changed := a.prepareClaims(now)
+	if !immediate && (sincePrepared < a.publishInterval(urgent) || !changed && !urgent && sincePrepared < a.policy.Heartbeat) {
 		return nil
 	}
-	return b.state(rows, false, now)
+	return a.newRecord(claims, false, now)
 }
 
-// waiting says whether any request waits for tokens.
-func (b *Book) waiting() bool {
-	for _, a := range b.accounts {
-		if a.short > 0 {
+// hasWaitingRequests says whether any request waits for tokens.
+func (a *Accounts) hasWaitingRequests() bool {
+	for _, acct := range a.accounts {
+		if acct.shortfall > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// pause is the shortest time between two statements. Every claimant reads those of
+// publishInterval is the shortest time between two statements. Every claimant reads those of
 // all: 70 instances at 7 a second each are 9 Mbit/s on every link. Statements that a
 // request waits for come from claimants only.
-func (b *Book) pause(pressing bool) time.Duration {
-	if pressing && b.role != allocator.Member {
-		pause := b.crowd(b.claimants()) * b.policy.CrowdPressing
-		if b.role == allocator.Allocator {
-			return min(pause, b.policy.AllocatorPressing)
+func (a *Accounts) publishInterval(urgent bool) time.Duration {
+	if urgent && a.role != allocator.Member {
+		interval := a.largeFleetExcess(a.countClaimants()) * a.policy.LargeFleetUrgentInterval
+		if a.role == allocator.Allocator {
+			return min(interval, a.policy.MaxAllocatorUrgentInterval)
 		}
-		return pause
+		return interval
 	}
-	quiet := b.policy.Quiet + b.crowd(b.instances())*b.policy.CrowdQuiet
-	if b.role == allocator.Allocator {
-		return min(quiet, b.policy.AllocatorQuiet)
+	interval := a.policy.MinInterval + a.largeFleetExcess(a.instances())*a.policy.LargeFleetInterval
+	if a.role == allocator.Allocator {
+		return min(interval, a.policy.MaxAllocatorInterval)
 	}
-	return quiet
+	return interval
 }
 
-// crowd is how many of so many instances are beyond Policy.Crowd.
-func (b *Book) crowd(instances int) time.Duration {
-	return time.Duration(max(0, instances-b.policy.Crowd))
+// largeFleetExcess is how many of so many instances are beyond Policy.Crowd.
+func (a *Accounts) largeFleetExcess(instances int) time.Duration {
+	return time.Duration(max(0, instances-a.policy.LargeFleetSize))
 }
 
 // Close drafts the last statement: all that is not used is given back.
-func (b *Book) Close(now time.Duration) *Statement {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.closed = true
-	var rows []Row
-	for _, team := range b.teams() {
-		a := b.account(team)
-		r := a.row(team, now)
-		r.Claimed, r.Mark = a.drawn(), a.drawn()
-		rows = append(rows, r)
+func (a *Accounts) Close(now time.Duration) *ClaimRecord {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.closed = true
+	var claims []BudgetClaim
+	for _, team := range a.sortedTeams() {
+		acct := a.account(team)
+		claim := acct.budgetClaim(team, now)
+		claim.Claimed, claim.InitialBound = acct.claimConsumed(), acct.claimConsumed()
+		claims = append(claims, claim)
 	}
-	return b.state(rows, true, now)
+	return a.newRecord(claims, true, now)
 }
 
-// row fills what is known of the own part of a budget.
-func (a *account) row(team record.Team, now time.Duration) Row {
-	return Row{
-		Team: team, Used: a.used(), Reserved: a.reserved, Taken: a.takenSum, Given: a.givenSum,
-		Rate: int64(a.rate.perSecond(now)), Short: a.short,
+// budgetClaim fills what is known of the own part of a budget.
+func (a *account) budgetClaim(team record.Team, now time.Duration) BudgetClaim {
+	return BudgetClaim{
+		Team: team, Used: a.used(), Reserved: a.reserved, Received: a.received, Transferred: a.transferred,
+		Rate: int64(a.rate.perSecond(now)), Shortfall: a.shortfall,
 	}
 }
 
-func (b *Book) state(rows []Row, closed bool, now time.Duration) *Statement {
-	for _, r := range rows {
-		a := b.account(r.Team)
-		a.claimed = min(a.claimed, r.Claimed)
-		a.stated, a.statedGone = r.Claimed, r.Used+r.Given
-		a.drafted = r.allowance(b.touchAt, b.inTouch)
+func (a *Accounts) newRecord(claims []BudgetClaim, closed bool, now time.Duration) *ClaimRecord {
+	for _, claim := range claims {
+		acct := a.account(claim.Team)
+		acct.claimed = min(acct.claimed, claim.Claimed)
+		acct.publishedClaim, acct.publishedConsumed = claim.Claimed, claim.Used+claim.Transferred
+		acct.preparedBound = claim.spendingBound(a.renewedAt, a.hasRenewed)
 	}
-	b.sequence++
-	b.toldAt, b.statedRole = now, b.role
-	b.pending = &Statement{
-		Node: b.self.Node, Started: b.self.Started, Sequence: b.sequence, Closed: closed, Rows: rows,
-		Touched: b.touched, Wall: b.clocks.Wall(), Peer: b.self.Peer, Zone: b.self.Zone,
-		Member: b.role == allocator.Member,
+	a.sequence++
+	a.preparedAt, a.publishedRole = now, a.role
+	a.pending = &ClaimRecord{
+		Node: a.self.Node, Started: a.self.Started, Sequence: a.sequence, Closed: closed, Claims: claims,
+		Renewed: a.renewed, Wall: a.clocks.Wall(), Peer: a.self.Peer, Zone: a.self.Zone,
+		Member: a.role == allocator.Member,
 	}
-	return b.pending
+	return a.pending
 }
 
-func (b *Book) teams() []record.Team {
+func (a *Accounts) sortedTeams() []record.Team {
 	var teams []record.Team
-	for team := range b.prepaid {
+	for team := range a.prepaidTotals {
 		teams = append(teams, team)
 	}
-	for team := range b.accounts {
-		if _, known := b.prepaid[team]; !known {
+	for team := range a.accounts {
+		if _, known := a.prepaidTotals[team]; !known {
 			teams = append(teams, team)
 		}
 	}
@@ -120,29 +120,29 @@
 	return teams
 }
 
-// draftRows sizes every claim and mark. pressing says that a request waits for
+// prepareClaims sizes every claim and mark. pressing says that a request waits for
 // one, news that the statement would say something else than the last.
-func (b *Book) draftRows(now time.Duration) (rows []Row, pressing, news bool) {
-	others := b.tally()
-	for _, team := range b.teams() {
-		a := b.account(team)
-		a.want(now)
-		rest := b.rest(team, a, others, now)
-		r := a.row(team, now)
-		r.Claimed = b.claim(team, a, rest, others.of(team).short, now)
-		a.allow(&r, rest, now)
-		if a.short > 0 && (r.Claimed > a.claimed || r.Mark > a.onLog.mark) {
-			pressing = true
+func (a *Accounts) prepareClaims(now time.Duration) (claims []BudgetClaim, urgent, changed bool) {
+	totals := a.fleetTotals()
+	for _, team := range a.sortedTeams() {
+		acct := a.account(team)
+		acct.recordShortfall(now)
+		remainder := a.remainder(team, acct, totals, now)
+		claim := acct.budgetClaim(team, now)
+		claim.Claimed = a.nextClaim(team, acct, remainder, totals.budget(team).shortfall, now)
+		acct.setSpendingBound(&claim, remainder, now)
+		if acct.shortfall > 0 && (claim.Claimed > acct.claimed || claim.InitialBound > acct.loggedBound.initial) {
+			urgent = true
 		}
-		if r.Claimed != a.stated || r.Used+r.Given != a.statedGone {
-			news = true
+		if claim.Claimed != acct.publishedClaim || claim.Used+claim.Transferred != acct.publishedConsumed {
+			changed = true
 		}
-		if b.role == allocator.Member {
-			r.Rate, r.Short = 0, 0
+		if a.role == allocator.Member {
+			claim.Rate, claim.Shortfall = 0, 0
 		}
-		if b.role != allocator.Member || !r.empty() || a.claimed != 0 || a.stated != 0 {
-			rows = append(rows, r)
+		if a.role != allocator.Member || !claim.isEmpty() || acct.claimed != 0 || acct.publishedClaim != 0 {
+			claims = append(claims, claim)
 		}
 	}
-	return rows, pressing, news
+	return claims, urgent, changed
 }
--- a/internal/prepaid/keeper.go
+++ b/internal/prepaid/keeper.go
@@ -17,259 +17,259 @@
 )
 
 const (
-	// followWait is the longest wait of one read. Short: a connection that
+	// maxReadWait is the longest wait of one read. Short: a connection that
 	// fell silent without an error is noticed after it.
-	followWait = time.Second
-	// followPause spaces reads, since every instance's statement ends every
+	maxReadWait = time.Second
+	// readInterval spaces reads, since every instance's statement ends every
 	// read of all others.
-	followPause = 250 * time.Millisecond
-	// followAfresh is how long the log may be out of reach before its newest
+	readInterval = 250 * time.Millisecond
+	// reloadThreshold is how long the log may be out of reach before its newest
 	// records are read in place of all that came meanwhile: what a fleet states in some
 	// seconds takes a small link longer to carry than one call may last.
-	followAfresh = 2 * time.Second
-	// writeEvery is how often it is looked whether there is something to state.
-	writeEvery = 100 * time.Millisecond
-	// retryEvery is the pause after a failed call.
-	retryEvery = 150 * time.Millisecond
-	// InTouch is how old the last read may be for a request to wait for a
+	reloadThreshold = 2 * time.Second
+	// publishCheckInterval is how often it is looked whether there is something to state.
+	publishCheckInterval = 100 * time.Millisecond
+	// retryInterval is the pause after a failed call.
+	retryInterval = 150 * time.Millisecond
+	// LogReachableTTL is how old the last read may be for a request to wait for a
 	// claim; without the log it would wait in vain.
-	InTouch = 1500 * time.Millisecond
-	// resolveEvery is the pause between two rounds of asking again.
-	resolveEvery = 500 * time.Millisecond
-	// claimTrips is how long a claim takes, with two round trips to the log,
+	LogReachableTTL = 1500 * time.Millisecond
+	// resolveInterval is the pause between two rounds of asking again.
+	resolveInterval = 500 * time.Millisecond
+	// claimTimeout is how long a claim takes, with two round trips to the log,
 	// and room for one that collides with another's.
-	claimTrips = 60 * time.Millisecond
-	// WaitForClaim is the longest that a request waits for a claim: some round
+	claimTimeout = 60 * time.Millisecond
+	// MaxClaimWait is the longest that a request waits for a claim: some round
 	// trips to the log, while another instance gives back.
-	WaitForClaim = 400 * time.Millisecond
+	MaxClaimWait = 400 * time.Millisecond
 )
 
-// Keeper runs a Book against the log.
-type Keeper struct {
-	Book  *Book
-	Zone  *allocator.Directory
-	Peers *Peers
-	Log   logstore.Keyed
-	Clock func() time.Duration
-	Logs  zerolog.Logger
+// Controller runs a Book against the log.
+type Controller struct {
+	Accounts  *Accounts
+	Directory *allocator.Directory
+	Peers     *Peers
+	Log       logstore.Keyed
+	Clock     func() time.Duration
+	Logger    zerolog.Logger
 
-	kickRead  chan struct{}
-	kickWrite chan struct{}
-	lastRead  atomic.Int64 // Clock at the last read, in nanoseconds; 0 for none.
-	began     atomic.Int64 // Clock at the begin of the last read, and of the last that succeeded.
-	readBegan atomic.Int64
-	sequence  uint64 // Of the next write.
-	announced uint64 // Announcements written.
-	epoch     uint64
-	away      bool // The reads fail.
-	leaving   atomic.Bool
-	givenBack atomic.Int64
-	reclaimed map[record.InstanceID]uint64 // Sequences of the dead's statements that were made final.
+	triggerRead        chan struct{}
+	triggerPublish     chan struct{}
+	lastReadAt         atomic.Int64 // Clock at the last read, in nanoseconds; 0 for none.
+	readStartedAt      atomic.Int64 // Clock at the begin of the last read, and of the last that succeeded.
+	lastReadStartedAt  atomic.Int64
+	nextSequence       uint64 // Of the next write.
+	announcementEpoch  uint64 // Announcements written.
+	epoch              uint64
+	logUnavailable     bool // The reads fail.
+	leaving            atomic.Bool
+	reclaimedTokens    atomic.Int64
+	reclaimedSequences map[record.InstanceID]uint64 // Sequences of the dead's statements that were made final.
 }
 
-// NewKeeper returns a Keeper; Run makes it work.
-func NewKeeper(book *Book, zone *allocator.Directory, peers *Peers, log logstore.Keyed, clock func() time.Duration, logs zerolog.Logger) *Keeper {
-	return &Keeper{
-		Book: book, Zone: zone, Peers: peers, Log: log, reclaimed: map[record.InstanceID]uint64{}, Clock: clock, Logs: logs, epoch: 1,
-		kickRead: make(chan struct{}, 1), kickWrite: make(chan struct{}, 1),
+// NewController returns a Keeper; Run makes it work.
+func NewController(accounts *Accounts, directory *allocator.Directory, peers *Peers, log logstore.Keyed, clock func() time.Duration, logger zerolog.Logger) *Controller {
+	return &Controller{
+		Accounts: accounts, Directory: directory, Peers: peers, Log: log, reclaimedSequences: map[record.InstanceID]uint64{}, Clock: clock, Logger: logger, epoch: 1,
+		triggerRead: make(chan struct{}, 1), triggerPublish: make(chan struct{}, 1),
 	}
 }
 
 // Run follows the log and writes statements until ctx ends.
-func (k *Keeper) Run(ctx context.Context) {
+func (c *Controller) Run(ctx context.Context) {
 	var group errgroup.Group
-	group.Go(func() error { k.followAllocators(ctx); return nil })
-	group.Go(func() error { k.roles(ctx); return nil })
-	group.Go(func() error { k.returns(ctx); return nil })
-	group.Go(func() error { k.findPredecessors(ctx); return nil })
-	group.Go(func() error { k.reach(ctx); return nil })
-	group.Go(func() error { k.write(ctx); return nil })
-	group.Go(func() error { k.resolve(ctx); return nil })
+	group.Go(func() error { c.followAllocators(ctx); return nil })
+	group.Go(func() error { c.maintainRole(ctx); return nil })
+	group.Go(func() error { c.returnExcess(ctx); return nil })
+	group.Go(func() error { c.findPredecessors(ctx); return nil })
+	group.Go(func() error { c.probeAllocators(ctx); return nil })
+	group.Go(func() error { c.publishRecords(ctx); return nil })
+	group.Go(func() error { c.resolveLostReplies(ctx); return nil })
 	_ = group.Wait()
 }
 
 // Reservation is a request's part of a budget, at its most.
 type Reservation struct {
-	keeper *Keeper
-	team   record.Team
-	tokens int64
+	controller *Controller
+	team       record.Team
+	tokens     int64
 }
 
 // Tokens returns the size of the reservation.
 func (r *Reservation) Tokens() int64 { return r.tokens }
 
 // Settle ends the reservation: used tokens stay spent. Call it once.
-func (r *Reservation) Settle(used int64) { r.keeper.Book.Settle(r.team, r.tokens, used) }
+func (r *Reservation) Settle(used int64) { r.controller.Accounts.Settle(r.team, r.tokens, used) }
 
 // Reserve sets tokens aside. If too little is held here, it waits a moment for
 // a claim while the log answers, and asks other instances.
-func (k *Keeper) Reserve(ctx context.Context, team record.Team, tokens int64) (*Reservation, error) {
-	err := k.Book.Reserve(team, tokens, k.Clock())
-	if errors.Is(err, ErrShort) && k.Book.Role() == allocator.Member {
-		err = k.draw(ctx, team, tokens)
+func (c *Controller) Reserve(ctx context.Context, team record.Team, tokens int64) (*Reservation, error) {
+	err := c.Accounts.Reserve(team, tokens, c.Clock())
+	if errors.Is(err, ErrInsufficient) && c.Accounts.Role() == allocator.Member {
+		err = c.withdraw(ctx, team, tokens)
 	}
-	if errors.Is(err, ErrShort) && k.Book.Role() != allocator.Member {
-		err = k.find(ctx, team, tokens)
+	if errors.Is(err, ErrInsufficient) && c.Accounts.Role() != allocator.Member {
+		err = c.findTokens(ctx, team, tokens)
 	}
 	if err != nil {
 		return nil, err
 	}
-	return &Reservation{keeper: k, team: team, tokens: tokens}, nil
+	return &Reservation{controller: c, team: team, tokens: tokens}, nil
 }
 
-// find looks for tokens: on the log first, then at other instances.
-func (k *Keeper) find(ctx context.Context, team record.Team, tokens int64) error {
-	if !k.Book.Findable(team) {
-		return ErrShort
+// findTokens looks for tokens: on the log first, then at other instances.
+func (c *Controller) findTokens(ctx context.Context, team record.Team, tokens int64) error {
+	if !c.Accounts.MayFindTokens(team) {
+		return ErrInsufficient
 	}
-	k.Book.Want(team, tokens)
-	defer k.Book.Want(team, -tokens)
-	began := k.Clock()
-	if k.inTouch() {
-		if err := k.await(ctx, team, tokens, claimTrips); !errors.Is(err, ErrShort) {
+	c.Accounts.AddShortfall(team, tokens)
+	defer c.Accounts.AddShortfall(team, -tokens)
+	startedAt := c.Clock()
+	if c.isLogReachable() {
+		if err := c.awaitTokens(ctx, team, tokens, claimTimeout); !errors.Is(err, ErrInsufficient) {
 			return err
 		}
 	}
-	k.Peers.Ask(ctx, k.Book, team, tokens, k.Clock())
-	if !k.inTouch() {
-		return k.Book.Reserve(team, tokens, k.Clock())
+	c.Peers.RequestTokens(ctx, c.Accounts, team, tokens, c.Clock())
+	if !c.isLogReachable() {
+		return c.Accounts.Reserve(team, tokens, c.Clock())
 	}
-	return k.await(ctx, team, tokens, WaitForClaim-(k.Clock()-began))
+	return c.awaitTokens(ctx, team, tokens, MaxClaimWait-(c.Clock()-startedAt))
 }
 
-// await tries again whenever more may be at hand, for that long.
-func (k *Keeper) await(ctx context.Context, team record.Team, tokens int64, patience time.Duration) error {
-	limit := time.NewTimer(patience)
-	defer limit.Stop()
+// awaitTokens tries again whenever more may be at hand, for that long.
+func (c *Controller) awaitTokens(ctx context.Context, team record.Team, tokens int64, timeout time.Duration) error {
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
 	for {
-		changed := k.Book.Changed()
-		err := k.Book.Reserve(team, tokens, k.Clock())
-		if !errors.Is(err, ErrShort) {
+		changed := c.Accounts.Changed()
+		err := c.Accounts.Reserve(team, tokens, c.Clock())
+		if !errors.Is(err, ErrInsufficient) {
 			return err
 		}
-		logstore.Kick(k.kickWrite)
+		logstore.Kick(c.triggerPublish)
 		select {
 		case <-changed:
-		case <-limit.C:
-			return k.Book.Reserve(team, tokens, k.Clock())
+		case <-timer.C:
+			return c.Accounts.Reserve(team, tokens, c.Clock())
 		case <-ctx.Done():
-			return ErrShort
+			return ErrInsufficient
 		}
 	}
 }
 
-func (k *Keeper) inTouch() bool {
-	at := k.lastRead.Load()
-	return at != 0 && k.Clock()-time.Duration(at) < InTouch
+func (c *Controller) isLogReachable() bool {
+	at := c.lastReadAt.Load()
+	return at != 0 && c.Clock()-time.Duration(at) < LogReachableTTL
 }
 
-// follower applies the log to the book.
-func (k *Keeper) follower() *logstore.Follower {
+// newFollower applies the log to the book.
+func (c *Controller) newFollower() *logstore.Follower {
 	return &logstore.Follower{
-		Log: k.Log, Topic: logstore.TopicBudgets, Wait: followWait, Pause: followPause, Kick: k.kickRead, Afresh: followAfresh,
-		Begin: func() { k.began.Store(int64(k.Clock())) }, Reset: k.Book.Reload, Record: k.apply, Loaded: func() {}, Outcome: k.outcome,
+		Log: c.Log, Topic: logstore.TopicBudgets, Wait: maxReadWait, Pause: readInterval, Kick: c.triggerRead, Afresh: reloadThreshold,
+		Begin: func() { c.readStartedAt.Store(int64(c.Clock())) }, Reset: c.Accounts.ResetOthers, Record: c.applyRecord, Loaded: func() {}, Outcome: c.recordRead,
 	}
 }
 
-// outcome notes how old the book is, and logs when reading begins to fail and
+// recordRead notes how old the book is, and logs when reading begins to fail and
 // when it works again.
-func (k *Keeper) outcome(err error) {
+func (c *Controller) recordRead(err error) {
 	if err == nil {
-		k.lastRead.Store(int64(k.Clock()))
-		k.readBegan.Store(k.began.Load())
-		k.Book.Fresh(k.Clock())
+		c.lastReadAt.Store(int64(c.Clock()))
+		c.lastReadStartedAt.Store(c.readStartedAt.Load())
+		c.Accounts.MarkCaughtUp(c.Clock())
 	}
 	switch {
-	case err != nil && !k.away:
-		k.Logs.Warn().Err(err).Msg("prepaid: budgets log lost; spending what is held")
-	case err == nil && k.away:
-		k.Logs.Info().Msg("prepaid: budgets log regained")
+	case err != nil && !c.logUnavailable:
+		c.Logger.Warn().Err(err).Msg("prepaid: budgets log lost; spending what is held")
+	case err == nil && c.logUnavailable:
+		c.Logger.Info().Msg("prepaid: budgets log regained")
 	}
-	k.away = err != nil
+	c.logUnavailable = err != nil
 }
 
-func (k *Keeper) apply(r logstore.KeyedRecord) {
-	var s *Statement
+func (c *Controller) applyRecord(r logstore.KeyedRecord) {
+	var rec *ClaimRecord
 	if r.Value != nil {
-		s = &Statement{}
-		if err := cbor.Unmarshal(r.Value, s); err != nil {
-			k.Logs.Error().Err(err).Str("key", r.Key).Msg("prepaid: unreadable statement passed over")
+		rec = &ClaimRecord{}
+		if err := cbor.Unmarshal(r.Value, rec); err != nil {
+			c.Logger.Error().Err(err).Str("key", r.Key).Msg("prepaid: unreadable statement passed over")
 			return
 		}
 	}
-	k.Book.Apply(record.InstanceID(r.Key), s, k.Clock())
+	c.Accounts.Apply(record.InstanceID(r.Key), rec, c.Clock())
 }
 
-// write states claims while ctx lasts. It begins once the log has been read.
-func (k *Keeper) write(ctx context.Context) {
+// publishRecords states claims while ctx lasts. It begins once the log has been read.
+func (c *Controller) publishRecords(ctx context.Context) {
 	for ctx.Err() == nil {
-		logstore.Pause(ctx, writeEvery, k.kickWrite)
-		if !k.Loaded() {
+		logstore.Pause(ctx, publishCheckInterval, c.triggerPublish)
+		if !c.IsLoaded() {
 			continue
 		}
-		if k.leaving.Load() && (k.inTouch() || k.Book.Role() == allocator.Member) {
-			k.Book.Leave()
+		if c.leaving.Load() && (c.isLogReachable() || c.Accounts.Role() == allocator.Member) {
+			c.Accounts.Leave()
 		}
-		if s := k.Book.Draft(k.Clock()); s != nil {
-			if k.put(ctx, k.Book.self.Key, s) {
-				k.Book.Taken(s, k.Clock())
+		if rec := c.Accounts.NextRecord(c.Clock()); rec != nil {
+			if c.putRecord(ctx, c.Accounts.self.Key, rec) {
+				c.Accounts.MarkAcknowledged(rec, c.Clock())
 			}
 		}
-		k.reclaim(ctx)
+		c.reclaim(ctx)
 	}
 }
 
 // Leave says that the instance ends soon: what no request has or waits for is given
 // back to the log already now. While the log is away it stays here, for Close to
 // hand over.
-func (k *Keeper) Leave() { k.leaving.Store(true) }
+func (c *Controller) Leave() { c.leaving.Store(true) }
 
-// resolve makes good what lost replies of other instances hold back.
-func (k *Keeper) resolve(ctx context.Context) {
+// resolveLostReplies makes good what lost replies of other instances hold back.
+func (c *Controller) resolveLostReplies(ctx context.Context) {
 	for ctx.Err() == nil {
-		logstore.Pause(ctx, resolveEvery, nil)
-		k.Peers.Resolve(ctx, k.Book)
+		logstore.Pause(ctx, resolveInterval, nil)
+		c.Peers.ResolveLostReplies(ctx, c.Accounts)
 	}
 }
 
 // reclaim gives back what dead processes of this host did not use.
-func (k *Keeper) reclaim(ctx context.Context) {
-	for _, r := range k.Book.Reclaims(k.Clock()) {
-		if k.reclaimed[r.Key] == r.Statement.Sequence {
+func (c *Controller) reclaim(ctx context.Context) {
+	for _, r := range c.Accounts.Reclaims(c.Clock()) {
+		if c.reclaimedSequences[r.Key] == r.Statement.Sequence {
 			continue // Written, but not read back yet.
 		}
-		if k.put(ctx, r.Key, &r.Statement) {
-			k.reclaimed[r.Key] = r.Statement.Sequence
-			k.givenBack.Add(r.Tokens)
-			k.Logs.Info().Str("dead", string(r.Key)).Int64("tokens", r.Tokens).Dur("age", r.Age).Msg("prepaid: unused tokens of a dead process given back")
+		if c.putRecord(ctx, r.Key, &r.Statement) {
+			c.reclaimedSequences[r.Key] = r.Statement.Sequence
+			c.reclaimedTokens.Add(r.Tokens)
+			c.Logger.Info().Str("dead", string(r.Key)).Int64("tokens", r.Tokens).Dur("age", r.Age).Msg("prepaid: unused tokens of a dead process given back")
 		}
 	}
 }
 
-// put writes a statement until the log has taken it, and says whether it has.
+// putRecord writes a statement until the log has taken it, and says whether it has.
 // The repeats are the same write, so one that arrives late has no second effect.
-func (k *Keeper) put(ctx context.Context, key record.InstanceID, s *Statement) bool {
-	value, err := cbor.Marshal(s)
+func (c *Controller) putRecord(ctx context.Context, key record.InstanceID, rec *ClaimRecord) bool {
+	value, err := cbor.Marshal(rec)
 	if err != nil {
-		k.Logs.Error().Err(err).Msg("prepaid: encode statement")
+		c.Logger.Error().Err(err).Msg("prepaid: encode statement")
 		return false
 	}
 	records := []logstore.KeyedRecord{{Key: string(key), Value: value}}
 	for ctx.Err() == nil {
-		w := logstore.Write{Writer: string(k.Book.self.Key), Epoch: k.epoch, Sequence: k.sequence}
-		err := k.Log.Put(ctx, logstore.TopicBudgets, w, records)
+		w := logstore.Write{Writer: string(c.Accounts.self.Key), Epoch: c.epoch, Sequence: c.nextSequence}
+		err := c.Log.Put(ctx, logstore.TopicBudgets, w, records)
 		if err == nil {
-			k.sequence++
-			logstore.Kick(k.kickRead)
+			c.nextSequence++
+			logstore.Kick(c.triggerRead)
 			return true
 		}
 		if eris.Is(err, logstore.ErrSequence) || eris.Is(err, logstore.ErrFenced) {
 			// Only this process writes under its name: the log has lost count.
-			k.Logs.Error().Err(err).Msg("prepaid: statement out of sequence, writing in a new epoch")
-			k.epoch++
+			c.Logger.Error().Err(err).Msg("prepaid: statement out of sequence, writing in a new epoch")
+			c.epoch++
 			continue
 		}
-		logstore.Pause(ctx, retryEvery, nil)
+		logstore.Pause(ctx, retryInterval, nil)
 	}
 	return false
 }
@@ -279,22 +279,24 @@
 //
 // The epoch is a new one: a write that Run left unanswered may still arrive, and
 // must not come after this one.
-func (k *Keeper) Close(ctx context.Context) {
-	k.epoch++
-	handedOver := !k.inTouch() && k.Peers.HandOver(ctx, k.Book, k.Clock())
+func (c *Controller) Close(ctx context.Context) {
+	c.epoch++
+	handedOver := !c.isLogReachable() && c.Peers.HandOver(ctx, c.Accounts, c.Clock())
 	if handedOver {
 		// Nothing is left that would be worth waiting for the log.
-		short, cancel := context.WithTimeout(ctx, retryEvery)
+		shortCtx, cancel := context.WithTimeout(ctx, retryInterval)
 		defer cancel()
-		ctx = short
+		ctx = shortCtx
 	}
-	if !k.put(ctx, k.Book.self.Key, k.Book.Close(k.Clock())) && !handedOver {
-		k.Logs.Warn().Msg("prepaid: unused tokens not given back")
+	if !c.putRecord(ctx, c.Accounts.self.Key, c.Accounts.Close(c.Clock())) && !handedOver {
+		c.Logger.Warn().Msg("prepaid: unused tokens not given back")
 	}
 }
 
 // Reclaimed returns how many tokens of dead processes were given back.
-func (k *Keeper) Reclaimed() int64 { return k.givenBack.Load() }
+func (c *Controller) Reclaimed() int64 { return c.reclaimedTokens.Load() }
 
-// Loaded says whether the log has been read, or an allocator answers that does so.
-func (k *Keeper) Loaded() bool { return k.lastRead.Load() != 0 || len(k.Zone.Usable()) > 0 }
+// IsLoaded says whether the log has been read, or an allocator answers that does so.
+func (c *Controller) IsLoaded() bool {
+	return c.lastReadAt.Load() != 0 || len(c.Directory.Usable()) > 0
+}
--- a/internal/prepaid/keeper_test.go
+++ b/internal/prepaid/keeper_test.go
@@ -23,48 +23,48 @@
 func sinceOrigin() time.Duration { return time.Since(origin) }
 
 func hostClocks() prepaid.Clocks {
-	return prepaid.Clocks{BootID: "b", Boot: sinceOrigin, Wall: func() int64 { return time.Now().UnixMilli() }}
+	return prepaid.Clocks{BootID: "b", SinceBoot: sinceOrigin, Wall: func() int64 { return time.Now().UnixMilli() }}
 }
 
-// runKeeper starts a process with a budget of so many tokens. The returned
+// runController starts a process with a budget of so many tokens. The returned
 // function kills it.
-func runKeeper(t *testing.T, log *standin.Keyed, key record.InstanceID, total int64) (*prepaid.Keeper, func()) {
+func runController(t *testing.T, log *standin.Keyed, key record.InstanceID, total int64) (*prepaid.Controller, func()) {
 	t.Helper()
-	return runKeeperOf(t, log, key, total, prepaid.DefaultPolicy())
+	return runControllerWithPolicy(t, log, key, total, prepaid.DefaultPolicy())
 }
 
-// runKeeperOf starts it with a policy.
-func runKeeperOf(t *testing.T, log *standin.Keyed, key record.InstanceID, total int64, policy prepaid.Policy) (*prepaid.Keeper, func()) {
+// runControllerWithPolicy starts it with a policy.
+func runControllerWithPolicy(t *testing.T, log *standin.Keyed, key record.InstanceID, total int64, policy prepaid.Policy) (*prepaid.Controller, func()) {
 	t.Helper()
-	return runKeeperOn(t, log, key, string(key), total, policy)
+	return runControllerOnHost(t, log, key, string(key), total, policy)
 }
 
-// runKeeperOn starts it on a host.
-func runKeeperOn(t *testing.T, log logstore.Keyed, key record.InstanceID, node string, total int64, policy prepaid.Policy) (*prepaid.Keeper, func()) {
+// runControllerOnHost starts it on a host.
+func runControllerOnHost(t *testing.T, log logstore.Keyed, key record.InstanceID, node string, total int64, policy prepaid.Policy) (*prepaid.Controller, func()) {
 	t.Helper()
-	return runKeeperOver(t, log, key, node, total, policy, peer.Options{})
+	return runControllerWithOptions(t, log, key, node, total, policy, peer.Options{})
 }
 
-// runKeeperOver starts it with calls to others that are made with the options.
-func runKeeperOver(t *testing.T, log logstore.Keyed, key record.InstanceID, node string, total int64, policy prepaid.Policy, options peer.Options) (*prepaid.Keeper, func()) {
+// runControllerWithOptions starts it with calls to others that are made with the options.
+func runControllerWithOptions(t *testing.T, log logstore.Keyed, key record.InstanceID, node string, total int64, policy prepaid.Policy, options peer.Options) (*prepaid.Controller, func()) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	self := prepaid.Identity{Key: key, Node: node, Started: time.Now().UnixMilli(), Peer: listener.Addr().String()}
-	book := prepaid.NewBook(self, policy, hostClocks())
-	book.SetPrepaid(map[record.Team]int64{team: total})
-	pool := peer.NewPool(key, book, options)
+	accounts := prepaid.NewAccounts(self, policy, hostClocks())
+	accounts.SetPrepaid(map[record.Team]int64{team: total})
+	pool := peer.NewPool(key, accounts, options)
 	server := peer.NewServer(key)
 	zone := allocator.New(allocator.Self{Key: key, Peer: self.Peer, Zone: self.Zone})
-	k := prepaid.NewKeeper(book, zone, prepaid.NewPeers(pool, zerolog.Nop()), log, sinceOrigin, zerolog.Nop())
-	if err := server.Register(prepaid.ServiceName, prepaid.NewTransfers(k)); err != nil {
+	c := prepaid.NewController(accounts, zone, prepaid.NewPeers(pool, zerolog.Nop()), log, sinceOrigin, zerolog.Nop())
+	if err := server.Register(prepaid.ServiceName, prepaid.NewTransfers(c)); err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
-	running.Go(func() { k.Run(ctx) })
+	running.Go(func() { c.Run(ctx) })
 	running.Go(func() { _ = server.Serve(listener) })
 	var once sync.Once
 	stop := func() {
@@ -77,7 +77,7 @@
 	}
 	t.Cleanup(pool.Close)
 	t.Cleanup(stop)
-	return k, stop
+	return c, stop
 }
 
 // waitFor polls until the condition holds.
@@ -93,21 +93,21 @@
 
 // spendAll reserves and settles at each keeper in turn until all refuse for
 // good, and returns the sum.
-func spendAll(t *testing.T, size int64, keepers ...*prepaid.Keeper) (sum int64) {
+func spendAll(t *testing.T, size int64, controllers ...*prepaid.Controller) (sum int64) {
 	t.Helper()
 	t.Cleanup(func() {
 		if t.Failed() {
-			for _, k := range keepers {
-				t.Logf("spent %d; %+v", sum, k.Book.View(sinceOrigin()))
+			for _, c := range controllers {
+				t.Logf("spent %d; %+v", sum, c.Accounts.Balances(sinceOrigin()))
 			}
 		}
 	})
 	waitFor(t, "exhausted", func() bool {
 		refused := 0
-		for _, k := range keepers {
-			r, err := k.Reserve(t.Context(), team, size)
+		for _, c := range controllers {
+			r, err := c.Reserve(t.Context(), team, size)
 			if err != nil {
-				if !errors.Is(err, prepaid.ErrShort) && !errors.Is(err, prepaid.ErrExhausted) {
+				if !errors.Is(err, prepaid.ErrInsufficient) && !errors.Is(err, prepaid.ErrExhausted) {
 					t.Fatal(err)
 				}
 				refused++
@@ -116,16 +116,16 @@
 			r.Settle(size)
 			sum += size
 		}
-		return refused == len(keepers) && sum >= 97_000
+		return refused == len(controllers) && sum >= 97_000
 	})
 	return sum
 }
 
 func TestThreeInstancesSpendABudgetToItsEnd(t *testing.T) {
 	log := standin.NewKeyed()
-	a, _ := runKeeper(t, log, "a", 100_000)
-	b, _ := runKeeper(t, log, "b", 100_000)
-	c, _ := runKeeper(t, log, "c", 100_000)
+	a, _ := runController(t, log, "a", 100_000)
+	b, _ := runController(t, log, "b", 100_000)
+	c, _ := runController(t, log, "c", 100_000)
 	if sum := spendAll(t, 700, a, b, c); sum > 100_000 {
 		t.Errorf("spent %d of 100000", sum)
 	}
@@ -134,8 +134,8 @@
 func TestLostAnswersOfTheLogCostNothing(t *testing.T) {
 	log := standin.NewKeyed()
 	log.LoseAnswers(7)
-	a, _ := runKeeper(t, log, "a", 100_000)
-	b, _ := runKeeper(t, log, "b", 100_000)
+	a, _ := runController(t, log, "a", 100_000)
+	b, _ := runController(t, log, "b", 100_000)
 	if sum := spendAll(t, 500, a, b); sum > 100_000 {
 		t.Errorf("spent %d of 100000", sum)
 	}
@@ -143,10 +143,10 @@
 
 func TestLostHistoryCostsNothing(t *testing.T) {
 	log := standin.NewKeyed()
-	a, _ := runKeeper(t, log, "a", 100_000)
-	waitFor(t, "a claim", func() bool { return a.Book.AtHand(team, sinceOrigin()) > 0 })
+	a, _ := runController(t, log, "a", 100_000)
+	waitFor(t, "a claim", func() bool { return a.Accounts.Spendable(team, sinceOrigin()) > 0 })
 	log.Forget("budgets")
-	b, _ := runKeeper(t, log, "b", 100_000)
+	b, _ := runController(t, log, "b", 100_000)
 	if sum := spendAll(t, 500, a, b); sum > 100_000 {
 		t.Errorf("spent %d of 100000", sum)
 	}
@@ -155,18 +155,18 @@
 // Behind a cut from the log, an instance that has run out gets tokens of another.
 func TestTokensMoveWhileTheLogIsAway(t *testing.T) {
 	log := standin.NewKeyed()
-	a, _ := runKeeper(t, log, "a", 100_000)
-	b, _ := runKeeper(t, log, "b", 100_000)
+	a, _ := runController(t, log, "a", 100_000)
+	b, _ := runController(t, log, "b", 100_000)
 	waitFor(t, "both hold", func() bool {
-		return a.Book.AtHand(team, sinceOrigin()) > 1000 && b.Book.AtHand(team, sinceOrigin()) > 1000 && a.Book.Instances() == 2
+		return a.Accounts.Spendable(team, sinceOrigin()) > 1000 && b.Accounts.Spendable(team, sinceOrigin()) > 1000 && a.Accounts.Instances() == 2
 	})
-	waitFor(t, "b's holding is known", func() bool { return len(a.Book.Sources(team)) == 1 })
+	waitFor(t, "b's holding is known", func() bool { return len(a.Accounts.TransferSources(team)) == 1 })
 	log.SetDown(true)
 	// The allowances grow until all that is held is free.
 	waitFor(t, "free", func() bool {
-		return a.Book.AtHand(team, sinceOrigin()) > 9000 && b.Book.AtHand(team, sinceOrigin()) > 9000
+		return a.Accounts.Spendable(team, sinceOrigin()) > 9000 && b.Accounts.Spendable(team, sinceOrigin()) > 9000
 	})
-	held := a.Book.AtHand(team, sinceOrigin())
+	held := a.Accounts.Spendable(team, sinceOrigin())
 	spent := int64(0)
 	for spent <= held {
 		r, err := a.Reserve(t.Context(), team, 500)
@@ -178,53 +178,55 @@
 	}
 }
 
-// outOfTouch says whether the log has been away for longer than a request waits
+// logUnreachable says whether the log has been away for longer than a request waits
 // for it.
-func outOfTouch(k *prepaid.Keeper) bool {
-	return k.Book.Balance(team, sinceOrigin()).ReadAgeMS > prepaid.InTouch.Milliseconds()
+func logUnreachable(c *prepaid.Controller) bool {
+	return c.Accounts.Balance(team, sinceOrigin()).ReadAgeMS > prepaid.LogReachableTTL.Milliseconds()
 }
 
-// enough is what each of two instances holds at least of 100,000 tokens.
-const enough = 9000
+// minHeld is what each of two instances holds at least of 100,000 tokens.
+const minHeld = 9000
 
-// holds says whether the instance has claimed enough.
-func holds(k *prepaid.Keeper) bool { return k.Book.Balance(team, sinceOrigin()).Claimed > enough }
+// holdsMinimum says whether the instance has claimed enough.
+func holdsMinimum(c *prepaid.Controller) bool {
+	return c.Accounts.Balance(team, sinceOrigin()).Claimed > minHeld
+}
 
-// allAtHand says whether all that is held may be used, and that is something.
-func allAtHand(k *prepaid.Keeper) bool {
-	b := k.Book.Balance(team, sinceOrigin())
-	return b.AtHand > enough && b.AtHand == b.Claimed+b.Taken-b.Given-b.Settled-b.Reserved
+// allSpendable says whether all that is held may be used, and that is something.
+func allSpendable(c *prepaid.Controller) bool {
+	b := c.Accounts.Balance(team, sinceOrigin())
+	return b.Spendable > minHeld && b.Spendable == b.Claimed+b.Received-b.Transferred-b.Settled-b.Reserved
 }
 
 // An instance that ends behind the cut leaves what it holds to another, also when it
 // has said before that it will.
 func TestAnEndWithoutTheLogHandsOver(t *testing.T) {
-	t.Run("at once", func(t *testing.T) { endsWithoutTheLog(t, func(*prepaid.Keeper) {}) })
+	t.Run("at once", func(t *testing.T) { testCloseWithoutLog(t, func(*prepaid.Controller) {}) })
 	t.Run("leaving before", func(t *testing.T) {
-		endsWithoutTheLog(t, func(k *prepaid.Keeper) {
-			k.Leave()
+		testCloseWithoutLog(t, func(c *prepaid.Controller) {
+			c.Leave()
 			time.Sleep(500 * time.Millisecond) // Some rounds of statements.
 		})
 	})
 }
 
-func endsWithoutTheLog(t *testing.T, leave func(*prepaid.Keeper)) {
+func testCloseWithoutLog(t *testing.T, leave func(*prepaid.Controller)) {
 	t.Helper()
 	log := standin.NewKeyed()
-	a, stop := runKeeper(t, log, "a", 100_000)
-	b, _ := runKeeper(t, log, "b", 100_000)
-	waitFor(t, "a knows b, and both hold tokens", func() bool { return len(a.Book.Heirs()) == 1 && holds(a) && holds(b) })
+	a, stop := runController(t, log, "a", 100_000)
+	b, _ := runController(t, log, "b", 100_000)
+	waitFor(t, "a knows b, and both hold tokens", func() bool { return len(a.Accounts.TransferTargets()) == 1 && holdsMinimum(a) && holdsMinimum(b) })
 	log.SetDown(true)
 	waitFor(t, "out of touch and free", func() bool {
-		return outOfTouch(a) && outOfTouch(b) && allAtHand(a) && allAtHand(b)
+		return logUnreachable(a) && logUnreachable(b) && allSpendable(a) && allSpendable(b)
 	})
 	leave(a)
-	before, left := b.Book.AtHand(team, sinceOrigin()), a.Book.AtHand(team, sinceOrigin())
+	before, left := b.Accounts.Spendable(team, sinceOrigin()), a.Accounts.Spendable(team, sinceOrigin())
 	stop()
 	ctx, cancel := context.WithTimeout(t.Context(), 300*time.Millisecond)
 	defer cancel()
 	a.Close(ctx)
-	if got := b.Book.AtHand(team, sinceOrigin()); got != before+left {
+	if got := b.Accounts.Spendable(team, sinceOrigin()); got != before+left {
 		t.Errorf("b has %d, want %d of its own and %d of a", got, before, left)
 	}
 }
@@ -232,21 +234,21 @@
 // An instance that ends with the log gives back through it.
 func TestAnEndGivesBack(t *testing.T) {
 	log := standin.NewKeyed()
-	a, stop := runKeeper(t, log, "a", 100_000)
-	waitFor(t, "a claim", func() bool { return a.Book.AtHand(team, sinceOrigin()) > 1000 })
+	a, stop := runController(t, log, "a", 100_000)
+	waitFor(t, "a claim", func() bool { return a.Accounts.Spendable(team, sinceOrigin()) > 1000 })
 	stop()
 	a.Close(t.Context())
-	b, _ := runKeeper(t, log, "b", 100_000)
+	b, _ := runController(t, log, "b", 100_000)
 	if sum := spendAll(t, 900, b); sum < 97_000 || sum > 100_000 {
 		t.Errorf("spent %d of 100000", sum)
 	}
 }
 
 // A quiet instance must not cost the log more than its heartbeat.
-func TestAQuietInstanceIsQuiet(t *testing.T) {
+func TestAnIdleInstanceWritesOnlyItsHeartbeat(t *testing.T) {
 	log := standin.NewKeyed()
-	a, _ := runKeeper(t, log, "a", 100_000)
-	waitFor(t, "a claim", func() bool { return a.Book.AtHand(team, sinceOrigin()) > 0 })
+	a, _ := runController(t, log, "a", 100_000)
+	waitFor(t, "a claim", func() bool { return a.Accounts.Spendable(team, sinceOrigin()) > 0 })
 	began, _ := log.Calls()
 	waitFor(t, "three heartbeats", func() bool { now, _ := log.Calls(); return now >= began+3 })
 	if now, _ := log.Calls(); now > began+4 {
@@ -258,14 +260,14 @@
 // claims what a request needs.
 func TestALeavingInstanceHoldsNothingAndServes(t *testing.T) {
 	log := standin.NewKeyed()
-	a, _ := runKeeper(t, log, "a", 100_000)
-	waitFor(t, "a claim", func() bool { return a.Book.AtHand(team, sinceOrigin()) > 1000 })
+	a, _ := runController(t, log, "a", 100_000)
+	waitFor(t, "a claim", func() bool { return a.Accounts.Spendable(team, sinceOrigin()) > 1000 })
 	a.Leave()
-	waitFor(t, "all given back", func() bool { return a.Book.Balance(team, sinceOrigin()).Claimed == 0 })
+	waitFor(t, "all given back", func() bool { return a.Accounts.Balance(team, sinceOrigin()).Claimed == 0 })
 	r, err := a.Reserve(t.Context(), team, 700)
 	if err != nil {
 		t.Fatal(err)
 	}
 	r.Settle(200)
-	waitFor(t, "the rest given back", func() bool { return a.Book.Balance(team, sinceOrigin()).Claimed == 200 })
+	waitFor(t, "the rest given back", func() bool { return a.Accounts.Balance(team, sinceOrigin()).Claimed == 200 })
 }
--- a/internal/prepaid/others.go
+++ b/internal/prepaid/others.go
@@ -7,167 +7,167 @@
 	"guavapier/internal/record"
 )
 
-// holder is another process as its newest statement shows it.
-type holder struct {
-	Statement
-	rows   map[record.Team]Row
-	seenAt time.Duration
+// otherProcess is another process as its newest statement shows it.
+type otherProcess struct {
+	ClaimRecord
+	claimsByTeam map[record.Team]BudgetClaim
+	lastSeen     time.Duration
 }
 
-func newHolder(s *Statement, now time.Duration) *holder {
-	h := &holder{Statement: *s, rows: make(map[record.Team]Row, len(s.Rows)), seenAt: now}
-	for _, r := range s.Rows {
-		h.rows[r.Team] = r
+func newOtherProcess(rec *ClaimRecord, now time.Duration) *otherProcess {
+	p := &otherProcess{ClaimRecord: *rec, claimsByTeam: make(map[record.Team]BudgetClaim, len(rec.Claims)), lastSeen: now}
+	for _, claim := range rec.Claims {
+		p.claimsByTeam[claim.Team] = claim
 	}
-	return h
+	return p
 }
 
-// row returns the statement's row of a budget; a zero one if it has none.
-func (h *holder) row(team record.Team) Row { return h.rows[team] }
+// claim returns the statement's claim of a budget; a zero one if it has none.
+func (p *otherProcess) claim(team record.Team) BudgetClaim { return p.claimsByTeam[team] }
 
-// sums are what the others' statements say of one budget in all. They are kept
+// recordSums are what the others' statements say of one budget in all. They are kept
 // between two records of the log: a flood of refused requests asks for them some
 // thousand times a second, and there are as many statements as instances.
-type sums struct {
+type recordSums struct {
 	claimed int64
-	// forGood is what ended requests have used, and what processes that are
+	// permanentlySpent is what ended requests have used, and what processes that are
 	// certainly dead may have used.
-	forGood int64
+	permanentlySpent int64
 }
 
-// spentForGood is what ended requests have used, as far as it is known, and all
+// permanentlySpent is what ended requests have used, as far as it is known, and all
 // that processes which are certainly dead may have used.
-func (b *Book) spentForGood(team record.Team) int64 {
-	return b.account(team).settled + b.sumsOf(team).forGood
+func (a *Accounts) permanentlySpent(team record.Team) int64 {
+	return a.account(team).settled + a.sumsOf(team).permanentlySpent
 }
 
-func (b *Book) sumsOf(team record.Team) sums {
-	if known, ok := b.sums[team]; ok {
+func (a *Accounts) sumsOf(team record.Team) recordSums {
+	if known, ok := a.recordSums[team]; ok {
 		return known
 	}
-	var s sums
-	for _, h := range b.others {
-		r := h.row(team)
-		s.claimed += r.Claimed
-		if h.Closed || b.replaced(h) {
-			s.forGood += r.lost()
+	var s recordSums
+	for _, p := range a.others {
+		claim := p.claim(team)
+		s.claimed += claim.Claimed
+		if p.Closed || a.isReplaced(p) {
+			s.permanentlySpent += claim.allotment()
 		} else {
-			s.forGood += r.Used - r.Reserved
+			s.permanentlySpent += claim.Used - claim.Reserved
 		}
 	}
-	b.sums[team] = s
+	a.recordSums[team] = s
 	return s
 }
 
-func (b *Book) claimedByOthers(team record.Team) int64 {
-	return b.sumsOf(team).claimed
+func (a *Accounts) claimedByOthers(team record.Team) int64 {
+	return a.sumsOf(team).claimed
 }
 
-// tally is what the other processes say of all budgets, as one draft needs it.
-type tally struct {
+// fleetTotals is what the other processes say of all budgets, as one draft needs it.
+type fleetTotals struct {
 	instances int // Those alive that claim for themselves or others, this one included.
-	budgets   map[record.Team]*share
+	budgets   map[record.Team]*budgetTotals
 }
 
-// share is what the others have of one budget: the living have used and lack so
+// budgetTotals is what the others have of one budget: the living have used and lack so
 // much, at such a rate a second; the dead hold so much for good.
-type share struct{ used, rate, short, lost int64 }
+type budgetTotals struct{ used, rate, shortfall, lost int64 }
 
-// of returns the others' share of a budget.
-func (t tally) of(team record.Team) share {
+// budget returns the others' share budget a budget.
+func (t fleetTotals) budget(team record.Team) budgetTotals {
 	if s := t.budgets[team]; s != nil {
 		return *s
 	}
-	return share{}
+	return budgetTotals{}
 }
 
-// tally adds the statements up, each row once: among 81 instances with 24
+// fleetTotals adds the statements up, each row once: among 81 instances with 24
 // organisations a statement takes 0.13 ms to draft, with a sum for each budget 0.27.
-func (b *Book) tally() tally {
-	t := tally{instances: 1, budgets: make(map[record.Team]*share, len(b.prepaid))}
-	for _, h := range b.others {
-		alive := b.alive(h)
-		if alive && !h.Member {
+func (a *Accounts) fleetTotals() fleetTotals {
+	t := fleetTotals{instances: 1, budgets: make(map[record.Team]*budgetTotals, len(a.prepaidTotals))}
+	for _, p := range a.others {
+		alive := a.isAlive(p)
+		if alive && !p.Member {
 			t.instances++
 		}
-		for i := range h.Rows {
-			t.add(&h.Rows[i], alive)
+		for i := range p.Claims {
+			t.add(&p.Claims[i], alive)
 		}
 	}
 	return t
 }
 
-// shareOf is the others' share of one budget.
-func (b *Book) shareOf(team record.Team) share {
-	t := tally{budgets: map[record.Team]*share{}}
-	for _, h := range b.others {
-		if r, has := h.rows[team]; has {
-			t.add(&r, b.alive(h))
+// othersTotals is the others' share of one budget.
+func (a *Accounts) othersTotals(team record.Team) budgetTotals {
+	t := fleetTotals{budgets: map[record.Team]*budgetTotals{}}
+	for _, p := range a.others {
+		if claim, has := p.claimsByTeam[team]; has {
+			t.add(&claim, a.isAlive(p))
 		}
 	}
-	return t.of(team)
+	return t.budget(team)
 }
 
-func (t tally) add(r *Row, alive bool) {
-	s := t.budgets[r.Team]
+func (t fleetTotals) add(claim *BudgetClaim, alive bool) {
+	s := t.budgets[claim.Team]
 	if s == nil {
-		s = &share{}
-		t.budgets[r.Team] = s
+		s = &budgetTotals{}
+		t.budgets[claim.Team] = s
 	}
 	if !alive {
-		s.lost += r.lost()
+		s.lost += claim.allotment()
 		return
 	}
-	s.used += r.Used
-	s.rate += r.Rate
-	s.short += r.Short
+	s.used += claim.Used
+	s.rate += claim.Rate
+	s.shortfall += claim.Shortfall
 }
 
 // Instances returns how many processes are alive as far as their statements
 // show, this one included.
-func (b *Book) Instances() int {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.instances()
+func (a *Accounts) Instances() int {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.instances()
 }
 
-func (b *Book) instances() int {
-	if b.role == allocator.Member {
-		return b.pool.size()
+func (a *Accounts) instances() int {
+	if a.role == allocator.Member {
+		return a.memberView.size()
 	}
 	n := 1
-	for _, h := range b.others {
-		if b.alive(h) {
+	for _, p := range a.others {
+		if a.isAlive(p) {
 			n++
 		}
 	}
 	return n
 }
 
-// claimants is how many of the living processes claim tokens, this one included.
-func (b *Book) claimants() int {
+// countClaimants is how many of the living processes claim tokens, this one included.
+func (a *Accounts) countClaimants() int {
 	n := 1
-	for _, h := range b.others {
-		if !h.Member && b.alive(h) {
+	for _, p := range a.others {
+		if !p.Member && a.isAlive(p) {
 			n++
 		}
 	}
 	return n
 }
 
-// alive says whether the other process counts as running. It guides sizes
+// isAlive says whether the other process counts as running. It guides sizes
 // only: the claims of a dead one count like all others.
-func (b *Book) alive(h *holder) bool {
-	if h.Closed || h.seenAt < b.freshAt-b.policy.AliveFor || h.Node == b.self.Node {
+func (a *Accounts) isAlive(p *otherProcess) bool {
+	if p.Closed || p.lastSeen < a.caughtUpAt-a.policy.LivenessTimeout || p.Node == a.self.Node {
 		return false
 	}
-	return !b.replaced(h)
+	return !a.isReplaced(p)
 }
 
-// replaced says whether a later process of the same node has been heard.
-func (b *Book) replaced(h *holder) bool {
-	if h.Node == b.self.Node && h.Started < b.self.Started {
+// isReplaced says whether a later process of the same node has been heard.
+func (a *Accounts) isReplaced(p *otherProcess) bool {
+	if p.Node == a.self.Node && p.Started < a.self.Started {
 		return true
 	}
-	return b.latest[h.Node] > h.Started
+	return a.latestStart[p.Node] > p.Started
 }
--- a/internal/prepaid/peers.go
+++ b/internal/prepaid/peers.go
@@ -14,14 +14,14 @@
 )
 
 const (
-	// callWithin bounds one call to another instance: round trips take a few
+	// callTimeout bounds one call to another instance: round trips take a few
 	// milliseconds, and a request waits for it.
-	callWithin = 120 * time.Millisecond
-	// mostAsked is how many instances are asked for one request.
-	mostAsked = 4
-	// askFactor asks for more than one request needs, so that the next ones
+	callTimeout = 120 * time.Millisecond
+	// maxPeersAsked is how many instances are asked for one request.
+	maxPeersAsked = 4
+	// requestFactor asks for more than one request needs, so that the next ones
 	// need not ask.
-	askFactor = 3
+	requestFactor = 3
 )
 
 // ServiceName is under which Transfers is registered, see peer.Server.
@@ -77,31 +77,31 @@
 // Predecessor is a dead process's newest statement.
 type Predecessor struct {
 	Key       record.InstanceID
-	Statement Statement
+	Statement ClaimRecord
 }
 
 // Transfers is the service that other instances call.
-type Transfers struct{ keeper *Keeper }
+type Transfers struct{ controller *Controller }
 
 // NewTransfers returns the service of a keeper.
-func NewTransfers(k *Keeper) *Transfers { return &Transfers{keeper: k} }
+func NewTransfers(c *Controller) *Transfers { return &Transfers{controller: c} }
 
 // Ask gives tokens to the caller.
 func (t *Transfers) Ask(args AskArgs, reply *AskReply) error {
-	reply.Total = t.keeper.Book.Give(args.From, args.Team, args.Tokens, t.keeper.Clock())
+	reply.Total = t.controller.Accounts.Transfer(args.From, args.Team, args.Tokens, t.controller.Clock())
 	return nil
 }
 
 // Draw gives tokens to a member of the zone. It fails where this instance is no
 // allocator.
 func (t *Transfers) Draw(args DrawArgs, reply *DrawReply) error {
-	k := t.keeper
-	if !k.allocates() {
-		return errNoAllocator
+	c := t.controller
+	if !c.servesMembers() {
+		return errNotAllocator
 	}
-	total, ok := k.lend(args.From, args.Team, args.Need)
+	total, ok := c.serveWithdrawal(args.From, args.Team, args.Need)
 	*reply = DrawReply{
-		Total: total, Lead: k.Book.Lead(args.Team, k.Clock()), None: !ok && !k.Book.Findable(args.Team), Spent: k.Book.Spent(args.Team), Status: k.Book.Status(k.Clock()),
+		Total: total, Lead: c.Accounts.Headroom(args.Team, c.Clock()), None: !ok && !c.Accounts.MayFindTokens(args.Team), Spent: c.Accounts.PermanentlySpent(args.Team), Status: c.Accounts.Status(c.Clock()),
 	}
 	return nil
 }
@@ -109,10 +109,10 @@
 // Predecessors names a member's dead predecessors, whose tokens only it can give back.
 // It reads the log first: an older statement says less of what the dead may have used.
 func (t *Transfers) Predecessors(args PredecessorsArgs, reply *PredecessorsReply) error {
-	read := t.keeper.awaitRead()
-	list, ok := t.keeper.Book.Predecessors(args.Node, args.Started)
+	read := t.controller.awaitRead()
+	list, ok := t.controller.Accounts.Predecessors(args.Node, args.Started)
 	if !read || !ok {
-		return errNotRead
+		return errLogNotRead
 	}
 	reply.Statements = list
 	return nil
@@ -121,57 +121,57 @@
 // Return takes back what a member of the zone doesn't need. What this instance can't
 // use, having become no allocator, it brings to its own.
 func (t *Transfers) Return(args HandArgs, reply *HandReply) error {
-	k := t.keeper
+	c := t.controller
 	for team, total := range args.Totals {
-		k.Book.Return(args.From, team, total, k.Clock())
+		c.Accounts.AcceptReturn(args.From, team, total, c.Clock())
 	}
-	if !k.allocates() {
-		return errNoAllocator
+	if !c.servesMembers() {
+		return errNotAllocator
 	}
-	reply.Status = k.Book.Status(k.Clock())
+	reply.Status = c.Accounts.Status(c.Clock())
 	return nil
 }
 
 // Hand takes tokens from a process that ends.
 func (t *Transfers) Hand(args HandArgs, _ *HandReply) error {
 	for team, total := range args.Totals {
-		t.keeper.Book.Take(args.From, team, total)
+		t.controller.Accounts.Receive(args.From, team, total)
 	}
 	return nil
 }
 
 // Peers asks other instances for tokens. It is safe for concurrent use.
 type Peers struct {
-	caller peer.Caller
-	log    zerolog.Logger
-	asking singleflight.Group
-	mu     sync.Mutex
-	// unresolved are calls whose replies were lost: tokens may have been given.
-	unresolved map[unresolved]bool
+	caller   peer.Caller
+	log      zerolog.Logger
+	inFlight singleflight.Group
+	mu       sync.Mutex
+	// lostReply are calls whose replies were lost: tokens may have been given.
+	lostReply map[lostReply]bool
 }
 
-type unresolved struct {
+type lostReply struct {
 	peer record.InstanceID
 	team record.Team
 }
 
 // NewPeers returns Peers that call through caller.
 func NewPeers(caller peer.Caller, log zerolog.Logger) *Peers {
-	return &Peers{caller: caller, log: log, unresolved: map[unresolved]bool{}}
+	return &Peers{caller: caller, log: log, lostReply: map[lostReply]bool{}}
 }
 
-// Ask looks for tokens of a budget at other instances. Requests of one budget
+// RequestTokens looks for tokens of a budget at other instances. Requests of one budget
 // ask together.
-func (p *Peers) Ask(ctx context.Context, book *Book, team record.Team, tokens int64, now time.Duration) {
-	_, _, _ = p.asking.Do(string(team), func() (any, error) {
-		for i, source := range book.Sources(team) {
-			if i >= mostAsked || ctx.Err() != nil {
+func (p *Peers) RequestTokens(ctx context.Context, accounts *Accounts, team record.Team, tokens int64, now time.Duration) {
+	_, _, _ = p.inFlight.Do(string(team), func() (any, error) {
+		for i, source := range accounts.TransferSources(team) {
+			if i >= maxPeersAsked || ctx.Err() != nil {
 				break
 			}
 			// The call outlives the request that wants it: a reply that nobody reads
 			// would lose tokens.
 			call := context.WithoutCancel(ctx)
-			if p.askOne(call, book, source.Key, team, askFactor*tokens) && book.AtHand(team, now) >= tokens {
+			if p.requestFrom(call, accounts, source.Key, team, requestFactor*tokens) && accounts.Spendable(team, now) >= tokens {
 				break
 			}
 		}
@@ -179,40 +179,40 @@
 	})
 }
 
-// askOne asks one instance and notes what it gave. A reply that is lost is asked
+// requestFrom asks one instance and notes what it gave. A reply that is lost is asked
 // for again by Resolve.
-func (p *Peers) askOne(ctx context.Context, book *Book, to record.InstanceID, team record.Team, tokens int64) bool {
-	ctx, cancel := context.WithTimeout(ctx, callWithin)
+func (p *Peers) requestFrom(ctx context.Context, accounts *Accounts, to record.InstanceID, team record.Team, tokens int64) bool {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	var reply AskReply
-	err := p.caller.Call(ctx, to, ServiceName+".Ask", AskArgs{From: book.self.Key, Team: team, Tokens: tokens}, &reply)
-	p.note(unresolved{to, team}, err != nil && !errors.Is(err, peer.ErrNotSent))
+	err := p.caller.Call(ctx, to, ServiceName+".Ask", AskArgs{From: accounts.self.Key, Team: team, Tokens: tokens}, &reply)
+	p.recordOutcome(lostReply{to, team}, err != nil && !errors.Is(err, peer.ErrNotSent))
 	if err != nil {
 		p.log.Debug().Err(err).Str("peer", string(to)).Msg("prepaid: peer not reached")
 		return false
 	}
-	book.Take(to, team, reply.Total)
+	accounts.Receive(to, team, reply.Total)
 	return true
 }
 
-// note keeps or forgets a call for Resolve. One that was not sent changes nothing.
-func (p *Peers) note(call unresolved, lost bool) {
+// recordOutcome keeps or forgets a call for Resolve. One that was not sent changes nothing.
+func (p *Peers) recordOutcome(call lostReply, lost bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if lost {
-		p.unresolved[call] = true
+		p.lostReply[call] = true
 	} else {
-		delete(p.unresolved, call)
+		delete(p.lostReply, call)
 	}
 }
 
-// Resolve asks again, for no more tokens, where a reply was lost, until ctx ends.
+// ResolveLostReplies asks again, for no more tokens, where a reply was lost, until ctx ends.
 // Instances that stay silent cost a call's whole time each, one after the other: an
 // instance that ends must not wait for them.
-func (p *Peers) Resolve(ctx context.Context, book *Book) {
+func (p *Peers) ResolveLostReplies(ctx context.Context, accounts *Accounts) {
 	p.mu.Lock()
-	var calls []unresolved
-	for call := range p.unresolved {
+	var calls []lostReply
+	for call := range p.lostReply {
 		calls = append(calls, call)
 	}
 	p.mu.Unlock()
@@ -220,26 +220,26 @@
 		if ctx.Err() != nil {
 			return
 		}
-		p.askOne(ctx, book, call.peer, call.team, 0)
+		p.requestFrom(ctx, accounts, call.peer, call.team, 0)
 	}
 }
 
 // HandOver gives everything that is left to one other instance, and says whether
 // that one has it.
-func (p *Peers) HandOver(ctx context.Context, book *Book, now time.Duration) bool {
-	for i, heir := range book.Heirs() {
-		if i >= mostAsked || ctx.Err() != nil {
+func (p *Peers) HandOver(ctx context.Context, accounts *Accounts, now time.Duration) bool {
+	for i, target := range accounts.TransferTargets() {
+		if i >= maxPeersAsked || ctx.Err() != nil {
 			return false
 		}
 		// Asking for nothing shows an instance that can take over.
-		if !p.askOne(ctx, book, heir.Key, "", 0) {
+		if !p.requestFrom(ctx, accounts, target.Key, "", 0) {
 			continue
 		}
-		ctx, cancel := context.WithTimeout(ctx, callWithin)
+		ctx, cancel := context.WithTimeout(ctx, callTimeout)
 		defer cancel()
-		args := HandArgs{From: book.self.Key, Totals: book.GiveAll(heir.Key, now)}
-		err := p.caller.Call(ctx, heir.Key, ServiceName+".Hand", args, &HandReply{})
-		p.log.Info().Err(err).Str("to", string(heir.Key)).Msg("prepaid: unused tokens handed over")
+		args := HandArgs{From: accounts.self.Key, Totals: accounts.TransferAll(target.Key, now)}
+		err := p.caller.Call(ctx, target.Key, ServiceName+".Hand", args, &HandReply{})
+		p.log.Info().Err(err).Str("to", string(target.Key)).Msg("prepaid: unused tokens handed over")
 		return err == nil
 	}
 	return false
--- a/internal/prepaid/play_test.go
+++ b/internal/prepaid/play_test.go
@@ -10,176 +10,176 @@
 	"guavapier/internal/record"
 )
 
-// play is a fleet with what has been done to it.
-type play struct {
-	*world
-	cuts    map[*machine]bool
-	setBack int // Machines whose clocks were set.
+// fleetModel is a fleet with what has been done to it.
+type fleetModel struct {
+	*simFleet
+	cuts      map[*simHost]bool
+	clocksSet int // Machines whose clocks were set.
 }
 
-func (w *play) reserve(t *rapid.T) {
-	if p := w.pick(t); p != nil {
+func (f *fleetModel) reserve(t *rapid.T) {
+	if p := f.pick(t); p != nil {
 		n := int64(rapid.IntRange(1, 9000).Draw(t, "tokens"))
-		if p.Reserve(team, n, w.now) == nil {
-			p.running = append(p.running, n)
+		if p.Reserve(team, n, f.now) == nil {
+			p.reservations = append(p.reservations, n)
 		}
 	}
 }
 
-func (w *play) settle(t *rapid.T) {
-	if p := w.pick(t); p != nil && len(p.running) > 0 {
-		n := p.running[0]
+func (f *fleetModel) settle(t *rapid.T) {
+	if p := f.pick(t); p != nil && len(p.reservations) > 0 {
+		n := p.reservations[0]
 		used := n * int64(rapid.IntRange(0, 4).Draw(t, "quarters")) / 4
-		p.running = p.running[1:]
+		p.reservations = p.reservations[1:]
 		p.Settle(team, n, used)
-		p.spent += used
+		p.settled += used
 	}
 }
 
-func (w *play) writeOne(t *rapid.T) {
-	if p := w.pick(t); p != nil && !w.cuts[p.m] {
-		p.write(w.world, rapid.IntRange(0, 3).Draw(t, "answered") > 0)
+func (f *fleetModel) writeOne(t *rapid.T) {
+	if p := f.pick(t); p != nil && !f.cuts[p.host] {
+		p.write(f.simFleet, rapid.IntRange(0, 3).Draw(t, "answered") > 0)
 	}
 }
 
-func (w *play) follow(t *rapid.T) {
-	if p := w.pick(t); p != nil && !w.cuts[p.m] {
-		p.follow(w.world)
+func (f *fleetModel) follow(t *rapid.T) {
+	if p := f.pick(t); p != nil && !f.cuts[p.host] {
+		p.follow(f.simFleet)
 	}
 }
 
-func (w *play) lateWriteArrives(_ *rapid.T) {
-	if len(w.late) > 0 {
-		w.log = append(w.log, w.late[0])
-		w.late = w.late[1:]
+func (f *fleetModel) lateWriteArrives(_ *rapid.T) {
+	if len(f.lateWrites) > 0 {
+		f.log = append(f.log, f.lateWrites[0])
+		f.lateWrites = f.lateWrites[1:]
 	}
 }
 
-func (w *play) reclaim(t *rapid.T) {
-	p := w.pick(t)
-	if p == nil || w.cuts[p.m] {
+func (f *fleetModel) reclaim(t *rapid.T) {
+	p := f.pick(t)
+	if p == nil || f.cuts[p.host] {
 		return
 	}
-	for _, r := range p.Reclaims(w.now) {
+	for _, r := range p.Reclaims(f.now) {
 		final := r.Statement
-		w.log = append(w.log, entry{r.Key, &final})
+		f.log = append(f.log, logEntry{r.Key, &final})
 	}
 }
 
-func (w *play) timePasses(t *rapid.T) {
-	w.now += time.Duration(rapid.IntRange(1, 2500).Draw(t, "ms")) * time.Millisecond
+func (f *fleetModel) timePasses(t *rapid.T) {
+	f.now += time.Duration(rapid.IntRange(1, 2500).Draw(t, "ms")) * time.Millisecond
 }
 
-func (w *play) cut(t *rapid.T) {
-	m := w.machines[rapid.IntRange(0, len(w.machines)-1).Draw(t, "machine")]
-	w.cuts[m] = !w.cuts[m]
+func (f *fleetModel) cut(t *rapid.T) {
+	host := f.hosts[rapid.IntRange(0, len(f.hosts)-1).Draw(t, "machine")]
+	f.cuts[host] = !f.cuts[host]
 }
 
-func (w *play) killOne(t *rapid.T) {
-	if p := w.pick(t); p != nil && seldom(t) {
-		w.kill(p)
+func (f *fleetModel) killOne(t *rapid.T) {
+	if p := f.pick(t); p != nil && occasionally(t) {
+		f.kill(p)
 	}
 }
 
-func (w *play) powerOff(t *rapid.T) {
-	if !seldom(t) {
+func (f *fleetModel) powerOff(t *rapid.T) {
+	if !occasionally(t) {
 		return
 	}
 	all := rapid.Bool().Draw(t, "all")
 	down := time.Duration(rapid.IntRange(300, 5000).Draw(t, "down ms")) * time.Millisecond
-	chosen := w.machines[rapid.IntRange(0, len(w.machines)-1).Draw(t, "machine")]
-	for _, m := range w.machines {
-		if !all && m != chosen {
+	chosen := f.hosts[rapid.IntRange(0, len(f.hosts)-1).Draw(t, "machine")]
+	for _, host := range f.hosts {
+		if !all && host != chosen {
 			continue
 		}
-		if p := w.living(m); p != nil {
-			w.kill(p)
+		if p := f.livingOn(host); p != nil {
+			f.kill(p)
 		}
-		m.boots++
-		m.boot, m.origin = w.now, time.Duration(rapid.IntRange(0, 1_000_000).Draw(t, "boot s"))*time.Second
+		host.boots++
+		host.bootedAt, host.bootClockAtBoot = f.now, time.Duration(rapid.IntRange(0, 1_000_000).Draw(t, "boot s"))*time.Second
 	}
-	w.now += down
+	f.now += down
 }
 
-func (w *play) startAll(_ *rapid.T) {
-	for _, m := range w.machines {
-		if w.living(m) == nil && !w.cuts[m] {
-			w.start(m)
+func (f *fleetModel) startAll(_ *rapid.T) {
+	for _, host := range f.hosts {
+		if f.livingOn(host) == nil && !f.cuts[host] {
+			f.start(host)
 		}
 	}
 }
 
-func (w *play) clockIsSet(t *rapid.T) {
+func (f *fleetModel) clockIsSet(t *rapid.T) {
 	// Fewer than half of the machines.
-	if 2*(w.setBack+1) >= len(w.machines) {
+	if 2*(f.clocksSet+1) >= len(f.hosts) {
 		return
 	}
-	w.machines[w.setBack].wallMS += int64(rapid.SampledFrom([]int{-2000, 2000, -3500}).Draw(t, "step"))
-	w.setBack++
+	f.hosts[f.clocksSet].wallOffsetMS += int64(rapid.SampledFrom([]int{-2000, 2000, -3500}).Draw(t, "step"))
+	f.clocksSet++
 }
 
-func (w *play) peersGive(t *rapid.T) {
-	from, to := w.pick(t), w.pick(t)
+func (f *fleetModel) peersGive(t *rapid.T) {
+	from, to := f.pick(t), f.pick(t)
 	if from == nil || from == to {
 		return
 	}
-	total := from.Give(to.key, team, int64(rapid.IntRange(1, 20_000).Draw(t, "asked")), w.now)
+	total := from.Transfer(to.key, team, int64(rapid.IntRange(1, 20_000).Draw(t, "asked")), f.now)
 	if rapid.Bool().Draw(t, "reply arrives") {
-		to.Take(from.key, team, total)
+		to.Receive(from.key, team, total)
 	}
 }
 
-func (w *play) handOver(t *rapid.T) {
-	from, to := w.pick(t), w.pick(t)
-	if from == nil || from == to || !seldom(t) {
+func (f *fleetModel) handOver(t *rapid.T) {
+	from, to := f.pick(t), f.pick(t)
+	if from == nil || from == to || !occasionally(t) {
 		return
 	}
-	totals := from.GiveAll(to.key, w.now)
+	totals := from.TransferAll(to.key, f.now)
 	if rapid.Bool().Draw(t, "call arrives") {
-		to.Take(from.key, team, totals[team])
+		to.Receive(from.key, team, totals[team])
 	}
-	w.kill(from)
+	f.kill(from)
 }
 
-func (w *play) close(t *rapid.T) {
-	p := w.pick(t)
-	if p == nil || w.cuts[p.m] || len(p.running) > 0 || p.pending != nil || !seldom(t) {
+func (f *fleetModel) close(t *rapid.T) {
+	p := f.pick(t)
+	if p == nil || f.cuts[p.host] || len(p.reservations) > 0 || p.pending != nil || !occasionally(t) {
 		return
 	}
-	w.log = append(w.log, entry{p.key, p.Close(w.now)})
-	w.kill(p)
+	f.log = append(f.log, logEntry{p.key, p.Close(f.now)})
+	f.kill(p)
 }
 
-func (w *play) leave(t *rapid.T) {
-	if p := w.pick(t); p != nil && seldom(t) {
+func (f *fleetModel) leave(t *rapid.T) {
+	if p := f.pick(t); p != nil && occasionally(t) {
 		p.Leave()
 	}
 }
 
-func (w *play) totalChanges(t *rapid.T) {
-	w.prepaid += int64(rapid.SampledFrom([]int{-30_000, 50_000}).Draw(t, "by"))
-	w.prepaid = max(w.prepaid, 10_000)
-	w.most = max(w.most, w.prepaid)
-	for _, p := range w.procs {
-		if p.alive && !w.cuts[p.m] {
-			p.SetPrepaid(map[record.Team]int64{team: w.prepaid})
+func (f *fleetModel) totalChanges(t *rapid.T) {
+	f.prepaidTotal += int64(rapid.SampledFrom([]int{-30_000, 50_000}).Draw(t, "by"))
+	f.prepaidTotal = max(f.prepaidTotal, 10_000)
+	f.maxPrepaid = max(f.maxPrepaid, f.prepaidTotal)
+	for _, p := range f.processes {
+		if p.alive && !f.cuts[p.host] {
+			p.SetPrepaid(map[record.Team]int64{team: f.prepaidTotal})
 		}
 	}
 }
 
-func (w *play) historyIsLost(t *rapid.T) {
-	p := w.pick(t)
-	if p == nil || w.cuts[p.m] || p.Role() == allocator.Member {
+func (f *fleetModel) historyIsLost(t *rapid.T) {
+	p := f.pick(t)
+	if p == nil || f.cuts[p.host] || p.Role() == allocator.Member {
 		return
 	}
-	w.load(p)
+	f.reloadLog(p)
 }
 
 // roleChanges has a process become a member of its zone, which does not read the log,
 // or a claimant or allocator again, which reads it anew.
-func (w *play) roleChanges(t *rapid.T) {
-	p := w.pick(t)
-	if p == nil || w.cuts[p.m] {
+func (f *fleetModel) roleChanges(t *rapid.T) {
+	p := f.pick(t)
+	if p == nil || f.cuts[p.host] {
 		return
 	}
 	if p.Role() != allocator.Member {
@@ -187,29 +187,29 @@
 		return
 	}
 	p.SetRole(rapid.SampledFrom([]allocator.Role{allocator.Claimant, allocator.Allocator}).Draw(t, "role"))
-	w.load(p)
+	f.reloadLog(p)
 }
 
 // memberDraws has an allocator lend, and the member spare what it has too much.
-func (w *play) memberDraws(t *rapid.T) {
-	from, to := w.pick(t), w.pick(t)
+func (f *fleetModel) memberDraws(t *rapid.T) {
+	from, to := f.pick(t), f.pick(t)
 	if from == nil || from == to || from.Role() != allocator.Allocator || to.Role() != allocator.Member {
 		return
 	}
 	tokens := int64(rapid.IntRange(1, 20_000).Draw(t, "tokens"))
-	total, _ := from.Lend(to.key, team, to.Drawing(team, tokens, w.now), w.now)
+	total, _ := from.TransferToMember(to.key, team, to.WithdrawalNeed(team, tokens, f.now), f.now)
 	if rapid.Bool().Draw(t, "reply arrives") {
-		to.Take(from.key, team, total)
-		to.SetLead(team, from.Lead(team, w.now))
-		to.HearStatus(from.Status(w.now), w.now)
+		to.Receive(from.key, team, total)
+		to.SetHeadroom(team, from.Headroom(team, f.now))
+		to.ObserveStatus(from.Status(f.now), f.now)
 	}
-	spared := to.Spare(from.key, rapid.Bool().Draw(t, "all"), w.now)
+	spared := to.TransferExcess(from.key, rapid.Bool().Draw(t, "all"), f.now)
 	if rapid.Bool().Draw(t, "spare arrives") {
-		from.Return(to.key, team, spared[team], w.now)
+		from.AcceptReturn(to.key, team, spared[team], f.now)
 	}
 }
 
-func (w *play) busySeconds(t *rapid.T) { w.busy(drawBusy(t, w.cuts)) }
+func (f *fleetModel) busySeconds(t *rapid.T) { f.runBusy(drawBusyArgs(t, f.cuts)) }
 
 // TestNothingOverspends plays a fleet through lost answers, late writes, cuts of
 // any length, freezes, kills, power losses, clocks that are set, lost replies of
@@ -217,33 +217,33 @@
 func TestNothingOverspends(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		skews := rapid.SliceOfN(rapid.Int64Range(-3000, 3000), 1, 5).Draw(t, "skews")
-		w := &play{world: newWorld(t, skews...), cuts: map[*machine]bool{}}
+		f := &fleetModel{simFleet: newSimFleet(t, skews...), cuts: map[*simHost]bool{}}
 		t.Repeat(map[string]func(*rapid.T){
-			"":                   func(*rapid.T) { w.check() },
-			"busy seconds":       w.busySeconds,
-			"more busy seconds":  w.busySeconds,
-			"reserve":            w.reserve,
-			"settle":             w.settle,
-			"write":              w.writeOne,
-			"follow":             w.follow,
-			"late write arrives": w.lateWriteArrives,
-			"reclaim":            w.reclaim,
-			"time passes":        w.timePasses,
-			"cut":                w.cut,
-			"kill":               w.killOne,
-			"power off":          w.powerOff,
-			"start":              w.startAll,
-			"clock is set":       w.clockIsSet,
-			"peers give":         w.peersGive,
-			"hand over":          w.handOver,
-			"close":              w.close,
-			"leave":              w.leave,
-			"total changes":      w.totalChanges,
-			"history is lost":    w.historyIsLost,
-			"role changes":       w.roleChanges,
-			"more role changes":  w.roleChanges,
-			"member draws":       w.memberDraws,
-			"more draws":         w.memberDraws,
+			"":                   func(*rapid.T) { f.checkNotOverspent() },
+			"busy seconds":       f.busySeconds,
+			"more busy seconds":  f.busySeconds,
+			"reserve":            f.reserve,
+			"settle":             f.settle,
+			"write":              f.writeOne,
+			"follow":             f.follow,
+			"late write arrives": f.lateWriteArrives,
+			"reclaim":            f.reclaim,
+			"time passes":        f.timePasses,
+			"cut":                f.cut,
+			"kill":               f.killOne,
+			"power off":          f.powerOff,
+			"start":              f.startAll,
+			"clock is set":       f.clockIsSet,
+			"peers give":         f.peersGive,
+			"hand over":          f.handOver,
+			"close":              f.close,
+			"leave":              f.leave,
+			"total changes":      f.totalChanges,
+			"history is lost":    f.historyIsLost,
+			"role changes":       f.roleChanges,
+			"more role changes":  f.roleChanges,
+			"member draws":       f.memberDraws,
+			"more draws":         f.memberDraws,
 		})
 	})
 }
--- a/internal/prepaid/predecessors_test.go
+++ b/internal/prepaid/predecessors_test.go
@@ -16,24 +16,24 @@
 	"guavapier/internal/standin"
 )
 
-// cutLink is a log that can be cut off for one instance.
-type cutLink struct {
+// cuttableLog is a log that can be cut off for one instance.
+type cuttableLog struct {
 	logstore.Keyed
-	cut atomic.Bool
+	cutOff atomic.Bool
 }
 
 // Follow implements logstore.Keyed.
-func (l *cutLink) Follow(ctx context.Context, topic logstore.Topic, from uint64, wait time.Duration) (logstore.KeyedPage, error) {
+func (l *cuttableLog) Follow(ctx context.Context, topic logstore.Topic, from uint64, wait time.Duration) (logstore.KeyedPage, error) {
 	page, err := l.Keyed.Follow(ctx, topic, from, wait)
-	if l.cut.Load() {
+	if l.cutOff.Load() {
 		return logstore.KeyedPage{}, logstore.ErrUnavailable
 	}
 	return page, err
 }
 
 // Newest implements logstore.Keyed.
-func (l *cutLink) Newest(ctx context.Context, topic logstore.Topic) (logstore.KeyedPage, error) {
-	if l.cut.Load() {
+func (l *cuttableLog) Newest(ctx context.Context, topic logstore.Topic) (logstore.KeyedPage, error) {
+	if l.cutOff.Load() {
 		return logstore.KeyedPage{}, logstore.ErrUnavailable
 	}
 	return l.Keyed.Newest(ctx, topic)
@@ -46,22 +46,22 @@
 func TestAnAllocatorCutFromTheLogNamesNoPredecessors(t *testing.T) {
 	const instances = 5
 	log := standin.NewKeyed()
-	var links []*cutLink
-	var keepers []*prepaid.Keeper
+	var links []*cuttableLog
+	var controllers []*prepaid.Controller
 	for i := range instances {
-		link := &cutLink{Keyed: log}
+		link := &cuttableLog{Keyed: log}
 		key := record.InstanceID(fmt.Sprint("k", i))
-		k, _ := runKeeperOn(t, link, key, string(key), 1_000_000, pooledPolicy())
-		links, keepers = append(links, link), append(keepers, k)
+		c, _ := runControllerOnHost(t, link, key, string(key), 1_000_000, allocatorPolicy())
+		links, controllers = append(links, link), append(controllers, c)
 	}
-	allocators, _ := awaitParts(t, keepers)
-	asked, other := allocators[0], allocators[1]
+	allocators, _ := awaitRoles(t, controllers)
+	queried, other := allocators[0], allocators[1]
 	args := prepaid.PredecessorsArgs{Node: fmt.Sprint("k", other), Started: time.Now().Add(time.Hour).UnixMilli()}
-	transfers := prepaid.NewTransfers(keepers[asked])
-	wantNewest := func() {
+	transfers := prepaid.NewTransfers(controllers[queried])
+	checkNewest := func() {
 		t.Helper()
 		var reply prepaid.PredecessorsReply
-		before := newestOf(t, log, fmt.Sprint("k", other))
+		before := newestSequence(t, log, fmt.Sprint("k", other))
 		if err := transfers.Predecessors(args, &reply); err != nil || len(reply.Statements) != 1 {
 			t.Fatalf("%d statements, %v", len(reply.Statements), err)
 		}
@@ -69,21 +69,21 @@
 			t.Errorf("statement %d named, the log has %d", got, before)
 		}
 	}
-	sendSteadily(t, keepers[other], 300, time.Second)
-	wantNewest()
-	links[asked].cut.Store(true)
-	sendSteadily(t, keepers[other], 300, time.Second)
+	sendAtInterval(t, controllers[other], 300, time.Second)
+	checkNewest()
+	links[queried].cutOff.Store(true)
+	sendAtInterval(t, controllers[other], 300, time.Second)
 	var reply prepaid.PredecessorsReply
 	if err := transfers.Predecessors(args, &reply); err == nil {
 		t.Errorf("named %+v while cut from the log", reply.Statements)
 	}
-	links[asked].cut.Store(false)
+	links[queried].cutOff.Store(false)
 	waitFor(t, "the log read again", func() bool { return transfers.Predecessors(args, &reply) == nil })
-	wantNewest()
+	checkNewest()
 }
 
-// newestOf returns the sequence of a process's newest statement on the log.
-func newestOf(t *testing.T, log *standin.Keyed, key string) uint64 {
+// newestSequence returns the sequence of a process's newest statement on the log.
+func newestSequence(t *testing.T, log *standin.Keyed, key string) uint64 {
 	t.Helper()
 	page, err := log.Newest(t.Context(), logstore.TopicBudgets)
 	if err != nil {
@@ -91,7 +91,7 @@
 	}
 	newest := uint64(0)
 	for _, r := range page.Records {
-		var s prepaid.Statement
+		var s prepaid.ClaimRecord
 		if err := cbor.Unmarshal(r.Value, &s); err != nil {
 			t.Fatal(err)
 		}
@@ -102,21 +102,21 @@
 	return newest
 }
 
-// sendSteadily sends requests of so many tokens at a steady pace and counts those that get them.
-func sendSteadily(t *testing.T, k *prepaid.Keeper, size int64, long time.Duration) (served, asked int) {
+// sendAtInterval sends requests of so many tokens at a steady pace and counts those that get them.
+func sendAtInterval(t *testing.T, c *prepaid.Controller, size int64, duration time.Duration) (served, sent int) {
 	t.Helper()
 	const every = 20 * time.Millisecond
-	var got atomic.Int64
+	var granted atomic.Int64
 	var requests sync.WaitGroup
-	for end := time.Now().Add(long); time.Now().Before(end); time.Sleep(every) {
-		asked++
+	for end := time.Now().Add(duration); time.Now().Before(end); time.Sleep(every) {
+		sent++
 		requests.Go(func() {
-			if r, err := k.Reserve(t.Context(), team, size); err == nil {
-				got.Add(1)
+			if r, err := c.Reserve(t.Context(), team, size); err == nil {
+				granted.Add(1)
 				r.Settle(size)
 			}
 		})
 	}
 	requests.Wait()
-	return int(got.Load()), asked
+	return int(granted.Load()), sent
 }
--- a/internal/prepaid/reclaim.go
+++ b/internal/prepaid/reclaim.go
@@ -9,7 +9,7 @@
 // Reclaim is a dead process's last word, written by its successor.
 type Reclaim struct {
 	Key       record.InstanceID
-	Statement Statement
+	Statement ClaimRecord
 	// Tokens is how much of all budgets goes back.
 	Tokens int64
 	// Age is the time from the dead process's last touch to this one's start.
@@ -22,44 +22,44 @@
 //
 // A write of the dead process that arrives after this one only claims more,
 // which wastes tokens and overspends none: it never took effect for the dead.
-func (b *Book) Reclaims(now time.Duration) []Reclaim {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (a *Accounts) Reclaims(now time.Duration) []Reclaim {
+	a.mu.Lock()
+	defer a.mu.Unlock()
 	var list []Reclaim
-	for key, h := range b.others {
-		if h.Node != b.self.Node || h.Started >= b.self.Started || h.Closed {
+	for key, p := range a.others {
+		if p.Node != a.self.Node || p.Started >= a.self.Started || p.Closed {
 			continue
 		}
-		age, known := b.ageAtStart(&h.Statement, now)
+		age, known := a.ageAtStart(&p.ClaimRecord, now)
 		if !known {
 			continue
 		}
-		final := h.final(age)
-		if tokens := freed(h.Statement, final); tokens > 0 {
+		final := p.finalRecord(age)
+		if tokens := reclaimedTokens(p.ClaimRecord, final); tokens > 0 {
 			list = append(list, Reclaim{Key: key, Statement: final, Tokens: tokens, Age: age})
 		}
 	}
 	return list
 }
 
-// final returns the statement that leaves the process what it may have used or
+// finalRecord returns the statement that leaves the process what it may have used or
 // given, if it lived so long after Touched at most.
-func (h *holder) final(age time.Duration) Statement {
-	s := h.Statement
-	s.Closed = true
-	s.Rows = nil
-	for _, r := range h.Rows {
-		r.Claimed = min(r.Claimed, r.most(age))
-		r.Short = 0
-		s.Rows = append(s.Rows, r)
+func (p *otherProcess) finalRecord(age time.Duration) ClaimRecord {
+	rec := p.ClaimRecord
+	rec.Closed = true
+	rec.Claims = nil
+	for _, claim := range p.Claims {
+		claim.Claimed = min(claim.Claimed, claim.maxConsumed(age))
+		claim.Shortfall = 0
+		rec.Claims = append(rec.Claims, claim)
 	}
-	return s
+	return rec
 }
 
-func freed(was, final Statement) int64 {
+func reclaimedTokens(was, final ClaimRecord) int64 {
 	sum := int64(0)
-	for i, r := range was.Rows {
-		sum += r.Claimed - final.Rows[i].Claimed
+	for i, claim := range was.Claims {
+		sum += claim.Claimed - final.Claims[i].Claimed
 	}
 	return sum
 }
--- a/internal/prepaid/reclaim_test.go
+++ b/internal/prepaid/reclaim_test.go
@@ -9,52 +9,52 @@
 	"guavapier/internal/record"
 )
 
-// steadyWorld is a fleet of so many machines that has worked for some seconds.
-func steadyWorld(t *testing.T, machines int) *world {
+// newSteadyFleet is a fleet of so many machines that has worked for some seconds.
+func newSteadyFleet(t *testing.T, hosts int) *simFleet {
 	t.Helper()
-	w := newWorld(t, make([]int64, machines)...)
-	w.busy(60, 20, nil)
-	return w
+	f := newSimFleet(t, make([]int64, hosts)...)
+	f.runBusy(60, 20, nil)
+	return f
 }
 
-// powerOff takes power from all machines for so long and starts them again.
-func (w *world) powerOff(down time.Duration) {
-	for i, m := range w.machines {
-		if p := w.living(m); p != nil {
-			w.kill(p)
+// powerCycle takes power from all machines for so long and starts them again.
+func (f *simFleet) powerCycle(down time.Duration) {
+	for i, host := range f.hosts {
+		if p := f.livingOn(host); p != nil {
+			f.kill(p)
 		}
-		m.boots++
-		m.boot, m.origin = w.now, time.Duration(i)*time.Minute
+		host.boots++
+		host.bootedAt, host.bootClockAtBoot = f.now, time.Duration(i)*time.Minute
 	}
-	w.now += down
-	for _, m := range w.machines {
-		w.start(m)
+	f.now += down
+	for _, host := range f.hosts {
+		f.start(host)
 	}
 }
 
-// reclaimable is what the living processes give back for their predecessors,
+// reclaimableTokens is what the living processes give back for their predecessors,
 // after they have heard each other's clocks.
-func (w *world) reclaimable() (tokens int64) {
-	w.hearEachOther()
-	for _, p := range w.procs {
+func (f *simFleet) reclaimableTokens() (tokens int64) {
+	f.exchangeRecords()
+	for _, p := range f.processes {
 		if !p.alive {
 			continue
 		}
-		for _, r := range p.Reclaims(w.now) {
+		for _, r := range p.Reclaims(f.now) {
 			tokens += r.Tokens
 		}
 	}
 	return tokens
 }
 
-// hearEachOther lets the living processes write and read without reclaiming.
-func (w *world) hearEachOther() {
+// exchangeRecords lets the living processes write and read without reclaiming.
+func (f *simFleet) exchangeRecords() {
 	for range 3 {
-		w.now += 400 * time.Millisecond
-		for _, p := range w.procs {
+		f.now += 400 * time.Millisecond
+		for _, p := range f.processes {
 			if p.alive {
-				p.write(w, true)
-				p.follow(w)
+				p.write(f, true)
+				p.follow(f)
 			}
 		}
 	}
@@ -63,21 +63,21 @@
 // Without what goes back, the loss of all machines strands what all of them
 // held: 20 % and more of each budget.
 func TestPowerLossOfAllGivesBackWhatWasHeld(t *testing.T) {
-	w := steadyWorld(t, 4)
+	f := newSteadyFleet(t, 4)
 	var held int64
-	for _, p := range w.procs {
-		for _, b := range p.View(w.now) {
+	for _, p := range f.processes {
+		for _, b := range p.Balances(f.now) {
 			held += b.Claimed - b.Settled - b.Reserved
 		}
 	}
-	w.powerOff(1300 * time.Millisecond)
+	f.powerCycle(1300 * time.Millisecond)
 	// Marks run ahead by 0.19 of what was left when they were drafted, 0.2 s
 	// before: at most 0.25 of what is left now.
-	left := w.prepaid - w.total()
-	if got := w.reclaimable(); held-got > left/4 {
+	left := f.prepaidTotal - f.totalUsed()
+	if got := f.reclaimableTokens(); held-got > left/4 {
 		t.Errorf("gave back %d of %d held, with %d left", got, held, left)
 	}
-	w.busy(500, 400, nil)
+	f.runBusy(500, 400, nil)
 }
 
 // Processes that live on behind a cut for so long, use all that they may and then
@@ -86,21 +86,21 @@
 func TestNothingGoesBackThatMayHaveBeenUsed(t *testing.T) {
 	const round, down = 150 * time.Millisecond, 300 * time.Millisecond
 	for _, rounds := range []int{0, 1, 3, 6, 10, 14, 20, 21, 28, 40, 80, 199, 220} {
-		w := steadyWorld(t, 4)
-		w.busy(200, rounds, allCut(w))
+		f := newSteadyFleet(t, 4)
+		f.runBusy(200, rounds, allHostsCut(f))
 		used := map[record.InstanceID]int64{}
-		for _, p := range w.procs {
-			used[p.key] = p.spent + p.reserved()
+		for _, p := range f.processes {
+			used[p.key] = p.settled + p.reserved()
 		}
-		w.powerOff(down)
-		w.hearEachOther()
-		for _, p := range w.procs {
+		f.powerCycle(down)
+		f.exchangeRecords()
+		for _, p := range f.processes {
 			if !p.alive {
 				continue
 			}
-			for _, r := range p.Reclaims(w.now) {
-				row := r.Statement.Rows[0]
-				if kept := row.Claimed + row.Taken - row.Given; kept < used[r.Key] {
+			for _, r := range p.Reclaims(f.now) {
+				claim := r.Statement.Claims[0]
+				if kept := claim.Claimed + claim.Received - claim.Transferred; kept < used[r.Key] {
 					t.Errorf("after %s behind a cut %s keeps %d of %d used", time.Duration(rounds)*round, r.Key, kept, used[r.Key])
 				}
 				if rounds == 220 {
@@ -108,90 +108,90 @@
 				}
 			}
 		}
-		w.busy(500, 400, nil)
-		if w.total() < w.prepaid*9/10 {
-			t.Errorf("after %s behind a cut %d of %d were used in the end: the fleet did not look for the rest", time.Duration(rounds)*round, w.total(), w.prepaid)
+		f.runBusy(500, 400, nil)
+		if f.totalUsed() < f.prepaidTotal*9/10 {
+			t.Errorf("after %s behind a cut %d of %d were used in the end: the fleet did not look for the rest", time.Duration(rounds)*round, f.totalUsed(), f.prepaidTotal)
 		}
 	}
 }
 
-// checkAge takes power from all machines 0.3 s after the machine's process has
+// checkReclaimedAge takes power from all machines 0.3 s after the machine's process has
 // been out of touch for so long, and checks that its successor does not take it
 // for younger.
-func (w *world) checkAge(m *machine, outOfTouch time.Duration) {
-	w.t.Helper()
+func (f *simFleet) checkReclaimedAge(host *simHost, unrenewedFor time.Duration) {
+	f.t.Helper()
 	const down = 300 * time.Millisecond
-	dead := w.living(m)
-	used := dead.spent + dead.reserved()
-	w.powerOff(down)
-	w.hearEachOther()
-	for _, r := range w.living(m).Reclaims(w.now) {
-		row := r.Statement.Rows[0]
-		if kept := row.Claimed + row.Taken - row.Given; r.Age < outOfTouch+down || kept < used {
-			w.t.Fatalf("taken for %s old, left with %d of %d used", r.Age, kept, used)
+	dead := f.livingOn(host)
+	used := dead.settled + dead.reserved()
+	f.powerCycle(down)
+	f.exchangeRecords()
+	for _, r := range f.livingOn(host).Reclaims(f.now) {
+		row := r.Statement.Claims[0]
+		if kept := row.Claimed + row.Received - row.Transferred; r.Age < unrenewedFor+down || kept < used {
+			f.t.Fatalf("taken for %s old, left with %d of %d used", r.Age, kept, used)
 		}
 	}
 }
 
 // A clock that is set back across the loss makes a long loss look short.
 func TestAClockSetBackDoesNotMakeAProcessYoung(t *testing.T) {
-	w := steadyWorld(t, 5)
-	one := w.machines[0]
-	cut := map[*machine]bool{one: true}
-	w.busy(2000, 24, cut)
-	one.wallMS -= 2500
-	w.checkAge(one, 24*150*time.Millisecond)
-	w.busy(500, 400, nil)
+	f := newSteadyFleet(t, 5)
+	host := f.hosts[0]
+	cut := map[*simHost]bool{host: true}
+	f.runBusy(2000, 24, cut)
+	host.wallOffsetMS -= 2500
+	f.checkReclaimedAge(host, 24*150*time.Millisecond)
+	f.runBusy(500, 400, nil)
 }
 
 // A clock that is set ahead while its process is in touch, and back again during
 // the loss, does the same.
 func TestAClockSetAheadAndBackDoesNotMakeAProcessYoung(t *testing.T) {
-	w := steadyWorld(t, 5)
-	one := w.machines[0]
-	one.wallMS += 3000
-	w.busy(60, 3, nil)
-	cut := map[*machine]bool{one: true}
-	w.busy(2000, 24, cut)
-	one.wallMS -= 3000
-	w.checkAge(one, 24*150*time.Millisecond)
+	f := newSteadyFleet(t, 5)
+	one := f.hosts[0]
+	one.wallOffsetMS += 3000
+	f.runBusy(60, 3, nil)
+	cut := map[*simHost]bool{one: true}
+	f.runBusy(2000, 24, cut)
+	one.wallOffsetMS -= 3000
+	f.checkReclaimedAge(one, 24*150*time.Millisecond)
 }
 
 // One machine alone can't check its clock, so nothing goes back.
 func TestOneMachineTrustsNoClockAcrossAPowerLoss(t *testing.T) {
-	w := steadyWorld(t, 1)
-	w.powerOff(time.Second)
-	if got := w.reclaimable(); got != 0 {
+	f := newSteadyFleet(t, 1)
+	f.powerCycle(time.Second)
+	if got := f.reclaimableTokens(); got != 0 {
 		t.Errorf("gave back %d tokens on the word of one clock", got)
 	}
 }
 
 // A process that is killed alone comes back under the same boot.
 func TestAKilledProcessGivesBackByTheBootClock(t *testing.T) {
-	w := steadyWorld(t, 1)
-	w.kill(w.procs[0])
-	w.now += 500 * time.Millisecond
-	w.start(w.machines[0])
-	if got := w.reclaimable(); got == 0 {
+	f := newSteadyFleet(t, 1)
+	f.kill(f.processes[0])
+	f.now += 500 * time.Millisecond
+	f.start(f.hosts[0])
+	if got := f.reclaimableTokens(); got == 0 {
 		t.Error("gave nothing back")
 	}
-	w.busy(500, 400, nil)
+	f.runBusy(500, 400, nil)
 }
 
 // What a dead process holds may have been used, and nobody will free it: a
 // request that would need it is refused for good, not asked to come back.
 func TestWhatADeadProcessHoldsIsSpent(t *testing.T) {
-	w := steadyWorld(t, 2)
-	w.busy(2000, 30, nil)
-	dead := w.procs[0]
-	w.kill(dead)
-	w.now += time.Minute // Too long to tell what it used.
-	w.start(dead.m)
-	w.hearEachOther()
-	live := w.procs[1]
+	f := newSteadyFleet(t, 2)
+	f.runBusy(2000, 30, nil)
+	dead := f.processes[0]
+	f.kill(dead)
+	f.now += time.Minute // Too long to tell what it used.
+	f.start(dead.host)
+	f.exchangeRecords()
+	live := f.processes[1]
 	// It would fit into what ended requests have left.
-	fits := w.prepaid - live.spent - dead.spent - 1
-	if err := live.Reserve(team, fits, w.now); !errors.Is(err, prepaid.ErrExhausted) {
+	fits := f.prepaidTotal - live.settled - dead.settled - 1
+	if err := live.Reserve(team, fits, f.now); !errors.Is(err, prepaid.ErrExhausted) {
 		t.Errorf("got %v, want %v", err, prepaid.ErrExhausted)
 	}
 }
--- a/internal/prepaid/restart_test.go
+++ b/internal/prepaid/restart_test.go
@@ -20,29 +20,29 @@
 func TestAfterALossOfAllFewReadTheLog(t *testing.T) {
 	const instances = 12
 	log := standin.NewKeyed()
-	keepers, stops := runPool(t, log, instances)
-	for _, k := range keepers {
+	controllers, stops := runZone(t, log, instances)
+	for _, c := range controllers {
 		waitFor(t, "tokens", func() bool {
-			r, err := k.Reserve(t.Context(), team, 800)
+			r, err := c.Reserve(t.Context(), team, 800)
 			if err == nil {
 				r.Settle(300)
 			}
 			return err == nil
 		})
 	}
-	waitFor(t, "statements of all", func() bool { return statedUse(t, log) >= instances*300 })
+	waitFor(t, "statements of all", func() bool { return publishedUse(t, log) >= instances*300 })
 	for _, stop := range stops {
 		stop()
 	}
 	before := log.NewestReads(logstore.TopicBudgets)
-	var again []*prepaid.Keeper
+	var restarted []*prepaid.Controller
 	for i := range instances {
-		k, _ := runKeeperAgain(t, log, fmt.Sprint("k", i))
-		again = append(again, k)
+		c, _ := restartController(t, log, fmt.Sprint("k", i))
+		restarted = append(restarted, c)
 	}
-	for _, k := range again {
+	for _, c := range restarted {
 		waitFor(t, "tokens after the loss", func() bool {
-			r, err := k.Reserve(t.Context(), team, 500)
+			r, err := c.Reserve(t.Context(), team, 500)
 			if err == nil {
 				r.Settle(500)
 			}
@@ -53,38 +53,38 @@
 		t.Errorf("the log was read whole %d times by %d instances", reads, instances)
 	}
 	waitFor(t, "members that know their predecessors", func() bool {
-		given := 0
-		for _, k := range again {
-			if k.Reclaimed() > 0 {
-				given++
+		reclaiming := 0
+		for _, c := range restarted {
+			if c.Reclaimed() > 0 {
+				reclaiming++
 			}
 		}
-		return given > 0
+		return reclaiming > 0
 	})
 }
 
-// statedUse is what all statements on the log say is used.
-func statedUse(t *testing.T, log *standin.Keyed) (sum int64) {
+// publishedUse is what all statements on the log say is used.
+func publishedUse(t *testing.T, log *standin.Keyed) (sum int64) {
 	t.Helper()
 	page, err := log.Newest(t.Context(), logstore.TopicBudgets)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, r := range page.Records {
-		var s prepaid.Statement
+		var s prepaid.ClaimRecord
 		if err := cbor.Unmarshal(r.Value, &s); err != nil {
 			t.Fatal(err)
 		}
-		for _, row := range s.Rows {
-			sum += row.Used
+		for _, claim := range s.Claims {
+			sum += claim.Used
 		}
 	}
 	return sum
 }
 
-// runKeeperAgain starts a later process of a host.
-func runKeeperAgain(t *testing.T, log *standin.Keyed, node string) (*prepaid.Keeper, func()) {
+// restartController starts a later process of a host.
+func restartController(t *testing.T, log *standin.Keyed, node string) (*prepaid.Controller, func()) {
 	t.Helper()
 	time.Sleep(2 * time.Millisecond) // Starts are told apart by the millisecond.
-	return runKeeperOn(t, log, record.InstanceID(node+".again"), node, 100_000, pooledPolicy())
+	return runControllerOnHost(t, log, record.InstanceID(node+".again"), node, 100_000, allocatorPolicy())
 }
--- a/internal/prepaid/size_test.go
+++ b/internal/prepaid/size_test.go
@@ -10,16 +10,16 @@
 
 // A statement's rows are what the log carries most of; docs/CAPACITY.md counts
 // on this size.
-func TestSizeOfAStatementsRow(t *testing.T) {
-	row := prepaid.Row{
-		Team: "organisation-1", Claimed: 1_234_567, Mark: 1_034_567, Used: 934_567, Reserved: 10_000,
-		Taken: 34_567, Given: 12_345, Rate: 23_456, Short: 4_567, Pace: 46_912, LatePace: 51_234,
+func TestAnEncodedBudgetClaimTakesAtMost64Bytes(t *testing.T) {
+	claim := prepaid.BudgetClaim{
+		Team: "organisation-1", Claimed: 1_234_567, InitialBound: 1_034_567, Used: 934_567, Reserved: 10_000,
+		Received: 34_567, Transferred: 12_345, Rate: 23_456, Shortfall: 4_567, GrowthRate: 46_912, LateGrowthRate: 51_234,
 	}
-	one, err := cbor.Marshal(prepaid.Statement{Rows: []prepaid.Row{row}})
+	one, err := cbor.Marshal(prepaid.ClaimRecord{Claims: []prepaid.BudgetClaim{claim}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	two, err := cbor.Marshal(prepaid.Statement{Rows: []prepaid.Row{row, row}})
+	two, err := cbor.Marshal(prepaid.ClaimRecord{Claims: []prepaid.BudgetClaim{claim, claim}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/prepaid/slots_test.go
+++ b/internal/prepaid/slots_test.go
@@ -15,24 +15,24 @@
 	"guavapier/internal/standin"
 )
 
-// fullLink is a log behind a link that, while full, holds each answer for a while.
-type fullLink struct {
+// saturableLink is a log behind a link that, while full, holds each answer for a while.
+type saturableLink struct {
 	logstore.Keyed
-	full atomic.Bool
-	puts atomic.Int64 // Announcements.
+	saturated     atomic.Bool
+	announcements atomic.Int64 // Announcements.
 }
 
-const fullLinkHolds = 400 * time.Millisecond
+const fullLinkDelay = 400 * time.Millisecond
 
-func (l *fullLink) hold(ctx context.Context) error {
-	if l.full.Load() {
-		logstore.Pause(ctx, fullLinkHolds, nil)
+func (l *saturableLink) hold(ctx context.Context) error {
+	if l.saturated.Load() {
+		logstore.Pause(ctx, fullLinkDelay, nil)
 	}
 	return ctx.Err()
 }
 
 // Newest implements logstore.Keyed.
-func (l *fullLink) Newest(ctx context.Context, topic logstore.Topic) (logstore.KeyedPage, error) {
+func (l *saturableLink) Newest(ctx context.Context, topic logstore.Topic) (logstore.KeyedPage, error) {
 	if err := l.hold(ctx); err != nil {
 		return logstore.KeyedPage{}, err
 	}
@@ -40,7 +40,7 @@
 }
 
 // Follow implements logstore.Keyed.
-func (l *fullLink) Follow(ctx context.Context, topic logstore.Topic, from uint64, wait time.Duration) (logstore.KeyedPage, error) {
+func (l *saturableLink) Follow(ctx context.Context, topic logstore.Topic, from uint64, wait time.Duration) (logstore.KeyedPage, error) {
 	if err := l.hold(ctx); err != nil {
 		return logstore.KeyedPage{}, err
 	}
@@ -48,9 +48,9 @@
 }
 
 // Put implements logstore.Keyed.
-func (l *fullLink) Put(ctx context.Context, topic logstore.Topic, w logstore.Write, records []logstore.KeyedRecord) error {
+func (l *saturableLink) Put(ctx context.Context, topic logstore.Topic, w logstore.Write, records []logstore.KeyedRecord) error {
 	if topic == logstore.TopicAllocators {
-		l.puts.Add(1)
+		l.announcements.Add(1)
 	}
 	if err := l.hold(ctx); err != nil {
 		return err
@@ -63,35 +63,35 @@
 // the allocators are gone: it takes a slot once its link has room, and not before.
 func TestAnInstanceWithAFullLinkLeavesTheSlotsToOthers(t *testing.T) {
 	log := standin.NewKeyed()
-	var links []*fullLink
-	var keepers []*prepaid.Keeper
+	var links []*saturableLink
+	var controllers []*prepaid.Controller
 	var stops []func()
 	const instances = 8
 	for i := range instances {
-		link := &fullLink{Keyed: log}
+		link := &saturableLink{Keyed: log}
 		key := record.InstanceID(fmt.Sprint("k", i))
-		k, stop := runKeeperOn(t, link, key, string(key), 100_000, pooledPolicy())
-		links, keepers, stops = append(links, link), append(keepers, k), append(stops, stop)
+		c, stop := runControllerOnHost(t, link, key, string(key), 100_000, allocatorPolicy())
+		links, controllers, stops = append(links, link), append(controllers, c), append(stops, stop)
 	}
-	_, members := awaitParts(t, keepers)
+	_, members := awaitRoles(t, controllers)
 	// One that lost a slot to another leaves it alone for long.
-	i := slices.IndexFunc(members, func(i int) bool { return links[i].puts.Load() == 0 })
+	i := slices.IndexFunc(members, func(i int) bool { return links[i].announcements.Load() == 0 })
 	if i < 0 {
 		t.Fatal("every member has announced itself once")
 	}
 	member := members[i]
-	link, k := links[member], keepers[member]
-	link.full.Store(true)
-	before := link.puts.Load()
+	link, c := links[member], controllers[member]
+	link.saturated.Store(true)
+	before := link.announcements.Load()
 	for i, stop := range stops {
 		if i != member {
 			stop()
 		}
 	}
-	waitFor(t, "the member on its own", func() bool { return k.Book.Role() == allocator.Claimant })
-	if k.Book.Role() == allocator.Allocator || link.puts.Load() != before {
-		t.Errorf("%s, %d announcements with a full link", k.Book.Role(), link.puts.Load()-before)
+	waitFor(t, "the member on its own", func() bool { return c.Accounts.Role() == allocator.Claimant })
+	if c.Accounts.Role() == allocator.Allocator || link.announcements.Load() != before {
+		t.Errorf("%s, %d announcements with a full link", c.Accounts.Role(), link.announcements.Load()-before)
 	}
-	link.full.Store(false)
-	waitFor(t, "an allocator once the link has room", func() bool { return k.Book.Role() == allocator.Allocator })
+	link.saturated.Store(false)
+	waitFor(t, "an allocator once the link has room", func() bool { return c.Accounts.Role() == allocator.Allocator })
 }
--- a/internal/prepaid/statement.go
+++ b/internal/prepaid/statement.go
@@ -6,48 +6,48 @@
 	"guavapier/internal/record"
 )
 
-// Row is what a statement says of one budget, in tokens.
-type Row struct {
+// BudgetClaim is what a statement says of one budget, in tokens.
+type BudgetClaim struct {
 	Team record.Team `cbor:"1,keyasint"`
 	// Claimed is the process's part of the budget, from its start on. It goes
 	// below zero when tokens taken from others were given back to the log.
 	Claimed int64 `cbor:"2,keyasint"`
-	// Mark bounds what the process has used and given beyond what it took, with
+	// InitialBound bounds what the process has used and given beyond what it took, with
 	// Pace and LatePace for the time since Touched; see allowance.
-	Mark int64 `cbor:"3,keyasint"`
+	InitialBound int64 `cbor:"3,keyasint"`
 	// Used is what it has used, requests in flight at their most included.
 	Used int64 `cbor:"4,keyasint"`
 	// Reserved is the part of Used that is set aside for requests in flight; it
 	// takes fewer bytes than what ended ones have used.
 	Reserved int64 `cbor:"5,keyasint,omitempty"`
-	// Taken and Given are what it has from and gave to other processes.
-	Taken int64 `cbor:"6,keyasint,omitempty"`
-	Given int64 `cbor:"7,keyasint,omitempty"`
+	// Received and Given are what it has from and gave to other processes.
+	Received    int64 `cbor:"6,keyasint,omitempty"`
+	Transferred int64 `cbor:"7,keyasint,omitempty"`
 	// Rate is its recent use a second.
 	Rate int64 `cbor:"8,keyasint,omitempty"`
-	// Short is what waiting requests want beyond what it holds.
-	Short int64 `cbor:"9,keyasint,omitempty"`
-	// Pace and LatePace are tokens a second: up to LateAfter after Touched, and
+	// Shortfall is what waiting requests want beyond what it holds.
+	Shortfall int64 `cbor:"9,keyasint,omitempty"`
+	// GrowthRate and LatePace are tokens a second: up to LateAfter after Touched, and
 	// later. A LateAfter of 0 stands for paceChanges.
-	Pace      int64         `cbor:"10,keyasint,omitempty"`
-	LatePace  int64         `cbor:"11,keyasint,omitempty"`
-	LateAfter time.Duration `cbor:"12,keyasint,omitempty"`
+	GrowthRate     int64         `cbor:"10,keyasint,omitempty"`
+	LateGrowthRate int64         `cbor:"11,keyasint,omitempty"`
+	LateRateAfter  time.Duration `cbor:"12,keyasint,omitempty"`
 }
 
-// empty says that the process has nothing of the budget and had nothing.
-func (r Row) empty() bool {
-	return r.Claimed == 0 && r.Used == 0 && r.Taken == 0 && r.Given == 0 && r.Short == 0
+// isEmpty says that the process has nothing of the budget and had nothing.
+func (c BudgetClaim) isEmpty() bool {
+	return c.Claimed == 0 && c.Used == 0 && c.Received == 0 && c.Transferred == 0 && c.Shortfall == 0
 }
 
-// lost is what nobody can use any more once the process is dead.
-func (r Row) lost() int64 { return r.Claimed + r.Taken - r.Given }
+// allotment is what nobody can use any more once the process is dead.
+func (c BudgetClaim) allotment() int64 { return c.Claimed + c.Received - c.Transferred }
 
-// Stamp is a moment by the clocks of one host.
-type Stamp struct {
+// ClockReading is a moment by the clocks of one host.
+type ClockReading struct {
 	// BootID and Boot are the host's boot and the time since it, time
 	// suspended included.
-	BootID string        `cbor:"1,keyasint"`
-	Boot   time.Duration `cbor:"2,keyasint"`
+	BootID    string        `cbor:"1,keyasint"`
+	SinceBoot time.Duration `cbor:"2,keyasint"`
 	// Wall is the time of day in Unix milliseconds. Corrected says that it is
 	// taken back by how far the host's clock stood before the median of the
 	// fleet's.
@@ -55,8 +55,8 @@
 	Corrected bool  `cbor:"4,keyasint,omitempty"`
 }
 
-// Statement is an instance's record.
-type Statement struct {
+// ClaimRecord is an instance's record.
+type ClaimRecord struct {
 	// Node is the instance's name and host; a later process of that node
 	// has replaced this one.
 	Node string `cbor:"1,keyasint"`
@@ -65,11 +65,11 @@
 	// Sequence counts the process's statements.
 	Sequence uint64 `cbor:"3,keyasint"`
 	// Closed says that the process has ended and uses nothing more.
-	Closed bool  `cbor:"4,keyasint,omitempty"`
-	Rows   []Row `cbor:"5,keyasint"`
-	// Touched is when the log had last taken a statement of the process at the
+	Closed bool          `cbor:"4,keyasint,omitempty"`
+	Claims []BudgetClaim `cbor:"5,keyasint"`
+	// Renewed is when the log had last taken a statement of the process at the
 	// time of drafting this one. From it on the allowances of the rows grow.
-	Touched Stamp `cbor:"6,keyasint"`
+	Renewed ClockReading `cbor:"6,keyasint"`
 	// Wall is the host's own time of day at drafting, uncorrected.
 	Wall int64 `cbor:"7,keyasint"`
 	// Peer is where other instances reach the process; "" for nowhere.
--- a/internal/prepaid/transfer.go
+++ b/internal/prepaid/transfer.go
@@ -7,140 +7,140 @@
 	"guavapier/internal/record"
 )
 
-// keepFor is the own use, at the recent rate, that a process keeps when it
+// retainedUseTime is the own use, at the recent rate, that a process keeps when it
 // gives: enough until it has found more itself.
-const keepFor = 2 * time.Second
+const retainedUseTime = 2 * time.Second
 
-// Give hands tokens to another process that asks for that many, as far as this
+// Transfer hands tokens to another process that asks for that many, as far as this
 // one can spare them. It returns what it has given to that process in all: an
 // answer that is lost is made good by the next one.
-func (b *Book) Give(to record.InstanceID, team record.Team, tokens int64, now time.Duration) int64 {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	a := b.accounts[team]
-	if a == nil {
+func (a *Accounts) Transfer(to record.InstanceID, team record.Team, tokens int64, now time.Duration) int64 {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	acct := a.accounts[team]
+	if acct == nil {
 		return 0
 	}
-	keep := int64(a.rate.perSecond(now) * keepFor.Seconds())
-	hand := a.atHand(now)
-	spare := min(hand, max(hand-keep, hand/2))
-	if spare > 0 && tokens > 0 {
-		amount := min(spare, tokens)
-		a.given[to] += amount
-		a.givenSum += amount
+	retained := int64(acct.rate.perSecond(now) * retainedUseTime.Seconds())
+	spendable := acct.spendable(now)
+	excess := min(spendable, max(spendable-retained, spendable/2))
+	if excess > 0 && tokens > 0 {
+		amount := min(excess, tokens)
+		acct.transferredTo[to] += amount
+		acct.transferred += amount
 	}
-	return a.given[to]
+	return acct.transferredTo[to]
 }
 
-// GiveAll hands over everything that is left: the process is about to end and
+// TransferAll hands over everything that is left: the process is about to end and
 // the log is away.
-func (b *Book) GiveAll(to record.InstanceID, now time.Duration) map[record.Team]int64 {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.closed = true
-	all := map[record.Team]int64{}
-	for _, team := range b.teams() {
-		a := b.account(team)
-		if amount := a.atHand(now); amount > 0 {
-			a.given[to] += amount
-			a.givenSum += amount
+func (a *Accounts) TransferAll(to record.InstanceID, now time.Duration) map[record.Team]int64 {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.closed = true
+	totals := map[record.Team]int64{}
+	for _, team := range a.sortedTeams() {
+		acct := a.account(team)
+		if amount := acct.spendable(now); amount > 0 {
+			acct.transferredTo[to] += amount
+			acct.transferred += amount
 		}
-		if a.given[to] > 0 {
-			all[team] = a.given[to]
+		if acct.transferredTo[to] > 0 {
+			totals[team] = acct.transferredTo[to]
 		}
 	}
-	return all
+	return totals
 }
 
-// Take notes what another process has given to this one in all.
-func (b *Book) Take(from record.InstanceID, team record.Team, total int64) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.take(from, team, total)
+// Receive notes what another process has given to this one in all.
+func (a *Accounts) Receive(from record.InstanceID, team record.Team, total int64) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.receive(from, team, total)
 }
 
-// take returns by how much the total is more than before.
-func (b *Book) take(from record.InstanceID, team record.Team, total int64) int64 {
-	a := b.account(team)
-	more := total - a.taken[from]
+// receive returns by how much the total is more than before.
+func (a *Accounts) receive(from record.InstanceID, team record.Team, total int64) int64 {
+	acct := a.account(team)
+	more := total - acct.receivedFrom[from]
 	if more <= 0 {
 		return 0
 	}
-	a.taken[from] = total
-	a.takenSum += more
-	b.wake()
+	acct.receivedFrom[from] = total
+	acct.received += more
+	a.notifyWaiters()
 	return more
 }
 
-// Source is a process that may have tokens to give.
-type Source struct {
-	Key  record.InstanceID
-	near bool
-	has  int64
+// TransferPeer is a process that may have tokens to give.
+type TransferPeer struct {
+	Key      record.InstanceID
+	sameZone bool
+	unspent  int64
 }
 
-// Findable says whether more tokens of the budget may be found: on the log, by
+// MayFindTokens says whether more tokens of the budget may be found: on the log, by
 // the next mark, or at other processes.
-func (b *Book) Findable(team record.Team) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	a := b.account(team)
-	if a.unspent() > 0 || b.prepaid[team]-b.claimedByOthers(team)-a.claimed > 0 {
+func (a *Accounts) MayFindTokens(team record.Team) bool {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	acct := a.account(team)
+	if acct.unspent() > 0 || a.prepaidTotals[team]-a.claimedByOthers(team)-acct.claimed > 0 {
 		return true
 	}
-	for _, h := range b.others {
-		if b.hasFor(h, team) {
+	for _, p := range a.others {
+		if a.mayTransfer(p, team) {
 			return true
 		}
 	}
 	return false
 }
 
-// hasFor says whether the process is thought to have tokens of the budget to give.
+// mayTransfer says whether the process is thought to have tokens of the budget to give.
 // A member of a zone has no more than it needs.
-func (b *Book) hasFor(h *holder, team record.Team) bool {
-	r := h.row(team)
-	return h.Peer != "" && !h.Member && r.lost() > r.Used && b.alive(h)
+func (a *Accounts) mayTransfer(p *otherProcess, team record.Team) bool {
+	claim := p.claim(team)
+	return p.Peer != "" && !p.Member && claim.allotment() > claim.Used && a.isAlive(p)
 }
 
-// Sources lists the living processes that held unused tokens of the budget when
+// TransferSources lists the living processes that held unused tokens of the budget when
 // last heard of, those of the own zone first, the richest first.
-func (b *Book) Sources(team record.Team) []Source {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	var list []Source
-	for key, h := range b.others {
-		if r := h.row(team); b.hasFor(h, team) {
-			list = append(list, Source{Key: key, near: h.Zone == b.self.Zone, has: r.lost() - r.Used})
+func (a *Accounts) TransferSources(team record.Team) []TransferPeer {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	var list []TransferPeer
+	for key, p := range a.others {
+		if claim := p.claim(team); a.mayTransfer(p, team) {
+			list = append(list, TransferPeer{Key: key, sameZone: p.Zone == a.self.Zone, unspent: claim.allotment() - claim.Used})
 		}
 	}
-	slices.SortFunc(list, func(x, y Source) int {
-		if x.near != y.near {
-			if x.near {
+	slices.SortFunc(list, func(x, y TransferPeer) int {
+		if x.sameZone != y.sameZone {
+			if x.sameZone {
 				return -1
 			}
 			return 1
 		}
-		return int(min(max(y.has-x.has, -1), 1))
+		return int(min(max(y.unspent-x.unspent, -1), 1))
 	})
 	return list
 }
 
-// Heirs lists living processes that can take over what is left, the own zone first.
-func (b *Book) Heirs() []Source {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	list := b.pool.heirs()
-	for key, h := range b.others {
-		if h.Peer != "" && !h.Member && b.alive(h) {
-			list = append(list, Source{Key: key, near: h.Zone == b.self.Zone})
+// TransferTargets lists living processes that can take over what is left, the own zone first.
+func (a *Accounts) TransferTargets() []TransferPeer {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	list := a.memberView.transferTargets()
+	for key, p := range a.others {
+		if p.Peer != "" && !p.Member && a.isAlive(p) {
+			list = append(list, TransferPeer{Key: key, sameZone: p.Zone == a.self.Zone})
 		}
 	}
-	slices.SortFunc(list, func(x, y Source) int {
-		if x.near == y.near {
+	slices.SortFunc(list, func(x, y TransferPeer) int {
+		if x.sameZone == y.sameZone {
 			return 0
 		}
-		if x.near {
+		if x.sameZone {
 			return -1
 		}
 		return 1
@@ -149,19 +149,19 @@
 }
 
 // Neighbours lists living processes of the own zone; a member knows the allocators only.
-func (b *Book) Neighbours() []record.InstanceID {
+func (a *Accounts) Neighbours() []record.InstanceID {
 	var list []record.InstanceID
-	for _, heir := range b.Heirs() {
-		if heir.near {
-			list = append(list, heir.Key)
+	for _, target := range a.TransferTargets() {
+		if target.sameZone {
+			list = append(list, target.Key)
 		}
 	}
 	return list
 }
 
-// AtHand is what may be used of the budget now.
-func (b *Book) AtHand(team record.Team, now time.Duration) int64 {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.account(team).atHand(now)
+// Spendable is what may be used of the budget now.
+func (a *Accounts) Spendable(team record.Team, now time.Duration) int64 {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.account(team).spendable(now)
 }
--- a/internal/prepaid/want_test.go
+++ b/internal/prepaid/want_test.go
@@ -10,7 +10,7 @@
 // way on a slow log, and it is kept for the caller's return, some time.
 func TestClaimThatComesLateIsKeptForItsCaller(t *testing.T) {
 	const wanted = 1 << 39 // Half of the total: far over what an instance holds by itself.
-	const trip = 100 * time.Millisecond
+	const logDelay = 100 * time.Millisecond
 	for name, c := range map[string]struct {
 		late  bool
 		after time.Duration
@@ -21,23 +21,23 @@
 		"late, and nobody comes": {late: true, after: 3 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := crowd(7, 0)
-			b.Want(team, wanted)
-			s := b.Draft(0)
-			b.Taken(s, trip)
+			b := newLargeFleet(7, 0)
+			b.AddShortfall(team, wanted)
+			s := b.NextRecord(0)
+			b.MarkAcknowledged(s, logDelay)
 			if c.late {
-				b.Want(team, -wanted)
+				b.AddShortfall(team, -wanted)
 			}
-			b.Apply("self", s, trip)
-			if got := b.Balance(team, trip).Claimed; got < wanted {
+			b.Apply("self", s, logDelay)
+			if got := b.Balance(team, logDelay).Claimed; got < wanted {
 				t.Fatalf("claimed %d", got)
 			}
 			if !c.late {
-				b.Want(team, -wanted)
+				b.AddShortfall(team, -wanted)
 			}
 			kept := true
-			if s := b.Draft(trip + c.after); s != nil {
-				kept = s.Rows[0].Claimed >= wanted
+			if s := b.NextRecord(logDelay + c.after); s != nil {
+				kept = s.Claims[0].Claimed >= wanted
 			}
 			if kept != c.kept {
 				t.Fatalf("kept %v, want %v", kept, c.kept)
@@ -57,15 +57,15 @@
 // 200 tokens of a request that had gone.
 func TestALateClaimIsNotKeptForEver(t *testing.T) {
 	const wanted = 1 << 39
-	b := crowd(7, 0)
-	b.Want(team, wanted)
-	s := b.Draft(0)
-	b.Taken(s, 0)
-	b.Want(team, -wanted)
+	b := newLargeFleet(7, 0)
+	b.AddShortfall(team, wanted)
+	s := b.NextRecord(0)
+	b.MarkAcknowledged(s, 0)
+	b.AddShortfall(team, -wanted)
 	b.Apply("self", s, 0)
 	for now := time.Second; now <= 5*time.Second; now += time.Second {
-		if s := b.Draft(now); s != nil {
-			b.Taken(s, now)
+		if s := b.NextRecord(now); s != nil {
+			b.MarkAcknowledged(s, now)
 			b.Apply("self", s, now)
 		}
 	}
--- a/internal/prepaid/world_test.go
+++ b/internal/prepaid/world_test.go
@@ -13,113 +13,113 @@
 
 const team = record.Team("dala")
 
-// machine is one host with its clocks.
-type machine struct {
-	node   string
-	boot   time.Duration // Of the world's time at its last boot.
-	origin time.Duration // What its boot clock showed then.
-	boots  int
-	wallMS int64 // Its time of day minus the world's time.
-}
-
-// process is one life of an instance.
-type process struct {
-	*prepaid.Book
-	key     record.InstanceID
-	m       *machine
-	alive   bool
-	read    int                // Offset of the next record.
-	pending *prepaid.Statement // Being written.
-	landed  bool               // The pending statement is on the log.
-	running []int64            // Reservations.
-	spent   int64              // What it has used for good.
-}
-
-type entry struct {
-	key       record.InstanceID
-	statement *prepaid.Statement
-}
-
-// failer is a test of either kind.
-type failer interface {
+// simHost is one host with its clocks.
+type simHost struct {
+	node            string
+	bootedAt        time.Duration // Of the world's time at its last boot.
+	bootClockAtBoot time.Duration // What its boot clock showed then.
+	boots           int
+	wallOffsetMS    int64 // Its time of day minus the world's time.
+}
+
+// simProcess is one life of an instance.
+type simProcess struct {
+	*prepaid.Accounts
+	key          record.InstanceID
+	host         *simHost
+	alive        bool
+	nextOffset   int                  // Offset of the next record.
+	pending      *prepaid.ClaimRecord // Being written.
+	logged       bool                 // The pending statement is on the log.
+	reservations []int64              // Reservations.
+	settled      int64                // What it has used for good.
+}
+
+type logEntry struct {
+	key    record.InstanceID
+	record *prepaid.ClaimRecord
+}
+
+// testFailer is a test of either kind.
+type testFailer interface {
 	Helper()
 	Fatalf(format string, args ...any)
 }
 
-// world is a fleet, its log and its clocks.
-type world struct {
-	t        failer
-	now      time.Duration
-	log      []entry
-	late     []entry // Writes that may still arrive.
-	machines []*machine
-	procs    []*process
-	prepaid  int64
-	most     int64 // The highest total ever.
-	used     int64 // By processes that have ended.
+// simFleet is a fleet, its log and its clocks.
+type simFleet struct {
+	t            testFailer
+	now          time.Duration
+	log          []logEntry
+	lateWrites   []logEntry // Writes that may still arrive.
+	hosts        []*simHost
+	processes    []*simProcess
+	prepaidTotal int64
+	maxPrepaid   int64 // The highest total ever.
+	usedByEnded  int64 // By processes that have ended.
 }
 
-func newWorld(t failer, skews ...int64) *world {
-	w := &world{t: t, now: time.Hour, prepaid: 100_000, most: 100_000}
+func newSimFleet(t testFailer, skews ...int64) *simFleet {
+	f := &simFleet{t: t, now: time.Hour, prepaidTotal: 100_000, maxPrepaid: 100_000}
 	for i, skew := range skews {
-		w.machines = append(w.machines, &machine{node: fmt.Sprintf("node-%d", i), wallMS: skew, origin: time.Duration(i+1) * time.Hour})
+		f.hosts = append(f.hosts, &simHost{node: fmt.Sprintf("node-%d", i), wallOffsetMS: skew, bootClockAtBoot: time.Duration(i+1) * time.Hour})
 	}
-	for _, m := range w.machines {
-		w.start(m)
+	for _, host := range f.hosts {
+		f.start(host)
 	}
-	return w
+	return f
 }
 
-func (w *world) clocks(m *machine) prepaid.Clocks {
+func (f *simFleet) clocks(host *simHost) prepaid.Clocks {
 	return prepaid.Clocks{
-		BootID: fmt.Sprintf("%s-%d", m.node, m.boots),
-		Boot:   func() time.Duration { return m.origin + w.now - m.boot },
-		Wall:   func() int64 { return w.now.Milliseconds() + m.wallMS },
+		BootID:    fmt.Sprintf("%s-%d", host.node, host.boots),
+		SinceBoot: func() time.Duration { return host.bootClockAtBoot + f.now - host.bootedAt },
+		Wall:      func() int64 { return f.now.Milliseconds() + host.wallOffsetMS },
 	}
 }
 
-func (w *world) start(m *machine) {
-	p := &process{m: m, key: record.InstanceID(fmt.Sprintf("%s.%d", m.node, len(w.procs))), alive: true}
-	self := prepaid.Identity{Key: p.key, Node: m.node, Started: int64(len(w.procs)), Peer: string(p.key)}
-	p.Book = prepaid.NewBook(self, prepaid.DefaultPolicy(), w.clocks(m))
-	p.SetPrepaid(map[record.Team]int64{team: w.prepaid})
-	w.procs = append(w.procs, p)
-	w.load(p)
+func (f *simFleet) start(host *simHost) {
+	p := &simProcess{host: host, key: record.InstanceID(fmt.Sprintf("%s.%d", host.node, len(f.processes))), alive: true}
+	self := prepaid.Identity{Key: p.key, Node: host.node, Started: int64(len(f.processes)), Peer: string(p.key)}
+	p.Accounts = prepaid.NewAccounts(self, prepaid.DefaultPolicy(), f.clocks(host))
+	p.SetPrepaid(map[record.Team]int64{team: f.prepaidTotal})
+	f.processes = append(f.processes, p)
+	f.reloadLog(p)
 }
 
-// load has the process read the newest statements.
-func (w *world) load(p *process) {
-	newest := map[record.InstanceID]*prepaid.Statement{}
-	for _, e := range w.log {
-		newest[e.key] = e.statement
+// reloadLog has the process read the newest statements.
+func (f *simFleet) reloadLog(p *simProcess) {
+	newest := map[record.InstanceID]*prepaid.ClaimRecord{}
+	for _, e := range f.log {
+		newest[e.key] = e.record
 	}
-	p.Reload()
-	for key, s := range newest {
-		p.Apply(key, s, w.now)
+	p.ResetOthers()
+	for key, rec := range newest {
+		p.Apply(key, rec, f.now)
 	}
-	p.Fresh(w.now)
-	p.read = len(w.log)
+	p.MarkCaughtUp(f.now)
+	p.nextOffset = len(f.log)
 }
 
-func (w *world) kill(p *process) {
+func (f *simFleet) kill(p *simProcess) {
 	p.alive = false
-	w.used += p.spent + p.reserved() // Its callers may have had all of that.
-	if p.pending != nil && !p.landed {
-		w.late = append(w.late, entry{p.key, p.pending})
+	f.usedByEnded += p.settled + p.reserved() // Its callers may have had all of that.
+	if p.pending != nil && !p.logged {
+		f.lateWrites = append(f.lateWrites, logEntry{p.key, p.pending})
 	}
 }
 
 // reserved is what its running requests may use.
-func (p *process) reserved() (sum int64) {
-	for _, r := range p.running {
+func (p *simProcess) reserved() (sum int64) {
+	for _, r := range p.reservations {
 		sum += r
 	}
 	return sum
 }
 
-func (w *world) living(m *machine) *process {
-	for _, p := range w.procs {
-		if p.m == m && p.alive {
+func (f *simFleet) livingOn(host *simHost) *simProcess {
+	for _, p := range f.processes {
+		if p.host == host && p.alive {
 			return p
 		}
 	}
@@ -127,54 +127,54 @@
 }
 
 // write brings the pending statement onto the log, once, and answers if told.
-func (p *process) write(w *world, answered bool) {
+func (p *simProcess) write(f *simFleet, answered bool) {
 	if p.pending == nil {
-		if p.pending = p.Draft(w.now); p.pending == nil {
+		if p.pending = p.NextRecord(f.now); p.pending == nil {
 			return
 		}
-		p.landed = false
+		p.logged = false
 	}
-	if !p.landed {
-		p.landed = true
-		w.log = append(w.log, entry{p.key, p.pending})
+	if !p.logged {
+		p.logged = true
+		f.log = append(f.log, logEntry{p.key, p.pending})
 	}
 	if answered {
-		p.Taken(p.pending, w.now)
+		p.MarkAcknowledged(p.pending, f.now)
 		p.pending = nil
 	}
 }
 
 // follow reads the log, unless the process is a member of its zone.
-func (p *process) follow(w *world) {
+func (p *simProcess) follow(f *simFleet) {
 	if p.Role() == allocator.Member {
 		return
 	}
-	for ; p.read < len(w.log); p.read++ {
-		p.Apply(w.log[p.read].key, w.log[p.read].statement, w.now)
+	for ; p.nextOffset < len(f.log); p.nextOffset++ {
+		p.Apply(f.log[p.nextOffset].key, f.log[p.nextOffset].record, f.now)
 	}
-	p.Fresh(w.now)
+	p.MarkCaughtUp(f.now)
 }
 
-func (w *world) total() int64 {
-	sum := w.used
-	for _, p := range w.procs {
+func (f *simFleet) totalUsed() int64 {
+	sum := f.usedByEnded
+	for _, p := range f.processes {
 		if !p.alive {
 			continue
 		}
-		sum += p.spent + p.reserved()
+		sum += p.settled + p.reserved()
 	}
 	return sum
 }
 
-func (w *world) check() {
-	if total := w.total(); total > w.most {
-		w.t.Fatalf("used %d of %d at %s", total, w.most, w.now)
+func (f *simFleet) checkNotOverspent() {
+	if total := f.totalUsed(); total > f.maxPrepaid {
+		f.t.Fatalf("used %d of %d at %s", total, f.maxPrepaid, f.now)
 	}
 }
 
-func (w *world) pick(t *rapid.T) *process {
-	var alive []*process
-	for _, p := range w.procs {
+func (f *simFleet) pick(t *rapid.T) *simProcess {
+	var alive []*simProcess
+	for _, p := range f.processes {
 		if p.alive {
 			alive = append(alive, p)
 		}
@@ -185,48 +185,48 @@
 	return alive[rapid.IntRange(0, len(alive)-1).Draw(t, "process")]
 }
 
-func seldom(t *rapid.T) bool { return rapid.IntRange(0, 4).Draw(t, "seldom") == 0 }
+func occasionally(t *rapid.T) bool { return rapid.IntRange(0, 4).Draw(t, "seldom") == 0 }
 
-func drawBusy(t *rapid.T, cut map[*machine]bool) (size int64, rounds int, _ map[*machine]bool) {
+func drawBusyArgs(t *rapid.T, cut map[*simHost]bool) (size int64, rounds int, _ map[*simHost]bool) {
 	return int64(rapid.IntRange(50, 3000).Draw(t, "request")), rapid.IntRange(1, 25).Draw(t, "rounds"), cut
 }
 
-// busy plays some seconds in which every living process serves all it can.
-func (w *world) busy(size int64, rounds int, cut map[*machine]bool) {
+// runBusy plays some seconds in which every living process serves all it can.
+func (f *simFleet) runBusy(size int64, rounds int, cut map[*simHost]bool) {
 	for range rounds {
-		w.now += 150 * time.Millisecond
-		for _, p := range w.procs {
+		f.now += 150 * time.Millisecond
+		for _, p := range f.processes {
 			if p.alive {
-				p.serve(w, size, cut[p.m])
+				p.serveRound(f, size, cut[p.host])
 			}
 		}
-		w.check()
+		f.checkNotOverspent()
 	}
 }
 
-// serve reserves for a few requests, ends some and does the log's work.
-func (p *process) serve(w *world, size int64, cut bool) {
+// serveRound reserves for a few requests, ends some and does the log's work.
+func (p *simProcess) serveRound(f *simFleet, size int64, cut bool) {
 	for i := range int64(4) {
-		if p.Reserve(team, size+i, w.now) == nil {
-			p.running = append(p.running, size+i)
+		if p.Reserve(team, size+i, f.now) == nil {
+			p.reservations = append(p.reservations, size+i)
 		} else {
-			p.Want(team, size)
-			defer p.Want(team, -size)
+			p.AddShortfall(team, size)
+			defer p.AddShortfall(team, -size)
 		}
 	}
-	for len(p.running) > 3 {
-		n := p.running[0]
-		p.running = p.running[1:]
+	for len(p.reservations) > 3 {
+		n := p.reservations[0]
+		p.reservations = p.reservations[1:]
 		p.Settle(team, n, n)
-		p.spent += n
+		p.settled += n
 	}
 	if cut {
 		return
 	}
-	p.write(w, true)
-	p.follow(w)
-	for _, r := range p.Reclaims(w.now) {
+	p.write(f, true)
+	p.follow(f)
+	for _, r := range p.Reclaims(f.now) {
 		final := r.Statement
-		w.log = append(w.log, entry{r.Key, &final})
+		f.log = append(f.log, logEntry{r.Key, &final})
 	}
 }
