--- a/internal/prepaid/allowance_test.go
+++ b/internal/prepaid/allowance_test.go
@@ -24,7 +24,7 @@
 
 // runSteady plays rounds in which each living process is asked for one request,
 // which ends at once, and returns how many were refused.
-func (f *simFleet) runSteady(size int64, rounds int, cut bool) (refused int) {
+func (f *simFleet) runSteady(size int64, rounds int, cutOff bool) (refused int) {
 	for range rounds {
 		f.now += steadyRoundTime
 		for _, p := range f.processes {
@@ -37,7 +37,7 @@
 			} else {
 				refused++
 			}
-			if !cut {
+			if !cutOff {
 				p.write(f, true)
 				p.follow(f)
 			}
@@ -47,7 +47,7 @@
 	return refused
 }
 
-func allHostsCut(f *simFleet) map[*simHost]bool {
+func allHosts(f *simFleet) map[*simHost]bool {
 	cut := map[*simHost]bool{}
 	for _, host := range f.hosts {
 		cut[host] = true
--- a/internal/prepaid/bench_test.go
+++ b/internal/prepaid/bench_test.go
@@ -29,14 +29,14 @@
 // after the last one, while a request waits: each waiting request asks for it
 // whenever anything changes. 258 us while the rows were drafted first, 4.4 us now.
 func BenchmarkNoRecordDueAmong81Instances(b *testing.B) {
-	accounts, rows := largeFleet()
+	accounts, claims := largeFleet()
 	accounts.AddShortfall("organisation-7", 250)
 	s := accounts.NextRecord(0)
 	accounts.MarkAcknowledged(s, 0)
 	accounts.Apply("self", s, 0)
 	b.ReportAllocs()
 	for b.Loop() {
-		accounts.Apply("node-1", &prepaid.ClaimRecord{Node: "node-1", Started: 1, Peer: "node-1", Claims: rows}, 0)
+		accounts.Apply("node-1", &prepaid.ClaimRecord{Node: "node-1", Started: 1, Peer: "node-1", Claims: claims}, 0)
 		if accounts.NextRecord(time.Millisecond) != nil {
 			b.Fatal("a statement")
 		}
@@ -46,12 +46,12 @@
 // BenchmarkNextRecordAmong81Instances is the drafting of a statement: 266 us with a
 // sum over all instances for each budget, 133 us with one pass.
 func BenchmarkNextRecordAmong81Instances(b *testing.B) {
-	accounts, rows := largeFleet()
+	accounts, claims := largeFleet()
 	now := time.Duration(0)
 	b.ReportAllocs()
 	for b.Loop() {
 		now += 2 * time.Second
-		accounts.Apply("node-1", &prepaid.ClaimRecord{Node: "node-1", Started: 1, Peer: "node-1", Claims: rows}, now)
+		accounts.Apply("node-1", &prepaid.ClaimRecord{Node: "node-1", Started: 1, Peer: "node-1", Claims: claims}, now)
 		s := accounts.NextRecord(now)
 		if s == nil {
 			b.Fatal("no statement")
--- a/internal/prepaid/keeper.go
+++ b/internal/prepaid/keeper.go
@@ -49,28 +49,28 @@
 	Accounts  *Accounts
 	Directory *allocator.Directory
 	Peers     *Peers
-	Log       logstore.Keyed
+	Store     logstore.Keyed
 	Clock     func() time.Duration
 	Logger    zerolog.Logger
 
-	triggerRead        chan struct{}
-	triggerPublish     chan struct{}
-	lastReadAt         atomic.Int64 // Clock at the last read, in nanoseconds; 0 for none.
-	readStartedAt      atomic.Int64 // Clock at the begin of the last read, and of the last that succeeded.
-	lastReadStartedAt  atomic.Int64
-	nextSequence       uint64 // Of the next write.
-	announcementEpoch  uint64 // Announcements written.
-	epoch              uint64
-	logUnavailable     bool // The reads fail.
-	leaving            atomic.Bool
-	reclaimedTokens    atomic.Int64
-	reclaimedSequences map[record.InstanceID]uint64 // Sequences of the dead's statements that were made final.
+	triggerRead       chan struct{}
+	triggerPublish    chan struct{}
+	lastReadAt        atomic.Int64 // Clock at the last read, in nanoseconds; 0 for none.
+	readStartedAt     atomic.Int64 // Clock at the begin of the last read, and of the last that succeeded.
+	lastReadStartedAt atomic.Int64
+	nextSequence      uint64 // Of the next write.
+	announcementEpoch uint64 // Announcements written.
+	epoch             uint64
+	logUnavailable    bool // The reads fail.
+	leaving           atomic.Bool
+	reclaimedTokens   atomic.Int64
+	reclaimedSequence map[record.InstanceID]uint64 // Sequences of the dead's statements that were made final.
 }
 
 // NewController returns a Keeper; Run makes it work.
 func NewController(accounts *Accounts, directory *allocator.Directory, peers *Peers, log logstore.Keyed, clock func() time.Duration, logger zerolog.Logger) *Controller {
 	return &Controller{
-		Accounts: accounts, Directory: directory, Peers: peers, Log: log, reclaimedSequences: map[record.InstanceID]uint64{}, Clock: clock, Logger: logger, epoch: 1,
+		Accounts: accounts, Directory: directory, Peers: peers, Store: log, reclaimedSequence: map[record.InstanceID]uint64{}, Clock: clock, Logger: logger, epoch: 1,
 		triggerRead: make(chan struct{}, 1), triggerPublish: make(chan struct{}, 1),
 	}
 }
@@ -166,7 +166,7 @@
 // newFollower applies the log to the book.
 func (c *Controller) newFollower() *logstore.Follower {
 	return &logstore.Follower{
-		Log: c.Log, Topic: logstore.TopicBudgets, Wait: maxReadWait, Pause: readInterval, Kick: c.triggerRead, Afresh: reloadThreshold,
+		Log: c.Store, Topic: logstore.TopicBudgets, Wait: maxReadWait, Pause: readInterval, Kick: c.triggerRead, Afresh: reloadThreshold,
 		Begin: func() { c.readStartedAt.Store(int64(c.Clock())) }, Reset: c.Accounts.ResetOthers, Record: c.applyRecord, Loaded: func() {}, Outcome: c.recordRead,
 	}
 }
@@ -235,11 +235,11 @@
 // reclaim gives back what dead processes of this host did not use.
 func (c *Controller) reclaim(ctx context.Context) {
 	for _, r := range c.Accounts.Reclaims(c.Clock()) {
-		if c.reclaimedSequences[r.Key] == r.Statement.Sequence {
+		if c.reclaimedSequence[r.Key] == r.Statement.Sequence {
 			continue // Written, but not read back yet.
 		}
 		if c.putRecord(ctx, r.Key, &r.Statement) {
-			c.reclaimedSequences[r.Key] = r.Statement.Sequence
+			c.reclaimedSequence[r.Key] = r.Statement.Sequence
 			c.reclaimedTokens.Add(r.Tokens)
 			c.Logger.Info().Str("dead", string(r.Key)).Int64("tokens", r.Tokens).Dur("age", r.Age).Msg("prepaid: unused tokens of a dead process given back")
 		}
@@ -257,7 +257,7 @@
 	records := []logstore.KeyedRecord{{Key: string(key), Value: value}}
 	for ctx.Err() == nil {
 		w := logstore.Write{Writer: string(c.Accounts.self.Key), Epoch: c.epoch, Sequence: c.nextSequence}
-		err := c.Log.Put(ctx, logstore.TopicBudgets, w, records)
+		err := c.Store.Put(ctx, logstore.TopicBudgets, w, records)
 		if err == nil {
 			c.nextSequence++
 			logstore.Kick(c.triggerRead)
--- a/internal/prepaid/play_test.go
+++ b/internal/prepaid/play_test.go
@@ -13,7 +13,7 @@
 // fleetModel is a fleet with what has been done to it.
 type fleetModel struct {
 	*simFleet
-	cuts      map[*simHost]bool
+	cutOff    map[*simHost]bool
 	clocksSet int // Machines whose clocks were set.
 }
 
@@ -37,13 +37,13 @@
 }
 
 func (f *fleetModel) writeOne(t *rapid.T) {
-	if p := f.pick(t); p != nil && !f.cuts[p.host] {
+	if p := f.pick(t); p != nil && !f.cutOff[p.host] {
 		p.write(f.simFleet, rapid.IntRange(0, 3).Draw(t, "answered") > 0)
 	}
 }
 
 func (f *fleetModel) follow(t *rapid.T) {
-	if p := f.pick(t); p != nil && !f.cuts[p.host] {
+	if p := f.pick(t); p != nil && !f.cutOff[p.host] {
 		p.follow(f.simFleet)
 	}
 }
@@ -57,7 +57,7 @@
 
 func (f *fleetModel) reclaim(t *rapid.T) {
 	p := f.pick(t)
-	if p == nil || f.cuts[p.host] {
+	if p == nil || f.cutOff[p.host] {
 		return
 	}
 	for _, r := range p.Reclaims(f.now) {
@@ -70,9 +70,9 @@
 	f.now += time.Duration(rapid.IntRange(1, 2500).Draw(t, "ms")) * time.Millisecond
 }
 
-func (f *fleetModel) cut(t *rapid.T) {
+func (f *fleetModel) toggleCutOff(t *rapid.T) {
 	host := f.hosts[rapid.IntRange(0, len(f.hosts)-1).Draw(t, "machine")]
-	f.cuts[host] = !f.cuts[host]
+	f.cutOff[host] = !f.cutOff[host]
 }
 
 func (f *fleetModel) killOne(t *rapid.T) {
@@ -103,7 +103,7 @@
 
 func (f *fleetModel) startAll(_ *rapid.T) {
 	for _, host := range f.hosts {
-		if f.livingOn(host) == nil && !f.cuts[host] {
+		if f.livingOn(host) == nil && !f.cutOff[host] {
 			f.start(host)
 		}
 	}
@@ -118,7 +118,7 @@
 	f.clocksSet++
 }
 
-func (f *fleetModel) peersGive(t *rapid.T) {
+func (f *fleetModel) transferBetweenPeers(t *rapid.T) {
 	from, to := f.pick(t), f.pick(t)
 	if from == nil || from == to {
 		return
@@ -143,7 +143,7 @@
 
 func (f *fleetModel) close(t *rapid.T) {
 	p := f.pick(t)
-	if p == nil || f.cuts[p.host] || len(p.reservations) > 0 || p.pending != nil || !occasionally(t) {
+	if p == nil || f.cutOff[p.host] || len(p.reservations) > 0 || p.pending != nil || !occasionally(t) {
 		return
 	}
 	f.log = append(f.log, logEntry{p.key, p.Close(f.now)})
@@ -161,7 +161,7 @@
 	f.prepaidTotal = max(f.prepaidTotal, 10_000)
 	f.maxPrepaid = max(f.maxPrepaid, f.prepaidTotal)
 	for _, p := range f.processes {
-		if p.alive && !f.cuts[p.host] {
+		if p.alive && !f.cutOff[p.host] {
 			p.SetPrepaid(map[record.Team]int64{team: f.prepaidTotal})
 		}
 	}
@@ -169,7 +169,7 @@
 
 func (f *fleetModel) historyIsLost(t *rapid.T) {
 	p := f.pick(t)
-	if p == nil || f.cuts[p.host] || p.Role() == allocator.Member {
+	if p == nil || f.cutOff[p.host] || p.Role() == allocator.Member {
 		return
 	}
 	f.reloadLog(p)
@@ -179,7 +179,7 @@
 // or a claimant or allocator again, which reads it anew.
 func (f *fleetModel) roleChanges(t *rapid.T) {
 	p := f.pick(t)
-	if p == nil || f.cuts[p.host] {
+	if p == nil || f.cutOff[p.host] {
 		return
 	}
 	if p.Role() != allocator.Member {
@@ -190,8 +190,8 @@
 	f.reloadLog(p)
 }
 
-// memberDraws has an allocator lend, and the member spare what it has too much.
-func (f *fleetModel) memberDraws(t *rapid.T) {
+// memberWithdraws has an allocator lend, and the member spare what it has too much.
+func (f *fleetModel) memberWithdraws(t *rapid.T) {
 	from, to := f.pick(t), f.pick(t)
 	if from == nil || from == to || from.Role() != allocator.Allocator || to.Role() != allocator.Member {
 		return
@@ -203,13 +203,13 @@
 		to.SetHeadroom(team, from.Headroom(team, f.now))
 		to.ObserveStatus(from.Status(f.now), f.now)
 	}
-	spared := to.TransferExcess(from.key, rapid.Bool().Draw(t, "all"), f.now)
+	excess := to.TransferExcess(from.key, rapid.Bool().Draw(t, "all"), f.now)
 	if rapid.Bool().Draw(t, "spare arrives") {
-		from.AcceptReturn(to.key, team, spared[team], f.now)
+		from.AcceptReturn(to.key, team, excess[team], f.now)
 	}
 }
 
-func (f *fleetModel) busySeconds(t *rapid.T) { f.runBusy(drawBusyArgs(t, f.cuts)) }
+func (f *fleetModel) busySeconds(t *rapid.T) { f.runBusy(drawBusyArgs(t, f.cutOff)) }
 
 // TestNothingOverspends plays a fleet through lost answers, late writes, cuts of
 // any length, freezes, kills, power losses, clocks that are set, lost replies of
@@ -217,7 +217,7 @@
 func TestNothingOverspends(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		skews := rapid.SliceOfN(rapid.Int64Range(-3000, 3000), 1, 5).Draw(t, "skews")
-		f := &fleetModel{simFleet: newSimFleet(t, skews...), cuts: map[*simHost]bool{}}
+		f := &fleetModel{simFleet: newSimFleet(t, skews...), cutOff: map[*simHost]bool{}}
 		t.Repeat(map[string]func(*rapid.T){
 			"":                   func(*rapid.T) { f.checkNotOverspent() },
 			"busy seconds":       f.busySeconds,
@@ -229,12 +229,12 @@
 			"late write arrives": f.lateWriteArrives,
 			"reclaim":            f.reclaim,
 			"time passes":        f.timePasses,
-			"cut":                f.cut,
+			"cut":                f.toggleCutOff,
 			"kill":               f.killOne,
 			"power off":          f.powerOff,
 			"start":              f.startAll,
 			"clock is set":       f.clockIsSet,
-			"peers give":         f.peersGive,
+			"peers give":         f.transferBetweenPeers,
 			"hand over":          f.handOver,
 			"close":              f.close,
 			"leave":              f.leave,
@@ -242,8 +242,8 @@
 			"history is lost":    f.historyIsLost,
 			"role changes":       f.roleChanges,
 			"more role changes":  f.roleChanges,
-			"member draws":       f.memberDraws,
-			"more draws":         f.memberDraws,
+			"member draws":       f.memberWithdraws,
+			"more draws":         f.memberWithdraws,
 		})
 	})
 }
--- a/internal/prepaid/pool.go
+++ b/internal/prepaid/pool.go
@@ -9,9 +9,9 @@
 
 // memberView is what a member of a zone knows of its allocators, and by them of the fleet.
 type memberView struct {
-	allocators []allocator.Announcement
-	instances  int       // Alive; 0 until an allocator has said.
-	skew       clockSkew // Against the fleet's median.
+	zoneAllocators []allocator.Announcement
+	fleetSize      int       // Alive; 0 until an allocator has said.
+	skew           clockSkew // Against the fleet's median.
 }
 
 // defaultFleetSize is the size that a member assumes until an allocator has said: its part
@@ -19,15 +19,15 @@
 const defaultFleetSize = 500
 
 func (v *memberView) size() int {
-	if v.instances == 0 {
+	if v.fleetSize == 0 {
 		return defaultFleetSize
 	}
-	return v.instances
+	return v.fleetSize
 }
 
 // address returns where an allocator is reached.
 func (v *memberView) address(id record.InstanceID) (string, bool) {
-	for _, candidate := range v.allocators {
+	for _, candidate := range v.zoneAllocators {
 		if candidate.Key == id {
 			return candidate.Peer, true
 		}
@@ -38,7 +38,7 @@
 // transferTargets are the allocators as processes that can take over what is left.
 func (v *memberView) transferTargets() []TransferPeer {
 	var list []TransferPeer
-	for _, candidate := range v.allocators {
+	for _, candidate := range v.zoneAllocators {
 		list = append(list, TransferPeer{Key: candidate.Key, sameZone: true})
 	}
 	return list
@@ -97,7 +97,7 @@
 func (a *Accounts) SetAllocators(list []allocator.Announcement) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.memberView.allocators = list
+	a.memberView.zoneAllocators = list
 }
 
 // FleetStatus is what an allocator tells members of the fleet.
@@ -125,7 +125,7 @@
 func (a *Accounts) ObserveStatus(s FleetStatus, now time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.memberView.instances = s.Instances
+	a.memberView.fleetSize = s.Instances
 	if s.Wall == 0 {
 		return
 	}
--- a/internal/prepaid/reclaim_test.go
+++ b/internal/prepaid/reclaim_test.go
@@ -87,7 +87,7 @@
 	const round, down = 150 * time.Millisecond, 300 * time.Millisecond
 	for _, rounds := range []int{0, 1, 3, 6, 10, 14, 20, 21, 28, 40, 80, 199, 220} {
 		f := newSteadyFleet(t, 4)
-		f.runBusy(200, rounds, allHostsCut(f))
+		f.runBusy(200, rounds, allHosts(f))
 		used := map[record.InstanceID]int64{}
 		for _, p := range f.processes {
 			used[p.key] = p.settled + p.reserved()
@@ -126,8 +126,8 @@
 	f.powerCycle(down)
 	f.exchangeRecords()
 	for _, r := range f.livingOn(host).Reclaims(f.now) {
-		row := r.Statement.Claims[0]
-		if kept := row.Claimed + row.Received - row.Transferred; r.Age < unrenewedFor+down || kept < used {
+		claim := r.Statement.Claims[0]
+		if kept := claim.Claimed + claim.Received - claim.Transferred; r.Age < unrenewedFor+down || kept < used {
 			f.t.Fatalf("taken for %s old, left with %d of %d used", r.Age, kept, used)
 		}
 	}
--- a/internal/prepaid/roles.go
+++ b/internal/prepaid/roles.go
@@ -50,7 +50,7 @@
 func (c *Controller) followAllocators(ctx context.Context) {
 	unavailable := false
 	follower := &logstore.Follower{
-		Log: c.Log, Topic: logstore.TopicAllocators, Wait: maxAnnouncementsWait, Pause: roleCheckInterval,
+		Log: c.Store, Topic: logstore.TopicAllocators, Wait: maxAnnouncementsWait, Pause: roleCheckInterval,
 		Reset: func() {}, Loaded: func() { c.Directory.MarkLoaded(c.Clock()) },
 		Outcome: func(err error) {
 			if err != nil && !unavailable {
@@ -142,7 +142,7 @@
 	c.announcementEpoch++
 	w := logstore.Write{Writer: string(c.Accounts.self.Key), Epoch: c.announcementEpoch}
 	records := []logstore.KeyedRecord{{Key: allocator.SlotKey(c.Accounts.self.Zone, slot), Value: value}}
-	err = c.Log.Put(ctx, logstore.TopicAllocators, w, records)
+	err = c.Store.Put(ctx, logstore.TopicAllocators, w, records)
 	c.Logger.Info().AnErr("error", err).Int("slot", slot).Msg("prepaid: allocator of the zone announced")
 }
 
@@ -150,7 +150,7 @@
 func (c *Controller) readSlots(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, slotReadTimeout)
 	defer cancel()
-	page, err := c.Log.Newest(ctx, logstore.TopicAllocators)
+	page, err := c.Store.Newest(ctx, logstore.TopicAllocators)
 	if err != nil {
 		return err
 	}
