--- a/internal/forward/types.go
+++ b/internal/forward/types.go
@@ -80,7 +80,7 @@
 
 // Budgets reserve tokens.
 type Budgets interface {
-	// Reserve fails with prepaid.ErrExhausted or prepaid.ErrShort.
+	// Reserve fails with prepaid.ErrExhausted or prepaid.ErrInsufficient.
 	Reserve(ctx context.Context, team record.Team, tokens int64) (Reservation, error)
 	// Explain returns what decides on the team's budget at the moment.
 	Explain(team record.Team) prepaid.Balance
--- a/internal/prepaid/allowance.go
+++ b/internal/prepaid/allowance.go
@@ -5,69 +5,75 @@
 	"time"
 )
 
-// spendingBound bounds what a process may have used and given of its own claim on a
-// budget at a time, by one of its statements. What it took from others since is
-// claimed by them and free. It grows while the log takes no further statement,
-// so that a process behind a cut can go on, and a later process that knows how
-// long the dead one can have lived knows what it can have used.
+// spendingBound limits how much of its own claim on a budget a process may have consumed at
+// a given time, according to one of its records. Tokens received from others are covered by
+// the senders' claims and add to the limit. The bound grows while the log acknowledges no
+// further record, so that a process cut off from the log can continue. A later process that
+// knows the maximum age of the dead one's last renewal knows how much it can have consumed.
 //
-// It weighs requests refused in the first seconds of a cut, although tokens are held,
-// against tokens lost with a process that is killed: those are the spendingBound at the time
-// from Touched to the next process's start.
+// The bound is a compromise between two losses: requests refused in the first seconds of a
+// partition although tokens are held, and tokens lost when a process is killed. The latter
+// amount to the unused part of the bound at the start of the next process.
 type spendingBound struct {
-	initial                    int64 // At from.
-	growthRate, lateGrowthRate int64 // Tokens a second, before and after lateAfter.
+	initial                    int64 // Bound at the time since.
+	growthRate, lateGrowthRate int64 // Tokens per second, before and after lateRateAfter.
 	lateRateAfter              time.Duration
 	since                      time.Duration
-	bounded                    bool // False: nothing is known, all that is held may be used.
+	bounded                    bool // If false, no limit is known and all held tokens may be used.
 }
 
 const (
-	// lateRateDelay is how long after Touched an allowance grows at its first
-	// pace: longer than from a last statement to the start of the next process
-	// (2.7 s at most over 40 losses of all machines).
+	// lateRateDelay is how long after the last renewal a bound grows at its first rate.
+	// It exceeds the time from the last record of a process to the start of the next
+	// process, which is up to 2.7 s when all hosts lose power.
 	lateRateDelay = 3 * time.Second
-	// allocatorLateRateDelay is the same for an allocator, whose statements lie closer.
+	// allocatorLateRateDelay replaces lateRateDelay for allocators, which publish
+	// records at shorter intervals.
 	allocatorLateRateDelay = 2 * time.Second
-	// unboundedAfter is the time after which a process may use all that it holds: at
-	// its late pace it has reached that before.
+	// unboundedAfter is the age at which a process may use all tokens that it holds. At
+	// its late growth rate it reaches them earlier.
 	unboundedAfter = 30 * time.Second
 
-	// powerLossAge is the age of an allowance for which killShare and killEven bound
-	// its growth: that of an ordinary loss of power.
+	// powerLossAge is the age of a bound at which powerLossRateShare and
+	// powerLossEvenShare limit it: the typical age after a loss of power.
 	powerLossAge = 1500 * time.Millisecond
-	// powerLossRateShare and powerLossEvenShare are the parts of what is left that all instances
-	// together may use within killAge of their last statements: powerLossRateShare by
-	// their rates, powerLossEvenShare evenly. A kill of all instances loses their sum.
+	// powerLossRateShare and powerLossEvenShare limit how much of the remaining budget
+	// all instances together may consume within powerLossAge of their last records:
+	// powerLossRateShare is divided in proportion to their rates, powerLossEvenShare
+	// evenly. If all instances are killed, the sum is lost.
 	powerLossRateShare, powerLossEvenShare = 0.15, 0.04
-	// boundTaperThreshold is the share of the prepaid total below which instances use
-	// ahead ever less of what is left: of 3 % that may stay unused, what a kill
-	// loses takes under 1.
+	// boundTaperThreshold is the share of the prepaid total below which the bounds run
+	// less and less ahead of the use. At most 3 % of a budget may stay unused; a kill of
+	// all instances then loses less than 1 %.
 	boundTaperThreshold = 0.5
-	// initialBoundUseTime is the use, at the recent rate, that an allowance starts
-	// ahead: two statements lie 0.15 to 0.3 s apart.
+	// initialBoundUseTime is the time for which an initial bound covers the use at the
+	// recent rate. Records follow each other after 0.15 to 0.3 s.
 	initialBoundUseTime = 500 * time.Millisecond
-	// growthRateFactor is the pace for each token a second of recent use: rates double
-	// within a cut.
+	// growthRateFactor is the ratio of the growth rate to the recent rate of use, since
+	// rates may double during a partition.
 	growthRateFactor = 2
-	// allocatorGrowthRateFactor is the same for an allocator: with what it starts ahead it covers
-	// most of zonePaceChanges, and a zone's use changes little within that.
+	// allocatorGrowthRateFactor replaces growthRateFactor for allocators. Together with
+	// the initial bound it covers the use during most of allocatorLateRateDelay, in
+	// which the use of a whole zone changes little.
 	allocatorGrowthRateFactor = 0.6
-	// lateGrowthRateFactor is the late pace for each token a second of recent use.
+	// lateGrowthRateFactor is the minimum ratio of the late growth rate to the recent
+	// rate of use.
 	lateGrowthRateFactor = 2
-	// initialBoundRequests are the largest recent requests that an allowance starts ahead.
+	// initialBoundRequests is the number of requests of the largest recent size that an
+	// initial bound covers.
 	initialBoundRequests = 2
-	// heldReleaseTime is the time over which the late pace frees what is held.
+	// heldReleaseTime is the maximum time in which the late growth rate makes all held
+	// tokens spendable.
 	heldReleaseTime = 6 * time.Second
 )
 
-// growth is how far an allowance has growth after that long, without its mark.
+// growth is how much the bound exceeds its initial value after a time.
 func (s spendingBound) growth(after time.Duration) int64 {
 	early := min(after, s.lateRateAfter)
 	return s.growthRate*early.Milliseconds()/1000 + s.lateGrowthRate*(after-early).Milliseconds()/1000
 }
 
-// spendingBound is what the row states, from a moment on.
+// spendingBound returns the bound of a claim, which grows from the time since.
 func (c BudgetClaim) spendingBound(since time.Duration, bounded bool) spendingBound {
 	s := spendingBound{initial: c.InitialBound, growthRate: c.GrowthRate, lateGrowthRate: c.LateGrowthRate, lateRateAfter: c.LateRateAfter, since: since, bounded: bounded}
 	if s.lateRateAfter == 0 {
@@ -76,7 +82,7 @@
 	return s
 }
 
-// at is the allowance at a time.
+// at returns the bound at a time.
 func (s spendingBound) at(now time.Duration) int64 {
 	after := max(0, now-s.since)
 	if !s.bounded || after >= unboundedAfter {
@@ -85,7 +91,7 @@
 	return s.initial + s.growth(after)
 }
 
-// timeUntil is how long it takes from now timeUntil the allowance is that large.
+// timeUntil returns the time from now until the bound reaches that many tokens.
 func (s spendingBound) timeUntil(tokens int64, now time.Duration) time.Duration {
 	missing := tokens - s.at(now)
 	if missing <= 0 {
@@ -98,7 +104,8 @@
 	return growthTime(missing, s.growthRate)
 }
 
-// growthTime is how long so many tokens take at a pace.
+// growthTime returns the time in which a bound grows by that many tokens, at most
+// unboundedAfter. rate is in tokens per second.
 func growthTime(tokens, rate int64) time.Duration {
 	if rate <= 0 {
 		return unboundedAfter
@@ -106,8 +113,8 @@
 	return min(unboundedAfter, time.Duration(float64(tokens)/float64(rate)*float64(time.Second)))
 }
 
-// maxConsumed is what a process that lived so long after Touched can have drawn from
-// its claim by this row.
+// maxConsumed returns how much of its claim a process can have consumed if it lived for
+// at most age after the last renewal. One millisecond and one token cover rounding.
 func (c BudgetClaim) maxConsumed(age time.Duration) int64 {
 	if age >= unboundedAfter {
 		return math.MaxInt64
@@ -115,7 +122,7 @@
 	return c.InitialBound + c.spendingBound(0, true).growth(age+time.Millisecond) + 1
 }
 
-// setSpendingBound sets the row's allowance.
+// setSpendingBound sets the spending bound of a claim that is being prepared.
 func (a *account) setSpendingBound(claim *BudgetClaim, r budgetRemainder, now time.Duration) {
 	taper := r.taper(boundTaperThreshold)
 	available := r.remaining * taper * taper
--- a/internal/prepaid/allowance_test.go
+++ b/internal/prepaid/allowance_test.go
@@ -8,10 +8,10 @@
 	"guavapier/internal/record"
 )
 
-// steadyRoundTime is the time of one round of steady.
+// steadyRoundTime is the simulated time of one round of runSteady.
 const steadyRoundTime = 150 * time.Millisecond
 
-// newRichFleet is a fleet with a budget that lasts for some hundred rounds.
+// newRichFleet returns a fleet with a budget that lasts for some hundred rounds.
 func newRichFleet(t *testing.T, hosts int) *simFleet {
 	t.Helper()
 	f := newSimFleet(t, make([]int64, hosts)...)
@@ -22,8 +22,8 @@
 	return f
 }
 
-// runSteady plays rounds in which each living process is asked for one request,
-// which ends at once, and returns how many were refused.
+// runSteady simulates rounds in which each living process gets one request, which ends at once.
+// It returns the number of refused requests.
 func (f *simFleet) runSteady(size int64, rounds int, cutOff bool) (refused int) {
 	for range rounds {
 		f.now += steadyRoundTime
@@ -55,22 +55,23 @@
 	return cut
 }
 
-// Seven instances are cut off from the log and from each other when half of a
-// budget is used, at a rate that what they hold covers for 6 s. With a fixed mark
-// for the first 3 s, 40 of the 280 requests were refused.
+// Seven instances are cut off from the log and from each other when half of a budget is used.
+// What they hold covers 6 s at their rate of use, so no request may be refused. A bound that
+// stays fixed for the first 3 s refuses 40 of the 280 requests.
 func TestACutIsServedThroughFromItsStart(t *testing.T) {
 	f := newRichFleet(t, 7)
-	f.runSteady(900, 25, false) // The first claims are on their way.
+	f.runSteady(900, 25, false) // Wait for the first claims.
 	if refused := f.runSteady(900, 60, false); refused > 0 {
-		t.Fatalf("%d refused before the cut", refused)
+		t.Fatalf("%d requests refused before the partition, want 0", refused)
 	}
 	if refused := f.runSteady(900, 40, true); refused > 0 {
-		t.Errorf("%d of %d refused in the cut", refused, 7*40)
+		t.Errorf("%d of %d requests refused during the partition, want 0", refused, 7*40)
 	}
 }
 
-// What a process that dies behind a cut can't have used by then goes back, the
-// more the earlier it died. With a fixed mark nothing did after 3 s.
+// The successor of a process that dies while cut off reclaims what the dead one cannot have
+// used: the more, the earlier it died. A bound that is fixed for the first 3 s reclaims nothing
+// after them.
 func TestAProcessThatDiesBehindACutGivesBack(t *testing.T) {
 	last := int64(1 << 62)
 	for _, rounds := range []int{2, 10, 25} {
@@ -84,17 +85,17 @@
 		f.runSteady(900, rounds, true)
 		f.powerCycle(300 * time.Millisecond)
 		got := f.reclaimableTokens()
-		t.Logf("after %s: %d of %d", time.Duration(rounds)*steadyRoundTime, got, held)
+		t.Logf("after %s: %d of %d held tokens reclaimable", time.Duration(rounds)*steadyRoundTime, got, held)
 		if got <= 0 || got >= last {
-			t.Errorf("after %s of a cut %d of %d held went back, before %d", time.Duration(rounds)*steadyRoundTime, got, held, last)
+			t.Errorf("after %s of a partition %d of %d held tokens are reclaimable; want more than 0 and less than %d, as after a shorter one", time.Duration(rounds)*steadyRoundTime, got, held, last)
 		}
 		last = got
 		f.runBusy(500, 400, nil)
 	}
 }
 
-// A request that waits for its allowance is told when it has grown that far: to
-// come back sooner is in vain, later is idle.
+// The error of a request that waits for its spending bound contains the time until the bound
+// allows it. A retry before that is refused, one right after it succeeds.
 func TestARefusedRequestIsToldWhenItsTokensAreFree(t *testing.T) {
 	f := newRichFleet(t, 4)
 	f.runSteady(900, 60, false)
@@ -102,17 +103,17 @@
 	held := p.Balance(team, f.now)
 	size := held.Spendable + 5000
 	err := p.Reserve(team, size, f.now)
-	insufficient, ok := err.(*prepaid.InsufficientError) //nolint:errorlint // The type is the point.
+	insufficient, ok := err.(*prepaid.InsufficientError) //nolint:errorlint // The test needs InsufficientError.After.
 	if !ok {
-		t.Fatalf("got %v with %d at hand", err, held.Spendable)
+		t.Fatalf("got error %v with %d tokens spendable, want an InsufficientError", err, held.Spendable)
 	}
 	if insufficient.After <= 0 || insufficient.After > 10*time.Second {
-		t.Fatalf("told to come back after %s", insufficient.After)
+		t.Fatalf("After is %s, want more than 0 and at most 10s", insufficient.After)
 	}
 	if err := p.Reserve(team, size, f.now+insufficient.After*9/10); err == nil {
-		t.Error("free a tenth of the time sooner")
+		t.Error("request granted after nine tenths of the stated time")
 	}
 	if err := p.Reserve(team, size, f.now+insufficient.After+time.Millisecond); err != nil {
-		t.Errorf("not free when told: %v", err)
+		t.Errorf("request refused after the stated time: %v", err)
 	}
 }
--- a/internal/prepaid/balance.go
+++ b/internal/prepaid/balance.go
@@ -6,12 +6,12 @@
 	"guavapier/internal/record"
 )
 
-// Balance is one budget as a log line or a state dump shows it: tokens, and the
-// ages of what is known.
+// Balance is the state of one budget as log lines and state dumps show it. Amounts are
+// tokens.
 type Balance struct {
 	Team record.Team `json:"team"`
-	// Role is the instance's part in its zone: "claimant", "member" or "allocator".
-	// A member knows nothing of the others' claims.
+	// Role is the instance's role in its zone: "claimant", "member" or "allocator".
+	// A member does not know the claims of other instances.
 	Role            string `json:"role"`
 	Prepaid         int64  `json:"prepaid"`
 	Claimed         int64  `json:"claimed"`
@@ -23,16 +23,16 @@
 	Spendable       int64  `json:"at_hand"`
 	ClaimedByOthers int64  `json:"claimed_by_others"`
 	UsedByOthers    int64  `json:"used_by_others"`
-	// Lost is what dead processes hold for good.
+	// Lost is what dead processes hold unused and nobody has reclaimed.
 	Lost      int64 `json:"lost"`
 	Shortfall int64 `json:"short"`
-	// ReadAgeMS is the time since the log was last read up to its end;
-	// TouchAgeMS since it last took a statement.
+	// ReadAgeMS is the time since the log was last read up to its end, RenewalAgeMS
+	// the time since the log last acknowledged a record of this process.
 	ReadAgeMS    int64 `json:"read_age_ms"`
 	RenewalAgeMS int64 `json:"touch_age_ms"`
 }
 
-// Balance returns one budget.
+// Balance returns the state of one budget.
 func (a *Accounts) Balance(team record.Team, now time.Duration) Balance {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -42,7 +42,7 @@
 func (a *Accounts) balance(team record.Team, now time.Duration) Balance {
 	acct := a.accounts[team]
 	if acct == nil {
-		acct = &account{} // Nothing is held of it; a look must not open it.
+		acct = &account{} // Reading a balance must not create an account.
 	}
 	balance := Balance{
 		Team: team, Role: a.role.String(), Prepaid: a.prepaidTotals[team], Claimed: acct.claimed, Settled: acct.settled, Reserved: acct.reserved,
@@ -60,7 +60,7 @@
 	return balance
 }
 
-// Balances copies the budgets.
+// Balances returns the state of all budgets.
 func (a *Accounts) Balances(now time.Duration) []Balance {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/prepaid/bench_test.go
+++ b/internal/prepaid/bench_test.go
@@ -10,10 +10,10 @@
 	"guavapier/internal/record"
 )
 
-// BenchmarkRefusalAmong81Instances is a refused request at an instance of a
-// fleet of 81 with 24 organisations. It took 56 us (70 ns now) while each one read all
-// statements against each other, and an instance of a fifth of a core that got a
-// busy organisation's flood answered nothing in time.
+// BenchmarkRefusalAmong81Instances measures a refused request in a fleet of 81 instances with 24
+// organisations. Comparing the records of all instances for each refusal takes 56 us instead of
+// 70 ns; an instance with a fifth of a core then answers nothing in time while a busy
+// organisation floods it.
 func BenchmarkRefusalAmong81Instances(b *testing.B) {
 	accounts, _ := largeFleet()
 	b.ReportAllocs()
@@ -25,9 +25,9 @@
 	}
 }
 
-// BenchmarkNoRecordDueAmong81Instances is a look for a statement too soon
-// after the last one, while a request waits: each waiting request asks for it
-// whenever anything changes. 258 us while the rows were drafted first, 4.4 us now.
+// BenchmarkNoRecordDueAmong81Instances measures a check for a due record too soon after the last
+// one, while a request waits. Each waiting request triggers it on every change. Preparing the
+// claims before the check of the interval takes 258 us instead of 4.4 us.
 func BenchmarkNoRecordDueAmong81Instances(b *testing.B) {
 	accounts, claims := largeFleet()
 	accounts.AddShortfall("organisation-7", 250)
@@ -38,13 +38,13 @@
 	for b.Loop() {
 		accounts.Apply("node-1", &prepaid.ClaimRecord{Node: "node-1", Started: 1, Peer: "node-1", Claims: claims}, 0)
 		if accounts.NextRecord(time.Millisecond) != nil {
-			b.Fatal("a statement")
+			b.Fatal("record prepared before the interval has passed")
 		}
 	}
 }
 
-// BenchmarkNextRecordAmong81Instances is the drafting of a statement: 266 us with a
-// sum over all instances for each budget, 133 us with one pass.
+// BenchmarkNextRecordAmong81Instances measures the preparation of a record, which takes 133 us
+// with one pass over all claims and 266 us with one pass per budget.
 func BenchmarkNextRecordAmong81Instances(b *testing.B) {
 	accounts, claims := largeFleet()
 	now := time.Duration(0)
@@ -54,13 +54,15 @@
 		accounts.Apply("node-1", &prepaid.ClaimRecord{Node: "node-1", Started: 1, Peer: "node-1", Claims: claims}, now)
 		s := accounts.NextRecord(now)
 		if s == nil {
-			b.Fatal("no statement")
+			b.Fatal("no record prepared")
 		}
 		accounts.MarkAcknowledged(s, now)
 		accounts.Apply("self", s, now)
 	}
 }
 
+// largeFleet returns the accounts of one of 81 instances with 24 organisations, and the claims in
+// the record of each other instance.
 func largeFleet() (*prepaid.Accounts, []prepaid.BudgetClaim) {
 	accounts := prepaid.NewAccounts(prepaid.Identity{Key: "self", Node: "self"}, prepaid.DefaultPolicy(), hostClocks())
 	totals := map[record.Team]int64{}
--- a/internal/prepaid/book.go
+++ b/internal/prepaid/book.go
@@ -1,34 +1,35 @@
-// Package prepaid keeps the organisations' prepaid tokens from being overspent
-// by a fleet whose instances can be cut off from each other and from the log,
-// frozen, or killed all at once.
+// Package prepaid prevents a fleet from spending more of an organisation's prepaid
+// tokens than were paid for, even if instances are partitioned from each other or from
+// the log, frozen, or killed all at once.
 //
-// Each process publishes one statement under a key of its own: how many tokens
-// it claims of each budget. A raised claim is valid if, at its place on the
-// log, all claims together stay within the prepaid total. A process uses valid
-// claims only, so neither a clock nor a list of members is needed to use them,
-// and a cut or a freeze of any length changes nothing. A claim that turns out
-// too large is taken back by its own process; until then the others count it.
+// Each process publishes one claim record under its own key, which states how many
+// tokens of each budget it claims. A raised claim is valid if, at its position on the
+// log, all published claims together stay within the prepaid total. A process uses
+// only valid claims. This needs neither a clock nor a membership list, and a partition
+// or a freeze of any length has no effect on it. A process revokes its own claim if it
+// turns out to be too large; until then all others count it.
 //
-//	Invariant 1: valid claims <= stated claims, and the last valid raise saw
-//	stated claims <= prepaid. So tokens used <= prepaid.
+//	Invariant 1: valid claims <= published claims, and at the last valid raise
+//	published claims <= prepaid total. Hence tokens used <= prepaid total.
 //
-// Processes hand tokens to each other without the log: what one gives, it no
-// longer has, and the other has what the first one says it gave (transfer.go).
+// Processes transfer tokens to each other without the log. The sender subtracts the
+// amount, and the receiver adds what the sender reports as transferred; see
+// Accounts.Transfer.
 //
-//	Invariant 2: given >= taken, between any two processes.
+//	Invariant 2: transferred >= received, between any two processes.
 //
-// What a dead process held is lost, but for this: a process uses no more than an
-// allowance that it has published, a little ahead of its use and growing with
-// the time since the log last took a statement (allowance.go). A later process of
-// the same host that can tell how much time the dead one had at most gives the
-// rest back (reclaim.go). Only this step relies on clocks: on those of one host,
-// checked against the fleet's.
+// Tokens held by a dead process are lost, with one exception. A process stays within a
+// spending bound that it has published: slightly more than its use so far, growing with
+// the time since the log last acknowledged a record; see spendingBound. A later process of
+// the same host that knows the maximum age of the dead one's last renewal reclaims
+// everything above the bound; see Accounts.Reclaims. Only this step depends on clocks:
+// those of one host, checked against the fleet's.
 //
-//	Invariant 3: used + given - taken <= the allowance on the log at the time since
-//	Touched.
+//	Invariant 3: used + transferred - received <= the spending bound on the log,
+//	evaluated for the time since the last renewal.
 //
-// Book is the state machine, without input or output; Keeper runs it against
-// the log, Peers against other processes.
+// Accounts is the state machine of all budgets and performs no I/O. Controller
+// synchronises it with the log, and Peers exchanges tokens with other processes.
 package prepaid
 
 import (
@@ -41,60 +42,66 @@
 	"guavapier/internal/record"
 )
 
-// Errors of Reserve. Callers compare them with errors.Is.
+// Errors returned by Accounts.Reserve and Controller.Reserve. Compare them with errors.Is.
 var (
-	// ErrExhausted says that the budget cannot cover the request: what has
-	// been used for good leaves too little.
+	// ErrExhausted reports that the budget cannot cover the request: too little of the
+	// prepaid total is left beyond what is permanently spent.
 	ErrExhausted = eris.New("prepaid: budget exhausted")
-	// ErrInsufficient says that this instance holds too little at the moment.
-	ErrInsufficient = eris.New("prepaid: too little held here")
+	// ErrInsufficient reports that this instance holds too few tokens at present.
+	ErrInsufficient = eris.New("prepaid: insufficient tokens held by this instance")
 )
 
-// InsufficientError is an ErrShort that knows when the tokens held here are free again.
+// InsufficientError is an ErrInsufficient for tokens that are held here and will be
+// spendable After a known time.
 type InsufficientError struct{ After time.Duration }
 
 // Error implements error.
 func (e *InsufficientError) Error() string { return ErrInsufficient.Error() }
 
-// Is makes it an ErrShort.
+// Is makes errors.Is(err, ErrInsufficient) true.
 func (e *InsufficientError) Is(target error) bool { return target == ErrInsufficient }
 
-// account is the own part of one budget.
+// account is this process's share in one budget. Amounts are tokens and cumulative since
+// the start of the process, unless stated otherwise.
 type account struct {
-	claimed       int64 // Valid.
-	settled       int64
-	reserved      int64
-	transferredTo map[record.InstanceID]int64 // In all, by the other process.
-	receivedFrom  map[record.InstanceID]int64
+	claimed       int64                       // Valid part of the published claim.
+	settled       int64                       // Used by ended requests.
+	reserved      int64                       // Set aside for requests in flight.
+	transferredTo map[record.InstanceID]int64 // By receiving process.
+	receivedFrom  map[record.InstanceID]int64 // By sending process.
 	transferred   int64
 	received      int64
 
-	publishedClaim    int64         // Claimed in the last statement.
-	loggedBound       spendingBound // Of the last statement that the log took.
-	preparedBound     spendingBound // Of the statement under way; else as onLog.
-	shortfall         int64         // Wanted by requests that wait.
-	recordedShortfall int64         // Short at the last draft, or what came late for it.
-	// shortfallKeptUntil is how long wanted is kept although no request waits; 0 if it is not.
+	publishedClaim    int64         // Claimed in the last prepared record.
+	loggedBound       spendingBound // Of the last record that the log acknowledged.
+	preparedBound     spendingBound // Of the record being written; otherwise equal to loggedBound.
+	shortfall         int64         // Current need of waiting requests.
+	recordedShortfall int64         // Shortfall in the last prepared record, or an earlier one kept by keepLateTokens.
+	// shortfallKeptUntil is the time until which recordedShortfall is kept although its
+	// requests have given up; 0 if it is not kept.
 	shortfallKeptUntil time.Duration
 	rate               decayingRate
-	largestRequest     float64       // Decaying maximum of a request's size.
-	publishedConsumed  int64         // Used and given in the last statement.
-	headroom           time.Duration // How much of its use a member may hold.
+	largestRequest     float64       // Largest recent request, decaying with each request.
+	publishedConsumed  int64         // Used and transferred in the last prepared record.
+	headroom           time.Duration // How far ahead of its use, in time, a member may hold tokens.
 }
 
+// used is what requests have used or reserved.
 func (a *account) used() int64 { return a.settled + a.reserved }
 
-// consumed is what the process can't use again.
+// consumed is what the process has used, reserved or transferred.
 func (a *account) consumed() int64 { return a.used() + a.transferred }
 
-// claimConsumed is what of its own claim the process can't use again.
+// claimConsumed is the part of the process's own claim that it has consumed. Received
+// tokens are consumed first.
 func (a *account) claimConsumed() int64 { return a.consumed() - a.received }
 
-// unspent is what it holds.
+// unspent is what the process holds and has not consumed.
 func (a *account) unspent() int64 { return a.claimed - a.claimConsumed() }
 
-// Accounts is safe for concurrent use. Times are since any one origin and count
-// time for which the host was suspended.
+// Accounts is the state machine of one process for all budgets. It is safe for
+// concurrent use. All times are measured from one arbitrary origin and include time during
+// which the host was suspended.
 type Accounts struct {
 	mu            sync.Mutex
 	self          Identity
@@ -104,27 +111,27 @@
 	others        map[record.InstanceID]*otherProcess
 	accounts      map[record.Team]*account
 	recordSums    map[record.Team]recordSums
-	latestStart   map[string]int64 // By node, the start of its latest process.
-	pending       *ClaimRecord     // Being written, or written and not yet seen on the log.
-	sequence      uint64
-	preparedAt    time.Duration
-	caughtUpAt    time.Duration // When the log was last read up to its end.
-	caughtUp      bool          // It has been read since the others were forgotten.
-	renewed       ClockReading  // When the log last took a statement.
-	renewedAt     time.Duration // The same by the caller's time.
-	hasRenewed    bool          // touched is set.
-	started       ClockReading
-	leaving       bool // Nothing is held beyond what requests want.
+	latestStart   map[string]int64 // Latest process start by node, in Unix milliseconds.
+	pending       *ClaimRecord     // Record being written, or written and not yet read back.
+	sequence      uint64           // Sequence number of the last prepared record.
+	preparedAt    time.Duration    // Time at which the last record was prepared.
+	caughtUpAt    time.Duration    // Time at which the log was last read up to its end.
+	caughtUp      bool             // The log has been read up to its end since the others were forgotten.
+	renewed       ClockReading     // Time of the last renewal by the host's clocks.
+	renewedAt     time.Duration    // The same time as passed by the caller.
+	hasRenewed    bool             // renewed and renewedAt are set.
+	started       ClockReading     // Time at which this process started.
+	leaving       bool             // Tokens are held only for requests.
 	role          allocator.Role
-	publishedRole allocator.Role // In the last statement.
+	publishedRole allocator.Role // Role in the last prepared record.
 	memberView    memberView
-	closed        bool
-	changed       chan struct{} // Closed and replaced when more may be at hand.
-	skews         map[string]clockSkew
-	wallOffset    int64 // Of the own time of day against the time since boot.
+	closed        bool                 // The process has ended or handed over its tokens.
+	changed       chan struct{}        // Closed and replaced when more tokens may be spendable.
+	skews         map[string]clockSkew // By node.
+	wallOffset    int64                // Wall clock minus boot clock at the last check, in milliseconds.
 }
 
-// NewAccounts returns a Book without budgets.
+// NewAccounts returns Accounts without budgets.
 func NewAccounts(self Identity, policy Policy, clocks Clocks) *Accounts {
 	return &Accounts{
 		self: self, policy: policy, clocks: clocks, prepaidTotals: map[record.Team]int64{}, others: map[record.InstanceID]*otherProcess{},
@@ -132,7 +139,7 @@
 	}
 }
 
-// SetPrepaid takes the prepaid totals of all budgets.
+// SetPrepaid sets the prepaid totals of all budgets.
 func (a *Accounts) SetPrepaid(totals map[record.Team]int64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -140,6 +147,7 @@
 	a.notifyWaiters()
 }
 
+// account returns the account of a team and creates it if needed.
 func (a *Accounts) account(team record.Team) *account {
 	acct := a.accounts[team]
 	if acct == nil {
@@ -149,20 +157,21 @@
 	return acct
 }
 
-// spendable is what may be used or given now: what is held, as far as the
-// allowances go. Either of the two may be the one that a later process finds.
+// spendable is what may be used or transferred now: the unspent tokens within the spending
+// bounds. Both bounds apply, since a later process may find either record on the log.
 func (a *account) spendable(now time.Duration) int64 {
 	return min(a.claimed, a.loggedBound.at(now), a.preparedBound.at(now)) - a.claimConsumed()
 }
 
-// timeUntilSpendable is how long it takes until that many tokens are at hand by the
-// allowances alone; ok is false if too few are held.
+// timeUntilSpendable returns the time until the spending bounds allow that many tokens;
+// ok is false if too few are held.
 func (a *account) timeUntilSpendable(tokens int64, now time.Duration) (after time.Duration, ok bool) {
 	neededBound := a.claimConsumed() + tokens
 	return max(a.loggedBound.timeUntil(neededBound, now), a.preparedBound.timeUntil(neededBound, now)), a.unspent() >= tokens
 }
 
-// Reserve sets tokens aside for a request at its most.
+// Reserve sets aside the maximum number of tokens that a request may use. It returns
+// ErrExhausted, ErrInsufficient or an *InsufficientError.
 func (a *Accounts) Reserve(team record.Team, tokens int64, now time.Duration) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -182,7 +191,8 @@
 	return ErrInsufficient
 }
 
-// Settle ends a reservation: used of its tokens stay spent.
+// Settle ends a reservation: of the reserved tokens, used ones stay spent and the others
+// become available again.
 func (a *Accounts) Settle(team record.Team, reserved, used int64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -191,26 +201,28 @@
 	acct.settled += min(max(used, 0), reserved)
 }
 
-// AddShortfall adds to what waiting requests lack; a negative number takes it back.
+// AddShortfall adds to the tokens that waiting requests need; a negative number reduces it.
 func (a *Accounts) AddShortfall(team record.Team, tokens int64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.account(team).shortfall += tokens
 }
 
-// Changed returns a channel that is closed when more may be at hand.
+// Changed returns a channel that is closed when more tokens may be spendable.
 func (a *Accounts) Changed() <-chan struct{} {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.changed
 }
 
+// notifyWaiters wakes those that wait on the channel returned by Changed.
 func (a *Accounts) notifyWaiters() {
 	close(a.changed)
 	a.changed = make(chan struct{})
 }
 
-// Apply takes the next record of the log, in order. A nil statement ends the key.
+// Apply applies the next record of the log. Records must be applied in log order. A nil
+// record deletes the key.
 func (a *Accounts) Apply(key record.InstanceID, rec *ClaimRecord, now time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -230,8 +242,8 @@
 	a.observeClock(rec, now)
 }
 
-// confirmPending makes the raises of the own pending statement valid, if at its place
-// on the log all claims stay within the prepaid totals.
+// confirmPending makes raised claims of the own pending record valid if all claims stay
+// within the prepaid total at its position on the log.
 func (a *Accounts) confirmPending(now time.Duration) {
 	for _, claim := range a.pending.Claims {
 		acct := a.account(claim.Team)
@@ -244,7 +256,7 @@
 	a.notifyWaiters()
 }
 
-// MarkAcknowledged tells that the log has taken the statement.
+// MarkAcknowledged records that the log has acknowledged a record.
 func (a *Accounts) MarkAcknowledged(rec *ClaimRecord, now time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -253,15 +265,15 @@
 		acct.loggedBound = acct.preparedBound
 	}
 	if rec.Member && a.pending == rec {
-		a.pending = nil // It raises nothing, so that nothing need be read back.
+		a.pending = nil // A member's record raises no claim and need not be read back.
 	}
 	a.renewed, a.renewedAt, a.hasRenewed = a.clockReading(now), now, true
 	a.notifyWaiters()
 }
 
-// ResetOthers forgets the others before the newest records are applied anew: part of
-// the history was lost. A pending raise can't be judged then and is dropped;
-// the next statement takes it back.
+// ResetOthers forgets all other processes. Call it after part of the log's history was
+// lost, before the newest records are applied. The validity of a pending raise can no longer
+// be determined, so it is dropped; the next record revokes it.
 func (a *Accounts) ResetOthers() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -271,7 +283,7 @@
 	a.pending, a.caughtUpAt, a.caughtUp = nil, 0, false
 }
 
-// PeerAddr implements peer.Addresses: the address of a process by its statement.
+// PeerAddr implements peer.Addresses with the address published in the process's record.
 func (a *Accounts) PeerAddr(id record.InstanceID) (string, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -281,7 +293,7 @@
 	return a.memberView.address(id)
 }
 
-// MarkCaughtUp tells that the log has been read up to its end.
+// MarkCaughtUp records that the log has been read up to its end.
 func (a *Accounts) MarkCaughtUp(now time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/prepaid/clocks.go
+++ b/internal/prepaid/clocks.go
@@ -7,52 +7,54 @@
 	"guavapier/internal/allocator"
 )
 
-// Clocks read one host's clocks.
+// Clocks gives access to the clocks of one host.
 type Clocks struct {
 	BootID string
-	// SinceBoot returns the time since the host's boot, time suspended included.
+	// SinceBoot returns the time since the host's boot, including time suspended.
 	SinceBoot func() time.Duration
 	// Wall returns the time of day in Unix milliseconds.
 	Wall func() int64
 }
 
-// Now returns the present moment, uncorrected.
+// Now returns the current time, uncorrected.
 func (c Clocks) Now() ClockReading {
 	return ClockReading{BootID: c.BootID, SinceBoot: c.SinceBoot(), Wall: c.Wall()}
 }
 
 const (
-	// skewMargin covers what correcting a clock by the fleet's median leaves: a
-	// statement is read up to 0.35 s after it was drafted (a write and the pause
-	// between two reads), and the least of several readings counts.
+	// skewMargin covers the error that remains after correction by the fleet's median
+	// clock. A record is read up to 0.35 s after it was prepared (a write and the pause
+	// between two reads); the smallest of several observations counts.
 	skewMargin = 450 * time.Millisecond
-	// bootClockMargin covers reading two clocks one after the other.
+	// bootClockMargin covers the time between reading two clocks in succession.
 	bootClockMargin = 50 * time.Millisecond
-	// maxBootClockDrift is how far the two clocks may drift apart over one boot.
+	// maxBootClockDrift is the maximum drift between wall clock and boot clock over one
+	// boot.
 	maxBootClockDrift = time.Minute
-	// minSkews is how many other hosts' clocks make a median.
+	// minSkews is the minimum number of other hosts' clocks needed for a median.
 	minSkews = 2
-	// maxMedianSpread is how far the two middle ones of an even number may lie apart.
+	// maxMedianSpread is the maximum difference between the two middle values where the
+	// number of clocks is even.
 	maxMedianSpread = 250 * time.Millisecond
-	// minClockStep is a change of the time of day against the time since boot
-	// that no slewing of a clock makes between two looks.
+	// minClockStep is the smallest change of the wall clock against the boot clock that
+	// counts as a step. Slewing changes less between two checks.
 	minClockStep = 100 * time.Millisecond
-	// skewTTL is how long another host's clock counts after it was heard.
+	// skewTTL is how long an observation of another host's clock stays valid.
 	skewTTL = 5 * time.Second
 )
 
-// clockSkew is how far the own time of day stands before another host's.
+// clockSkew is how far the own wall clock is ahead of another host's, in milliseconds.
 type clockSkew struct {
 	ms         int64
 	observedAt time.Duration
 }
 
-// offset is how far the time of day stands before the time since boot. It
-// changes only when someone sets the clock.
+// offset is the difference between wall clock and boot clock in milliseconds. It changes
+// only when the wall clock is set.
 func (c Clocks) offset() int64 { return c.Wall() - c.SinceBoot().Milliseconds() }
 
-// detectClockStep forgets all skews when the own clock was set: they were heard by
-// the old one.
+// detectClockStep discards all observed skews if the own wall clock was set since the last
+// check, because they were measured with the old setting.
 func (a *Accounts) detectClockStep() {
 	offset := a.clocks.offset()
 	if moved := offset - a.wallOffset; moved > minClockStep.Milliseconds() || moved < -minClockStep.Milliseconds() {
@@ -62,8 +64,8 @@
 	a.wallOffset = offset
 }
 
-// observeClock notes the clock of a statement that has just been drafted. Those read
-// while the log is caught up with are older and don't count.
+// observeClock measures the clock skew by a record that has just been prepared. Records read
+// while catching up with the log are too old for that.
 func (a *Accounts) observeClock(rec *ClaimRecord, now time.Duration) {
 	a.detectClockStep()
 	if rec.Closed || a.caughtUpAt == 0 || now-a.caughtUpAt > skewTTL {
@@ -71,13 +73,13 @@
 	}
 	ms := a.clocks.Wall() - rec.Wall
 	if known, ok := a.skews[rec.Node]; ok && known.ms < ms && now-known.observedAt < skewTTL {
-		return // A statement that was read sooner tells more.
+		return // The smaller skew was measured with less delay.
 	}
 	a.skews[rec.Node] = clockSkew{ms: ms, observedAt: now}
 }
 
-// medianSkewMS returns how far the own time of day stands before the fleet's median;
-// ok is false if too few others were heard of late, or they are at odds.
+// medianSkewMS returns how far the own wall clock is ahead of the fleet's median, in
+// milliseconds; ok is false if too few clocks were observed recently or they disagree.
 func (a *Accounts) medianSkewMS(now time.Duration) (ms int64, ok bool) {
 	a.detectClockStep()
 	if known := a.memberView.skew; a.role == allocator.Member && known.observedAt > 0 {
@@ -100,7 +102,7 @@
 	return lower, upper-lower <= maxMedianSpread.Milliseconds()
 }
 
-// clockReading returns the present moment, corrected if the fleet's clocks are known.
+// clockReading returns the current time, corrected if the fleet's median clock is known.
 func (a *Accounts) clockReading(now time.Duration) ClockReading {
 	ms, ok := a.medianSkewMS(now)
 	s := a.clocks.Now()
@@ -110,15 +112,15 @@
 	return s
 }
 
-// ageAtStart returns the time from a dead process's last touch to this process's
-// start, on the same host, at its most. known is false if that can't be told.
+// ageAtStart returns the maximum time from a dead process's last renewal to the start of this
+// process on the same host; known is false if it cannot be determined.
 func (a *Accounts) ageAtStart(rec *ClaimRecord, now time.Duration) (age time.Duration, known bool) {
 	if rec.Renewed.Wall == 0 {
-		return 0, false // It never was in touch.
+		return 0, false // The log never acknowledged a record of it.
 	}
 	ms, ok := a.medianSkewMS(now)
 	boot := a.started.SinceBoot - rec.Renewed.SinceBoot
-	// The start by the clock as it is set now.
+	// Start time by the current setting of the wall clock.
 	started := a.clocks.Wall() - (a.clocks.SinceBoot() - a.started.SinceBoot).Milliseconds()
 	wall := time.Duration(started-rec.Renewed.Wall) * time.Millisecond
 	if a.started.BootID == rec.Renewed.BootID && (boot-wall).Abs() < maxBootClockDrift {
--- a/internal/prepaid/crowd_test.go
+++ b/internal/prepaid/crowd_test.go
@@ -9,7 +9,7 @@
 	"guavapier/internal/record"
 )
 
-// newLargeFleet returns a book that has heard of so many other living instances.
+// newLargeFleet returns the accounts of one instance that has read records of that many others.
 func newLargeFleet(others int, now time.Duration) *prepaid.Accounts {
 	b := prepaid.NewAccounts(prepaid.Identity{Key: "self", Node: "self", Started: 1}, prepaid.DefaultPolicy(), hostClocks())
 	b.SetPrepaid(map[record.Team]int64{team: 1 << 40})
@@ -21,8 +21,8 @@
 	return b
 }
 
-// countRecords plays a busy second in steps of 5 ms and counts the statements. Where
-// requests wait, one lacks tokens all the time.
+// countRecords simulates one second of requests in steps of 5 ms and returns the number of
+// records prepared. If waiting is set, a request lacks tokens all the time.
 func countRecords(b *prepaid.Accounts, waiting bool) (count int) {
 	if waiting {
 		b.AddShortfall(team, 1<<30)
@@ -43,14 +43,14 @@
 	return count
 }
 
-// TestRecordsPublishedInALargeFleetAreBounded bounds the statements that one instance has to read:
-// the sum over the fleet must not grow with the fleet.
+// Each instance reads the records of all others. The records of the whole fleet must not grow in
+// proportion to its size.
 func TestRecordsPublishedInALargeFleetAreBounded(t *testing.T) {
 	for name, c := range map[string]struct {
 		others   int
 		waiting  bool
 		minOwn   int
-		maxByAll int // By all instances in the second.
+		maxByAll int // Limit for the records of all instances in the second.
 	}{
 		"small":                  {others: 7, minOwn: 5, maxByAll: 8 * 7},
 		"large":                  {others: 69, minOwn: 1, maxByAll: 140},
@@ -61,7 +61,7 @@
 		t.Run(name, func(t *testing.T) {
 			n := countRecords(newLargeFleet(c.others, 0), c.waiting)
 			if n < c.minOwn || n*(c.others+1) > c.maxByAll {
-				t.Fatalf("%d statements in a second, %d by all; want %d at least, %d by all at most", n, n*(c.others+1), c.minOwn, c.maxByAll)
+				t.Fatalf("%d records in a second, %d by all instances; want at least %d, at most %d by all", n, n*(c.others+1), c.minOwn, c.maxByAll)
 			}
 		})
 	}
--- a/internal/prepaid/draft.go
+++ b/internal/prepaid/draft.go
@@ -9,22 +9,22 @@
 	"guavapier/internal/record"
 )
 
-// NextRecord returns the next statement to write, or nil if there is nothing to say.
-// What it gives back is no longer used from here on; what it claims is used
-// once it has been seen on the log. The caller writes one at a time, each until
-// the log has taken it.
+// NextRecord returns the next claim record to publish, or nil if none is due. Tokens that it
+// returns to the log are no longer used from now on; tokens that it claims may be used once
+// the record has been read back. The caller writes one record at a time and repeats the write
+// until the log acknowledges it.
 func (a *Accounts) NextRecord(now time.Duration) *ClaimRecord {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.pending != nil || a.closed || !a.caughtUp && a.role != allocator.Member {
 		return nil
 	}
-	// A new allocator says so at once; the many new members of a fleet that starts
-	// would only be in its way.
+	// A new allocator publishes its role immediately. New members don't: when a fleet
+	// starts, many of them would only delay the allocators' records.
 	immediate := a.sequence == 0 || a.role != a.publishedRole && a.role == allocator.Allocator
 	sincePrepared := now - a.preparedAt
 	if !immediate && sincePrepared < a.publishInterval(a.hasWaitingRequests()) {
-		return nil // Too soon whatever the rows say, and those cost 0.1 ms in a large fleet.
+		return nil // Checked before the claims are computed, which takes 0.1 ms in a large fleet.
 	}
 	claims, urgent, changed := a.prepareClaims(now)
 	if !immediate && (sincePrepared < a.publishInterval(urgent) || !changed && !urgent && sincePrepared < a.policy.Heartbeat) {
@@ -33,7 +33,7 @@
 	return a.newRecord(claims, false, now)
 }
 
-// hasWaitingRequests says whether any request waits for tokens.
+// hasWaitingRequests reports whether any request waits for tokens.
 func (a *Accounts) hasWaitingRequests() bool {
 	for _, acct := range a.accounts {
 		if acct.shortfall > 0 {
@@ -43,9 +43,9 @@
 	return false
 }
 
-// publishInterval is the shortest time between two statements. Every claimant reads those of
-// all: 70 instances at 7 a second each are 9 Mbit/s on every link. Statements that a
-// request waits for come from claimants only.
+// publishInterval is the minimum time between two records. Every claimant reads the records of
+// all others: 70 instances with 7 records a second each cause 9 Mbit/s on every link. Only
+// claimants and allocators publish urgent records, for which requests wait.
 func (a *Accounts) publishInterval(urgent bool) time.Duration {
 	if urgent && a.role != allocator.Member {
 		interval := a.largeFleetExcess(a.countClaimants()) * a.policy.LargeFleetUrgentInterval
@@ -61,12 +61,13 @@
 	return interval
 }
 
-// largeFleetExcess is how many of so many instances are beyond Policy.Crowd.
+// largeFleetExcess is the number of instances above Policy.LargeFleetSize. It has the type of a
+// duration because it multiplies one.
 func (a *Accounts) largeFleetExcess(instances int) time.Duration {
 	return time.Duration(max(0, instances-a.policy.LargeFleetSize))
 }
 
-// Close drafts the last statement: all that is not used is given back.
+// Close returns the last record of the process, which returns all unused tokens to the log.
 func (a *Accounts) Close(now time.Duration) *ClaimRecord {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -81,7 +82,7 @@
 	return a.newRecord(claims, true, now)
 }
 
-// budgetClaim fills what is known of the own part of a budget.
+// budgetClaim returns the account's published amounts, without a claim and a spending bound.
 func (a *account) budgetClaim(team record.Team, now time.Duration) BudgetClaim {
 	return BudgetClaim{
 		Team: team, Used: a.used(), Reserved: a.reserved, Received: a.received, Transferred: a.transferred,
@@ -89,6 +90,8 @@
 	}
 }
 
+// newRecord makes the claims the pending record. Reduced claims take effect at
+// once, and the new spending bounds apply in addition to the logged ones.
 func (a *Accounts) newRecord(claims []BudgetClaim, closed bool, now time.Duration) *ClaimRecord {
 	for _, claim := range claims {
 		acct := a.account(claim.Team)
@@ -106,6 +109,7 @@
 	return a.pending
 }
 
+// sortedTeams returns all teams with a budget or an account, in order of their names.
 func (a *Accounts) sortedTeams() []record.Team {
 	var teams []record.Team
 	for team := range a.prepaidTotals {
@@ -120,8 +124,8 @@
 	return teams
 }
 
-// prepareClaims sizes every claim and mark. pressing says that a request waits for
-// one, news that the statement would say something else than the last.
+// prepareClaims computes the claims and spending bounds of all budgets. urgent reports that a
+// waiting request needs one that grows; changed that the record differs from the last one.
 func (a *Accounts) prepareClaims(now time.Duration) (claims []BudgetClaim, urgent, changed bool) {
 	totals := a.fleetTotals()
 	for _, team := range a.sortedTeams() {
--- a/internal/prepaid/fleet_test.go
+++ b/internal/prepaid/fleet_test.go
@@ -16,15 +16,16 @@
 
 const (
 	fleetStep = 10 * time.Millisecond
-	// appendsPerStep is what one partition of the log takes: each append 1 ms.
+	// appendsPerStep is the capacity of one partition of the log: one append takes 1 ms.
 	appendsPerStep = int(fleetStep / time.Millisecond)
-	// readIntervalSteps is how often a claimant reads the log.
-	readIntervalSteps = 5 // Steps.
-	// withdrawInterval is how often a request that waits at a member asks again.
+	// readIntervalSteps is the number of steps between two reads of the log by a claimant.
+	readIntervalSteps = 5
+	// withdrawInterval is the pause before a request that waits at a member repeats its
+	// withdrawal.
 	withdrawInterval = 3 * fleetStep
 	// requestDuration is how long a request's tokens stay reserved.
 	requestDuration = 300 * time.Millisecond
-	// requestsPerSecond and requestTokens are the load on one budget, whatever the
+	// requestsPerSecond and requestTokens are the load on one budget, independent of the
 	// size of the fleet.
 	requestsPerSecond, requestTokens = 200, 2000
 )
@@ -36,32 +37,32 @@
 	waitingSince time.Duration
 }
 
-// runningRequest is a request that has its tokens.
+// runningRequest is a request that has reserved its tokens.
 type runningRequest struct {
 	p      *simProcess
 	tokens int64
 	endsAt time.Duration
 }
 
-// sizedFleet is a world of many instances in zones of some fifty, with a steady load
-// on one budget.
+// sizedFleet is a simulated fleet of many instances, in zones of about fifty, with a steady
+// load on one budget.
 type sizedFleet struct {
 	*simFleet
 	living      []*simProcess
 	rng         *rand.Rand
-	allocators  map[*simProcess][]*simProcess // Of each member's zone.
+	allocators  map[*simProcess][]*simProcess // Each member's allocators.
 	waiting     []waitingRequest
 	running     []runningRequest
-	nextWriter  int // Whose turn it is to write.
-	bytesRead   int // Bytes that all processes have read.
+	nextWriter  int // Index of the next process to write.
+	bytesRead   int // Bytes read from the log by all processes.
 	served      int
 	refused     int
 	longestWait time.Duration
-	logCutOff   bool // The log is out of reach of all.
+	logCutOff   bool // No process reaches the log.
 }
 
-// newSizedFleet returns a fleet with a budget that lasts so long from now on; spent is
-// how long its use took that is over.
+// newSizedFleet returns a fleet whose budget lasts for a time at the load, and of which the
+// use during the time spent is already over.
 func newSizedFleet(t *testing.T, instances int, lasts, spent time.Duration) *sizedFleet {
 	t.Helper()
 	base := newSimFleet(t, make([]int64, instances)...)
@@ -84,7 +85,7 @@
 	return f
 }
 
-// assignRoles gives each zone its allocators, where the fleet is large enough for them.
+// assignRoles gives each zone its allocators if the fleet is large enough.
 func (f *sizedFleet) assignRoles(zones int) {
 	if !f.living[0].NeedsAllocators() {
 		return
@@ -100,7 +101,7 @@
 	}
 }
 
-// writeStep lets the log take what it can in a step.
+// writeStep appends as many records as the log takes in one step.
 func (f *sizedFleet) writeStep() {
 	for appended, tried := 0, 0; appended < appendsPerStep && tried < len(f.living); tried++ {
 		p := f.living[f.nextWriter%len(f.living)]
@@ -111,7 +112,7 @@
 	}
 }
 
-// step plays one step.
+// step simulates the n-th step.
 func (f *sizedFleet) step(n int) {
 	f.now += fleetStep
 	for range requestsPerSecond * int(fleetStep/time.Millisecond) / 1000 {
@@ -139,11 +140,11 @@
 	f.checkNotOverspent()
 }
 
-// serve gives waiting requests their tokens. It returns what ends the wants of members
-// at their allocators.
+// serve reserves tokens for waiting requests. It returns functions that remove the
+// members' shortfalls from their allocators.
 func (f *sizedFleet) serve() (releases []func()) {
 	var still []waitingRequest
-	requested := map[*simProcess]bool{} // Requests at one instance ask together.
+	requested := map[*simProcess]bool{} // Concurrent requests of an instance share a withdrawal.
 	for _, r := range f.waiting {
 		err := r.p.Reserve(team, r.tokens, f.now)
 		requestDue := !requested[r.p] && (f.now-r.waitingSince)%withdrawInterval == 0
@@ -171,6 +172,8 @@
 	return releases
 }
 
+// withdraw withdraws tokens for a member's request from one of its allocators. If that has too
+// few, its shortfall grows until the returned function is called.
 func (f *sizedFleet) withdraw(r waitingRequest) []func() {
 	a := f.allocators[r.p][f.rng.IntN(allocator.SlotsPerZone)]
 	need := r.p.WithdrawalNeed(team, r.tokens, f.now)
@@ -185,7 +188,7 @@
 	return []func(){func() { a.AddShortfall(team, -need.All) }}
 }
 
-// followCounted reads the log and counts what that takes.
+// followCounted reads the log and counts the bytes.
 func (f *sizedFleet) followCounted(p *simProcess) {
 	if p.Role() == allocator.Member {
 		return
@@ -193,13 +196,14 @@
 	for _, e := range f.log[p.nextOffset:] {
 		value, err := cbor.Marshal(e.record)
 		if err != nil {
-			f.t.Fatalf("encode: %v", err)
+			f.t.Fatalf("encode claim record: %v", err)
 		}
 		f.bytesRead += len(value)
 	}
 	p.follow(f.simFleet)
 }
 
+// returnExcess transfers a member's excess tokens to an allocator.
 func (f *sizedFleet) returnExcess(p *simProcess) {
 	if p.Role() != allocator.Member {
 		return
@@ -211,7 +215,7 @@
 	p.ObserveStatus(a.Status(f.now), f.now)
 }
 
-// settleEnded settles the requests that are over; they use nine tenths of their tokens.
+// settleEnded settles the requests that have ended. They use nine tenths of their tokens.
 func (f *sizedFleet) settleEnded() {
 	var still []runningRequest
 	for _, r := range f.running {
@@ -227,9 +231,9 @@
 	f.running = still
 }
 
-// TestTokensAreFoundAtAnySize plays the same load on fleets of any size: as long as a
-// quarter of the budget is unused, a request has its tokens within the time that it
-// may wait, and what the fleet reads of the log does not grow with its square.
+// TestTokensAreFoundAtAnySize runs the same load on fleets of different sizes. While a quarter
+// of the budget is unused, requests obtain their tokens within the time that they may wait, and
+// the bytes that the fleet reads from the log do not grow with the square of its size.
 func TestTokensAreFoundAtAnySize(t *testing.T) {
 	const seconds = 8
 	for _, instances := range []int{7, 81, 295, 413} {
@@ -240,7 +244,7 @@
 				f.step(n)
 			}
 			perInstance := f.bytesRead / seconds / instances
-			t.Logf("%d served, %d refused, longest wait %s, %d B/s read an instance", f.served, f.refused, f.longestWait, perInstance)
+			t.Logf("%d served, %d refused, longest wait %s, %d B/s read per instance", f.served, f.refused, f.longestWait, perInstance)
 			if f.refused > f.served/1000 {
 				t.Errorf("%d requests of %d refused with a third of the budget unused", f.refused, f.served+f.refused)
 			}
@@ -251,7 +255,7 @@
 	}
 }
 
-// powerCycle has all machines lose power, with their requests, and start again.
+// powerCycle cuts the power of all hosts, which ends their requests, and restarts them.
 func (f *sizedFleet) powerCycle() {
 	for _, p := range f.living {
 		f.kill(p)
@@ -267,7 +271,7 @@
 	f.nextWriter = 0
 }
 
-// reclaim gives back what dead processes did not use.
+// reclaim returns to the log what dead processes cannot have used.
 func (f *sizedFleet) reclaim() {
 	for _, p := range f.living {
 		for _, r := range p.Reclaims(f.now) {
@@ -278,7 +282,7 @@
 	}
 }
 
-// runSeconds plays some runSeconds; the zones have their allocators after 0.3 s.
+// runSeconds simulates some seconds. After a power cycle, zones have allocators after 0.3 s.
 func (f *sizedFleet) runSeconds(n float64) {
 	steps := int(n * float64(time.Second/fleetStep))
 	for i := range steps {
@@ -292,8 +296,8 @@
 	}
 }
 
-// TestALossOfAllLeavesTheBudgetInReach plays a loss of power of all instances in the
-// last third of a budget. To its end no more than 3 % of it may stay unused, at any size.
+// TestALossOfAllLeavesTheBudgetInReach simulates a power loss of all hosts in the last third of
+// a budget. At the end at most 3 % of the budget may be unused, independent of the fleet's size.
 func TestALossOfAllLeavesTheBudgetInReach(t *testing.T) {
 	for _, instances := range []int{7, 81, 295, 413} {
 		t.Run(fmt.Sprint(instances), func(t *testing.T) {
@@ -304,16 +308,16 @@
 			f.powerCycle()
 			f.runSeconds(12)
 			unused := float64(f.maxPrepaid-f.totalUsed()) / float64(f.maxPrepaid)
-			t.Logf("%.1f %% used at the loss, %.2f %% unused at the end, %d requests refused", 100*float64(before)/float64(f.maxPrepaid), 100*unused, f.refused)
+			t.Logf("%.1f %% used at the power loss, %.2f %% unused at the end, %d requests refused", 100*float64(before)/float64(f.maxPrepaid), 100*unused, f.refused)
 			if unused > 0.03 {
-				t.Errorf("%.2f %% of the budget stayed unused", 100*unused)
+				t.Errorf("%.2f %% of the budget stayed unused, want at most 3 %%", 100*unused)
 			}
 		})
 	}
 }
 
-// TestACutOfAllFromTheLogIsServedThrough plays a cut of all instances from the log, which
-// still reach the others of their zone.
+// TestACutOfAllFromTheLogIsServedThrough cuts all instances off from the log while they still
+// reach the other instances of their zone.
 func TestACutOfAllFromTheLogIsServedThrough(t *testing.T) {
 	for _, instances := range []int{81, 295, 413} {
 		t.Run(fmt.Sprint(instances), func(t *testing.T) {
@@ -325,7 +329,7 @@
 			f.runSeconds(3)
 			t.Logf("%d served, %d refused", f.served, f.refused)
 			if f.refused > f.served/10 {
-				t.Errorf("%d requests of %d refused", f.refused, f.served+f.refused)
+				t.Errorf("%d requests of %d refused, want at most a tenth of those served", f.refused, f.served+f.refused)
 			}
 		})
 	}
--- a/internal/prepaid/keeper.go
+++ b/internal/prepaid/keeper.go
@@ -17,34 +17,36 @@
 )
 
 const (
-	// maxReadWait is the longest wait of one read. Short: a connection that
-	// fell silent without an error is noticed after it.
+	// maxReadWait is the maximum time that the log holds a read open for new records. It
+	// is short so that a connection that fell silent without an error is noticed.
 	maxReadWait = time.Second
-	// readInterval spaces reads, since every instance's statement ends every
-	// read of all others.
+	// readInterval is the pause between two reads. Without it, each record of any
+	// instance would end a read at all others.
 	readInterval = 250 * time.Millisecond
-	// reloadThreshold is how long the log may be out of reach before its newest
-	// records are read in place of all that came meanwhile: what a fleet states in some
-	// seconds takes a small link longer to carry than one call may last.
+	// reloadThreshold is how long the log may be unreachable before the newest records
+	// are read instead of all that were written meanwhile. Over a slow link, the records
+	// that a fleet writes in some seconds take longer than one call may last.
 	reloadThreshold = 2 * time.Second
-	// publishCheckInterval is how often it is looked whether there is something to state.
+	// publishCheckInterval is how often the controller checks whether a record is due.
 	publishCheckInterval = 100 * time.Millisecond
 	// retryInterval is the pause after a failed call.
 	retryInterval = 150 * time.Millisecond
-	// LogReachableTTL is how old the last read may be for a request to wait for a
-	// claim; without the log it would wait in vain.
+	// LogReachableTTL is how long after the last read the log counts as reachable.
+	// Requests wait for a claim only while it does.
 	LogReachableTTL = 1500 * time.Millisecond
-	// resolveInterval is the pause between two rounds of asking again.
+	// resolveInterval is the pause between two rounds of repeating calls whose replies
+	// were lost.
 	resolveInterval = 500 * time.Millisecond
-	// claimTimeout is how long a claim takes, with two round trips to the log,
-	// and room for one that collides with another's.
+	// claimTimeout is how long a request waits for a claim before it asks other
+	// instances: two round trips to the log, and time for one claim that collides with
+	// another instance's.
 	claimTimeout = 60 * time.Millisecond
-	// MaxClaimWait is the longest that a request waits for a claim: some round
-	// trips to the log, while another instance gives back.
+	// MaxClaimWait is the maximum time that a request waits for tokens: some round trips
+	// to the log, during which another instance returns tokens.
 	MaxClaimWait = 400 * time.Millisecond
 )
 
-// Controller runs a Book against the log.
+// Controller synchronises Accounts with the log and serves reservations.
 type Controller struct {
 	Accounts  *Accounts
 	Directory *allocator.Directory
@@ -55,19 +57,19 @@
 
 	triggerRead       chan struct{}
 	triggerPublish    chan struct{}
-	lastReadAt        atomic.Int64 // Clock at the last read, in nanoseconds; 0 for none.
-	readStartedAt     atomic.Int64 // Clock at the begin of the last read, and of the last that succeeded.
+	lastReadAt        atomic.Int64 // Clock at the end of the last successful read, in nanoseconds; 0 if none.
+	readStartedAt     atomic.Int64 // Clock at the start of the current read and, below, of the last successful one.
 	lastReadStartedAt atomic.Int64
-	nextSequence      uint64 // Of the next write.
-	announcementEpoch uint64 // Announcements written.
+	nextSequence      uint64 // Sequence number of the next write.
+	announcementEpoch uint64 // Number of announcements written, used as their epoch.
 	epoch             uint64
-	logUnavailable    bool // The reads fail.
+	logUnavailable    bool // The last read failed.
 	leaving           atomic.Bool
 	reclaimedTokens   atomic.Int64
-	reclaimedSequence map[record.InstanceID]uint64 // Sequences of the dead's statements that were made final.
+	reclaimedSequence map[record.InstanceID]uint64 // By process: sequence of the dead process's record that was reclaimed.
 }
 
-// NewController returns a Keeper; Run makes it work.
+// NewController returns a Controller, which does nothing until Run is called.
 func NewController(accounts *Accounts, directory *allocator.Directory, peers *Peers, log logstore.Keyed, clock func() time.Duration, logger zerolog.Logger) *Controller {
 	return &Controller{
 		Accounts: accounts, Directory: directory, Peers: peers, Store: log, reclaimedSequence: map[record.InstanceID]uint64{}, Clock: clock, Logger: logger, epoch: 1,
@@ -75,7 +77,7 @@
 	}
 }
 
-// Run follows the log and writes statements until ctx ends.
+// Run reads the log and publishes records until ctx ends.
 func (c *Controller) Run(ctx context.Context) {
 	var group errgroup.Group
 	group.Go(func() error { c.followAllocators(ctx); return nil })
@@ -88,21 +90,22 @@
 	_ = group.Wait()
 }
 
-// Reservation is a request's part of a budget, at its most.
+// Reservation is the maximum that one request may use of a budget.
 type Reservation struct {
 	controller *Controller
 	team       record.Team
 	tokens     int64
 }
 
-// Tokens returns the size of the reservation.
+// Tokens returns the number of reserved tokens.
 func (r *Reservation) Tokens() int64 { return r.tokens }
 
-// Settle ends the reservation: used tokens stay spent. Call it once.
+// Settle ends the reservation; used tokens stay spent. It must be called once.
 func (r *Reservation) Settle(used int64) { r.controller.Accounts.Settle(r.team, r.tokens, used) }
 
-// Reserve sets tokens aside. If too little is held here, it waits a moment for
-// a claim while the log answers, and asks other instances.
+// Reserve reserves tokens for a request. If this instance holds too few, Reserve waits for a
+// claim while the log is reachable and requests tokens from other instances, for up to
+// MaxClaimWait. It returns ErrExhausted, ErrInsufficient or an *InsufficientError.
 func (c *Controller) Reserve(ctx context.Context, team record.Team, tokens int64) (*Reservation, error) {
 	err := c.Accounts.Reserve(team, tokens, c.Clock())
 	if errors.Is(err, ErrInsufficient) && c.Accounts.Role() == allocator.Member {
@@ -117,7 +120,7 @@
 	return &Reservation{controller: c, team: team, tokens: tokens}, nil
 }
 
-// findTokens looks for tokens: on the log first, then at other instances.
+// findTokens obtains tokens for a request, first from the log, then from other instances.
 func (c *Controller) findTokens(ctx context.Context, team record.Team, tokens int64) error {
 	if !c.Accounts.MayFindTokens(team) {
 		return ErrInsufficient
@@ -137,7 +140,7 @@
 	return c.awaitTokens(ctx, team, tokens, MaxClaimWait-(c.Clock()-startedAt))
 }
 
-// awaitTokens tries again whenever more may be at hand, for that long.
+// awaitTokens retries the reservation whenever more tokens may be spendable, until the timeout.
 func (c *Controller) awaitTokens(ctx context.Context, team record.Team, tokens int64, timeout time.Duration) error {
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
@@ -158,12 +161,13 @@
 	}
 }
 
+// isLogReachable reports whether the log was read within LogReachableTTL.
 func (c *Controller) isLogReachable() bool {
 	at := c.lastReadAt.Load()
 	return at != 0 && c.Clock()-time.Duration(at) < LogReachableTTL
 }
 
-// newFollower applies the log to the book.
+// newFollower returns the follower that applies the budgets topic of the log to the accounts.
 func (c *Controller) newFollower() *logstore.Follower {
 	return &logstore.Follower{
 		Log: c.Store, Topic: logstore.TopicBudgets, Wait: maxReadWait, Pause: readInterval, Kick: c.triggerRead, Afresh: reloadThreshold,
@@ -171,8 +175,8 @@
 	}
 }
 
-// recordRead notes how old the book is, and logs when reading begins to fail and
-// when it works again.
+// recordRead records the outcome of a read and logs when reads begin to fail and when they
+// succeed again.
 func (c *Controller) recordRead(err error) {
 	if err == nil {
 		c.lastReadAt.Store(int64(c.Clock()))
@@ -183,24 +187,25 @@
 	case err != nil && !c.logUnavailable:
 		c.Logger.Warn().Err(err).Msg("prepaid: budgets log lost; spending what is held")
 	case err == nil && c.logUnavailable:
-		c.Logger.Info().Msg("prepaid: budgets log regained")
+		c.Logger.Info().Msg("prepaid: budgets log recovered")
 	}
 	c.logUnavailable = err != nil
 }
 
+// applyRecord applies one record of the log; records that cannot be decoded are skipped.
 func (c *Controller) applyRecord(r logstore.KeyedRecord) {
 	var rec *ClaimRecord
 	if r.Value != nil {
 		rec = &ClaimRecord{}
 		if err := cbor.Unmarshal(r.Value, rec); err != nil {
-			c.Logger.Error().Err(err).Str("key", r.Key).Msg("prepaid: unreadable statement passed over")
+			c.Logger.Error().Err(err).Str("key", r.Key).Msg("prepaid: undecodable claim record skipped")
 			return
 		}
 	}
 	c.Accounts.Apply(record.InstanceID(r.Key), rec, c.Clock())
 }
 
-// publishRecords states claims while ctx lasts. It begins once the log has been read.
+// publishRecords publishes claim records until ctx ends. It starts once the log has been read.
 func (c *Controller) publishRecords(ctx context.Context) {
 	for ctx.Err() == nil {
 		logstore.Pause(ctx, publishCheckInterval, c.triggerPublish)
@@ -219,12 +224,12 @@
 	}
 }
 
-// Leave says that the instance ends soon: what no request has or waits for is given
-// back to the log already now. While the log is away it stays here, for Close to
-// hand over.
+// Leave announces that the instance terminates soon. Tokens that no request has reserved or
+// waits for are returned to the log from now on. While the log is unavailable they stay here,
+// and Close transfers them to another instance.
 func (c *Controller) Leave() { c.leaving.Store(true) }
 
-// resolveLostReplies makes good what lost replies of other instances hold back.
+// resolveLostReplies periodically repeats calls to other instances whose replies were lost.
 func (c *Controller) resolveLostReplies(ctx context.Context) {
 	for ctx.Err() == nil {
 		logstore.Pause(ctx, resolveInterval, nil)
@@ -232,26 +237,26 @@
 	}
 }
 
-// reclaim gives back what dead processes of this host did not use.
+// reclaim returns to the log what dead processes of this host cannot have used.
 func (c *Controller) reclaim(ctx context.Context) {
 	for _, r := range c.Accounts.Reclaims(c.Clock()) {
 		if c.reclaimedSequence[r.Key] == r.Statement.Sequence {
-			continue // Written, but not read back yet.
+			continue // Written, but not yet read back.
 		}
 		if c.putRecord(ctx, r.Key, &r.Statement) {
 			c.reclaimedSequence[r.Key] = r.Statement.Sequence
 			c.reclaimedTokens.Add(r.Tokens)
-			c.Logger.Info().Str("dead", string(r.Key)).Int64("tokens", r.Tokens).Dur("age", r.Age).Msg("prepaid: unused tokens of a dead process given back")
+			c.Logger.Info().Str("dead", string(r.Key)).Int64("tokens", r.Tokens).Dur("age", r.Age).Msg("prepaid: unused tokens of a dead process reclaimed")
 		}
 	}
 }
 
-// putRecord writes a statement until the log has taken it, and says whether it has.
-// The repeats are the same write, so one that arrives late has no second effect.
+// putRecord writes a record until the log acknowledges it, and reports whether it has. Retries
+// repeat the same write, so a delayed one has no second effect.
 func (c *Controller) putRecord(ctx context.Context, key record.InstanceID, rec *ClaimRecord) bool {
 	value, err := cbor.Marshal(rec)
 	if err != nil {
-		c.Logger.Error().Err(err).Msg("prepaid: encode statement")
+		c.Logger.Error().Err(err).Msg("prepaid: claim record not encoded")
 		return false
 	}
 	records := []logstore.KeyedRecord{{Key: string(key), Value: value}}
@@ -264,8 +269,8 @@
 			return true
 		}
 		if eris.Is(err, logstore.ErrSequence) || eris.Is(err, logstore.ErrFenced) {
-			// Only this process writes under its name: the log has lost count.
-			c.Logger.Error().Err(err).Msg("prepaid: statement out of sequence, writing in a new epoch")
+			// Only this process writes under its name, so the log has lost its sequence state.
+			c.Logger.Error().Err(err).Msg("prepaid: claim record out of sequence, continuing in a new epoch")
 			c.epoch++
 			continue
 		}
@@ -274,16 +279,16 @@
 	return false
 }
 
-// Close gives back what is not used, as long as ctx lasts: to the log, or to
-// another instance if the log is away. Run must have ended.
+// Close returns all unused tokens to the log, or transfers them to another instance if the log
+// is unavailable, until ctx ends. Run must have returned.
 //
-// The epoch is a new one: a write that Run left unanswered may still arrive, and
-// must not come after this one.
+// Close writes in a new epoch: an unacknowledged write of Run may still arrive and must not
+// be applied after the final record.
 func (c *Controller) Close(ctx context.Context) {
 	c.epoch++
 	handedOver := !c.isLogReachable() && c.Peers.HandOver(ctx, c.Accounts, c.Clock())
 	if handedOver {
-		// Nothing is left that would be worth waiting for the log.
+		// No tokens are left that would justify waiting for the log.
 		shortCtx, cancel := context.WithTimeout(ctx, retryInterval)
 		defer cancel()
 		ctx = shortCtx
@@ -293,10 +298,10 @@
 	}
 }
 
-// Reclaimed returns how many tokens of dead processes were given back.
+// Reclaimed returns the number of tokens of dead processes that this process has reclaimed.
 func (c *Controller) Reclaimed() int64 { return c.reclaimedTokens.Load() }
 
-// IsLoaded says whether the log has been read, or an allocator answers that does so.
+// IsLoaded reports whether the log has been read, or an allocator that reads it is reachable.
 func (c *Controller) IsLoaded() bool {
 	return c.lastReadAt.Load() != 0 || len(c.Directory.Usable()) > 0
 }
--- a/internal/prepaid/keeper_test.go
+++ b/internal/prepaid/keeper_test.go
@@ -26,26 +26,26 @@
 	return prepaid.Clocks{BootID: "b", SinceBoot: sinceOrigin, Wall: func() int64 { return time.Now().UnixMilli() }}
 }
 
-// runController starts a process with a budget of so many tokens. The returned
-// function kills it.
+// runController starts a process whose only budget has the given total. The returned function
+// kills it.
 func runController(t *testing.T, log *standin.Keyed, key record.InstanceID, total int64) (*prepaid.Controller, func()) {
 	t.Helper()
 	return runControllerWithPolicy(t, log, key, total, prepaid.DefaultPolicy())
 }
 
-// runControllerWithPolicy starts it with a policy.
+// runControllerWithPolicy is runController with a policy.
 func runControllerWithPolicy(t *testing.T, log *standin.Keyed, key record.InstanceID, total int64, policy prepaid.Policy) (*prepaid.Controller, func()) {
 	t.Helper()
 	return runControllerOnHost(t, log, key, string(key), total, policy)
 }
 
-// runControllerOnHost starts it on a host.
+// runControllerOnHost is runControllerWithPolicy with a node and any log.
 func runControllerOnHost(t *testing.T, log logstore.Keyed, key record.InstanceID, node string, total int64, policy prepaid.Policy) (*prepaid.Controller, func()) {
 	t.Helper()
 	return runControllerWithOptions(t, log, key, node, total, policy, peer.Options{})
 }
 
-// runControllerWithOptions starts it with calls to others that are made with the options.
+// runControllerWithOptions is runControllerOnHost with options for its calls to peers.
 func runControllerWithOptions(t *testing.T, log logstore.Keyed, key record.InstanceID, node string, total int64, policy prepaid.Policy, options peer.Options) (*prepaid.Controller, func()) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -80,7 +80,7 @@
 	return c, stop
 }
 
-// waitFor polls until the condition holds.
+// waitFor polls until the condition holds, for up to 20 s.
 func waitFor(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for limit := time.Now().Add(20 * time.Second); time.Now().Before(limit); time.Sleep(5 * time.Millisecond) {
@@ -88,21 +88,21 @@
 			return
 		}
 	}
-	t.Fatal("never: " + what)
+	t.Fatal("not within 20 s: " + what)
 }
 
-// spendAll reserves and settles at each keeper in turn until all refuse for
-// good, and returns the sum.
+// spendAll reserves and settles tokens at each controller in turn until all refuse and at least
+// 97,000 tokens are spent, and returns the sum.
 func spendAll(t *testing.T, size int64, controllers ...*prepaid.Controller) (sum int64) {
 	t.Helper()
 	t.Cleanup(func() {
 		if t.Failed() {
 			for _, c := range controllers {
-				t.Logf("spent %d; %+v", sum, c.Accounts.Balances(sinceOrigin()))
+				t.Logf("spent %d; balances %+v", sum, c.Accounts.Balances(sinceOrigin()))
 			}
 		}
 	})
-	waitFor(t, "exhausted", func() bool {
+	waitFor(t, "all requests refused and 97,000 tokens spent", func() bool {
 		refused := 0
 		for _, c := range controllers {
 			r, err := c.Reserve(t.Context(), team, size)
@@ -152,18 +152,18 @@
 	}
 }
 
-// Behind a cut from the log, an instance that has run out gets tokens of another.
+// While the log is unavailable, an instance without tokens obtains some from another.
 func TestTokensMoveWhileTheLogIsAway(t *testing.T) {
 	log := standin.NewKeyed()
 	a, _ := runController(t, log, "a", 100_000)
 	b, _ := runController(t, log, "b", 100_000)
-	waitFor(t, "both hold", func() bool {
+	waitFor(t, "both hold tokens", func() bool {
 		return a.Accounts.Spendable(team, sinceOrigin()) > 1000 && b.Accounts.Spendable(team, sinceOrigin()) > 1000 && a.Accounts.Instances() == 2
 	})
-	waitFor(t, "b's holding is known", func() bool { return len(a.Accounts.TransferSources(team)) == 1 })
+	waitFor(t, "a knows that b holds tokens", func() bool { return len(a.Accounts.TransferSources(team)) == 1 })
 	log.SetDown(true)
-	// The allowances grow until all that is held is free.
-	waitFor(t, "free", func() bool {
+	// The spending bounds grow until all held tokens are spendable.
+	waitFor(t, "held tokens spendable", func() bool {
 		return a.Accounts.Spendable(team, sinceOrigin()) > 9000 && b.Accounts.Spendable(team, sinceOrigin()) > 9000
 	})
 	held := a.Accounts.Spendable(team, sinceOrigin())
@@ -171,41 +171,41 @@
 	for spent <= held {
 		r, err := a.Reserve(t.Context(), team, 500)
 		if err != nil {
-			t.Fatalf("after %d of %d held: %v", spent, held, err)
+			t.Fatalf("refused after spending %d of %d held tokens: %v", spent, held, err)
 		}
 		r.Settle(500)
 		spent += 500
 	}
 }
 
-// logUnreachable says whether the log has been away for longer than a request waits
-// for it.
+// logUnreachable reports whether the log has been unavailable for so long that requests no
+// longer wait for it.
 func logUnreachable(c *prepaid.Controller) bool {
 	return c.Accounts.Balance(team, sinceOrigin()).ReadAgeMS > prepaid.LogReachableTTL.Milliseconds()
 }
 
-// minHeld is what each of two instances holds at least of 100,000 tokens.
+// minHeld is the least that each of two instances holds of 100,000 tokens.
 const minHeld = 9000
 
-// holdsMinimum says whether the instance has claimed enough.
+// holdsMinimum reports whether the instance has claimed more than minHeld.
 func holdsMinimum(c *prepaid.Controller) bool {
 	return c.Accounts.Balance(team, sinceOrigin()).Claimed > minHeld
 }
 
-// allSpendable says whether all that is held may be used, and that is something.
+// allSpendable reports whether all held tokens are spendable, and more than minHeld.
 func allSpendable(c *prepaid.Controller) bool {
 	b := c.Accounts.Balance(team, sinceOrigin())
 	return b.Spendable > minHeld && b.Spendable == b.Claimed+b.Received-b.Transferred-b.Settled-b.Reserved
 }
 
-// An instance that ends behind the cut leaves what it holds to another, also when it
-// has said before that it will.
+// An instance that terminates while the log is unavailable transfers what it holds to another
+// instance, also if it has announced its end before.
 func TestAnEndWithoutTheLogHandsOver(t *testing.T) {
 	t.Run("at once", func(t *testing.T) { testCloseWithoutLog(t, func(*prepaid.Controller) {}) })
 	t.Run("leaving before", func(t *testing.T) {
 		testCloseWithoutLog(t, func(c *prepaid.Controller) {
 			c.Leave()
-			time.Sleep(500 * time.Millisecond) // Some rounds of statements.
+			time.Sleep(500 * time.Millisecond) // Several publishing rounds.
 		})
 	})
 }
@@ -217,7 +217,7 @@
 	b, _ := runController(t, log, "b", 100_000)
 	waitFor(t, "a knows b, and both hold tokens", func() bool { return len(a.Accounts.TransferTargets()) == 1 && holdsMinimum(a) && holdsMinimum(b) })
 	log.SetDown(true)
-	waitFor(t, "out of touch and free", func() bool {
+	waitFor(t, "log unreachable and all held tokens spendable", func() bool {
 		return logUnreachable(a) && logUnreachable(b) && allSpendable(a) && allSpendable(b)
 	})
 	leave(a)
@@ -227,11 +227,11 @@
 	defer cancel()
 	a.Close(ctx)
 	if got := b.Accounts.Spendable(team, sinceOrigin()); got != before+left {
-		t.Errorf("b has %d, want %d of its own and %d of a", got, before, left)
+		t.Errorf("b can spend %d tokens, want %d of its own and %d of a", got, before, left)
 	}
 }
 
-// An instance that ends with the log gives back through it.
+// An instance that terminates while the log is available returns its tokens to the log.
 func TestAnEndGivesBack(t *testing.T) {
 	log := standin.NewKeyed()
 	a, stop := runController(t, log, "a", 100_000)
@@ -244,7 +244,7 @@
 	}
 }
 
-// A quiet instance must not cost the log more than its heartbeat.
+// An idle instance must not write to the log more often than its heartbeat requires.
 func TestAnIdleInstanceWritesOnlyItsHeartbeat(t *testing.T) {
 	log := standin.NewKeyed()
 	a, _ := runController(t, log, "a", 100_000)
@@ -252,22 +252,22 @@
 	began, _ := log.Calls()
 	waitFor(t, "three heartbeats", func() bool { now, _ := log.Calls(); return now >= began+3 })
 	if now, _ := log.Calls(); now > began+4 {
-		t.Errorf("%d writes in the time of three heartbeats", now-began)
+		t.Errorf("%d writes in the time of three heartbeats, want at most 4", now-began)
 	}
 }
 
-// An instance that will end gives back what it does not use, and still serves: it
-// claims what a request needs.
+// An instance that has announced its end returns what it does not use. It still serves
+// requests and claims what they need.
 func TestALeavingInstanceHoldsNothingAndServes(t *testing.T) {
 	log := standin.NewKeyed()
 	a, _ := runController(t, log, "a", 100_000)
 	waitFor(t, "a claim", func() bool { return a.Accounts.Spendable(team, sinceOrigin()) > 1000 })
 	a.Leave()
-	waitFor(t, "all given back", func() bool { return a.Accounts.Balance(team, sinceOrigin()).Claimed == 0 })
+	waitFor(t, "all tokens returned", func() bool { return a.Accounts.Balance(team, sinceOrigin()).Claimed == 0 })
 	r, err := a.Reserve(t.Context(), team, 700)
 	if err != nil {
 		t.Fatal(err)
 	}
 	r.Settle(200)
-	waitFor(t, "the rest given back", func() bool { return a.Accounts.Balance(team, sinceOrigin()).Claimed == 200 })
+	waitFor(t, "unused tokens returned", func() bool { return a.Accounts.Balance(team, sinceOrigin()).Claimed == 200 })
 }
--- a/internal/prepaid/others.go
+++ b/internal/prepaid/others.go
@@ -7,7 +7,7 @@
 	"guavapier/internal/record"
 )
 
-// otherProcess is another process as its newest statement shows it.
+// otherProcess is another process as described by its newest record.
 type otherProcess struct {
 	ClaimRecord
 	claimsByTeam map[record.Team]BudgetClaim
@@ -22,25 +22,26 @@
 	return p
 }
 
-// claim returns the statement's claim of a budget; a zero one if it has none.
+// claim returns the process's claim on a team's budget; the zero value if it has none.
 func (p *otherProcess) claim(team record.Team) BudgetClaim { return p.claimsByTeam[team] }
 
-// recordSums are what the others' statements say of one budget in all. They are kept
-// between two records of the log: a flood of refused requests asks for them some
-// thousand times a second, and there are as many statements as instances.
+// recordSums are sums over the other processes' claims on one budget. They are cached until
+// the next record is applied: a flood of refused requests needs them some thousand times a
+// second, and computing them visits the record of each instance.
 type recordSums struct {
 	claimed int64
-	// permanentlySpent is what ended requests have used, and what processes that are
-	// certainly dead may have used.
+	// permanentlySpent is what settled requests used, plus the allotments of
+	// processes that are certainly dead and may have used them.
 	permanentlySpent int64
 }
 
-// permanentlySpent is what ended requests have used, as far as it is known, and all
-// that processes which are certainly dead may have used.
+// permanentlySpent returns how much of a budget is known to be spent by settled requests of
+// all processes, or allotted to processes that are certainly dead.
 func (a *Accounts) permanentlySpent(team record.Team) int64 {
 	return a.account(team).settled + a.sumsOf(team).permanentlySpent
 }
 
+// sumsOf returns the sums of a team's budget, from the cache if possible.
 func (a *Accounts) sumsOf(team record.Team) recordSums {
 	if known, ok := a.recordSums[team]; ok {
 		return known
@@ -59,21 +60,23 @@
 	return s
 }
 
+// claimedByOthers returns the sum of the other processes' published claims on a budget.
 func (a *Accounts) claimedByOthers(team record.Team) int64 {
 	return a.sumsOf(team).claimed
 }
 
-// fleetTotals is what the other processes say of all budgets, as one draft needs it.
+// fleetTotals are sums over the other processes' claims on all budgets, as needed to prepare
+// one record.
 type fleetTotals struct {
-	instances int // Those alive that claim for themselves or others, this one included.
+	instances int // Living claimants and allocators, this process included.
 	budgets   map[record.Team]*budgetTotals
 }
 
-// budgetTotals is what the others have of one budget: the living have used and lack so
-// much, at such a rate a second; the dead hold so much for good.
+// budgetTotals are sums over the other processes' claims on one budget. used, rate (tokens
+// per second) and shortfall cover living processes; lost is the allotment of dead ones.
 type budgetTotals struct{ used, rate, shortfall, lost int64 }
 
-// budget returns the others' share budget a budget.
+// budget returns the totals of a team's budget.
 func (t fleetTotals) budget(team record.Team) budgetTotals {
 	if s := t.budgets[team]; s != nil {
 		return *s
@@ -81,8 +84,8 @@
 	return budgetTotals{}
 }
 
-// fleetTotals adds the statements up, each row once: among 81 instances with 24
-// organisations a statement takes 0.13 ms to draft, with a sum for each budget 0.27.
+// fleetTotals sums up the records in one pass over all claims. With 81 instances and 24
+// organisations, preparing a record takes 0.13 ms; with one pass per budget it took 0.27 ms.
 func (a *Accounts) fleetTotals() fleetTotals {
 	t := fleetTotals{instances: 1, budgets: make(map[record.Team]*budgetTotals, len(a.prepaidTotals))}
 	for _, p := range a.others {
@@ -97,7 +100,7 @@
 	return t
 }
 
-// othersTotals is the others' share of one budget.
+// othersTotals returns the other processes' totals of a single budget.
 func (a *Accounts) othersTotals(team record.Team) budgetTotals {
 	t := fleetTotals{budgets: map[record.Team]*budgetTotals{}}
 	for _, p := range a.others {
@@ -108,6 +111,7 @@
 	return t.budget(team)
 }
 
+// add adds the claim of a living or dead process.
 func (t fleetTotals) add(claim *BudgetClaim, alive bool) {
 	s := t.budgets[claim.Team]
 	if s == nil {
@@ -123,8 +127,8 @@
 	s.shortfall += claim.Shortfall
 }
 
-// Instances returns how many processes are alive as far as their statements
-// show, this one included.
+// Instances returns the number of living processes according to their records, this one
+// included.
 func (a *Accounts) Instances() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -144,7 +148,7 @@
 	return n
 }
 
-// countClaimants is how many of the living processes claim tokens, this one included.
+// countClaimants returns the number of living processes that claim tokens, this one included.
 func (a *Accounts) countClaimants() int {
 	n := 1
 	for _, p := range a.others {
@@ -155,8 +159,8 @@
 	return n
 }
 
-// isAlive says whether the other process counts as running. It guides sizes
-// only: the claims of a dead one count like all others.
+// isAlive reports whether another process appears to be running. It only affects how much is
+// claimed: the claims of a dead process count like all others.
 func (a *Accounts) isAlive(p *otherProcess) bool {
 	if p.Closed || p.lastSeen < a.caughtUpAt-a.policy.LivenessTimeout || p.Node == a.self.Node {
 		return false
@@ -164,7 +168,7 @@
 	return !a.isReplaced(p)
 }
 
-// isReplaced says whether a later process of the same node has been heard.
+// isReplaced reports whether a later process of the same node is known.
 func (a *Accounts) isReplaced(p *otherProcess) bool {
 	if p.Node == a.self.Node && p.Started < a.self.Started {
 		return true
--- a/internal/prepaid/peers.go
+++ b/internal/prepaid/peers.go
@@ -14,86 +14,91 @@
 )
 
 const (
-	// callTimeout bounds one call to another instance: round trips take a few
-	// milliseconds, and a request waits for it.
+	// callTimeout limits one call to another instance. A request waits for the call, and
+	// a round trip takes a few milliseconds.
 	callTimeout = 120 * time.Millisecond
-	// maxPeersAsked is how many instances are asked for one request.
+	// maxPeersAsked is the maximum number of instances called for one request.
 	maxPeersAsked = 4
-	// requestFactor asks for more than one request needs, so that the next ones
-	// need not ask.
+	// requestFactor is the ratio of the tokens requested from another instance to those
+	// that the request needs, which spares the next requests a call.
 	requestFactor = 3
 )
 
-// ServiceName is under which Transfers is registered, see peer.Server.
+// ServiceName is the name under which Transfers is registered with a peer.Server.
 const ServiceName = "Transfers"
 
-// AskArgs asks for tokens of a budget.
+// AskArgs requests tokens of a budget.
 type AskArgs struct {
 	From   record.InstanceID
 	Team   record.Team
 	Tokens int64
 }
 
-// AskReply says what the answering process has given to the asking one in all.
+// AskReply returns the cumulative amount that the called process has transferred to the caller.
 type AskReply struct{ Total int64 }
 
-// HandArgs hands over what a process that ends has given in all, by budget.
+// HandArgs reports the cumulative amounts that a terminating process has transferred to the
+// called one, by team. Return uses it for a member's returns to an allocator.
 type HandArgs struct {
 	From   record.InstanceID
 	Totals map[record.Team]int64
 }
 
-// HandReply says what an allocator knows of the fleet.
+// HandReply returns what an allocator knows about the fleet.
 type HandReply struct{ Status FleetStatus }
 
-// DrawArgs asks an allocator for tokens of a budget.
+// DrawArgs requests a withdrawal of tokens from an allocator.
 type DrawArgs struct {
 	From record.InstanceID
 	Team record.Team
 	Need Need
 }
 
-// DrawReply says what the allocator has given to the asking process in all.
+// DrawReply is an allocator's reply to a member's withdrawal. Total is the cumulative amount
+// that the allocator has transferred to the member.
 type DrawReply struct {
 	Total int64
-	// None says that no more tokens can be found now.
+	// None states that no more tokens can be obtained at present.
 	None bool
-	// Lead is how much of its recent use the member may hold ahead.
+	// Lead is the headroom: the use, in time at the recent rate, for which the member
+	// may hold tokens.
 	Lead time.Duration
-	// Spent is what all have spent for good, as far as the allocator knows.
+	// Spent is how much of the budget is permanently spent by all processes, as far as
+	// the allocator knows.
 	Spent  int64
 	Status FleetStatus
 }
 
-// PredecessorsArgs asks for the statements of earlier processes of a host.
+// PredecessorsArgs requests the records of a node's processes that started before Started
+// (Unix milliseconds).
 type PredecessorsArgs struct {
 	Node    string
 	Started int64
 }
 
-// PredecessorsReply has them.
+// PredecessorsReply returns the requested records.
 type PredecessorsReply struct{ Statements []Predecessor }
 
-// Predecessor is a dead process's newest statement.
+// Predecessor is the newest record of a dead process and its key on the log.
 type Predecessor struct {
 	Key       record.InstanceID
 	Statement ClaimRecord
 }
 
-// Transfers is the service that other instances call.
+// Transfers is the RPC service through which processes transfer tokens to each other.
 type Transfers struct{ controller *Controller }
 
-// NewTransfers returns the service of a keeper.
+// NewTransfers returns the service of a controller.
 func NewTransfers(c *Controller) *Transfers { return &Transfers{controller: c} }
 
-// Ask gives tokens to the caller.
+// Ask transfers tokens to the calling process.
 func (t *Transfers) Ask(args AskArgs, reply *AskReply) error {
 	reply.Total = t.controller.Accounts.Transfer(args.From, args.Team, args.Tokens, t.controller.Clock())
 	return nil
 }
 
-// Draw gives tokens to a member of the zone. It fails where this instance is no
-// allocator.
+// Draw transfers tokens to a member of the zone. It returns an error if this instance is not
+// an allocator or is terminating.
 func (t *Transfers) Draw(args DrawArgs, reply *DrawReply) error {
 	c := t.controller
 	if !c.servesMembers() {
@@ -106,8 +111,10 @@
 	return nil
 }
 
-// Predecessors names a member's dead predecessors, whose tokens only it can give back.
-// It reads the log first: an older statement says less of what the dead may have used.
+// Predecessors returns the records of a member's dead predecessors, whose tokens only the
+// member can reclaim. It waits for a read of the log that started after the call, because an
+// outdated record understates what the dead process may have used. It returns an error if no
+// such read succeeds in time.
 func (t *Transfers) Predecessors(args PredecessorsArgs, reply *PredecessorsReply) error {
 	read := t.controller.awaitRead()
 	list, ok := t.controller.Accounts.Predecessors(args.Node, args.Started)
@@ -118,8 +125,8 @@
 	return nil
 }
 
-// Return takes back what a member of the zone doesn't need. What this instance can't
-// use, having become no allocator, it brings to its own.
+// Return accepts tokens that a member of the zone does not need. An instance that is no longer
+// an allocator accepts them too, returns an error, and returns them to its own allocator.
 func (t *Transfers) Return(args HandArgs, reply *HandReply) error {
 	c := t.controller
 	for team, total := range args.Totals {
@@ -132,7 +139,7 @@
 	return nil
 }
 
-// Hand takes tokens from a process that ends.
+// Hand accepts the tokens of a terminating process.
 func (t *Transfers) Hand(args HandArgs, _ *HandReply) error {
 	for team, total := range args.Totals {
 		t.controller.Accounts.Receive(args.From, team, total)
@@ -140,36 +147,38 @@
 	return nil
 }
 
-// Peers asks other instances for tokens. It is safe for concurrent use.
+// Peers requests tokens from other instances. It is safe for concurrent use.
 type Peers struct {
 	caller   peer.Caller
 	log      zerolog.Logger
 	inFlight singleflight.Group
 	mu       sync.Mutex
-	// lostReply are calls whose replies were lost: tokens may have been given.
+	// lostReply contains the calls whose replies were lost. The called process may have
+	// transferred tokens.
 	lostReply map[lostReply]bool
 }
 
+// lostReply identifies a call whose reply was lost.
 type lostReply struct {
 	peer record.InstanceID
 	team record.Team
 }
 
-// NewPeers returns Peers that call through caller.
+// NewPeers returns Peers that make their calls with caller.
 func NewPeers(caller peer.Caller, log zerolog.Logger) *Peers {
 	return &Peers{caller: caller, log: log, lostReply: map[lostReply]bool{}}
 }
 
-// RequestTokens looks for tokens of a budget at other instances. Requests of one budget
-// ask together.
+// RequestTokens requests tokens of a budget from other instances until enough are spendable.
+// Concurrent requests of one budget share the calls.
 func (p *Peers) RequestTokens(ctx context.Context, accounts *Accounts, team record.Team, tokens int64, now time.Duration) {
 	_, _, _ = p.inFlight.Do(string(team), func() (any, error) {
 		for i, source := range accounts.TransferSources(team) {
 			if i >= maxPeersAsked || ctx.Err() != nil {
 				break
 			}
-			// The call outlives the request that wants it: a reply that nobody reads
-			// would lose tokens.
+			// The call must outlive the request that caused it: tokens in an unread reply
+			// would be lost.
 			call := context.WithoutCancel(ctx)
 			if p.requestFrom(call, accounts, source.Key, team, requestFactor*tokens) && accounts.Spendable(team, now) >= tokens {
 				break
@@ -179,8 +188,8 @@
 	})
 }
 
-// requestFrom asks one instance and notes what it gave. A reply that is lost is asked
-// for again by Resolve.
+// requestFrom requests tokens from one instance, records what was transferred and reports
+// whether the call succeeded. ResolveLostReplies repeats a call whose reply was lost.
 func (p *Peers) requestFrom(ctx context.Context, accounts *Accounts, to record.InstanceID, team record.Team, tokens int64) bool {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -195,7 +204,8 @@
 	return true
 }
 
-// recordOutcome keeps or forgets a call for Resolve. One that was not sent changes nothing.
+// recordOutcome adds a call to those that ResolveLostReplies repeats, or removes it. A call
+// that was not sent counts as not lost, since it transferred nothing.
 func (p *Peers) recordOutcome(call lostReply, lost bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -206,9 +216,9 @@
 	}
 }
 
-// ResolveLostReplies asks again, for no more tokens, where a reply was lost, until ctx ends.
-// Instances that stay silent cost a call's whole time each, one after the other: an
-// instance that ends must not wait for them.
+// ResolveLostReplies repeats the calls whose replies were lost, requesting no more tokens,
+// until ctx ends. Each unresponsive instance takes the timeout of a call, one after the other,
+// and a terminating instance must not wait for them.
 func (p *Peers) ResolveLostReplies(ctx context.Context, accounts *Accounts) {
 	p.mu.Lock()
 	var calls []lostReply
@@ -224,14 +234,14 @@
 	}
 }
 
-// HandOver gives everything that is left to one other instance, and says whether
-// that one has it.
+// HandOver transfers all remaining tokens to one other instance and reports whether that one
+// has acknowledged them.
 func (p *Peers) HandOver(ctx context.Context, accounts *Accounts, now time.Duration) bool {
 	for i, target := range accounts.TransferTargets() {
 		if i >= maxPeersAsked || ctx.Err() != nil {
 			return false
 		}
-		// Asking for nothing shows an instance that can take over.
+		// A request for zero tokens finds out whether the instance can take over.
 		if !p.requestFrom(ctx, accounts, target.Key, "", 0) {
 			continue
 		}
--- a/internal/prepaid/play_test.go
+++ b/internal/prepaid/play_test.go
@@ -10,11 +10,11 @@
 	"guavapier/internal/record"
 )
 
-// fleetModel is a fleet with what has been done to it.
+// fleetModel is the simulated fleet of the model-based test, with the faults in effect.
 type fleetModel struct {
 	*simFleet
 	cutOff    map[*simHost]bool
-	clocksSet int // Machines whose clocks were set.
+	clocksSet int // Number of hosts whose wall clocks were set.
 }
 
 func (f *fleetModel) reserve(t *rapid.T) {
@@ -110,7 +110,7 @@
 }
 
 func (f *fleetModel) clockIsSet(t *rapid.T) {
-	// Fewer than half of the machines.
+	// Fewer than half of the hosts, so that the median stays correct.
 	if 2*(f.clocksSet+1) >= len(f.hosts) {
 		return
 	}
@@ -175,8 +175,8 @@
 	f.reloadLog(p)
 }
 
-// roleChanges has a process become a member of its zone, which does not read the log,
-// or a claimant or allocator again, which reads it anew.
+// roleChanges makes a process a member of its zone, which does not read the log, or a claimant
+// or allocator again, which reads it anew.
 func (f *fleetModel) roleChanges(t *rapid.T) {
 	p := f.pick(t)
 	if p == nil || f.cutOff[p.host] {
@@ -190,7 +190,7 @@
 	f.reloadLog(p)
 }
 
-// memberWithdraws has an allocator lend, and the member spare what it has too much.
+// memberWithdraws transfers tokens from an allocator to a member, and the member's excess back.
 func (f *fleetModel) memberWithdraws(t *rapid.T) {
 	from, to := f.pick(t), f.pick(t)
 	if from == nil || from == to || from.Role() != allocator.Allocator || to.Role() != allocator.Member {
@@ -211,9 +211,9 @@
 
 func (f *fleetModel) busySeconds(t *rapid.T) { f.runBusy(drawBusyArgs(t, f.cutOff)) }
 
-// TestNothingOverspends plays a fleet through lost answers, late writes, cuts of
-// any length, freezes, kills, power losses, clocks that are set, lost replies of
-// peers, and totals that rise and fall.
+// TestNothingOverspends runs random sequences of lost acknowledgements, late writes, partitions
+// of any length, kills, power losses, clock changes, lost replies of peers and changes of the
+// prepaid total. At no point may more tokens be used than were ever prepaid.
 func TestNothingOverspends(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		skews := rapid.SliceOfN(rapid.Int64Range(-3000, 3000), 1, 5).Draw(t, "skews")
--- a/internal/prepaid/pool.go
+++ b/internal/prepaid/pool.go
@@ -7,17 +7,19 @@
 	"guavapier/internal/record"
 )
 
-// memberView is what a member of a zone knows of its allocators, and by them of the fleet.
+// memberView is what a member of a zone knows of its allocators and, through them, of the
+// fleet.
 type memberView struct {
 	zoneAllocators []allocator.Announcement
-	fleetSize      int       // Alive; 0 until an allocator has said.
-	skew           clockSkew // Against the fleet's median.
+	fleetSize      int       // Living processes; 0 until an allocator has reported it.
+	skew           clockSkew // Own wall clock against the fleet's median.
 }
 
-// defaultFleetSize is the size that a member assumes until an allocator has said: its part
-// of what all share errs on the small side.
+// defaultFleetSize is the fleet size that a member assumes until an allocator reports it. It
+// is high so that the member underestimates its share.
 const defaultFleetSize = 500
 
+// size returns the number of living processes, or an assumption.
 func (v *memberView) size() int {
 	if v.fleetSize == 0 {
 		return defaultFleetSize
@@ -25,7 +27,7 @@
 	return v.fleetSize
 }
 
-// address returns where an allocator is reached.
+// address returns the address of one of the zone's allocators.
 func (v *memberView) address(id record.InstanceID) (string, bool) {
 	for _, candidate := range v.zoneAllocators {
 		if candidate.Key == id {
@@ -35,7 +37,7 @@
 	return "", false
 }
 
-// transferTargets are the allocators as processes that can take over what is left.
+// transferTargets returns the allocators as targets for tokens of a terminating member.
 func (v *memberView) transferTargets() []TransferPeer {
 	var list []TransferPeer
 	for _, candidate := range v.zoneAllocators {
@@ -45,21 +47,21 @@
 }
 
 const (
-	// maxHeadroom is the use, at the recent rate, that a member holds at most: most
-	// of its requests then need not ask.
+	// maxHeadroom is the maximum use, in time at the recent rate, for which a member
+	// holds tokens. It spares most requests a call to an allocator.
 	maxHeadroom = 2 * time.Second
-	// headroomShare is the part of what is left of a budget that all members together
-	// may hold: what they hold serves nobody else.
+	// headroomShare is the share of the remaining budget that all members together may
+	// hold: other instances cannot use these tokens.
 	headroomShare = 0.02
-	// extraShare is the part of an allocator's tokens at hand that one call may
-	// take beyond what requests wait for, so that near a budget's end tokens don't
-	// lie at members.
+	// extraShare is the share of an allocator's spendable tokens that one call may
+	// withdraw beyond the need of waiting requests. Near the end of a budget it keeps
+	// tokens from lying unused at members.
 	extraShare = 1.0 / 16
 )
 
-// SetRole tells the instance's part in its zone. A member does not read the log: it
-// forgets the others, but for dead processes of its own host, whose tokens it gives
-// back. Whoever is no member any more must read the log anew, beginning with Reload.
+// SetRole sets the instance's role in its zone. A member does not read the log: it forgets
+// all other processes except dead ones of its own host, whose tokens it reclaims. A process
+// that becomes a claimant or allocator must read the log anew, starting with ResetOthers.
 func (a *Accounts) SetRole(role allocator.Role) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -69,6 +71,7 @@
 	a.role = role
 }
 
+// forgetOtherHosts forgets the processes of other hosts and drops the pending record.
 func (a *Accounts) forgetOtherHosts() {
 	for key, p := range a.others {
 		if p.Node != a.self.Node {
@@ -76,40 +79,40 @@
 		}
 	}
 	clear(a.recordSums)
-	a.pending, a.caughtUpAt, a.caughtUp = nil, 0, false // As in Reload.
+	a.pending, a.caughtUpAt, a.caughtUp = nil, 0, false // As in ResetOthers.
 }
 
-// Role returns the instance's part in its zone.
+// Role returns the instance's role in its zone.
 func (a *Accounts) Role() allocator.Role {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.role
 }
 
-// NeedsAllocators says whether the fleet is large enough for allocators.
+// NeedsAllocators reports whether the fleet is large enough for allocators.
 func (a *Accounts) NeedsAllocators() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.instances() >= a.policy.AllocatorFleetSize
 }
 
-// SetAllocators takes the allocators of the zone.
+// SetAllocators sets the known allocators of the zone.
 func (a *Accounts) SetAllocators(list []allocator.Announcement) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.memberView.zoneAllocators = list
 }
 
-// FleetStatus is what an allocator tells members of the fleet.
+// FleetStatus is what an allocator reports to members about the fleet.
 type FleetStatus struct {
-	// Instances is how many processes are alive.
+	// Instances is the number of living processes.
 	Instances int
-	// Wall is the time of day by the fleet's median clock, in Unix milliseconds; 0
-	// for unknown.
+	// Wall is the time of day by the fleet's median clock in Unix milliseconds; 0 if
+	// unknown.
 	Wall int64
 }
 
-// Status returns what members are told.
+// Status returns the fleet status for members.
 func (a *Accounts) Status(now time.Duration) FleetStatus {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -120,8 +123,8 @@
 	return status
 }
 
-// ObserveStatus takes an allocator's word. It comes within the bound of one call, well
-// under skewMargin.
+// ObserveStatus updates the member's view from an allocator's report. The report's age is
+// limited by the timeout of one call, which is well below skewMargin.
 func (a *Accounts) ObserveStatus(s FleetStatus, now time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -133,26 +136,27 @@
 	a.memberView.skew = clockSkew{ms: a.clocks.Wall() - s.Wall, observedAt: now}
 }
 
-// Need is what a member draws for requests that wait.
+// Need states how many tokens a member wants to withdraw.
 type Need struct {
-	// Least is the smallest amount that serves one of them, All serves them all.
+	// Least is the smallest amount that serves a waiting request, All the amount that
+	// serves all of them.
 	Least, All int64
-	// Ahead is what it would like beyond that.
+	// Ahead is the amount wanted beyond All for future requests.
 	Ahead int64
 }
 
-// WithdrawalNeed returns what to draw for a request of so many tokens, the others that wait
-// included.
+// WithdrawalNeed returns the tokens to withdraw for a request, including the need of all other
+// waiting requests.
 func (a *Accounts) WithdrawalNeed(team record.Team, tokens int64, now time.Duration) Need {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	acct := a.account(team)
-	deficit := max(0, -acct.spendable(now)) // Nothing, unless a mark fell behind.
+	deficit := max(0, -acct.spendable(now)) // Zero, unless consumption exceeds the spending bound.
 	return Need{Least: tokens + deficit, All: max(tokens, acct.shortfall) + deficit, Ahead: int64(acct.rate.perSecond(now) * acct.headroom.Seconds())}
 }
 
-// TransferToMember hands tokens of the zone to a member and returns what that has been given in
-// all; ok is false if there are too few at hand.
+// TransferToMember transfers tokens to a member of the zone. It returns the cumulative amount
+// transferred to the member; ok is false if fewer than need.Least are spendable.
 func (a *Accounts) TransferToMember(to record.InstanceID, team record.Team, need Need, now time.Duration) (total int64, ok bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -170,7 +174,8 @@
 	return acct.transferredTo[to], true
 }
 
-// AcceptReturn takes back what a member has given in all: it was no use of the zone.
+// AcceptReturn records the cumulative amount that a member has returned and subtracts the
+// increase from the zone's rate of use.
 func (a *Accounts) AcceptReturn(from record.InstanceID, team record.Team, total int64, now time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -178,8 +183,9 @@
 	a.account(team).rate.add(-float64(more), now)
 }
 
-// TransferExcess gives the allocator what the member won't use soon. It returns what that has
-// been given in all, by budget: of those that changed, or all after a lost call.
+// TransferExcess transfers tokens that this member does not need soon to an allocator. It
+// returns the cumulative amounts by budget: those that changed, or all of them if the reply to
+// the previous call was lost.
 func (a *Accounts) TransferExcess(to record.InstanceID, all bool, now time.Duration) map[record.Team]int64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -197,14 +203,14 @@
 	return totals
 }
 
-// memberClaim is what a member states: what it claimed in another part and doesn't
-// need goes back to the log, what it drew goes back to allocators.
+// memberClaim returns a member's claim. Unneeded tokens that it claimed itself in another
+// role are returned to the log; those it withdrew are returned to allocators.
 func (a *Accounts) memberClaim(acct *account, now time.Duration) int64 {
 	excess := acct.unspent() - acct.retained(a.leaving, now)
 	return acct.claimed - max(0, min(excess, acct.claimed))
 }
 
-// retained is what a member does not return.
+// retained is how many tokens a member keeps.
 func (a *account) retained(leaving bool, now time.Duration) int64 {
 	if leaving {
 		return a.shortfall
@@ -212,8 +218,8 @@
 	return a.shortfall + int64(a.rate.perSecond(now)*a.headroom.Seconds())
 }
 
-// Headroom is how much of its recent use a member may hold of a budget: what is left of
-// it is to last.
+// Headroom returns the use, in time at the recent rate, for which each member may hold tokens
+// of a budget. It shrinks with the remaining budget.
 func (a *Accounts) Headroom(team record.Team, now time.Duration) time.Duration {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -227,15 +233,15 @@
 	return min(headroom, maxHeadroom)
 }
 
-// SetHeadroom takes an allocator's word.
+// SetHeadroom sets the headroom that an allocator reported.
 func (a *Accounts) SetHeadroom(team record.Team, headroom time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.account(team).headroom = headroom
 }
 
-// Predecessors returns the newest statements of a host's processes before the one that
-// started then; ok is false if the log has not been read.
+// Predecessors returns the newest records of a node's processes that started before the given
+// time (Unix milliseconds) and are not closed; ok is false if the log has not been read.
 func (a *Accounts) Predecessors(node string, started int64) (list []Predecessor, ok bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -247,15 +253,16 @@
 	return list, a.caughtUp
 }
 
-// PermanentlySpent is what an allocator knows to be spent for good of a budget, by all.
+// PermanentlySpent returns how much of a budget is permanently spent by all processes, as far
+// as this one knows.
 func (a *Accounts) PermanentlySpent(team record.Team) int64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.permanentlySpent(team)
 }
 
-// ExceedsTotal says whether a request does not fit into the budget any more, if so much of
-// it is spent.
+// ExceedsTotal reports whether a request exceeds the prepaid total if that many tokens are
+// spent already.
 func (a *Accounts) ExceedsTotal(team record.Team, spent, tokens int64) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/prepaid/pool_test.go
+++ b/internal/prepaid/pool_test.go
@@ -13,14 +13,14 @@
 	"guavapier/internal/standin"
 )
 
-// allocatorPolicy has allocators from three instances on.
+// allocatorPolicy returns a policy with allocators from three instances on.
 func allocatorPolicy() prepaid.Policy {
 	policy := prepaid.DefaultPolicy()
 	policy.AllocatorFleetSize = 3
 	return policy
 }
 
-// runZone starts so many keepers of one zone and waits until each has its part.
+// runZone starts controllers of one zone and waits until each has its role.
 func runZone(t *testing.T, log *standin.Keyed, instances int) (controllers []*prepaid.Controller, stops []func()) {
 	t.Helper()
 	for i := range instances {
@@ -31,8 +31,8 @@
 	return controllers, stops
 }
 
-// awaitRoles waits until a zone has its allocators and all others are members, and
-// returns which are which.
+// awaitRoles waits until the zone has its allocators and all others are members, and returns the
+// indexes of both.
 func awaitRoles(t *testing.T, controllers []*prepaid.Controller) (allocators, members []int) {
 	t.Helper()
 	waitFor(t, "two allocators, all others members", func() bool {
@@ -58,7 +58,7 @@
 	}
 }
 
-// What a member knows of the fleet comes from its allocators.
+// A member learns the size of the fleet from its allocators.
 func TestAMemberHearsOfTheFleet(t *testing.T) {
 	controllers, _ := runZone(t, standin.NewKeyed(), 5)
 	for _, c := range controllers {
@@ -87,15 +87,14 @@
 	}
 }
 
-// A member refuses for good only what does not fit into the budget any more, and
-// does so without a wait.
+// A member reports ErrExhausted only for requests that no longer fit into the budget.
 func TestAMemberKnowsTheEndOfABudget(t *testing.T) {
 	controllers, _ := runZone(t, standin.NewKeyed(), 4)
 	if sum := spendAll(t, 900, controllers...); sum > 100_000 {
 		t.Fatalf("spent %d of 100000", sum)
 	}
 	for _, c := range controllers {
-		waitFor(t, "exhausted", func() bool {
+		waitFor(t, "ErrExhausted", func() bool {
 			_, err := c.Reserve(t.Context(), team, 5000)
 			return errors.Is(err, prepaid.ErrExhausted)
 		})
@@ -109,7 +108,7 @@
 		if c.Accounts.Role() != allocator.Member {
 			continue
 		}
-		// The allocators may have claimed nothing yet.
+		// The allocators may not have claimed any tokens yet.
 		waitFor(t, "tokens", func() bool {
 			r, err := c.Reserve(t.Context(), team, 3000)
 			if err == nil {
@@ -122,7 +121,7 @@
 		c.Close(ctx)
 		cancel()
 		if left := c.Accounts.Spendable(team, sinceOrigin()); left > 0 {
-			t.Errorf("%s ended with %d tokens at hand", fmt.Sprint("k", i), left)
+			t.Errorf("%s ended with %d spendable tokens, want none", fmt.Sprint("k", i), left)
 		}
 	}
 }
--- a/internal/prepaid/predecessors.go
+++ b/internal/prepaid/predecessors.go
@@ -10,18 +10,18 @@
 )
 
 const (
-	// freshReadTimeout bounds the wait for a read of the log that begins now: the one under
-	// way may last followWait.
+	// freshReadTimeout limits the wait for a read of the log that starts from now on. A
+	// read in progress may last maxReadWait.
 	freshReadTimeout = maxReadWait + readInterval
-	// readPollInterval is the pause between two looks whether it has ended.
+	// readPollInterval is the interval between two checks whether the read has ended.
 	readPollInterval = 20 * time.Millisecond
-	// predecessorsInterval is the pause between two calls for the statements of dead
+	// predecessorsInterval is the pause between two requests for the records of dead
 	// processes of this host.
 	predecessorsInterval = time.Second
 )
 
-// findPredecessors asks the zone's allocators for the statements of dead processes of
-// this host, until it knows them or has read the log itself, or ctx ends.
+// findPredecessors requests the records of dead processes of this host from the zone's
+// allocators, until it has them, this process has read the log itself, or ctx ends.
 func (c *Controller) findPredecessors(ctx context.Context) {
 	for ctx.Err() == nil && c.lastReadAt.Load() == 0 {
 		logstore.Pause(ctx, predecessorsInterval, nil)
@@ -35,6 +35,8 @@
 	}
 }
 
+// requestPredecessors applies the records returned by one allocator and reports whether the call
+// succeeded.
 func (c *Controller) requestPredecessors(ctx context.Context, to record.InstanceID) bool {
 	ctx, cancel := context.WithTimeout(ctx, freshReadTimeout+callTimeout)
 	defer cancel()
@@ -42,7 +44,7 @@
 	var reply PredecessorsReply
 	err := c.Peers.caller.Call(ctx, to, ServiceName+".Predecessors", PredecessorsArgs{Node: self.Node, Started: self.Started}, &reply)
 	if err != nil {
-		c.Logger.Debug().Err(err).Str("allocator", string(to)).Msg("prepaid: earlier processes of this host not known yet")
+		c.Logger.Debug().Err(err).Str("allocator", string(to)).Msg("prepaid: records of earlier processes of this host not received")
 		return false
 	}
 	for _, dead := range reply.Statements {
@@ -51,7 +53,8 @@
 	return true
 }
 
-// awaitRead waits until a read of the log has succeeded that began after the call.
+// awaitRead waits for a successful read of the log that started after the call. It reports
+// whether there was one within freshReadTimeout.
 func (c *Controller) awaitRead() bool {
 	startedAt := c.Clock()
 	logstore.Kick(c.triggerRead)
--- a/internal/prepaid/predecessors_test.go
+++ b/internal/prepaid/predecessors_test.go
@@ -16,7 +16,7 @@
 	"guavapier/internal/standin"
 )
 
-// cuttableLog is a log that can be cut off for one instance.
+// cuttableLog is a log that one instance can be cut off from.
 type cuttableLog struct {
 	logstore.Keyed
 	cutOff atomic.Bool
@@ -39,10 +39,10 @@
 	return l.Keyed.Newest(ctx, topic)
 }
 
-// What a budget showed: more spent than prepaid. Order of events: an allocator is cut
-// from the log; an instance goes on stating higher marks and is restarted; its successor
-// asks that allocator what it had stated, and gives back what an old statement calls
-// unused. An allocator may answer by what it has read since it was asked only.
+// Guards against overspending through an outdated predecessor record: an allocator is cut off
+// from the log, an instance publishes higher bounds and restarts, and its successor asks that
+// allocator for its last record and reclaims what the outdated one shows as unused. An allocator
+// may therefore only answer from a read of the log that started after the request.
 func TestAnAllocatorCutFromTheLogNamesNoPredecessors(t *testing.T) {
 	const instances = 5
 	log := standin.NewKeyed()
@@ -63,10 +63,10 @@
 		var reply prepaid.PredecessorsReply
 		before := newestSequence(t, log, fmt.Sprint("k", other))
 		if err := transfers.Predecessors(args, &reply); err != nil || len(reply.Statements) != 1 {
-			t.Fatalf("%d statements, %v", len(reply.Statements), err)
+			t.Fatalf("%d records, error %v; want one record", len(reply.Statements), err)
 		}
 		if got := reply.Statements[0].Statement.Sequence; got < before {
-			t.Errorf("statement %d named, the log has %d", got, before)
+			t.Errorf("record %d returned, the log had %d before", got, before)
 		}
 	}
 	sendAtInterval(t, controllers[other], 300, time.Second)
@@ -75,14 +75,14 @@
 	sendAtInterval(t, controllers[other], 300, time.Second)
 	var reply prepaid.PredecessorsReply
 	if err := transfers.Predecessors(args, &reply); err == nil {
-		t.Errorf("named %+v while cut from the log", reply.Statements)
+		t.Errorf("returned %+v while cut off from the log, want an error", reply.Statements)
 	}
 	links[queried].cutOff.Store(false)
 	waitFor(t, "the log read again", func() bool { return transfers.Predecessors(args, &reply) == nil })
 	checkNewest()
 }
 
-// newestSequence returns the sequence of a process's newest statement on the log.
+// newestSequence returns the sequence number of a process's newest record on the log.
 func newestSequence(t *testing.T, log *standin.Keyed, key string) uint64 {
 	t.Helper()
 	page, err := log.Newest(t.Context(), logstore.TopicBudgets)
@@ -102,7 +102,8 @@
 	return newest
 }
 
-// sendAtInterval sends requests of so many tokens at a steady pace and counts those that get them.
+// sendAtInterval sends requests every 20 ms and returns how many obtained their tokens and how
+// many were sent.
 func sendAtInterval(t *testing.T, c *prepaid.Controller, size int64, duration time.Duration) (served, sent int) {
 	t.Helper()
 	const every = 20 * time.Millisecond
--- a/internal/prepaid/rate.go
+++ b/internal/prepaid/rate.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// decayingRate is a decaying decayingRate of tokens a second.
+// decayingRate is an exponentially decaying average of tokens per second.
 type decayingRate struct {
 	sum       float64
 	updatedAt time.Duration
-	startedAt time.Duration // When the first tokens were counted; 0 for never.
+	startedAt time.Duration // When the first tokens were counted; 0 if none were.
 }
 
-// rateHalfLife follows a burst within seconds.
+// rateHalfLife is short enough for the rate to follow a burst within seconds.
 const rateHalfLife = 4 * time.Second
 
 func (r *decayingRate) decay(now time.Duration) {
@@ -33,12 +33,12 @@
 	return max(0, r.sum) * math.Ln2 / rateHalfLife.Seconds()
 }
 
-// steadyPerSecond is the rate of a flow that began a short time ago and goes on: what was not
-// counted yet does not make it smaller.
+// steadyPerSecond returns the rate under the assumption that the flow began at startedAt and
+// is constant: it compensates for the time before, which perSecond counts as idle.
 func (r *decayingRate) steadyPerSecond(now time.Duration) float64 {
 	counted := max(minCountedTime, now-r.startedAt)
 	return r.perSecond(now) / (1 - math.Exp2(-float64(counted)/float64(rateHalfLife)))
 }
 
-// minCountedTime bounds what a flow's first tokens tell.
+// minCountedTime limits the compensation in steadyPerSecond for a flow that has just begun.
 const minCountedTime = time.Second
--- a/internal/prepaid/reclaim.go
+++ b/internal/prepaid/reclaim.go
@@ -6,22 +6,22 @@
 	"guavapier/internal/record"
 )
 
-// Reclaim is a dead process's last word, written by its successor.
+// Reclaim is the final record of a dead process, which its successor writes in its place.
 type Reclaim struct {
 	Key       record.InstanceID
 	Statement ClaimRecord
-	// Tokens is how much of all budgets goes back.
+	// Tokens is the number of tokens of all budgets that the record returns.
 	Tokens int64
-	// Age is the time from the dead process's last touch to this one's start.
+	// Age is the maximum time from the dead process's last renewal to the start of this one.
 	Age time.Duration
 }
 
-// Reclaims returns the final statements of earlier processes of this host: they
-// used no more than their allowances at the time that they had at most, the rest
-// goes back. Those of which that time can't be told keep their claims for good.
+// Reclaims returns the final records of earlier processes of this host. Each has used at most
+// its spending bound at its maximum age and returns the rest. Processes whose age cannot be
+// determined keep their claims permanently.
 //
-// A write of the dead process that arrives after this one only claims more,
-// which wastes tokens and overspends none: it never took effect for the dead.
+// A delayed write of the dead process may replace its final record. It raises the claim again,
+// which wastes tokens but cannot cause overspending, since the dead process never used it.
 func (a *Accounts) Reclaims(now time.Duration) []Reclaim {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -42,8 +42,8 @@
 	return list
 }
 
-// finalRecord returns the statement that leaves the process what it may have used or
-// given, if it lived so long after Touched at most.
+// finalRecord returns the record that leaves the process what it may have used or transferred
+// if its last renewal was at most age before its end.
 func (p *otherProcess) finalRecord(age time.Duration) ClaimRecord {
 	rec := p.ClaimRecord
 	rec.Closed = true
@@ -56,6 +56,7 @@
 	return rec
 }
 
+// reclaimedTokens returns how many tokens the final record returns in comparison with the last one.
 func reclaimedTokens(was, final ClaimRecord) int64 {
 	sum := int64(0)
 	for i, claim := range was.Claims {
--- a/internal/prepaid/reclaim_test.go
+++ b/internal/prepaid/reclaim_test.go
@@ -9,7 +9,7 @@
 	"guavapier/internal/record"
 )
 
-// newSteadyFleet is a fleet of so many machines that has worked for some seconds.
+// newSteadyFleet returns a fleet that has served requests for some seconds.
 func newSteadyFleet(t *testing.T, hosts int) *simFleet {
 	t.Helper()
 	f := newSimFleet(t, make([]int64, hosts)...)
@@ -17,7 +17,7 @@
 	return f
 }
 
-// powerCycle takes power from all machines for so long and starts them again.
+// powerCycle cuts the power of all hosts for a time and starts a new process on each.
 func (f *simFleet) powerCycle(down time.Duration) {
 	for i, host := range f.hosts {
 		if p := f.livingOn(host); p != nil {
@@ -32,8 +32,8 @@
 	}
 }
 
-// reclaimableTokens is what the living processes give back for their predecessors,
-// after they have heard each other's clocks.
+// reclaimableTokens returns how many tokens the living processes would reclaim from their
+// predecessors after they have observed each other's clocks.
 func (f *simFleet) reclaimableTokens() (tokens int64) {
 	f.exchangeRecords()
 	for _, p := range f.processes {
@@ -47,7 +47,7 @@
 	return tokens
 }
 
-// exchangeRecords lets the living processes write and read without reclaiming.
+// exchangeRecords lets the living processes write and read records without reclaiming.
 func (f *simFleet) exchangeRecords() {
 	for range 3 {
 		f.now += 400 * time.Millisecond
@@ -60,8 +60,8 @@
 	}
 }
 
-// Without what goes back, the loss of all machines strands what all of them
-// held: 20 % and more of each budget.
+// Without reclaiming, a power loss of all hosts loses all held tokens: 20 % and more of each
+// budget.
 func TestPowerLossOfAllGivesBackWhatWasHeld(t *testing.T) {
 	f := newSteadyFleet(t, 4)
 	var held int64
@@ -71,18 +71,18 @@
 		}
 	}
 	f.powerCycle(1300 * time.Millisecond)
-	// Marks run ahead by 0.19 of what was left when they were drafted, 0.2 s
-	// before: at most 0.25 of what is left now.
+	// Bounds run ahead by 0.19 of what remained when they were prepared, 0.2 s earlier:
+	// at most 0.25 of what remains now.
 	left := f.prepaidTotal - f.totalUsed()
 	if got := f.reclaimableTokens(); held-got > left/4 {
-		t.Errorf("gave back %d of %d held, with %d left", got, held, left)
+		t.Errorf("reclaimed %d of %d held tokens with %d remaining; want all but a quarter of the remainder", got, held, left)
 	}
 	f.runBusy(500, 400, nil)
 }
 
-// Processes that live on behind a cut for so long, use all that they may and then
-// lose their power together: what goes back leaves each of them at least what it
-// has used, and nothing once they may have used all that they held.
+// All processes are cut off for some time, use all that they may, and then lose power together.
+// Reclaiming must leave each at least what it has used, and reclaim nothing once a process may
+// have used all that it held.
 func TestNothingGoesBackThatMayHaveBeenUsed(t *testing.T) {
 	const round, down = 150 * time.Millisecond, 300 * time.Millisecond
 	for _, rounds := range []int{0, 1, 3, 6, 10, 14, 20, 21, 28, 40, 80, 199, 220} {
@@ -101,23 +101,23 @@
 			for _, r := range p.Reclaims(f.now) {
 				claim := r.Statement.Claims[0]
 				if kept := claim.Claimed + claim.Received - claim.Transferred; kept < used[r.Key] {
-					t.Errorf("after %s behind a cut %s keeps %d of %d used", time.Duration(rounds)*round, r.Key, kept, used[r.Key])
+					t.Errorf("after a partition of %s, %s keeps %d tokens and has used %d", time.Duration(rounds)*round, r.Key, kept, used[r.Key])
 				}
 				if rounds == 220 {
-					t.Errorf("gave back %d tokens of a process that may have used all", r.Tokens)
+					t.Errorf("reclaimed %d tokens of a process that may have used all", r.Tokens)
 				}
 			}
 		}
 		f.runBusy(500, 400, nil)
 		if f.totalUsed() < f.prepaidTotal*9/10 {
-			t.Errorf("after %s behind a cut %d of %d were used in the end: the fleet did not look for the rest", time.Duration(rounds)*round, f.totalUsed(), f.prepaidTotal)
+			t.Errorf("after a partition of %s only %d of %d tokens were used in the end, want nine tenths", time.Duration(rounds)*round, f.totalUsed(), f.prepaidTotal)
 		}
 	}
 }
 
-// checkReclaimedAge takes power from all machines 0.3 s after the machine's process has
-// been out of touch for so long, and checks that its successor does not take it
-// for younger.
+// checkReclaimedAge power-cycles all hosts for 0.3 s after the process on one of them was not
+// renewed for a time, and checks that its successor does not underestimate the age of the last
+// renewal.
 func (f *simFleet) checkReclaimedAge(host *simHost, unrenewedFor time.Duration) {
 	f.t.Helper()
 	const down = 300 * time.Millisecond
@@ -128,12 +128,12 @@
 	for _, r := range f.livingOn(host).Reclaims(f.now) {
 		claim := r.Statement.Claims[0]
 		if kept := claim.Claimed + claim.Received - claim.Transferred; r.Age < unrenewedFor+down || kept < used {
-			f.t.Fatalf("taken for %s old, left with %d of %d used", r.Age, kept, used)
+			f.t.Fatalf("age taken as %s, %d tokens kept of %d used", r.Age, kept, used)
 		}
 	}
 }
 
-// A clock that is set back across the loss makes a long loss look short.
+// A wall clock that is set back during a power loss makes a long loss look short.
 func TestAClockSetBackDoesNotMakeAProcessYoung(t *testing.T) {
 	f := newSteadyFleet(t, 5)
 	host := f.hosts[0]
@@ -144,8 +144,8 @@
 	f.runBusy(500, 400, nil)
 }
 
-// A clock that is set ahead while its process is in touch, and back again during
-// the loss, does the same.
+// A wall clock that is set ahead while its process reaches the log, and back again during the
+// power loss, makes the loss look short as well.
 func TestAClockSetAheadAndBackDoesNotMakeAProcessYoung(t *testing.T) {
 	f := newSteadyFleet(t, 5)
 	one := f.hosts[0]
@@ -157,41 +157,42 @@
 	f.checkReclaimedAge(one, 24*150*time.Millisecond)
 }
 
-// One machine alone can't check its clock, so nothing goes back.
+// A single host cannot check its wall clock against others, so nothing is reclaimed after a
+// power loss.
 func TestOneMachineTrustsNoClockAcrossAPowerLoss(t *testing.T) {
 	f := newSteadyFleet(t, 1)
 	f.powerCycle(time.Second)
 	if got := f.reclaimableTokens(); got != 0 {
-		t.Errorf("gave back %d tokens on the word of one clock", got)
+		t.Errorf("reclaimed %d tokens on the basis of one clock, want 0", got)
 	}
 }
 
-// A process that is killed alone comes back under the same boot.
+// After a kill without a reboot, the boot clock alone suffices for reclaiming.
 func TestAKilledProcessGivesBackByTheBootClock(t *testing.T) {
 	f := newSteadyFleet(t, 1)
 	f.kill(f.processes[0])
 	f.now += 500 * time.Millisecond
 	f.start(f.hosts[0])
 	if got := f.reclaimableTokens(); got == 0 {
-		t.Error("gave nothing back")
+		t.Error("reclaimed nothing")
 	}
 	f.runBusy(500, 400, nil)
 }
 
-// What a dead process holds may have been used, and nobody will free it: a
-// request that would need it is refused for good, not asked to come back.
+// What a dead process holds may have been used, and nobody can reclaim it any more. A request
+// that would need it is refused as exhausted rather than told to retry.
 func TestWhatADeadProcessHoldsIsSpent(t *testing.T) {
 	f := newSteadyFleet(t, 2)
 	f.runBusy(2000, 30, nil)
 	dead := f.processes[0]
 	f.kill(dead)
-	f.now += time.Minute // Too long to tell what it used.
+	f.now += time.Minute // Too long to determine what it used.
 	f.start(dead.host)
 	f.exchangeRecords()
 	live := f.processes[1]
-	// It would fit into what ended requests have left.
+	// Fits into what settled requests have left.
 	fits := f.prepaidTotal - live.settled - dead.settled - 1
 	if err := live.Reserve(team, fits, f.now); !errors.Is(err, prepaid.ErrExhausted) {
-		t.Errorf("got %v, want %v", err, prepaid.ErrExhausted)
+		t.Errorf("got error %v, want %v", err, prepaid.ErrExhausted)
 	}
 }
--- a/internal/prepaid/restart_test.go
+++ b/internal/prepaid/restart_test.go
@@ -14,9 +14,9 @@
 	"guavapier/internal/standin"
 )
 
-// TestAfterALossOfAllFewReadTheLog has all instances of a zone killed and started again
-// under new identities. Their members must get tokens without a look at the log, which
-// hundreds would keep from each other, and give back what their predecessors held.
+// TestAfterALossOfAllFewReadTheLog kills all instances of a zone and restarts them under new
+// identities. Members must obtain tokens without reading the log, because hundreds of readers
+// would delay each other, and must reclaim what their predecessors held.
 func TestAfterALossOfAllFewReadTheLog(t *testing.T) {
 	const instances = 12
 	log := standin.NewKeyed()
@@ -30,7 +30,7 @@
 			return err == nil
 		})
 	}
-	waitFor(t, "statements of all", func() bool { return publishedUse(t, log) >= instances*300 })
+	waitFor(t, "records of all instances", func() bool { return publishedUse(t, log) >= instances*300 })
 	for _, stop := range stops {
 		stop()
 	}
@@ -50,7 +50,7 @@
 		})
 	}
 	if reads := log.NewestReads(logstore.TopicBudgets) - before; reads > 2*allocator.SlotsPerZone {
-		t.Errorf("the log was read whole %d times by %d instances", reads, instances)
+		t.Errorf("the newest records were read %d times by %d instances", reads, instances)
 	}
 	waitFor(t, "members that know their predecessors", func() bool {
 		reclaiming := 0
@@ -63,7 +63,7 @@
 	})
 }
 
-// publishedUse is what all statements on the log say is used.
+// publishedUse returns the sum of used tokens in all records on the log.
 func publishedUse(t *testing.T, log *standin.Keyed) (sum int64) {
 	t.Helper()
 	page, err := log.Newest(t.Context(), logstore.TopicBudgets)
@@ -85,6 +85,6 @@
 // restartController starts a later process of a host.
 func restartController(t *testing.T, log *standin.Keyed, node string) (*prepaid.Controller, func()) {
 	t.Helper()
-	time.Sleep(2 * time.Millisecond) // Starts are told apart by the millisecond.
+	time.Sleep(2 * time.Millisecond) // Start times have a resolution of one millisecond.
 	return runControllerOnHost(t, log, record.InstanceID(node+".again"), node, 100_000, allocatorPolicy())
 }
--- a/internal/prepaid/roles.go
+++ b/internal/prepaid/roles.go
@@ -15,38 +15,39 @@
 )
 
 const (
-	// roleCheckInterval is how often the instance's part in its zone is looked at.
+	// roleCheckInterval is how often the instance's role in its zone is re-evaluated.
 	roleCheckInterval = 100 * time.Millisecond
-	// maxAnnouncementsWait is the longest wait of one read of the announcements. They
-	// change seldom, and an instance that is cut from them goes on.
+	// maxAnnouncementsWait is the maximum time that the log holds a read of the
+	// announcements open. They change rarely, and an instance cut off from them
+	// continues with those it knows.
 	maxAnnouncementsWait = 10 * time.Second
-	// probeInterval is the pause between two calls to allocators that were not reached.
+	// probeInterval is the pause between two calls to unreachable allocators.
 	probeInterval = 500 * time.Millisecond
 	// returnInterval is the pause between two returns to an allocator. Tokens that a
-	// member doesn't need are lost if it is killed, and are missed by others.
+	// member holds without need are unavailable to others, and lost if it is killed.
 	returnInterval = time.Second
-	// withdrawTimeout bounds one call for tokens: what an allocator does for them takes
-	// lendWithin and askWithin.
+	// withdrawTimeout limits one withdrawal. The allocator may spend memberClaimTimeout
+	// and memberRequestTimeout on it.
 	withdrawTimeout = 300 * time.Millisecond
-	// memberClaimTimeout is how long an allocator waits for a claim before it answers.
+	// memberClaimTimeout is how long an allocator waits for a claim during a withdrawal.
 	memberClaimTimeout = claimTimeout
-	// memberRequestTimeout is how long it asks other allocators then.
+	// memberRequestTimeout is how long it then requests tokens from other processes.
 	memberRequestTimeout = 100 * time.Millisecond
-	// slotReadTimeout bounds the look at the slots before one is taken. A link on which that
-	// takes longer is full: the allocators that seem gone may be out of reach from here
-	// only, and this instance would serve the zone no better.
+	// slotReadTimeout limits the read of the slots before one is taken. If the read takes
+	// longer, the link of this instance is saturated: the allocators may be unreachable
+	// only from here, and this instance would serve the zone no better.
 	slotReadTimeout = 250 * time.Millisecond
-	// withdrawRetryInterval is the pause before a request asks again.
+	// withdrawRetryInterval is the pause before a request repeats a withdrawal.
 	withdrawRetryInterval = 30 * time.Millisecond
 )
 
-// errNotAllocator says that the called instance is no allocator (any more).
+// errNotAllocator reports that the called instance does not serve members as an allocator.
 var errNotAllocator = eris.New("prepaid: not an allocator")
 
-// errLogNotRead says that the called instance has not read the log yet.
+// errLogNotRead reports that the called instance has no recent read of the log.
 var errLogNotRead = eris.New("prepaid: log not read yet")
 
-// followAllocators keeps the zone's allocators current until ctx ends.
+// followAllocators keeps the directory of the zone's allocators up to date until ctx ends.
 func (c *Controller) followAllocators(ctx context.Context) {
 	unavailable := false
 	follower := &logstore.Follower{
@@ -60,14 +61,14 @@
 		},
 		Record: func(r logstore.KeyedRecord) {
 			if err := c.Directory.Observe(r.Key, r.Value, c.Clock()); err != nil {
-				c.Logger.Error().Err(err).Msg("prepaid: unreadable announcement passed over")
+				c.Logger.Error().Err(err).Msg("prepaid: undecodable announcement skipped")
 			}
 		},
 	}
 	follower.Run(ctx)
 }
 
-// maintainRole takes up the instance's part in its zone, and reads the log unless it is a
+// maintainRole keeps the instance's role up to date, and reads the log while it is not a
 // member, until ctx ends.
 func (c *Controller) maintainRole(ctx context.Context) {
 	for !c.Directory.IsLoaded() && ctx.Err() == nil {
@@ -94,7 +95,8 @@
 	stop()
 }
 
-// switchRole takes up a part. stop ends the reading of the log, if it goes on.
+// switchRole assumes a role. stop ends the reading of the log; switchRole returns the function
+// that does so from now on.
 func (c *Controller) switchRole(ctx context.Context, role allocator.Role, stop func()) func() {
 	if role == allocator.Member {
 		stop()
@@ -109,8 +111,8 @@
 	return c.startReading(ctx)
 }
 
-// startReading reads the log from its newest records on until the returned function
-// is called.
+// startReading reads the log, starting with its newest records, until the returned function is
+// called.
 func (c *Controller) startReading(ctx context.Context) func() {
 	ctx, cancel := context.WithCancel(ctx)
 	ended := make(chan struct{})
@@ -124,7 +126,8 @@
 	}
 }
 
-// takeSlot takes a slot of the zone, if it is still free and the log answers at once.
+// takeSlot announces this instance as an allocator if the slot is still free and the log
+// answers within slotReadTimeout.
 func (c *Controller) takeSlot(ctx context.Context, slot int) {
 	if err := c.readSlots(ctx); err != nil {
 		c.Logger.Info().Err(err).Int("slot", slot).Msg("prepaid: slot left to others, the log does not answer at once")
@@ -135,10 +138,10 @@
 	}
 	value, err := c.Directory.EncodeAnnouncement()
 	if err != nil {
-		c.Logger.Error().Err(err).Msg("prepaid: announcement not written")
+		c.Logger.Error().Err(err).Msg("prepaid: announcement not encoded")
 		return
 	}
-	// An epoch of its own needs no count of what the log has taken.
+	// A new epoch for each announcement needs no sequence numbers.
 	c.announcementEpoch++
 	w := logstore.Write{Writer: string(c.Accounts.self.Key), Epoch: c.announcementEpoch}
 	records := []logstore.KeyedRecord{{Key: allocator.SlotKey(c.Accounts.self.Zone, slot), Value: value}}
@@ -146,7 +149,7 @@
 	c.Logger.Info().AnErr("error", err).Int("slot", slot).Msg("prepaid: allocator of the zone announced")
 }
 
-// readSlots hears the announcements that are on the log now.
+// readSlots applies the announcements that are on the log now.
 func (c *Controller) readSlots(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, slotReadTimeout)
 	defer cancel()
@@ -162,8 +165,8 @@
 	return nil
 }
 
-// returnExcess brings the zone's allocator what this member doesn't need, and hears of the
-// fleet, until ctx ends.
+// returnExcess returns tokens that this member does not need to an allocator of the zone, and
+// updates the fleet status, until ctx ends.
 func (c *Controller) returnExcess(ctx context.Context) {
 	replyLost := map[record.InstanceID]bool{}
 	for ctx.Err() == nil {
@@ -177,7 +180,7 @@
 	}
 }
 
-// probeAllocators calls allocators that have not answered, until ctx ends.
+// probeAllocators calls allocators that are not reachable, until ctx ends.
 func (c *Controller) probeAllocators(ctx context.Context) {
 	for ctx.Err() == nil {
 		logstore.Pause(ctx, probeInterval, nil)
@@ -190,7 +193,8 @@
 	}
 }
 
-// callReturn tells an allocator what it has been given, and hears of the fleet.
+// callReturn reports the cumulative amounts returned to an allocator, updates the fleet status
+// from the reply and reports whether the call succeeded.
 func (c *Controller) callReturn(ctx context.Context, to record.InstanceID, totals map[record.Team]int64) bool {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), callTimeout)
 	defer cancel()
@@ -200,7 +204,7 @@
 	return err == nil
 }
 
-// recordCall notes how a call to an allocator went.
+// recordCall records the outcome of a call to an allocator.
 func (c *Controller) recordCall(to record.InstanceID, err error, status FleetStatus) {
 	if err == nil {
 		c.Directory.MarkReachable(to)
@@ -215,7 +219,7 @@
 	c.Logger.Warn().Err(err).Str("allocator", string(to)).Bool("gone", retired).Msg("prepaid: allocator not reached")
 }
 
-// withdraw gets tokens from the zone's allocators for a request that waits.
+// withdraw obtains tokens from the zone's allocators for a waiting request.
 func (c *Controller) withdraw(ctx context.Context, team record.Team, tokens int64) error {
 	c.Accounts.AddShortfall(team, tokens)
 	defer c.Accounts.AddShortfall(team, -tokens)
@@ -235,7 +239,7 @@
 	}
 }
 
-// withdrawOnce asks once; requests of one budget ask together.
+// withdrawOnce makes one withdrawal; concurrent requests of one budget share it.
 func (c *Controller) withdrawOnce(ctx context.Context, team record.Team, tokens int64) DrawReply {
 	shared, _, _ := c.Peers.inFlight.Do("draw/"+string(team), func() (any, error) {
 		need := c.Accounts.WithdrawalNeed(team, tokens, c.Clock())
@@ -250,8 +254,8 @@
 	return reply
 }
 
-// withdrawFrom asks one allocator. The call outlives the request that wants it, and a
-// reply that is lost is asked for again by Resolve.
+// withdrawFrom withdraws tokens from one allocator. The call outlives the request that caused
+// it, and ResolveLostReplies makes up for a lost reply.
 func (c *Controller) withdrawFrom(ctx context.Context, to record.InstanceID, team record.Team, need Need) (DrawReply, bool) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), withdrawTimeout)
 	defer cancel()
@@ -267,14 +271,14 @@
 	return reply, true
 }
 
-// servesMembers says whether members of the zone can draw here. An instance that ends
-// sends them to another one.
+// servesMembers reports whether members of the zone can withdraw tokens here. A terminating
+// allocator refers them to another one.
 func (c *Controller) servesMembers() bool {
 	return c.Accounts.Role() == allocator.Allocator && !c.leaving.Load()
 }
 
-// serveWithdrawal serves a member's call for tokens: from what is at hand, or what a claim or
-// another allocator brings within a moment.
+// serveWithdrawal serves a member's withdrawal from spendable tokens, or from what a claim or
+// another process provides within a short time.
 func (c *Controller) serveWithdrawal(from record.InstanceID, team record.Team, need Need) (total int64, ok bool) {
 	if total, ok = c.Accounts.TransferToMember(from, team, need, c.Clock()); ok || !c.Accounts.MayFindTokens(team) {
 		return total, ok
@@ -293,7 +297,7 @@
 	return c.Accounts.TransferToMember(from, team, need, c.Clock())
 }
 
-// awaitSpendable waits until so many tokens are at hand, for lendWithin.
+// awaitSpendable waits up to memberClaimTimeout until that many tokens are spendable.
 func (c *Controller) awaitSpendable(team record.Team, tokens int64) {
 	limit := time.NewTimer(memberClaimTimeout)
 	defer limit.Stop()
--- a/internal/prepaid/size_test.go
+++ b/internal/prepaid/size_test.go
@@ -8,8 +8,8 @@
 	"guavapier/internal/prepaid"
 )
 
-// A statement's rows are what the log carries most of; docs/CAPACITY.md counts
-// on this size.
+// Budget claims are the largest part of the traffic on the log; docs/CAPACITY.md relies on this
+// size.
 func TestAnEncodedBudgetClaimTakesAtMost64Bytes(t *testing.T) {
 	claim := prepaid.BudgetClaim{
 		Team: "organisation-1", Claimed: 1_234_567, InitialBound: 1_034_567, Used: 934_567, Reserved: 10_000,
@@ -24,8 +24,8 @@
 		t.Fatal(err)
 	}
 	if got := len(two) - len(one); got > 64 {
-		t.Errorf("a row takes %d bytes, more than 64", got)
+		t.Errorf("a budget claim takes %d bytes, want at most 64", got)
 	} else {
-		t.Logf("a row takes %d bytes", got)
+		t.Logf("a budget claim takes %d bytes", got)
 	}
 }
--- a/internal/prepaid/slots_test.go
+++ b/internal/prepaid/slots_test.go
@@ -15,13 +15,14 @@
 	"guavapier/internal/standin"
 )
 
-// saturableLink is a log behind a link that, while full, holds each answer for a while.
+// saturableLink is a log behind a link that delays each reply while it is saturated.
 type saturableLink struct {
 	logstore.Keyed
 	saturated     atomic.Bool
-	announcements atomic.Int64 // Announcements.
+	announcements atomic.Int64 // Number of writes to the allocators topic.
 }
 
+// fullLinkDelay is the delay of each reply while the link is saturated.
 const fullLinkDelay = 400 * time.Millisecond
 
 func (l *saturableLink) hold(ctx context.Context) error {
@@ -58,9 +59,9 @@
 	return l.Keyed.Put(ctx, topic, w, records)
 }
 
-// What callers of a zone saw: refusals for want of tokens, since an instance with a full
-// link had taken a slot from an allocator that only this instance did not reach. Here
-// the allocators are gone: it takes a slot once its link has room, and not before.
+// An instance with a saturated link may take a slot from an allocator that only this instance
+// cannot reach, and callers of the zone are refused for lack of tokens. Here all allocators have
+// ended: the instance must not take a slot while its link is saturated, and must do so after.
 func TestAnInstanceWithAFullLinkLeavesTheSlotsToOthers(t *testing.T) {
 	log := standin.NewKeyed()
 	var links []*saturableLink
@@ -74,10 +75,10 @@
 		links, controllers, stops = append(links, link), append(controllers, c), append(stops, stop)
 	}
 	_, members := awaitRoles(t, controllers)
-	// One that lost a slot to another leaves it alone for long.
+	// Excludes instances that lost a slot, which take none for replacedCooldown.
 	i := slices.IndexFunc(members, func(i int) bool { return links[i].announcements.Load() == 0 })
 	if i < 0 {
-		t.Fatal("every member has announced itself once")
+		t.Fatal("every member has written an announcement")
 	}
 	member := members[i]
 	link, c := links[member], controllers[member]
@@ -88,10 +89,10 @@
 			stop()
 		}
 	}
-	waitFor(t, "the member on its own", func() bool { return c.Accounts.Role() == allocator.Claimant })
+	waitFor(t, "the member becomes a claimant", func() bool { return c.Accounts.Role() == allocator.Claimant })
 	if c.Accounts.Role() == allocator.Allocator || link.announcements.Load() != before {
-		t.Errorf("%s, %d announcements with a full link", c.Accounts.Role(), link.announcements.Load()-before)
+		t.Errorf("role %s, %d announcements with a saturated link; want neither", c.Accounts.Role(), link.announcements.Load()-before)
 	}
 	link.saturated.Store(false)
-	waitFor(t, "an allocator once the link has room", func() bool { return c.Accounts.Role() == allocator.Allocator })
+	waitFor(t, "an allocator once the link is no longer saturated", func() bool { return c.Accounts.Role() == allocator.Allocator })
 }
--- a/internal/prepaid/transfer.go
+++ b/internal/prepaid/transfer.go
@@ -7,13 +7,13 @@
 	"guavapier/internal/record"
 )
 
-// retainedUseTime is the own use, at the recent rate, that a process keeps when it
-// gives: enough until it has found more itself.
+// retainedUseTime is the use, in time at the recent rate, for which a process retains tokens
+// when it transfers some. It suffices until the process has obtained more.
 const retainedUseTime = 2 * time.Second
 
-// Transfer hands tokens to another process that asks for that many, as far as this
-// one can spare them. It returns what it has given to that process in all: an
-// answer that is lost is made good by the next one.
+// Transfer transfers up to the requested number of tokens to another process, as far as this one
+// can spare them. It returns the cumulative amount transferred to that process, so that the
+// reply to a later request makes up for a lost one.
 func (a *Accounts) Transfer(to record.InstanceID, team record.Team, tokens int64, now time.Duration) int64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -32,8 +32,9 @@
 	return acct.transferredTo[to]
 }
 
-// TransferAll hands over everything that is left: the process is about to end and
-// the log is away.
+// TransferAll transfers all spendable tokens to another process and stops further use. It is
+// called when the process is about to end and cannot reach the log. It returns the cumulative
+// amounts by budget.
 func (a *Accounts) TransferAll(to record.InstanceID, now time.Duration) map[record.Team]int64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -52,14 +53,14 @@
 	return totals
 }
 
-// Receive notes what another process has given to this one in all.
+// Receive records the cumulative amount that another process has transferred to this one.
 func (a *Accounts) Receive(from record.InstanceID, team record.Team, total int64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.receive(from, team, total)
 }
 
-// receive returns by how much the total is more than before.
+// receive returns the increase over the amount recorded before.
 func (a *Accounts) receive(from record.InstanceID, team record.Team, total int64) int64 {
 	acct := a.account(team)
 	more := total - acct.receivedFrom[from]
@@ -72,15 +73,15 @@
 	return more
 }
 
-// TransferPeer is a process that may have tokens to give.
+// TransferPeer is another process that can transfer or receive tokens.
 type TransferPeer struct {
 	Key      record.InstanceID
 	sameZone bool
 	unspent  int64
 }
 
-// MayFindTokens says whether more tokens of the budget may be found: on the log, by
-// the next mark, or at other processes.
+// MayFindTokens reports whether more tokens of a budget may be obtained: unclaimed ones on the
+// log, held ones that become spendable, or those of other processes.
 func (a *Accounts) MayFindTokens(team record.Team) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -96,15 +97,15 @@
 	return false
 }
 
-// mayTransfer says whether the process is thought to have tokens of the budget to give.
-// A member of a zone has no more than it needs.
+// mayTransfer reports whether a process appears to hold tokens that it can transfer. A member
+// of a zone holds no more than it needs.
 func (a *Accounts) mayTransfer(p *otherProcess, team record.Team) bool {
 	claim := p.claim(team)
 	return p.Peer != "" && !p.Member && claim.allotment() > claim.Used && a.isAlive(p)
 }
 
-// TransferSources lists the living processes that held unused tokens of the budget when
-// last heard of, those of the own zone first, the richest first.
+// TransferSources lists the living processes whose newest records show unused tokens of the
+// budget: those of the own zone first, then by the amount in descending order.
 func (a *Accounts) TransferSources(team record.Team) []TransferPeer {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -126,7 +127,8 @@
 	return list
 }
 
-// TransferTargets lists living processes that can take over what is left, the own zone first.
+// TransferTargets lists the living processes that can take over tokens, those of the own zone
+// first. Members are not listed.
 func (a *Accounts) TransferTargets() []TransferPeer {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -148,7 +150,8 @@
 	return list
 }
 
-// Neighbours lists living processes of the own zone; a member knows the allocators only.
+// Neighbours lists the living processes of the own zone, except members. A member knows the
+// allocators only.
 func (a *Accounts) Neighbours() []record.InstanceID {
 	var list []record.InstanceID
 	for _, target := range a.TransferTargets() {
@@ -159,7 +162,7 @@
 	return list
 }
 
-// Spendable is what may be used of the budget now.
+// Spendable returns how many tokens of a budget may be used now.
 func (a *Accounts) Spendable(team record.Team, now time.Duration) int64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/prepaid/want_test.go
+++ b/internal/prepaid/want_test.go
@@ -5,11 +5,10 @@
 	"time"
 )
 
-// TestClaimThatComesLateIsKeptForItsCaller has a request give up: after its
-// claim has come, and it is given back for others; or while the claim is on its
-// way on a slow log, and it is kept for the caller's return, some time.
+// A request gives up either after its claim was confirmed, and the claim is returned to the log;
+// or while the claim is delayed by a slow log, and it is kept for a retry for lateTokensTTL.
 func TestClaimThatComesLateIsKeptForItsCaller(t *testing.T) {
-	const wanted = 1 << 39 // Half of the total: far over what an instance holds by itself.
+	const wanted = 1 << 39 // Half of the total, far more than an instance would hold without a request.
 	const logDelay = 100 * time.Millisecond
 	for name, c := range map[string]struct {
 		late  bool
@@ -30,7 +29,7 @@
 			}
 			b.Apply("self", s, logDelay)
 			if got := b.Balance(team, logDelay).Claimed; got < wanted {
-				t.Fatalf("claimed %d", got)
+				t.Fatalf("claimed %d, want at least the shortfall", got)
 			}
 			if !c.late {
 				b.AddShortfall(team, -wanted)
@@ -40,21 +39,16 @@
 				kept = s.Claims[0].Claimed >= wanted
 			}
 			if kept != c.kept {
-				t.Fatalf("kept %v, want %v", kept, c.kept)
+				t.Fatalf("tokens kept: %v, want %v", kept, c.kept)
 			}
 		})
 	}
 }
 
-// What comes late for a request is kept for its caller's return for some time, and
-// not for as long as the instance goes on stating.
-//
-// What callers saw: refused elsewhere for want of tokens that an instance kept and had
-// no use for, also one that was about to end. Order of events: a request gives up while
-// its claim is on its way; the claim comes; each statement after it is confirmed. Cause:
-// each confirmation began the time of keeping anew, and there is one a second. Evidence:
-// five statements of an instance that ends, a second apart, all with the same 100 and
-// 200 tokens of a request that had gone.
+// Tokens that arrive after their request gave up are kept for a retry for a limited time. If
+// each confirmation of a record, one a second, restarted that time, an instance would keep the
+// tokens as long as it publishes records, also while it terminates, and requests elsewhere
+// would be refused for lack of them.
 func TestALateClaimIsNotKeptForEver(t *testing.T) {
 	const wanted = 1 << 39
 	b := newLargeFleet(7, 0)
@@ -70,6 +64,6 @@
 		}
 	}
 	if got := b.Balance(team, 5*time.Second).Claimed; got >= wanted {
-		t.Errorf("%d still claimed", got)
+		t.Errorf("%d still claimed after 5 s, want less than the shortfall", got)
 	}
 }
--- a/internal/prepaid/world_test.go
+++ b/internal/prepaid/world_test.go
@@ -13,52 +13,54 @@
 
 const team = record.Team("dala")
 
-// simHost is one host with its clocks.
+// simHost is a simulated host with its clocks.
 type simHost struct {
 	node            string
-	bootedAt        time.Duration // Of the world's time at its last boot.
-	bootClockAtBoot time.Duration // What its boot clock showed then.
+	bootedAt        time.Duration // Simulated time of the last boot.
+	bootClockAtBoot time.Duration // Reading of the boot clock at that time.
 	boots           int
-	wallOffsetMS    int64 // Its time of day minus the world's time.
+	wallOffsetMS    int64 // Wall clock minus simulated time.
 }
 
-// simProcess is one life of an instance.
+// simProcess is one process of an instance, from its start to its end.
 type simProcess struct {
 	*prepaid.Accounts
 	key          record.InstanceID
 	host         *simHost
 	alive        bool
-	nextOffset   int                  // Offset of the next record.
-	pending      *prepaid.ClaimRecord // Being written.
-	logged       bool                 // The pending statement is on the log.
-	reservations []int64              // Reservations.
-	settled      int64                // What it has used for good.
+	nextOffset   int                  // Offset of the next log record to read.
+	pending      *prepaid.ClaimRecord // Record being written.
+	logged       bool                 // The pending record is on the log.
+	reservations []int64              // Tokens of the requests in flight.
+	settled      int64                // Tokens used by ended requests.
 }
 
+// logEntry is a record on the simulated log.
 type logEntry struct {
 	key    record.InstanceID
 	record *prepaid.ClaimRecord
 }
 
-// testFailer is a test of either kind.
+// testFailer is implemented by *testing.T and *rapid.T.
 type testFailer interface {
 	Helper()
 	Fatalf(format string, args ...any)
 }
 
-// simFleet is a fleet, its log and its clocks.
+// simFleet is a simulated fleet with its log and its clocks.
 type simFleet struct {
 	t            testFailer
 	now          time.Duration
 	log          []logEntry
-	lateWrites   []logEntry // Writes that may still arrive.
+	lateWrites   []logEntry // Writes of killed processes that may still arrive.
 	hosts        []*simHost
 	processes    []*simProcess
 	prepaidTotal int64
-	maxPrepaid   int64 // The highest total ever.
-	usedByEnded  int64 // By processes that have ended.
+	maxPrepaid   int64 // Highest prepaid total so far.
+	usedByEnded  int64 // Tokens used by ended processes.
 }
 
+// newSimFleet starts one process per skew. Skews are wall clock offsets in milliseconds.
 func newSimFleet(t testFailer, skews ...int64) *simFleet {
 	f := &simFleet{t: t, now: time.Hour, prepaidTotal: 100_000, maxPrepaid: 100_000}
 	for i, skew := range skews {
@@ -70,6 +72,7 @@
 	return f
 }
 
+// clocks returns the clocks of a host in its current boot.
 func (f *simFleet) clocks(host *simHost) prepaid.Clocks {
 	return prepaid.Clocks{
 		BootID:    fmt.Sprintf("%s-%d", host.node, host.boots),
@@ -78,6 +81,7 @@
 	}
 }
 
+// start starts a new process on a host.
 func (f *simFleet) start(host *simHost) {
 	p := &simProcess{host: host, key: record.InstanceID(fmt.Sprintf("%s.%d", host.node, len(f.processes))), alive: true}
 	self := prepaid.Identity{Key: p.key, Node: host.node, Started: int64(len(f.processes)), Peer: string(p.key)}
@@ -87,7 +91,7 @@
 	f.reloadLog(p)
 }
 
-// reloadLog has the process read the newest statements.
+// reloadLog makes a process read the newest records, as after a loss of history.
 func (f *simFleet) reloadLog(p *simProcess) {
 	newest := map[record.InstanceID]*prepaid.ClaimRecord{}
 	for _, e := range f.log {
@@ -101,15 +105,16 @@
 	p.nextOffset = len(f.log)
 }
 
+// kill ends a process. Its unwritten record may still arrive later.
 func (f *simFleet) kill(p *simProcess) {
 	p.alive = false
-	f.usedByEnded += p.settled + p.reserved() // Its callers may have had all of that.
+	f.usedByEnded += p.settled + p.reserved() // Callers may have received the output of all of its requests in flight.
 	if p.pending != nil && !p.logged {
 		f.lateWrites = append(f.lateWrites, logEntry{p.key, p.pending})
 	}
 }
 
-// reserved is what its running requests may use.
+// reserved is the sum that the requests in flight may use.
 func (p *simProcess) reserved() (sum int64) {
 	for _, r := range p.reservations {
 		sum += r
@@ -117,6 +122,7 @@
 	return sum
 }
 
+// livingOn returns the living process of a host, or nil.
 func (f *simFleet) livingOn(host *simHost) *simProcess {
 	for _, p := range f.processes {
 		if p.host == host && p.alive {
@@ -126,7 +132,7 @@
 	return nil
 }
 
-// write brings the pending statement onto the log, once, and answers if told.
+// write appends the pending record to the log once, and acknowledges it if answered.
 func (p *simProcess) write(f *simFleet, answered bool) {
 	if p.pending == nil {
 		if p.pending = p.NextRecord(f.now); p.pending == nil {
@@ -144,7 +150,7 @@
 	}
 }
 
-// follow reads the log, unless the process is a member of its zone.
+// follow applies new log records, unless the process is a member of its zone.
 func (p *simProcess) follow(f *simFleet) {
 	if p.Role() == allocator.Member {
 		return
@@ -155,6 +161,7 @@
 	p.MarkCaughtUp(f.now)
 }
 
+// totalUsed is what all processes have used, requests in flight at their maximum.
 func (f *simFleet) totalUsed() int64 {
 	sum := f.usedByEnded
 	for _, p := range f.processes {
@@ -166,12 +173,14 @@
 	return sum
 }
 
+// checkNotOverspent fails the test if more was used than ever prepaid.
 func (f *simFleet) checkNotOverspent() {
 	if total := f.totalUsed(); total > f.maxPrepaid {
-		f.t.Fatalf("used %d of %d at %s", total, f.maxPrepaid, f.now)
+		f.t.Fatalf("overspent: used %d of %d tokens at %s", total, f.maxPrepaid, f.now)
 	}
 }
 
+// pick draws a living process; nil if there is none.
 func (f *simFleet) pick(t *rapid.T) *simProcess {
 	var alive []*simProcess
 	for _, p := range f.processes {
@@ -185,13 +194,15 @@
 	return alive[rapid.IntRange(0, len(alive)-1).Draw(t, "process")]
 }
 
+// occasionally is true for one draw in five.
 func occasionally(t *rapid.T) bool { return rapid.IntRange(0, 4).Draw(t, "seldom") == 0 }
 
+// drawBusyArgs draws arguments of runBusy.
 func drawBusyArgs(t *rapid.T, cut map[*simHost]bool) (size int64, rounds int, _ map[*simHost]bool) {
 	return int64(rapid.IntRange(50, 3000).Draw(t, "request")), rapid.IntRange(1, 25).Draw(t, "rounds"), cut
 }
 
-// runBusy plays some seconds in which every living process serves all it can.
+// runBusy simulates rounds of 150 ms in which every living process serves all it can.
 func (f *simFleet) runBusy(size int64, rounds int, cut map[*simHost]bool) {
 	for range rounds {
 		f.now += 150 * time.Millisecond
@@ -204,7 +215,8 @@
 	}
 }
 
-// serveRound reserves for a few requests, ends some and does the log's work.
+// serveRound reserves tokens for four requests, settles old ones and, unless cut off, writes,
+// reads and reclaims.
 func (p *simProcess) serveRound(f *simFleet, size int64, cut bool) {
 	for i := range int64(4) {
 		if p.Reserve(team, size+i, f.now) == nil {
