--- a/internal/gateway/observe.go
+++ b/internal/gateway/observe.go
@@ -66,7 +66,7 @@
 	}
 	g.metrics.Gauge(metrics.GatewayReadAge, func() int64 { return g.keeper.Accounts.Balance("", g.clock()).ReadAgeMS })
 	g.metrics.Gauge(metrics.GatewayTouchAge, func() int64 { return g.keeper.Accounts.Balance("", g.clock()).RenewalAgeMS })
-	g.metrics.Gauge(metrics.GatewayReclaimed, g.keeper.Reclaimed)
+	g.metrics.Gauge(metrics.GatewayReclaimed, g.keeper.ReclaimedTokens)
 	g.metrics.Gauge(metrics.GatewayRepeats, func() int64 { allowed, _ := g.retries.Counts(); return allowed })
 	g.metrics.Gauge(metrics.GatewayLinkLoad, func() int64 { return int64(100 * g.shedder.Load()) })
 	g.metrics.Gauge(metrics.GatewayRepeatsDenied, func() int64 { _, denied := g.retries.Counts(); return denied })
--- a/internal/prepaid/allowance_test.go
+++ b/internal/prepaid/allowance_test.go
@@ -47,12 +47,13 @@
 	return refused
 }
 
+// allHosts returns the set of all hosts, to cut all of them off.
 func allHosts(f *simFleet) map[*simHost]bool {
-	cut := map[*simHost]bool{}
+	hosts := map[*simHost]bool{}
 	for _, host := range f.hosts {
-		cut[host] = true
+		hosts[host] = true
 	}
-	return cut
+	return hosts
 }
 
 // Seven instances are cut off from the log and from each other when half of a budget is used.
--- a/internal/prepaid/book.go
+++ b/internal/prepaid/book.go
@@ -135,7 +135,7 @@
 func NewAccounts(self Identity, policy Policy, clocks Clocks) *Accounts {
 	return &Accounts{
 		self: self, policy: policy, clocks: clocks, prepaidTotals: map[record.Team]int64{}, others: map[record.InstanceID]*otherProcess{},
-		accounts: map[record.Team]*account{}, recordSums: map[record.Team]recordSums{}, latestStart: map[string]int64{}, changed: make(chan struct{}), skews: map[string]clockSkew{}, started: clocks.Now(), wallOffset: clocks.offset(),
+		accounts: map[record.Team]*account{}, recordSums: map[record.Team]recordSums{}, latestStart: map[string]int64{}, changed: make(chan struct{}), skews: map[string]clockSkew{}, started: clocks.Now(), wallOffset: clocks.wallOffset(),
 	}
 }
 
@@ -178,7 +178,7 @@
 	acct := a.account(team)
 	if acct.spendable(now) >= tokens && !a.closed {
 		acct.reserved += tokens
-		acct.rate.add(float64(tokens), now)
+		acct.rate.addTokens(float64(tokens), now)
 		acct.largestRequest = max(acct.largestRequest*largestRequestDecay, float64(tokens))
 		return nil
 	}
--- a/internal/prepaid/clocks.go
+++ b/internal/prepaid/clocks.go
@@ -49,14 +49,14 @@
 	observedAt time.Duration
 }
 
-// offset is the difference between wall clock and boot clock in milliseconds. It changes
+// wallOffset is the difference between wall clock and boot clock in milliseconds. It changes
 // only when the wall clock is set.
-func (c Clocks) offset() int64 { return c.Wall() - c.SinceBoot().Milliseconds() }
+func (c Clocks) wallOffset() int64 { return c.Wall() - c.SinceBoot().Milliseconds() }
 
 // detectClockStep discards all observed skews if the own wall clock was set since the last
 // check, because they were measured with the old setting.
 func (a *Accounts) detectClockStep() {
-	offset := a.clocks.offset()
+	offset := a.clocks.wallOffset()
 	if moved := offset - a.wallOffset; moved > minClockStep.Milliseconds() || moved < -minClockStep.Milliseconds() {
 		clear(a.skews)
 		a.memberView.skew = clockSkew{}
--- a/internal/prepaid/keeper.go
+++ b/internal/prepaid/keeper.go
@@ -298,8 +298,8 @@
 	}
 }
 
-// Reclaimed returns the number of tokens of dead processes that this process has reclaimed.
-func (c *Controller) Reclaimed() int64 { return c.reclaimedTokens.Load() }
+// ReclaimedTokens returns the number of tokens of dead processes that this process has reclaimed.
+func (c *Controller) ReclaimedTokens() int64 { return c.reclaimedTokens.Load() }
 
 // IsLoaded reports whether the log has been read, or an allocator that reads it is reachable.
 func (c *Controller) IsLoaded() bool {
--- a/internal/prepaid/play_test.go
+++ b/internal/prepaid/play_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-func (f *fleetModel) writeOne(t *rapid.T) {
+func (f *fleetModel) writeRecord(t *rapid.T) {
 	if p := f.pick(t); p != nil && !f.cutOff[p.host] {
 		p.write(f.simFleet, rapid.IntRange(0, 3).Draw(t, "answered") > 0)
 	}
@@ -141,7 +141,7 @@
 	f.kill(from)
 }
 
-func (f *fleetModel) close(t *rapid.T) {
+func (f *fleetModel) closeProcess(t *rapid.T) {
 	p := f.pick(t)
 	if p == nil || f.cutOff[p.host] || len(p.reservations) > 0 || p.pending != nil || !occasionally(t) {
 		return
@@ -224,7 +224,7 @@
 			"more busy seconds":  f.busySeconds,
 			"reserve":            f.reserve,
 			"settle":             f.settle,
-			"write":              f.writeOne,
+			"write":              f.writeRecord,
 			"follow":             f.follow,
 			"late write arrives": f.lateWriteArrives,
 			"reclaim":            f.reclaim,
@@ -236,7 +236,7 @@
 			"clock is set":       f.clockIsSet,
 			"peers give":         f.transferBetweenPeers,
 			"hand over":          f.handOver,
-			"close":              f.close,
+			"close":              f.closeProcess,
 			"leave":              f.leave,
 			"total changes":      f.totalChanges,
 			"history is lost":    f.historyIsLost,
--- a/internal/prepaid/policy.go
+++ b/internal/prepaid/policy.go
@@ -108,7 +108,7 @@
 	if unclaimed < 0 {
 		return min(acct.claimed, acct.claimConsumed()) // The prepaid total was lowered: keep nothing unused.
 	}
-	target := max(a.target(acct, r, now), float64(acct.recordedShortfall))
+	target := max(a.holdTarget(acct, r, now), float64(acct.recordedShortfall))
 	if shortfallElsewhere > 0 && unclaimed < shortfallElsewhere {
 		target *= rebalanceShare
 	}
@@ -163,9 +163,9 @@
 	a.leaving = true
 }
 
-// target returns how many unused tokens of a budget this instance should hold. It is 0 for
+// holdTarget returns how many unused tokens of a budget this instance should hold. It is 0 for
 // the first record, since instances that start together do not know each other yet.
-func (a *Accounts) target(acct *account, r budgetRemainder, now time.Duration) float64 {
+func (a *Accounts) holdTarget(acct *account, r budgetRemainder, now time.Duration) float64 {
 	if a.leaving || a.sequence == 0 {
 		return 0
 	}
--- a/internal/prepaid/pool.go
+++ b/internal/prepaid/pool.go
@@ -169,7 +169,7 @@
 	amount += min(max(0, need.Ahead), int64(float64(spendable-amount)*extraShare))
 	acct.transferredTo[to] += amount
 	acct.transferred += amount
-	acct.rate.add(float64(amount), now)
+	acct.rate.addTokens(float64(amount), now)
 	acct.largestRequest = max(acct.largestRequest*largestRequestDecay, float64(need.Least))
 	return acct.transferredTo[to], true
 }
@@ -180,7 +180,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	more := a.receive(from, team, total)
-	a.account(team).rate.add(-float64(more), now)
+	a.account(team).rate.addTokens(-float64(more), now)
 }
 
 // TransferExcess transfers tokens that this member does not need soon to an allocator. It
--- a/internal/prepaid/rate.go
+++ b/internal/prepaid/rate.go
@@ -20,7 +20,7 @@
 	r.updatedAt = now
 }
 
-func (r *decayingRate) add(tokens float64, now time.Duration) {
+func (r *decayingRate) addTokens(tokens float64, now time.Duration) {
 	if r.startedAt == 0 {
 		r.startedAt = now
 	}
--- a/internal/prepaid/reclaim_test.go
+++ b/internal/prepaid/reclaim_test.go
@@ -137,8 +137,8 @@
 func TestAClockSetBackDoesNotMakeAProcessYoung(t *testing.T) {
 	f := newSteadyFleet(t, 5)
 	host := f.hosts[0]
-	cut := map[*simHost]bool{host: true}
-	f.runBusy(2000, 24, cut)
+	cutOff := map[*simHost]bool{host: true}
+	f.runBusy(2000, 24, cutOff)
 	host.wallOffsetMS -= 2500
 	f.checkReclaimedAge(host, 24*150*time.Millisecond)
 	f.runBusy(500, 400, nil)
@@ -151,8 +151,8 @@
 	one := f.hosts[0]
 	one.wallOffsetMS += 3000
 	f.runBusy(60, 3, nil)
-	cut := map[*simHost]bool{one: true}
-	f.runBusy(2000, 24, cut)
+	cutOff := map[*simHost]bool{one: true}
+	f.runBusy(2000, 24, cutOff)
 	one.wallOffsetMS -= 3000
 	f.checkReclaimedAge(one, 24*150*time.Millisecond)
 }
--- a/internal/prepaid/restart_test.go
+++ b/internal/prepaid/restart_test.go
@@ -55,7 +55,7 @@
 	waitFor(t, "members that know their predecessors", func() bool {
 		reclaiming := 0
 		for _, c := range restarted {
-			if c.Reclaimed() > 0 {
+			if c.ReclaimedTokens() > 0 {
 				reclaiming++
 			}
 		}
--- a/internal/prepaid/slots_test.go
+++ b/internal/prepaid/slots_test.go
@@ -22,19 +22,19 @@
 	announcements atomic.Int64 // Number of writes to the allocators topic.
 }
 
-// fullLinkDelay is the delay of each reply while the link is saturated.
-const fullLinkDelay = 400 * time.Millisecond
+// saturatedDelay is the delay of each reply while the link is saturated.
+const saturatedDelay = 400 * time.Millisecond
 
-func (l *saturableLink) hold(ctx context.Context) error {
+func (l *saturableLink) delay(ctx context.Context) error {
 	if l.saturated.Load() {
-		logstore.Pause(ctx, fullLinkDelay, nil)
+		logstore.Pause(ctx, saturatedDelay, nil)
 	}
 	return ctx.Err()
 }
 
 // Newest implements logstore.Keyed.
 func (l *saturableLink) Newest(ctx context.Context, topic logstore.Topic) (logstore.KeyedPage, error) {
-	if err := l.hold(ctx); err != nil {
+	if err := l.delay(ctx); err != nil {
 		return logstore.KeyedPage{}, err
 	}
 	return l.Keyed.Newest(ctx, topic)
@@ -42,7 +42,7 @@
 
 // Follow implements logstore.Keyed.
 func (l *saturableLink) Follow(ctx context.Context, topic logstore.Topic, from uint64, wait time.Duration) (logstore.KeyedPage, error) {
-	if err := l.hold(ctx); err != nil {
+	if err := l.delay(ctx); err != nil {
 		return logstore.KeyedPage{}, err
 	}
 	return l.Keyed.Follow(ctx, topic, from, wait)
@@ -53,7 +53,7 @@
 	if topic == logstore.TopicAllocators {
 		l.announcements.Add(1)
 	}
-	if err := l.hold(ctx); err != nil {
+	if err := l.delay(ctx); err != nil {
 		return err
 	}
 	return l.Keyed.Put(ctx, topic, w, records)
--- a/internal/prepaid/world_test.go
+++ b/internal/prepaid/world_test.go
@@ -198,17 +198,17 @@
 func occasionally(t *rapid.T) bool { return rapid.IntRange(0, 4).Draw(t, "seldom") == 0 }
 
 // drawBusyArgs draws arguments of runBusy.
-func drawBusyArgs(t *rapid.T, cut map[*simHost]bool) (size int64, rounds int, _ map[*simHost]bool) {
-	return int64(rapid.IntRange(50, 3000).Draw(t, "request")), rapid.IntRange(1, 25).Draw(t, "rounds"), cut
+func drawBusyArgs(t *rapid.T, cutOff map[*simHost]bool) (size int64, rounds int, _ map[*simHost]bool) {
+	return int64(rapid.IntRange(50, 3000).Draw(t, "request")), rapid.IntRange(1, 25).Draw(t, "rounds"), cutOff
 }
 
 // runBusy simulates rounds of 150 ms in which every living process serves all it can.
-func (f *simFleet) runBusy(size int64, rounds int, cut map[*simHost]bool) {
+func (f *simFleet) runBusy(size int64, rounds int, cutOff map[*simHost]bool) {
 	for range rounds {
 		f.now += 150 * time.Millisecond
 		for _, p := range f.processes {
 			if p.alive {
-				p.serveRound(f, size, cut[p.host])
+				p.serveRound(f, size, cutOff[p.host])
 			}
 		}
 		f.checkNotOverspent()
@@ -217,7 +217,7 @@
 
 // serveRound reserves tokens for four requests, settles old ones and, unless cut off, writes,
 // reads and reclaims.
-func (p *simProcess) serveRound(f *simFleet, size int64, cut bool) {
+func (p *simProcess) serveRound(f *simFleet, size int64, cutOff bool) {
 	for i := range int64(4) {
 		if p.Reserve(team, size+i, f.now) == nil {
 			p.reservations = append(p.reservations, size+i)
@@ -232,7 +232,7 @@
 		p.Settle(team, n, n)
 		p.settled += n
 	}
-	if cut {
+	if cutOff {
 		return
 	}
 	p.write(f, true)
