--- a/internal/allocator/allocator.go
+++ b/internal/allocator/allocator.go
@@ -1,17 +1,17 @@
-// Package allocator decides which instances of an availability zone claim prepaid
-// tokens from the log for the others, and what part an instance has in that.
+// Package allocator assigns each instance of an availability zone its role in
+// claiming prepaid tokens: allocator, member or claimant.
 //
-// In a large fleet every instance sees a small part of each organisation's
-// requests. Claims of all instances on all budgets would have to be read by all,
-// and tokens would lie in amounts smaller than a request. So in each zone a few
-// instances, the allocators, claim for the whole zone, and the others, the members,
-// draw from them.
+// In a large fleet each instance receives only a small part of an organisation's
+// requests. If every instance claimed tokens of every budget, each would have to
+// read the claims of all others, and tokens would be split into amounts smaller
+// than a request. Therefore each zone has a few allocators, which claim tokens for
+// the whole zone, and members, which withdraw tokens from them.
 //
-// An allocator announces itself on the log under its zone and slot; the newest
-// announcement counts. Nothing that must hold rests on there being one allocator
-// in a slot, or any: an instance that reaches none claims for itself.
+// An allocator publishes an announcement on the log under its zone and slot; the
+// newest announcement of a slot is the valid one. Correctness does not depend on
+// how many instances act for a slot: one that reaches no allocator claims for itself.
 //
-// Directory does no input or output and has no clock.
+// Directory performs no I/O and reads no clock; callers pass the time.
 package allocator
 
 import (
@@ -27,20 +27,21 @@
 	"guavapier/internal/record"
 )
 
-// Slots is how many allocators a zone has: members go on at another one while one
-// is replaced.
-const Slots = 2
+// SlotsPerZone is the number of allocators in a zone. With more than one, members
+// can use another while one is being replaced.
+const SlotsPerZone = 2
 
-// Role is an instance's part in its zone.
+// Role is what an instance does in its zone.
 type Role uint8
 
-// The roles.
+// Roles of an instance in its zone.
 const (
-	// Claimant claims for itself: in a small fleet, or where no allocator is reached.
+	// Claimant claims tokens for itself only: in a small fleet, or while it reaches
+	// no allocator.
 	Claimant Role = iota
-	// Member draws from the zone's allocators.
+	// Member withdraws tokens from the allocators of its zone.
 	Member
-	// Allocator claims for the zone.
+	// Allocator claims tokens for all members of its zone.
 	Allocator
 )
 
@@ -57,153 +58,161 @@
 }
 
 const (
-	// failingFor is how long an allocator may not be reached before its slot is
-	// taken over: longer than most stalls of a loaded instance.
-	failingFor = 2 * time.Second
-	// claimAfter is how long an instance without a usable allocator waits before it
-	// claims for itself: longer than a slot takes to be filled again.
-	claimAfter = 4 * time.Second
-	// againAfter is how long an instance whose announcement was replaced leaves the
-	// slots to others: it may be one that the zone does not reach.
-	againAfter = 30 * time.Second
-	// announceWithin is how long an own announcement may take to be heard back.
-	announceWithin = time.Second
-	// largestDelay is how long an instance with a link of 1 Mbit/s waits before it
-	// takes a vacant slot, and ever shorter with a faster one: allocators have the
-	// most to carry. It waits up to as long again, so that not all take it at once.
-	largestDelay = 20 * time.Second
-	// assumedLink is the speed where none is set, in Mbit/s.
-	assumedLink = 100
+	// unreachableTimeout is how long calls to an allocator must fail before its
+	// slot may be taken over. Most stalls of a loaded instance are shorter.
+	unreachableTimeout = 2 * time.Second
+	// claimFallbackDelay is how long an instance without a usable allocator waits
+	// before it claims for itself. Refilling a slot takes less.
+	claimFallbackDelay = 4 * time.Second
+	// replacedCooldown is how long an instance whose announcement was replaced takes
+	// no slot: the other instances of the zone may not be able to reach it.
+	replacedCooldown = 30 * time.Second
+	// announcementTimeout is how long the instance waits to read its own
+	// announcement back from the log before it may take a slot again.
+	announcementTimeout = time.Second
+	// takeoverDelayAt1Mbps is the minimum time that an instance with a link of
+	// 1 Mbit/s waits before it takes a vacant slot. The delay is inversely
+	// proportional to the link speed, since allocators carry the most traffic. A
+	// random part of up to the same length keeps instances from acting at once.
+	takeoverDelayAt1Mbps = 20 * time.Second
+	// defaultLinkMbps is the link speed assumed where none is configured, in Mbit/s.
+	defaultLinkMbps = 100
 )
 
-// Announcement is an allocator's record on the log.
+// Announcement is the record that an allocator publishes under its slot.
 type Announcement struct {
 	Key record.InstanceID `cbor:"1,keyasint"`
-	// Peer is where other instances reach it (IP:port).
+	// Peer is the address (IP:port) at which other instances reach it.
 	Peer string `cbor:"2,keyasint"`
 }
 
-// Self is the instance that a Directory is for.
+// Self describes the instance that owns a Directory.
 type Self struct {
 	Key  record.InstanceID
 	Peer string
 	Zone string
-	// LinkMbps is the speed of its link; 0 for unknown.
+	// LinkMbps is the speed of its network link in Mbit/s; 0 if unknown.
 	LinkMbps float64
 }
 
-// slot is one place for an allocator in the own zone.
+// slot is the state of one allocator slot of the own zone. A holder that has not been
+// called since its announcement is neither reachable nor failing.
 type slot struct {
 	Announcement
-	reached     bool          // By this process, at its last call.
-	missedSince time.Duration // Since when it has not been reached.
-	missed      bool
-	gone        bool // Another process answers at its address, or it is none any more.
-	vacantSince time.Duration
-	vacant      bool
+	reachable    bool          // The last call from this process was answered.
+	failingSince time.Duration // Time of the first failed call after the last answer.
+	failing      bool          // The last call from this process failed.
+	retired      bool          // The process at its address is another one or no longer an allocator.
+	vacantSince  time.Duration // Time at which the slot was first seen vacant.
+	vacant       bool
 }
 
-func (s *slot) filled() bool { return s.Key != "" }
+func (s *slot) isOccupied() bool { return s.Key != "" }
 
-// Directory knows the allocators of the own zone. It is safe for concurrent use.
-// Times are since any one origin.
+// Directory tracks the allocator slots of the own zone and decides the instance's
+// role. It is safe for concurrent use. All times are measured from one arbitrary origin.
 type Directory struct {
-	mu       sync.Mutex
-	self     Self
-	delay    time.Duration // Before it takes a vacant slot.
-	slots    [Slots]slot
-	mine     int // The slot that it holds; -1 for none.
-	notUntil time.Duration
-	loaded   bool
-	// without is since when no allocator is usable.
-	without time.Duration
+	mu              sync.Mutex
+	self            Self
+	takeoverDelay   time.Duration // How long a slot must be vacant before this instance takes it.
+	slots           [SlotsPerZone]slot
+	ownSlot         int           // Slot held by this instance; -1 if none.
+	noTakeoverUntil time.Duration // This instance takes no slot before this time.
+	loaded          bool          // The announcements have been read from the log.
+	// noneUsableSince is the time since which no allocator has been reachable.
+	noneUsableSince time.Duration
 }
 
-// New returns an empty Directory.
+// New returns a Directory without announcements, with a random takeover delay.
 func New(self Self) *Directory {
 	link := self.LinkMbps
 	if link <= 0 {
-		link = assumedLink
+		link = defaultLinkMbps
 	}
-	delay := time.Duration(float64(largestDelay) / max(1, link))
-	return &Directory{self: self, delay: delay + rand.N(delay+1), mine: -1}
+	takeoverDelay := time.Duration(float64(takeoverDelayAt1Mbps) / max(1, link))
+	return &Directory{self: self, takeoverDelay: takeoverDelay + rand.N(takeoverDelay+1), ownSlot: -1}
 }
 
-// SlotKey is the key of a zone's slot on the log.
+// SlotKey returns the log key of a zone's slot.
 func SlotKey(zone string, slot int) string { return fmt.Sprintf("%s/%d", zone, slot) }
 
-// Encode returns the instance's announcement.
-func (d *Directory) Encode() ([]byte, error) {
+// EncodeAnnouncement returns this instance's announcement in CBOR.
+func (d *Directory) EncodeAnnouncement() ([]byte, error) {
 	value, err := cbor.Marshal(Announcement{Key: d.self.Key, Peer: d.self.Peer})
 	return value, eris.Wrap(err, "allocator: encode announcement")
 }
 
-// Hear takes a record of the log.
-func (d *Directory) Hear(key string, value []byte, now time.Duration) error {
+// Observe applies a record of the allocators topic; keys of other zones are ignored. It
+// returns an error if the value is not a valid announcement.
+func (d *Directory) Observe(key string, value []byte, now time.Duration) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for i := range d.slots {
 		if key != SlotKey(d.self.Zone, i) {
 			continue
 		}
-		var heard Announcement
-		if err := cbor.Unmarshal(value, &heard); err != nil {
+		var announcement Announcement
+		if err := cbor.Unmarshal(value, &announcement); err != nil {
 			return eris.Wrapf(err, "allocator: decode announcement of %q", key)
 		}
-		d.fill(i, heard, now)
+		d.setSlot(i, announcement, now)
 	}
 	return nil
 }
 
-func (d *Directory) fill(i int, heard Announcement, now time.Duration) {
-	if d.slots[i].Announcement == heard {
+// setSlot records the holder of a slot. If this instance held the slot and another one
+// replaces it, the instance takes no slot for replacedCooldown.
+func (d *Directory) setSlot(index int, announcement Announcement, now time.Duration) {
+	if d.slots[index].Announcement == announcement {
 		return
 	}
 	switch {
-	case heard.Key == d.self.Key:
-		d.mine = i
-	case d.mine == i:
-		d.mine, d.notUntil = -1, now+againAfter
+	case announcement.Key == d.self.Key:
+		d.ownSlot = index
+	case d.ownSlot == index:
+		d.ownSlot, d.noTakeoverUntil = -1, now+replacedCooldown
 	}
-	d.slots[i] = slot{Announcement: heard}
+	d.slots[index] = slot{Announcement: announcement}
 }
 
-// Loaded tells that the announcements have been read.
-func (d *Directory) Loaded(now time.Duration) {
+// MarkLoaded records that the announcements have been read from the log.
+func (d *Directory) MarkLoaded(now time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if !d.loaded {
-		d.loaded, d.without = true, now
+		d.loaded, d.noneUsableSince = true, now
 	}
 }
 
-// Reached tells that an allocator has answered.
-func (d *Directory) Reached(key record.InstanceID) {
+// MarkReachable records that an allocator answered a call.
+func (d *Directory) MarkReachable(key record.InstanceID) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if s := d.slot(key); s != nil {
-		s.reached, s.missed, s.gone, s.vacant = true, false, false, false
+	if s := d.findSlot(key); s != nil {
+		s.reachable, s.failing, s.retired, s.vacant = true, false, false, false
 	}
 }
 
-// Missed tells that an allocator did not answer; gone says that it is none any more.
-// It returns whether that is news.
-func (d *Directory) Missed(key record.InstanceID, gone bool, now time.Duration) bool {
+// MarkFailing records that a call to an allocator failed. retired states that the
+// called process is another one or no longer an allocator. MarkFailing reports whether
+// this is the first failure since the last answer.
+func (d *Directory) MarkFailing(key record.InstanceID, retired bool, now time.Duration) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	s := d.slot(key)
+	s := d.findSlot(key)
 	if s == nil {
 		return false
 	}
-	news := !s.missed
-	if news {
-		s.reached, s.missed, s.missedSince = false, true, now
+	firstFailure := !s.failing
+	if firstFailure {
+		s.reachable, s.failing, s.failingSince = false, true, now
 	}
-	s.gone = s.gone || gone
-	return news
+	s.retired = s.retired || retired
+	return firstFailure
 }
 
-func (d *Directory) slot(key record.InstanceID) *slot {
+// findSlot returns the slot held by an instance, or nil.
+func (d *Directory) findSlot(key record.InstanceID) *slot {
 	for i := range d.slots {
 		if d.slots[i].Key == key {
 			return &d.slots[i]
@@ -212,47 +221,48 @@
 	return nil
 }
 
-// Role returns the instance's part now. pooled says that the fleet is large enough
-// for allocators; where some have been announced it is.
+// Role returns the instance's current role. useAllocators states that the fleet is large
+// enough for allocators; an existing announcement implies it.
 //
-// Without a usable allocator a member waits until one of its zone has taken the slot:
-// instances that all read the log at once, after a loss of all, would keep it from
-// everybody for seconds.
-func (d *Directory) Role(pooled bool, now time.Duration) Role {
+// An instance without a usable allocator stays a member for claimFallbackDelay, until
+// another instance of its zone has taken the slot. After a loss of all instances,
+// reading the log at all of them at once would block it for seconds.
+func (d *Directory) Role(useAllocators bool, now time.Duration) Role {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if len(d.usable()) > 0 {
-		d.without = now
+		d.noneUsableSince = now
 	}
 	switch {
-	case d.mine >= 0:
+	case d.ownSlot >= 0:
 		return Allocator
-	case (pooled || d.announced()) && now-d.without < claimAfter:
+	case (useAllocators || d.hasAllocators()) && now-d.noneUsableSince < claimFallbackDelay:
 		return Member
 	default:
 		return Claimant
 	}
 }
 
-// Pooled says whether the zone has or had allocators.
-func (d *Directory) Pooled() bool {
+// HasAllocators reports whether an allocator of the zone, dead or alive, is announced.
+func (d *Directory) HasAllocators() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.announced()
+	return d.hasAllocators()
 }
 
-func (d *Directory) announced() bool {
-	return len(d.list(func(*slot) bool { return true })) > 0 || d.mine >= 0
+func (d *Directory) hasAllocators() bool {
+	return len(d.listOthers(func(*slot) bool { return true })) > 0 || d.ownSlot >= 0
 }
 
-// IsLoaded says whether the announcements have been read.
+// IsLoaded reports whether the announcements have been read from the log.
 func (d *Directory) IsLoaded() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.loaded
 }
 
-// Usable lists the allocators to draw from, the instance's usual one first.
+// Usable lists the allocators that tokens can be withdrawn from: those that answered
+// their last call, this instance's preferred one first.
 func (d *Directory) Usable() []Announcement {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -260,69 +270,70 @@
 }
 
 func (d *Directory) usable() []Announcement {
-	return d.list(func(s *slot) bool { return s.reached })
+	return d.listOthers(func(s *slot) bool { return s.reachable })
 }
 
-// Announced lists all allocators but the instance itself.
+// Announced lists all announced allocators except this instance.
 func (d *Directory) Announced() []Announcement {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.list(func(*slot) bool { return true })
+	return d.listOthers(func(*slot) bool { return true })
 }
 
-// Unreached lists the allocators whose last call failed or that have not been called.
-// Announcements outlive their processes, so that only an answer makes one usable.
-func (d *Directory) Unreached() []Announcement {
+// NotReachable lists the allocators whose last call failed or that have not been called.
+// An announcement outlives its process, so an allocator is usable only after an answer.
+func (d *Directory) NotReachable() []Announcement {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.list(func(s *slot) bool { return !s.reached })
+	return d.listOthers(func(s *slot) bool { return !s.reachable })
 }
 
-// list returns the others in the slots that are chosen, the instance's usual one first.
-func (d *Directory) list(chosen func(*slot) bool) []Announcement {
+// listOthers returns the holders of the included slots except this instance. A hash of
+// the instance's key decides which slot comes first, which spreads members over slots.
+func (d *Directory) listOthers(include func(*slot) bool) []Announcement {
 	var list []Announcement
-	first := int(xxhash.Sum64String(string(d.self.Key)) % Slots)
+	preferred := int(xxhash.Sum64String(string(d.self.Key)) % SlotsPerZone)
 	for i := range d.slots {
-		s := &d.slots[(first+i)%Slots]
-		if s.filled() && s.Key != d.self.Key && chosen(s) {
+		s := &d.slots[(preferred+i)%SlotsPerZone]
+		if s.isOccupied() && s.Key != d.self.Key && include(s) {
 			list = append(list, s.Announcement)
 		}
 	}
 	return list
 }
 
-// Vacancy returns the slot that the instance is to take now, if any. The instances
-// of a zone wait for different times, so that mostly one takes it.
-func (d *Directory) Vacancy(pooled bool, now time.Duration) (slot int, ok bool) {
+// SlotToTake returns the slot that this instance should take now; ok is false if there is
+// none. Takeover delays differ between instances, so usually only one takes the slot.
+func (d *Directory) SlotToTake(useAllocators bool, now time.Duration) (slot int, ok bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if !pooled && !d.announced() || !d.loaded || d.mine >= 0 || now < d.notUntil {
+	if !useAllocators && !d.hasAllocators() || !d.loaded || d.ownSlot >= 0 || now < d.noTakeoverUntil {
 		return 0, false
 	}
 	for i := range d.slots {
 		s := &d.slots[i]
-		if !s.free(now) {
+		if !s.isFree(now) {
 			s.vacant = false
 			continue
 		}
 		if !s.vacant {
 			s.vacant, s.vacantSince = true, now
 		}
-		if now-s.vacantSince >= d.delay {
-			d.notUntil = now + announceWithin
+		if now-s.vacantSince >= d.takeoverDelay {
+			d.noTakeoverUntil = now + announcementTimeout
 			return i, true
 		}
 	}
 	return 0, false
 }
 
-// IsFree says whether a slot may be taken.
-func (d *Directory) IsFree(slot int, now time.Duration) bool {
+// IsSlotFree reports whether a slot has no working allocator and may be taken.
+func (d *Directory) IsSlotFree(slot int, now time.Duration) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.slots[slot].free(now)
+	return d.slots[slot].isFree(now)
 }
 
-func (s *slot) free(now time.Duration) bool {
-	return !s.filled() || s.gone || s.missed && now-s.missedSince >= failingFor
+func (s *slot) isFree(now time.Duration) bool {
+	return !s.isOccupied() || s.retired || s.failing && now-s.failingSince >= unreachableTimeout
 }
--- a/internal/forward/types.go
+++ b/internal/forward/types.go
@@ -89,7 +89,7 @@
 
 // Budgets reserves tokens in the organisations' budgets.
 type Budgets interface {
-	// Reserve fails with prepaid.ErrExhausted or prepaid.ErrShort.
+	// Reserve fails with prepaid.ErrExhausted or prepaid.ErrInsufficient.
 	Reserve(ctx context.Context, team record.Team, tokens int64) (Reservation, error)
 	// Explain returns the current state of the team's budget, for the log.
 	Explain(team record.Team) prepaid.Balance
--- a/internal/gateway/loads.go
+++ b/internal/gateway/loads.go
@@ -49,7 +49,7 @@
 // Reports are hints: one that is lost or late makes a placement worse and has no other effect.
 type loadReporter struct {
 	caller        peer.Caller
-	accounts      *prepaid.Book // Lists the other instances.
+	accounts      *prepaid.Accounts // Lists the other instances.
 	endpoints     *placement.Table
 	clock         func() time.Duration
 	queue         chan SentPrompt
@@ -59,7 +59,7 @@
 
 // newLoadReporter returns a reporter that applies received reports to endpoints. Register
 // it at a peer.Server and call run.
-func newLoadReporter(caller peer.Caller, accounts *prepaid.Book, endpoints *placement.Table, clock func() time.Duration) *loadReporter {
+func newLoadReporter(caller peer.Caller, accounts *prepaid.Accounts, endpoints *placement.Table, clock func() time.Duration) *loadReporter {
 	return &loadReporter{
 		caller: caller, accounts: accounts, endpoints: endpoints, clock: clock, queue: make(chan SentPrompt, maxQueuedReports),
 		callsInFlight: map[record.InstanceID]bool{},
@@ -80,7 +80,7 @@
 // reported in a large fleet: the number of calls would grow with the square of its size, and
 // each instance sends too little for its reports to matter.
 func (l *loadReporter) reportPlacement(assignment *placement.Assignment) {
-	if l.accounts.Pooled() {
+	if l.accounts.NeedsAllocators() {
 		return
 	}
 	report := SentPrompt{Endpoint: assignment.Endpoint.ID, Parts: assignment.PartsToAnnounce}
@@ -124,7 +124,7 @@
 
 // broadcast sends a batch to every other instance that can be called.
 func (l *loadReporter) broadcast(sent []SentPrompt) {
-	for _, other := range l.accounts.Heirs() {
+	for _, other := range l.accounts.TransferTargets() {
 		if l.tryStartCall(other.Key) {
 			go l.sendReport(other.Key, sent)
 		}
--- a/internal/gateway/loads_test.go
+++ b/internal/gateway/loads_test.go
@@ -21,7 +21,7 @@
 
 // newTestInstance starts a loadReporter and its RPC server on a free port. It returns the
 // claim record under which other instances find it, and its accounts, which take theirs.
-func newTestInstance(t *testing.T, key record.InstanceID) (*testInstance, *prepaid.Statement, *prepaid.Book) {
+func newTestInstance(t *testing.T, key record.InstanceID) (*testInstance, *prepaid.ClaimRecord, *prepaid.Accounts) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -30,7 +30,7 @@
 	clock := newBootClock()
 	address := listener.Addr().String()
 	self := prepaid.Identity{Key: key, Node: string(key), Started: 1, Peer: address}
-	accounts := prepaid.NewBook(self, prepaid.DefaultPolicy(), prepaid.Clocks{Boot: bootTime, Wall: func() int64 { return 1 }})
+	accounts := prepaid.NewAccounts(self, prepaid.DefaultPolicy(), prepaid.Clocks{SinceBoot: bootTime, Wall: func() int64 { return 1 }})
 	pool := peer.NewPool(key, accounts, peer.Options{})
 	endpoints := placement.New(1)
 	for _, id := range []string{"e1", "e2"} {
@@ -46,7 +46,7 @@
 	go func() { _ = server.Serve(listener); close(done) }()
 	go instance.run(ctx)
 	t.Cleanup(func() { stop(); _ = listener.Close(); server.Close(); pool.Close(); <-done })
-	return instance, &prepaid.Statement{Node: string(key), Started: 1, Peer: address}, accounts
+	return instance, &prepaid.ClaimRecord{Node: string(key), Started: 1, Peer: address}, accounts
 }
 
 // An instance reports to which endpoint it sent a prompt with shared parts, also if the
@@ -55,7 +55,7 @@
 	sender, _, accounts := newTestInstance(t, "one")
 	receiver, claimRecord, _ := newTestInstance(t, "other")
 	accounts.Apply("other", claimRecord, time.Second)
-	accounts.Fresh(time.Second)
+	accounts.MarkCaughtUp(time.Second)
 	query := placement.Query{Service: "s", Parts: []placement.Part{{ID: "shared", Tokens: 400}, {ID: "own", Tokens: 100}}}
 	assignment := sender.endpoints.Place(query, sender.clock())
 	if assignment.PrefillTime >= minReportedWork {
--- a/internal/prepaid/slots_test.go
+++ b/internal/prepaid/slots_test.go
@@ -15,83 +15,84 @@
 	"guavapier/internal/standin"
 )
 
-// fullLink is a log behind a link that, while full, holds each answer for a while.
-type fullLink struct {
+// saturableLink is a log behind a link that delays each reply while it is saturated.
+type saturableLink struct {
 	logstore.Keyed
-	full atomic.Bool
-	puts atomic.Int64 // Announcements.
+	saturated     atomic.Bool
+	announcements atomic.Int64 // Number of writes to the allocators topic.
 }
 
-const fullLinkHolds = 400 * time.Millisecond
+// saturatedDelay is the delay of each reply while the link is saturated.
+const saturatedDelay = 400 * time.Millisecond
 
-func (l *fullLink) hold(ctx context.Context) error {
-	if l.full.Load() {
-		logstore.Pause(ctx, fullLinkHolds, nil)
+func (l *saturableLink) delay(ctx context.Context) error {
+	if l.saturated.Load() {
+		logstore.Pause(ctx, saturatedDelay, nil)
 	}
 	return ctx.Err()
 }
 
 // Newest implements logstore.Keyed.
-func (l *fullLink) Newest(ctx context.Context, topic logstore.Topic) (logstore.KeyedPage, error) {
-	if err := l.hold(ctx); err != nil {
+func (l *saturableLink) Newest(ctx context.Context, topic logstore.Topic) (logstore.KeyedPage, error) {
+	if err := l.delay(ctx); err != nil {
 		return logstore.KeyedPage{}, err
 	}
 	return l.Keyed.Newest(ctx, topic)
 }
 
 // Follow implements logstore.Keyed.
-func (l *fullLink) Follow(ctx context.Context, topic logstore.Topic, from uint64, wait time.Duration) (logstore.KeyedPage, error) {
-	if err := l.hold(ctx); err != nil {
+func (l *saturableLink) Follow(ctx context.Context, topic logstore.Topic, from uint64, wait time.Duration) (logstore.KeyedPage, error) {
+	if err := l.delay(ctx); err != nil {
 		return logstore.KeyedPage{}, err
 	}
 	return l.Keyed.Follow(ctx, topic, from, wait)
 }
 
 // Put implements logstore.Keyed.
-func (l *fullLink) Put(ctx context.Context, topic logstore.Topic, w logstore.Write, records []logstore.KeyedRecord) error {
+func (l *saturableLink) Put(ctx context.Context, topic logstore.Topic, w logstore.Write, records []logstore.KeyedRecord) error {
 	if topic == logstore.TopicAllocators {
-		l.puts.Add(1)
+		l.announcements.Add(1)
 	}
-	if err := l.hold(ctx); err != nil {
+	if err := l.delay(ctx); err != nil {
 		return err
 	}
 	return l.Keyed.Put(ctx, topic, w, records)
 }
 
-// What callers of a zone saw: refusals for want of tokens, since an instance with a full
-// link had taken a slot from an allocator that only this instance did not reach. Here
-// the allocators are gone: it takes a slot once its link has room, and not before.
+// An instance with a saturated link may take a slot from an allocator that only this instance
+// cannot reach, and callers of the zone are refused for lack of tokens. Here all allocators have
+// ended: the instance must not take a slot while its link is saturated, and must do so after.
 func TestAnInstanceWithAFullLinkLeavesTheSlotsToOthers(t *testing.T) {
 	log := standin.NewKeyed()
-	var links []*fullLink
-	var keepers []*prepaid.Keeper
+	var links []*saturableLink
+	var controllers []*prepaid.Controller
 	var stops []func()
 	const instances = 8
 	for i := range instances {
-		link := &fullLink{Keyed: log}
+		link := &saturableLink{Keyed: log}
 		key := record.InstanceID(fmt.Sprint("k", i))
-		k, stop := runKeeperOn(t, link, key, string(key), 100_000, pooledPolicy())
-		links, keepers, stops = append(links, link), append(keepers, k), append(stops, stop)
+		c, stop := runControllerOnHost(t, link, key, string(key), 100_000, allocatorPolicy())
+		links, controllers, stops = append(links, link), append(controllers, c), append(stops, stop)
 	}
-	_, members := awaitParts(t, keepers)
-	// One that lost a slot to another leaves it alone for long.
-	i := slices.IndexFunc(members, func(i int) bool { return links[i].puts.Load() == 0 })
+	_, members := awaitRoles(t, controllers)
+	// Excludes instances that lost a slot, which take none for replacedCooldown.
+	i := slices.IndexFunc(members, func(i int) bool { return links[i].announcements.Load() == 0 })
 	if i < 0 {
-		t.Fatal("every member has announced itself once")
+		t.Fatal("every member has written an announcement")
 	}
 	member := members[i]
-	link, k := links[member], keepers[member]
-	link.full.Store(true)
-	before := link.puts.Load()
+	link, c := links[member], controllers[member]
+	link.saturated.Store(true)
+	before := link.announcements.Load()
 	for i, stop := range stops {
 		if i != member {
 			stop()
 		}
 	}
-	waitFor(t, "the member on its own", func() bool { return k.Book.Role() == allocator.Claimant })
-	if k.Book.Role() == allocator.Allocator || link.puts.Load() != before {
-		t.Errorf("%s, %d announcements with a full link", k.Book.Role(), link.puts.Load()-before)
+	waitFor(t, "the member becomes a claimant", func() bool { return c.Accounts.Role() == allocator.Claimant })
+	if c.Accounts.Role() == allocator.Allocator || link.announcements.Load() != before {
+		t.Errorf("role %s, %d announcements with a saturated link; want neither", c.Accounts.Role(), link.announcements.Load()-before)
 	}
-	link.full.Store(false)
-	waitFor(t, "an allocator once the link has room", func() bool { return k.Book.Role() == allocator.Allocator })
+	link.saturated.Store(false)
+	waitFor(t, "an allocator once the link is no longer saturated", func() bool { return c.Accounts.Role() == allocator.Allocator })
 }
