--- a/internal/claim/holder.go
+++ b/internal/claim/holder.go
@@ -66,7 +66,7 @@
 	h := &Holder{
 		parts: parts, opts: opts, ctx: ctx, cancel: cancel,
 		batcher: right.NewBatcher[Use](parts.Caller, right.BatcherOptions{
-			Service: WitnessServiceName, Deadline: opts.Acknowledge, Attempts: acknowledgeAttempts,
+			WitnessService: WitnessServiceName, CallTimeout: opts.Acknowledge, MaxAttempts: acknowledgeAttempts,
 		}),
 		running: func(record.RequestKey, record.RunID) bool { return false },
 		shards:  map[shardID]*shard{}, busy: map[shardID]bool{}, away: map[record.InstanceID]time.Time{},
@@ -231,7 +231,7 @@
 	if old, has := h.shards[id]; has && old.terms.Right == r.Right || h.closed {
 		return
 	}
-	s := newShard(h.ctx, terms, right.NewHeld(terms, h.batcher), part, h.parts.Log, h.opts)
+	s := newShard(h.ctx, terms, right.NewHeldRight(terms, h.batcher), part, h.parts.Log, h.opts)
 	h.shards[id] = s
 	h.working.Go(s.writeLazily)
 	h.parts.Logger.Info().Str("zone", string(id.Zone)).Int("shard", id.Shard).Uint64("epoch", last.Epoch).
--- a/internal/claim/shard.go
+++ b/internal/claim/shard.go
@@ -37,7 +37,7 @@
 // concurrent use.
 type shard struct {
 	terms right.Terms
-	held  *right.Held[Use]
+	held  *right.HeldRight[Use]
 	part  *Replica
 	log   Appender
 	opts  Options
@@ -58,7 +58,7 @@
 	then    func()
 }
 
-func newShard(ctx context.Context, terms right.Terms, held *right.Held[Use], part *Replica, log Appender, opts Options) *shard {
+func newShard(ctx context.Context, terms right.Terms, held *right.HeldRight[Use], part *Replica, log Appender, opts Options) *shard {
 	return &shard{
 		terms: terms, held: held, part: part, log: log, opts: opts,
 		ctx: ctx, wake: make(chan struct{}, 1), retired: make(chan struct{}), table: newTable(),
@@ -156,7 +156,7 @@
 // for the second: its bill is idempotent, so a twin does no harm.
 func (s *shard) count(ctx context.Context, r Request, w *row) error {
 	if r.Repeatable {
-		s.held.Change(use(w.claim, 0))
+		s.held.Update(use(w.claim, 0))
 		s.held.Flush()
 		return nil
 	}
@@ -243,7 +243,7 @@
 		return
 	}
 	w.claim.Endpoint = endpoint
-	s.held.Change(use(w.claim, 0))
+	s.held.Update(use(w.claim, 0))
 	s.held.Flush()
 }
 
@@ -260,7 +260,7 @@
 		s.endRepeatable(w, e)
 		return true
 	}
-	s.held.Change(use(w.claim, e.Outcome))
+	s.held.Update(use(w.claim, e.Outcome))
 	end := record.ClaimEnd{Key: key, Run: w.claim.Run, Outcome: e.Outcome}
 	s.later([]record.Record{w.claim, end}, func() { s.settled(w) })
 	return true
--- a/internal/claim/takeover.go
+++ b/internal/claim/takeover.go
@@ -32,7 +32,7 @@
 		w = s.table.adopt(r, found.Run, s.terms.Right, s.opts.Now())
 	}
 	w.claim.Runner, w.claim.Endpoint, w.attempt = runner, "", attempt
-	s.held.Change(use(w.claim, 0))
+	s.held.Update(use(w.claim, 0))
 	s.held.Flush()
 	return w.ticket(false)
 }
--- a/internal/ledger/account.go
+++ b/internal/ledger/account.go
@@ -10,7 +10,7 @@
 	"guavapier/internal/right"
 )
 
-type held = right.Held[record.Outstanding]
+type held = right.HeldRight[record.Outstanding]
 
 // account is this instance's part of one budget.
 type account struct {
@@ -153,7 +153,7 @@
 	}
 	spent := h.outstanding
 	spent.Tokens = used
-	g.held.Change(right.Use[record.Outstanding]{ID: id, Body: spent})
+	g.held.Update(right.Use[record.Outstanding]{ID: id, Body: spent})
 	g.free += h.outstanding.Tokens - used
 	g.unbilled[id] = record.Bill{Key: spent.Key, Right: g.right(), Run: spent.Run, Tokens: used}
 }
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -66,7 +66,7 @@
 		flushing: map[record.Stream]bool{},
 	}
 	l.batcher = right.NewBatcher[record.Outstanding](callerOrNone(c.Peers), right.BatcherOptions{
-		Service: WitnessName, Deadline: c.Options.PeerWait, Attempts: c.Options.AckAttempts,
+		WitnessService: WitnessName, CallTimeout: c.Options.PeerWait, MaxAttempts: c.Options.AckAttempts,
 	})
 	l.witness = right.NewService[record.Outstanding](c.Self, validator{c.Partitions}, c.Options.PeerWait/2)
 	l.remote = newRemoteSettler(l)
--- a/internal/ledger/renew.go
+++ b/internal/ledger/renew.go
@@ -273,7 +273,7 @@
 		}
 	}
 	a.grants = append(a.grants, &grant{
-		held: right.NewHeld(right.Terms{
+		held: right.NewHeldRight(right.Terms{
 			Right: row.Right, Holder: row.Holder, Witness: row.Witness, Stream: a.part.Stream(), Offset: row.Offset,
 		}, l.batcher),
 		free: row.Tokens, returns: row.Returns, far: far,
--- a/internal/ledger/watch.go
+++ b/internal/ledger/watch.go
@@ -163,7 +163,7 @@
 
 func (l *Ledger) forgetClosed() {
 	var adopted []right.Terms
-	l.witness.Look(func(w *right.Witness[record.Outstanding]) { adopted = w.Rights() })
+	l.witness.WithWitness(func(w *right.Witness[record.Outstanding]) { adopted = w.Rights() })
 	for _, t := range adopted {
 		part, ok := l.Partitions.Stream(t.Stream)
 		if !ok || !openIn(part, t.Right) {
--- a/internal/right/batcher.go
+++ b/internal/right/batcher.go
@@ -13,13 +13,13 @@
 
 // BatcherOptions bound a Batcher.
 type BatcherOptions struct {
-	// Service is the name under which the witnesses register their Service.
-	Service string
-	// Deadline bounds one call.
-	Deadline time.Duration
-	// Attempts is how often the same batches are sent before they are lost. A
+	// WitnessService is the name under which the witnesses register their WitnessService.
+	WitnessService string
+	// CallTimeout bounds one call.
+	CallTimeout time.Duration
+	// MaxAttempts is how often the same batches are sent before they are lost. A
 	// second copy is harmless.
-	Attempts int
+	MaxAttempts int
 }
 
 // Batcher sends batches to witnesses: those of many rights that wait for the
@@ -28,24 +28,24 @@
 	caller peer.Caller
 	opts   BatcherOptions
 
-	mu    sync.Mutex // Guards lines and their queues.
-	lines map[record.InstanceID]*line[U]
+	mu     sync.Mutex // Guards lines and their queues.
+	queues map[record.InstanceID]*witnessQueue[U]
 }
 
-// line is the queue to one witness, with one call under way at a time.
-type line[U any] struct {
-	busy  bool
-	queue []waiting[U]
+// witnessQueue is the queue to one witness, with one call under way at a time.
+type witnessQueue[U any] struct {
+	sending bool
+	pending []pendingBatch[U]
 }
 
-type waiting[U any] struct {
+type pendingBatch[U any] struct {
 	batch Batch[U]
 	done  func(error)
 }
 
 // NewBatcher returns a Batcher over caller.
 func NewBatcher[U any](caller peer.Caller, opts BatcherOptions) *Batcher[U] {
-	return &Batcher[U]{caller: caller, opts: opts, lines: map[record.InstanceID]*line[U]{}}
+	return &Batcher[U]{caller: caller, opts: opts, queues: map[record.InstanceID]*witnessQueue[U]{}}
 }
 
 // Send sends a batch to its witness and calls done once, from another
@@ -54,27 +54,27 @@
 func (b *Batcher[U]) Send(batch Batch[U], done func(error)) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	l, ok := b.lines[batch.Witness]
+	q, ok := b.queues[batch.Witness]
 	if !ok {
-		l = &line[U]{}
-		b.lines[batch.Witness] = l
+		q = &witnessQueue[U]{}
+		b.queues[batch.Witness] = q
 	}
-	l.queue = append(l.queue, waiting[U]{batch: batch, done: done})
-	if !l.busy {
-		l.busy = true
-		go b.run(batch.Witness, l)
+	q.pending = append(q.pending, pendingBatch[U]{batch: batch, done: done})
+	if !q.sending {
+		q.sending = true
+		go b.sendPending(batch.Witness, q)
 	}
 }
 
-// run empties a line's queue and ends.
-func (b *Batcher[U]) run(to record.InstanceID, l *line[U]) {
+// sendPending empties a line's queue and ends.
+func (b *Batcher[U]) sendPending(to record.InstanceID, q *witnessQueue[U]) {
 	for {
 		b.mu.Lock()
-		group := l.queue
-		l.queue = nil
+		group := q.pending
+		q.pending = nil
 		if len(group) == 0 {
-			l.busy = false
-			delete(b.lines, to)
+			q.sending = false
+			delete(b.queues, to)
 			b.mu.Unlock()
 			return
 		}
@@ -83,34 +83,34 @@
 	}
 }
 
-func (b *Batcher[U]) deliver(to record.InstanceID, group []waiting[U]) {
+func (b *Batcher[U]) deliver(to record.InstanceID, group []pendingBatch[U]) {
 	args := AcknowledgeArgs[U]{}
-	for _, w := range group {
-		args.Batches = append(args.Batches, w.batch)
+	for _, p := range group {
+		args.Batches = append(args.Batches, p.batch)
 	}
-	reply, err := b.call(to, args)
-	for i, w := range group {
+	reply, err := b.callWithRetries(to, args)
+	for i, p := range group {
 		if err != nil {
-			w.done(eris.Wrap(ErrLost, err.Error()))
+			p.done(eris.Wrap(ErrLost, err.Error()))
 			continue
 		}
-		w.done(reply.Results[i].Err())
+		p.done(reply.Results[i].Err())
 	}
 }
 
-func (b *Batcher[U]) call(to record.InstanceID, args AcknowledgeArgs[U]) (AcknowledgeReply, error) {
-	var last error
-	for range b.opts.Attempts {
-		ctx, cancel := context.WithTimeout(context.Background(), b.opts.Deadline)
+func (b *Batcher[U]) callWithRetries(to record.InstanceID, args AcknowledgeArgs[U]) (AcknowledgeReply, error) {
+	var lastErr error
+	for range b.opts.MaxAttempts {
+		ctx, cancel := context.WithTimeout(context.Background(), b.opts.CallTimeout)
 		var reply AcknowledgeReply
-		last = b.caller.Call(ctx, to, b.opts.Service+".Acknowledge", args, &reply)
+		lastErr = b.caller.Call(ctx, to, b.opts.WitnessService+".Acknowledge", args, &reply)
 		cancel()
-		if last == nil && len(reply.Results) == len(args.Batches) {
+		if lastErr == nil && len(reply.Results) == len(args.Batches) {
 			return reply, nil
 		}
 	}
-	if last == nil {
-		last = eris.New("right: results missing in the answer")
+	if lastErr == nil {
+		lastErr = eris.New("right: results missing in the answer")
 	}
-	return AcknowledgeReply{}, last
+	return AcknowledgeReply{}, lastErr
 }
--- a/internal/right/held.go
+++ b/internal/right/held.go
@@ -6,10 +6,10 @@
 	"sync"
 )
 
-// Held is a right that this instance holds: a Holder that sends its batches
+// HeldRight is a right that this instance holds: a Holder that sends its batches
 // through a Batcher. Concurrent uses share batches. It is safe for concurrent
 // use.
-type Held[U any] struct {
+type HeldRight[U any] struct {
 	batcher *Batcher[U]
 
 	mu      sync.Mutex // Guards all below.
@@ -17,16 +17,16 @@
 	waiters map[UseID]chan error
 }
 
-// NewHeld returns the holder's side of a right that the fold called valid.
-func NewHeld[U any](t Terms, batcher *Batcher[U]) *Held[U] {
-	return &Held[U]{batcher: batcher, holder: NewHolder[U](t), waiters: map[UseID]chan error{}}
+// NewHeldRight returns the holder's side of a right that the fold called valid.
+func NewHeldRight[U any](t Terms, batcher *Batcher[U]) *HeldRight[U] {
+	return &HeldRight[U]{batcher: batcher, holder: NewHolder[U](t), waiters: map[UseID]chan error{}}
 }
 
 // Terms returns the right's terms.
-func (h *Held[U]) Terms() Terms { return h.holder.Terms() }
+func (h *HeldRight[U]) Terms() Terms { return h.holder.Terms() }
 
 // Err returns nil while the right may be used, else why it may not.
-func (h *Held[U]) Err() error {
+func (h *HeldRight[U]) Err() error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.holder.Err()
@@ -35,8 +35,8 @@
 // Use returns nil once the use counts. After any error it does not count for
 // this holder: if ctx ended it is dropped again with the next batch, and after
 // ErrLost or ErrSealed the right is used no more.
-func (h *Held[U]) Use(ctx context.Context, use Use[U]) error {
-	done, err := h.begin(use)
+func (h *HeldRight[U]) Use(ctx context.Context, use Use[U]) error {
+	done, err := h.enqueue(use)
 	if err != nil || done == nil {
 		return err
 	}
@@ -57,13 +57,13 @@
 	return ctx.Err()
 }
 
-func (h *Held[U]) begin(use Use[U]) (chan error, error) {
+func (h *HeldRight[U]) enqueue(use Use[U]) (chan error, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if err := h.holder.Put(use); err != nil {
 		return nil, err
 	}
-	if !h.holder.Witnessed() {
+	if !h.holder.HasWitness() {
 		return nil, nil
 	}
 	done := make(chan error, 1)
@@ -72,9 +72,9 @@
 	return done, nil
 }
 
-// Change queues a use's new body. It goes out with the next batch or Flush,
+// Update queues a use's new body. It goes out with the next batch or Flush,
 // before any later use.
-func (h *Held[U]) Change(use Use[U]) {
+func (h *HeldRight[U]) Update(use Use[U]) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	_ = h.holder.Put(use)
@@ -82,14 +82,14 @@
 
 // Drop queues the end of a use. It goes out with the next batch or Flush,
 // before any later use.
-func (h *Held[U]) Drop(id UseID) {
+func (h *HeldRight[U]) Drop(id UseID) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.holder.Drop(id)
 }
 
 // Flush sends what is queued.
-func (h *Held[U]) Flush() {
+func (h *HeldRight[U]) Flush() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.flush()
@@ -97,31 +97,31 @@
 
 // Close ends the use of the right. Uses that wait for their acknowledgement
 // fail with ErrClosed. After it the right may be closed on the log.
-func (h *Held[U]) Close() {
+func (h *HeldRight[U]) Close() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.holder.Close()
-	h.fail(ErrClosed)
+	h.failWaiters(ErrClosed)
 }
 
 // flush is called with the lock held.
-func (h *Held[U]) flush() {
-	batch, ok := h.holder.Next()
+func (h *HeldRight[U]) flush() {
+	batch, ok := h.holder.NextBatch()
 	if !ok {
 		return
 	}
-	h.batcher.Send(batch, func(err error) { h.answered(batch, err) })
+	h.batcher.Send(batch, func(err error) { h.onReply(batch, err) })
 }
 
-func (h *Held[U]) answered(batch Batch[U], err error) {
+func (h *HeldRight[U]) onReply(batch Batch[U], err error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if err != nil {
-		h.holder.Lose(err)
-		h.fail(err)
+		h.holder.End(err)
+		h.failWaiters(err)
 		return
 	}
-	if h.holder.Acknowledged() != nil {
+	if h.holder.OnAcknowledged() != nil {
 		return
 	}
 	for _, use := range batch.Puts {
@@ -133,8 +133,8 @@
 	h.flush()
 }
 
-// fail is called with the lock held.
-func (h *Held[U]) fail(err error) {
+// failWaiters is called with the lock held.
+func (h *HeldRight[U]) failWaiters(err error) {
 	if errors.Is(err, ErrOutOfOrder) {
 		err = ErrLost
 	}
--- a/internal/right/right_bench_test.go
+++ b/internal/right/right_bench_test.go
@@ -24,32 +24,32 @@
 		b.Run(fmt.Sprintf("uses=%d", uses), func(b *testing.B) {
 			for range b.N {
 				began := time.Now()
-				acknowledge(b, uses)
-				b.ReportMetric(float64(time.Since(began).Nanoseconds())/acknowledged, "ns/use")
+				measureAcknowledge(b, uses)
+				b.ReportMetric(float64(time.Since(began).Nanoseconds())/usesPerMeasurement, "ns/use")
 			}
 		})
 	}
 }
 
-// acknowledged is how many uses a measurement begins and ends.
-const acknowledged = 1 << 18
+// usesPerMeasurement is how many uses a measurement begins and ends.
+const usesPerMeasurement = 1 << 18
 
-func acknowledge(b *testing.B, uses int) {
+func measureAcknowledge(b *testing.B, uses int) {
 	w := right.NewWitness[record.Outstanding]("w")
 	_ = w.Adopt(terms)
-	now, before := make([]right.Use[record.Outstanding], uses), make([]right.Use[record.Outstanding], uses)
+	begun, ended := make([]right.Use[record.Outstanding], uses), make([]right.Use[record.Outstanding], uses)
 	for n := range uses {
-		now[n], before[n] = reservation(n), reservation(uses+n)
+		begun[n], ended[n] = reservation(n), reservation(uses+n)
 	}
-	for seq := range acknowledged / uses {
-		batch := right.Batch[record.Outstanding]{Terms: terms, Seq: uint64(seq + 1), Puts: now}
-		for _, use := range before {
+	for seq := range usesPerMeasurement / uses {
+		batch := right.Batch[record.Outstanding]{Terms: terms, Seq: uint64(seq + 1), Puts: begun}
+		for _, use := range ended {
 			batch.Drops = append(batch.Drops, use.ID)
 		}
 		if err := w.Acknowledge(batch); err != nil {
 			b.Fatal(err)
 		}
-		now, before = before, now
+		begun, ended = ended, begun
 	}
 }
 
@@ -60,18 +60,18 @@
 			for range b.N {
 				w := right.NewWitness[record.Outstanding]("w")
 				_ = w.Adopt(terms)
-				before := heap()
+				baseline := heapBytes()
 				for n := range uses {
 					_ = w.Acknowledge(right.Batch[record.Outstanding]{Terms: terms, Seq: uint64(n + 1), Puts: []right.Use[record.Outstanding]{reservation(n)}})
 				}
-				b.ReportMetric(float64(heap()-before)/float64(uses), "B/use")
+				b.ReportMetric(float64(heapBytes()-baseline)/float64(uses), "B/use")
 				runtime.KeepAlive(w)
 			}
 		})
 	}
 }
 
-func heap() uint64 {
+func heapBytes() uint64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
--- a/internal/right/right_test.go
+++ b/internal/right/right_test.go
@@ -14,47 +14,47 @@
 
 // adversary delays, copies and loses batches and answers around a seal.
 type adversary struct {
-	witness *right.Witness[int]
-	holder  *right.Holder[int]
-	sent    []right.Batch[int] // Every batch ever sent, for late copies.
-	counted map[right.UseID]bool
-	sealed  map[right.UseID]bool // Nil before the seal.
-	next    int
+	witness   *right.Witness[int]
+	holder    *right.Holder[int]
+	sent      []right.Batch[int] // Every batch ever sent, for late copies.
+	confirmed map[right.UseID]bool
+	sealed    map[right.UseID]bool // Nil before the seal.
+	lastID    int
 }
 
 func (a *adversary) put(*rapid.T) {
-	a.next++
-	_ = a.holder.Put(right.Use[int]{ID: right.UseID(fmt.Sprint(a.next)), Body: a.next})
+	a.lastID++
+	_ = a.holder.Put(right.Use[int]{ID: right.UseID(fmt.Sprint(a.lastID)), Body: a.lastID})
 }
 
 func (a *adversary) drop(t *rapid.T) {
-	id := right.UseID(fmt.Sprint(rapid.IntRange(1, a.next+1).Draw(t, "use")))
-	if a.counted[id] {
+	id := right.UseID(fmt.Sprint(rapid.IntRange(1, a.lastID+1).Draw(t, "use")))
+	if a.confirmed[id] {
 		a.holder.Drop(id)
-		delete(a.counted, id)
+		delete(a.confirmed, id)
 	}
 }
 
 func (a *adversary) send(t *rapid.T) {
-	b, ok := a.holder.Next()
+	b, ok := a.holder.NextBatch()
 	if !ok {
 		return
 	}
 	a.sent = append(a.sent, b)
 	if rapid.Bool().Draw(t, "request lost") {
-		a.holder.Lose(right.ErrLost)
+		a.holder.End(right.ErrLost)
 		return
 	}
 	err := a.witness.Acknowledge(b)
 	if err != nil || rapid.Bool().Draw(t, "answer lost") {
-		a.holder.Lose(right.ErrLost)
+		a.holder.End(right.ErrLost)
 		return
 	}
-	if a.holder.Acknowledged() != nil {
+	if a.holder.OnAcknowledged() != nil {
 		return
 	}
 	for _, use := range b.Puts {
-		a.counted[use.ID] = true
+		a.confirmed[use.ID] = true
 	}
 }
 
@@ -76,7 +76,7 @@
 }
 
 func (a *adversary) check(t *rapid.T) {
-	for id := range a.counted {
+	for id := range a.confirmed {
 		if a.sealed != nil && !a.sealed[id] {
 			t.Fatalf("use %s counts but is not in the seal %v", id, a.sealed)
 		}
@@ -87,7 +87,7 @@
 // in the witness's seal, and after the seal nothing new counts.
 func TestSealedWitnessKnowsEveryCountedUse(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		a := &adversary{witness: right.NewWitness[int]("w"), holder: right.NewHolder[int](terms), counted: map[right.UseID]bool{}}
+		a := &adversary{witness: right.NewWitness[int]("w"), holder: right.NewHolder[int](terms), confirmed: map[right.UseID]bool{}}
 		if err := a.witness.Adopt(terms); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/right/service.go
+++ b/internal/right/service.go
@@ -31,7 +31,7 @@
 	ResultOutOfOrder
 )
 
-var results = map[Result]error{
+var resultErrors = map[Result]error{
 	ResultSealed:       ErrSealed,
 	ResultNotAdopted:   ErrNotAdopted,
 	ResultUnknownRight: ErrUnknownRight,
@@ -43,17 +43,17 @@
 	if r == ResultOK {
 		return nil
 	}
-	if err, ok := results[r]; ok {
+	if err, ok := resultErrors[r]; ok {
 		return err
 	}
 	return eris.Wrapf(ErrNotAdopted, "right: result %d", r)
 }
 
-func resultOf(err error) Result {
+func resultFor(err error) Result {
 	if err == nil {
 		return ResultOK
 	}
-	for result, known := range results {
+	for result, known := range resultErrors {
 		if errors.Is(err, known) {
 			return result
 		}
@@ -79,8 +79,8 @@
 // Service is the witness's side over net/rpc: a Witness behind a mutex. Each
 // kind of right registers one under a name of its own (rpc.RegisterName).
 type Service[U any] struct {
-	validator Validator
-	patience  time.Duration
+	validator    Validator
+	adoptTimeout time.Duration
 
 	mu      sync.Mutex // Guards witness.
 	witness *Witness[U]
@@ -88,8 +88,8 @@
 
 // NewService returns the service over an empty table. patience bounds how long
 // an adoption waits for the fold to reach the right's record.
-func NewService[U any](self record.InstanceID, validator Validator, patience time.Duration) *Service[U] {
-	return &Service[U]{validator: validator, patience: patience, witness: NewWitness[U](self)}
+func NewService[U any](self record.InstanceID, validator Validator, adoptTimeout time.Duration) *Service[U] {
+	return &Service[U]{validator: validator, adoptTimeout: adoptTimeout, witness: NewWitness[U](self)}
 }
 
 // Acknowledge is the net/rpc method. A right that is not adopted yet is looked
@@ -97,23 +97,23 @@
 func (s *Service[U]) Acknowledge(args AcknowledgeArgs[U], reply *AcknowledgeReply) error {
 	reply.Results = make([]Result, 0, len(args.Batches))
 	for _, b := range args.Batches {
-		reply.Results = append(reply.Results, resultOf(s.acknowledge(b)))
+		reply.Results = append(reply.Results, resultFor(s.acknowledge(b)))
 	}
 	return nil
 }
 
 func (s *Service[U]) acknowledge(b Batch[U]) error {
-	err := s.tryAcknowledge(b)
+	err := s.acknowledgeAdopted(b)
 	if !errors.Is(err, ErrNotAdopted) {
 		return err
 	}
 	if err := s.Adopt(b.Terms); err != nil {
 		return err
 	}
-	return s.tryAcknowledge(b)
+	return s.acknowledgeAdopted(b)
 }
 
-func (s *Service[U]) tryAcknowledge(b Batch[U]) error {
+func (s *Service[U]) acknowledgeAdopted(b Batch[U]) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.witness.Acknowledge(b)
@@ -123,7 +123,7 @@
 // fold is under the lock: between the first one and the lock, a paused
 // instance may have sealed, closed and forgotten the right.
 func (s *Service[U]) Adopt(t Terms) error {
-	ctx, cancel := context.WithTimeout(context.Background(), s.patience)
+	ctx, cancel := context.WithTimeout(context.Background(), s.adoptTimeout)
 	defer cancel()
 	if err := s.validator.Validate(ctx, t); err != nil {
 		return err
@@ -139,13 +139,13 @@
 // Forget drops a right that the fold has closed. The caller has seen the fold
 // say so, so that no later Adopt takes the right in again.
 func (s *Service[U]) Forget(id record.RightID) {
-	s.Look(func(w *Witness[U]) { w.Forget(id) })
+	s.WithWitness(func(w *Witness[U]) { w.Forget(id) })
 }
 
 // Seal is the net/rpc method. It adopts the right first where need be, so that
 // a right which was never used can be sealed as well.
 func (s *Service[U]) Seal(args SealArgs, reply *SealReply[U]) error {
 	uses, err := s.SealLocal(args.Terms)
-	reply.Uses, reply.Result = uses, resultOf(err)
+	reply.Uses, reply.Result = uses, resultFor(err)
 	return nil
 }
--- a/internal/right/witness.go
+++ b/internal/right/witness.go
@@ -14,20 +14,20 @@
 // not dropped use is among the uses that Seal returns.
 type Witness[U any] struct {
 	self   record.InstanceID
-	rights map[record.RightID]*adopted[U]
+	rights map[record.RightID]*adoptedRight[U]
 }
 
-type adopted[U any] struct {
-	terms  Terms
-	seq    uint64
-	sealed bool
-	uses   map[UseID]U
+type adoptedRight[U any] struct {
+	terms   Terms
+	lastSeq uint64
+	sealed  bool
+	uses    map[UseID]U
 }
 
 // NewWitness returns an empty table. An instance that restarts has a new
 // identity, so it starts with no right of its former self.
 func NewWitness[U any](self record.InstanceID) *Witness[U] {
-	return &Witness[U]{self: self, rights: map[record.RightID]*adopted[U]{}}
+	return &Witness[U]{self: self, rights: map[record.RightID]*adoptedRight[U]{}}
 }
 
 // Adopt takes a right in. The caller has read the right's record at its offset
@@ -37,7 +37,7 @@
 		return ErrUnknownRight
 	}
 	if _, ok := w.rights[t.Right]; !ok {
-		w.rights[t.Right] = &adopted[U]{terms: t, uses: map[UseID]U{}}
+		w.rights[t.Right] = &adoptedRight[U]{terms: t, uses: map[UseID]U{}}
 	}
 	return nil
 }
@@ -51,14 +51,14 @@
 		return ErrNotAdopted
 	case a.terms != b.Terms:
 		return ErrUnknownRight
-	case b.Seq <= a.seq:
+	case b.Seq <= a.lastSeq:
 		return nil
 	case a.sealed:
 		return ErrSealed
-	case b.Seq != a.seq+1:
+	case b.Seq != a.lastSeq+1:
 		return ErrOutOfOrder
 	}
-	a.seq = b.Seq
+	a.lastSeq = b.Seq
 	for _, id := range b.Drops {
 		delete(a.uses, id)
 	}
@@ -80,7 +80,7 @@
 	for use, body := range a.uses {
 		uses = append(uses, Use[U]{ID: use, Body: body})
 	}
-	slices.SortFunc(uses, func(x, y Use[U]) int { return compareIDs(x.ID, y.ID) })
+	slices.SortFunc(uses, func(x, y Use[U]) int { return compareUseIDs(x.ID, y.ID) })
 	return uses, nil
 }
 
@@ -96,21 +96,21 @@
 	return out
 }
 
-// Sealed says whether a right is adopted and sealed.
-func (w *Witness[U]) Sealed(id record.RightID) bool {
+// IsSealed says whether a right is adopted and sealed.
+func (w *Witness[U]) IsSealed(id record.RightID) bool {
 	a, ok := w.rights[id]
 	return ok && a.sealed
 }
 
-// Len returns the number of uses kept for a right.
-func (w *Witness[U]) Len(id record.RightID) int {
+// UseCount returns the number of uses kept for a right.
+func (w *Witness[U]) UseCount(id record.RightID) int {
 	if a, ok := w.rights[id]; ok {
 		return len(a.uses)
 	}
 	return 0
 }
 
-func compareIDs(x, y UseID) int {
+func compareUseIDs(x, y UseID) int {
 	switch {
 	case x < y:
 		return -1
