--- a/internal/ledger/account.go
+++ b/internal/ledger/account.go
@@ -10,27 +10,27 @@
 	"guavapier/internal/right"
 )
 
-type held = right.HeldRight[record.Outstanding]
+type heldRight = right.HeldRight[record.Outstanding]
 
 // account is this instance's part of one budget.
 type account struct {
-	budget record.BudgetID
-	part   *replica.Replica[*fold.Ledger]
-	users  int // Reserve calls under way; guarded by Ledger.mu.
-
-	mu     sync.Mutex // Guards all below, the grants included.
-	grants []*grant   // Oldest first.
-	draw   drawRate
-	// need is the worst case of the last request.
-	need    int64
-	renewal *renewal
-	// appending is true while the append of a grant has no answer.
-	appending bool
-	// askAgain is the time before which nobody is asked for spare tokens or a
+	budget      record.BudgetID
+	partition   *replica.Replica[*fold.Ledger]
+	activeCalls int // Reserve calls under way; guarded by Ledger.mu.
+
+	mu          sync.Mutex // Guards all below, the grants included.
+	grants      []*grant   // Oldest first.
+	consumption rateMeter
+	// lastWorstCase is the worst case of the last request.
+	lastWorstCase int64
+	refill        *refill
+	// appendPending is true while the append of a grant has no answer.
+	appendPending bool
+	// refillPausedUntil is the time before which nobody is asked for spare tokens or a
 	// next grant again, after this brought nothing.
-	askAgain time.Time
-	// elsewhere is the time before which no other holder is asked to reserve.
-	elsewhere time.Time
+	refillPausedUntil time.Time
+	// remotePausedUntil is the time before which no other holder is asked to reserve.
+	remotePausedUntil time.Time
 	// lastUse is the time of the last reservation or settlement.
 	lastUse time.Time
 }
@@ -41,39 +41,39 @@
 // grant's amount on the log. Tokens become free again only after the end of
 // their reservation was queued for the witness.
 type grant struct {
-	held     *held
-	free     int64
-	retired  bool // Takes no more reservations.
-	far      bool // Its witness is in another zone.
-	reserved map[right.UseID]*hold
-	unbilled map[right.UseID]record.Bill // Bills not known to be on the log.
-	// returns counts the returns; returning is the one not known to have taken
+	held          *heldRight
+	free          int64
+	retired       bool // Takes no more reservations.
+	remoteWitness bool // Its witness is in another zone.
+	reservations  map[right.UseID]*openReservation
+	unbilled      map[right.UseID]record.Bill // Bills not known to be on the log.
+	// returnSeq counts the returnSeq; returning is the one not known to have taken
 	// effect.
-	returns   uint64
-	returning *record.Return
+	returnSeq     uint64
+	pendingReturn *record.Return
 }
 
-// hold is a reservation that has not been settled.
-type hold struct {
+// openReservation is a reservation that has not been settled.
+type openReservation struct {
 	outstanding record.Outstanding
-	from        record.InstanceID // Instance whose run it is.
-	counted     bool              // False until the witness acknowledged it.
+	requester   record.InstanceID // Instance whose run it is.
+	confirmed   bool              // False until the witness acknowledged it.
 }
 
-func (g *grant) right() record.RightID { return g.held.Terms().Right }
+func (g *grant) rightID() record.RightID { return g.held.Terms().Right }
 
-func (g *grant) usable() bool { return !g.retired && g.held.Err() == nil }
+func (g *grant) isUsable() bool { return !g.retired && g.held.Err() == nil }
 
-// take sets tokens aside in the fullest usable grant that has them: an almost
+// reserve sets tokens aside in the fullest usable grant that has them: an almost
 // empty one is left to the small requests. Grants with a far witness come
 // last. It returns nil if no grant has them.
-func (a *account) take(id right.UseID, from record.InstanceID, use record.Outstanding, now time.Time) *grant {
+func (a *account) reserve(id right.UseID, requester record.InstanceID, use record.Outstanding, now time.Time) *grant {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.need = use.Tokens
+	a.lastWorstCase = use.Tokens
 	var best *grant
 	for _, g := range a.grants {
-		if g.usable() && g.free >= use.Tokens && (best == nil || g.before(best)) {
+		if g.isUsable() && g.free >= use.Tokens && (best == nil || g.isPreferredTo(best)) {
 			best = g
 		}
 	}
@@ -81,42 +81,42 @@
 		return nil
 	}
 	best.free -= use.Tokens
-	best.reserved[id] = &hold{outstanding: use, from: from}
-	a.draw.note(now, use.Tokens)
+	best.reservations[id] = &openReservation{outstanding: use, requester: requester}
+	a.consumption.add(now, use.Tokens)
 	a.lastUse = now
 	return best
 }
 
-func (g *grant) before(other *grant) bool {
-	if g.far != other.far {
-		return other.far
+func (g *grant) isPreferredTo(other *grant) bool {
+	if g.remoteWitness != other.remoteWitness {
+		return other.remoteWitness
 	}
 	return g.free > other.free
 }
 
-// counted marks a reservation as acknowledged. It returns false if the grant
+// confirm marks a reservation as acknowledged. It returns false if the grant
 // was closed meanwhile: its close accounts for the reservation.
-func (a *account) counted(g *grant, id right.UseID) bool {
+func (a *account) confirm(g *grant, id right.UseID) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	h, ok := g.reserved[id]
+	h, ok := g.reservations[id]
 	if ok {
-		h.counted = true
+		h.confirmed = true
 	}
 	return ok
 }
 
-// untake undoes take for a reservation that does not count.
-func (a *account) untake(g *grant, id right.UseID, now time.Time) {
+// cancel undoes take for a reservation that does not count.
+func (a *account) cancel(g *grant, id right.UseID, now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	h, ok := g.reserved[id]
+	h, ok := g.reservations[id]
 	if !ok {
 		return
 	}
-	delete(g.reserved, id)
+	delete(g.reservations, id)
 	g.free += h.outstanding.Tokens
-	a.draw.note(now, -h.outstanding.Tokens)
+	a.consumption.add(now, -h.outstanding.Tokens)
 	if g.held.Err() != nil {
 		g.retired = true
 	}
@@ -127,64 +127,64 @@
 func (a *account) settle(r Reservation, used int64, now time.Time) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	g := a.find(r.Right)
+	g := a.findGrant(r.Right)
 	if g == nil {
 		return false
 	}
-	h, ok := g.reserved[r.ID]
+	h, ok := g.reservations[r.ID]
 	if !ok {
 		return false
 	}
 	a.lastUse = now
-	g.end(r.ID, h, used)
-	a.draw.note(now, min(used, h.outstanding.Tokens)-h.outstanding.Tokens)
+	g.settle(r.ID, h, used)
+	a.consumption.add(now, min(used, h.outstanding.Tokens)-h.outstanding.Tokens)
 	return true
 }
 
-// end is called with the account's lock held. The witness hears of the end
+// settle is called with the account's lock held. The witness hears of the settle
 // before any use of the tokens that it sets free, since both go out in order.
-func (g *grant) end(id right.UseID, h *hold, used int64) {
-	delete(g.reserved, id)
+func (g *grant) settle(id right.UseID, h *openReservation, used int64) {
+	delete(g.reservations, id)
 	used = min(max(used, 0), h.outstanding.Tokens)
 	if used == 0 {
 		g.held.Drop(id)
 		g.free += h.outstanding.Tokens
 		return
 	}
-	spent := h.outstanding
-	spent.Tokens = used
-	g.held.Update(right.Use[record.Outstanding]{ID: id, Body: spent})
+	billed := h.outstanding
+	billed.Tokens = used
+	g.held.Update(right.Use[record.Outstanding]{ID: id, Body: billed})
 	g.free += h.outstanding.Tokens - used
-	g.unbilled[id] = record.Bill{Key: spent.Key, Right: g.right(), Run: spent.Run, Tokens: used}
+	g.unbilled[id] = record.Bill{Key: billed.Key, Right: g.rightID(), Run: billed.Run, Tokens: used}
 }
 
-// empty says whether nothing is left to remember.
-func (a *account) empty(now time.Time) bool {
+// isEmpty says whether nothing is left to remember.
+func (a *account) isEmpty(now time.Time) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return len(a.grants) == 0 && a.renewal == nil && !a.appending && now.Sub(a.lastUse) > leastIdle
+	return len(a.grants) == 0 && a.refill == nil && !a.appendPending && now.Sub(a.lastUse) > minIdleTime
 }
 
-// find is called with the lock held.
-func (a *account) find(id record.RightID) *grant {
+// findGrant is called with the lock held.
+func (a *account) findGrant(id record.RightID) *grant {
 	for _, g := range a.grants {
-		if g.right() == id {
+		if g.rightID() == id {
 			return g
 		}
 	}
 	return nil
 }
 
-// free returns the tokens that are free in usable grants. It is called with
+// freeTokens returns the tokens that are freeTokens in usable grants. It is called with
 // the lock held.
-func (a *account) free() int64 { return a.freeOf(false) + a.freeOf(true) }
+func (a *account) freeTokens() int64 { return a.freeTokensBy(false) + a.freeTokensBy(true) }
 
-// freeOf counts the grants with a far witness, or the others. It is called with
+// freeTokensBy counts the grants with a far witness, or the others. It is called with
 // the lock held.
-func (a *account) freeOf(far bool) int64 {
+func (a *account) freeTokensBy(remoteWitness bool) int64 {
 	var sum int64
 	for _, g := range a.grants {
-		if g.usable() && g.far == far {
+		if g.isUsable() && g.remoteWitness == remoteWitness {
 			sum += g.free
 		}
 	}
@@ -203,36 +203,36 @@
 	return sum
 }
 
-// giveBack takes up to tokens out of the grants' free ones, the newest grant
+// returnTokens takes up to tokens out of the grants' free ones, the newest grant
 // first, and returns the records that return them to the budget. They stay
 // with the grants until they are known to have taken effect. It is called with
 // the lock held.
-func (a *account) giveBack(self record.InstanceID, tokens int64) []record.Record {
-	return a.giveBackOf(self, tokens, func(*grant) bool { return true })
+func (a *account) returnTokens(self record.InstanceID, tokens int64) []record.Record {
+	return a.returnTokensFrom(self, tokens, func(*grant) bool { return true })
 }
 
-// giveBackOf gives back tokens of some grants only. It is called with the lock
+// returnTokensFrom gives back tokens of some grants only. It is called with the lock
 // held.
-func (a *account) giveBackOf(self record.InstanceID, tokens int64, from func(*grant) bool) []record.Record {
+func (a *account) returnTokensFrom(self record.InstanceID, tokens int64, eligible func(*grant) bool) []record.Record {
 	var out []record.Record
 	for i := len(a.grants) - 1; i >= 0 && tokens > 0; i-- {
 		g := a.grants[i]
-		part := min(g.free, tokens)
-		if part <= 0 || g.returning != nil || !from(g) {
+		amount := min(g.free, tokens)
+		if amount <= 0 || g.pendingReturn != nil || !eligible(g) {
 			continue
 		}
-		out = append(out, g.giveBack(self, part))
-		tokens -= part
+		out = append(out, g.startReturn(self, amount))
+		tokens -= amount
 	}
 	return out
 }
 
-// giveBack is called with the account's lock held, and no return under way.
-func (g *grant) giveBack(self record.InstanceID, tokens int64) record.Return {
+// startReturn is called with the account's lock held, and no return under way.
+func (g *grant) startReturn(self record.InstanceID, tokens int64) record.Return {
 	g.free -= tokens
-	g.returns++
-	g.returning = &record.Return{Right: g.right(), By: self, Seq: g.returns, Tokens: tokens}
-	return *g.returning
+	g.returnSeq++
+	g.pendingReturn = &record.Return{Right: g.rightID(), By: self, Seq: g.returnSeq, Tokens: tokens}
+	return *g.pendingReturn
 }
 
 // settleByID settles a reservation by its identity alone, for an instance that
@@ -243,8 +243,8 @@
 	}
 	a.mu.Lock()
 	for _, g := range a.grants {
-		if h, ok := g.reserved[r.ID]; ok && h.counted {
-			r.Right = g.right()
+		if h, ok := g.reservations[r.ID]; ok && h.confirmed {
+			r.Right = g.rightID()
 			break
 		}
 	}
--- a/internal/ledger/baselines_test.go
+++ b/internal/ledger/baselines_test.go
@@ -2,30 +2,30 @@
 
 import "guavapier/internal/record"
 
-// static splits each top-up equally over the instances.
-type static struct {
-	free    [zones][perZone]map[record.BudgetID]int64
-	away    [zones]bool
-	pending [zones]map[record.BudgetID]int64 // Shares that a cut zone has not read.
+// staticSplit splits each top-up equally over the instances.
+type staticSplit struct {
+	free         [zones][instancesPerZone]map[record.BudgetID]int64
+	isolated     [zones]bool
+	unreadShares [zones]map[record.BudgetID]int64 // Shares that a cut zone has not read.
 }
 
-func newStatic() *static {
-	s := &static{}
+func newStaticSplit() *staticSplit {
+	s := &staticSplit{}
 	for zone := range zones {
-		s.pending[zone] = map[record.BudgetID]int64{}
-		for i := range perZone {
+		s.unreadShares[zone] = map[record.BudgetID]int64{}
+		for i := range instancesPerZone {
 			s.free[zone][i] = map[record.BudgetID]int64{}
 		}
 	}
 	return s
 }
 
-func (s *static) topUp(b record.BudgetID, _ string, tokens int64) {
+func (s *staticSplit) topUp(b record.BudgetID, _ string, tokens int64) {
 	for zone := range zones {
-		for i := range perZone {
-			share := tokens / (zones * perZone)
-			if s.away[zone] {
-				s.pending[zone][b] = share
+		for i := range instancesPerZone {
+			share := tokens / (zones * instancesPerZone)
+			if s.isolated[zone] {
+				s.unreadShares[zone][b] = share
 				continue
 			}
 			s.free[zone][i][b] += share
@@ -33,80 +33,82 @@
 	}
 }
 
-func (s *static) reserve(zone, i int, j *job) bool {
-	if s.free[zone][i][j.budget] < worstCase {
+func (s *staticSplit) reserve(zone, i int, j *simRequest) bool {
+	if s.free[zone][i][j.budget] < reservedTokens {
 		return false
 	}
-	s.free[zone][i][j.budget] -= worstCase
+	s.free[zone][i][j.budget] -= reservedTokens
 	return true
 }
 
-func (s *static) settle(j *job) { s.free[j.zone][j.instance][j.budget] += worstCase - j.used }
-func (s *static) outage(bool)   {}
-func (s *static) step()         {}
-func (s *static) cut(zone int, on bool) {
-	s.away[zone] = on
-	for b, share := range s.pending[zone] {
-		for i := range perZone {
+func (s *staticSplit) settle(j *simRequest) {
+	s.free[j.zone][j.instance][j.budget] += reservedTokens - j.used
+}
+func (s *staticSplit) outage(bool) {}
+func (s *staticSplit) step()       {}
+func (s *staticSplit) cut(zone int, on bool) {
+	s.isolated[zone] = on
+	for b, share := range s.unreadShares[zone] {
+		for i := range instancesPerZone {
 			s.free[zone][i][b] += share
 		}
 	}
-	clear(s.pending[zone])
+	clear(s.unreadShares[zone])
 }
 
 // kill loses the share, as nothing of it is on the log.
-func (s *static) kill(zone, i int) { s.free[zone][i] = map[record.BudgetID]int64{} }
-func (s *static) replace(int, int) {}
-func (s *static) cost() (int, int) { return 0, 0 }
-
-// central counts on the log: one append to reserve, one to settle.
-type central struct {
-	free    map[record.BudgetID]int64
-	away    [zones]bool
-	late    []*job
-	appends int
+func (s *staticSplit) kill(zone, i int) { s.free[zone][i] = map[record.BudgetID]int64{} }
+func (s *staticSplit) replace(int, int) {}
+func (s *staticSplit) cost() (int, int) { return 0, 0 }
+
+// centralCounter counts on the log: one append to reserve, one to settle.
+type centralCounter struct {
+	free      map[record.BudgetID]int64
+	away      [zones]bool
+	unsettled []*simRequest
+	appends   int
 }
 
-func newCentral() *central { return &central{free: map[record.BudgetID]int64{}} }
+func newCentralCounter() *centralCounter { return &centralCounter{free: map[record.BudgetID]int64{}} }
 
-func (c *central) topUp(b record.BudgetID, _ string, tokens int64) { c.free[b] += tokens }
+func (c *centralCounter) topUp(b record.BudgetID, _ string, tokens int64) { c.free[b] += tokens }
 
-func (c *central) reserve(zone, _ int, j *job) bool {
-	if c.away[zone] || c.free[j.budget] < worstCase {
+func (c *centralCounter) reserve(zone, _ int, j *simRequest) bool {
+	if c.away[zone] || c.free[j.budget] < reservedTokens {
 		return false
 	}
 	c.appends++
-	c.free[j.budget] -= worstCase
+	c.free[j.budget] -= reservedTokens
 	return true
 }
 
-func (c *central) settle(j *job) {
+func (c *centralCounter) settle(j *simRequest) {
 	if c.away[j.zone] {
-		c.late = append(c.late, j)
+		c.unsettled = append(c.unsettled, j)
 		return
 	}
 	c.appends++
-	c.free[j.budget] += worstCase - j.used
+	c.free[j.budget] += reservedTokens - j.used
 }
 
-func (c *central) step() {
-	late := c.late
-	c.late = nil
-	for _, j := range late {
+func (c *centralCounter) step() {
+	unsettled := c.unsettled
+	c.unsettled = nil
+	for _, j := range unsettled {
 		c.settle(j)
 	}
 }
 
-func (c *central) cut(zone int, on bool) { c.away[zone] = on }
-func (c *central) outage(on bool) {
+func (c *centralCounter) cut(zone int, on bool) { c.away[zone] = on }
+func (c *centralCounter) outage(on bool) {
 	for zone := range zones {
 		c.away[zone] = on
 	}
 }
 
-func (c *central) kill(int, int)    {}
-func (c *central) replace(int, int) {}
-func (c *central) cost() (int, int) { return c.appends, c.appends * centralBytes }
+func (c *centralCounter) kill(int, int)    {}
+func (c *centralCounter) replace(int, int) {}
+func (c *centralCounter) cost() (int, int) { return c.appends, c.appends * batchBytesOneBill }
 
-// centralBytes is the size of one batch with one bill.
-const centralBytes = 130
+// batchBytesOneBill is the size of one batch with one bill.
+const batchBytesOneBill = 130
--- a/internal/ledger/checker_test.go
+++ b/internal/ledger/checker_test.go
@@ -10,29 +10,29 @@
 	"pgregory.net/rapid"
 )
 
-// recorder takes the verdict of a property that should fail.
-type recorder struct {
+// failureRecorder takes the verdict of a property that should fail.
+type failureRecorder struct {
 	name   string
 	failed bool
 	lines  strings.Builder
 }
 
-var _ rapid.TB = (*recorder)(nil)
+var _ rapid.TB = (*failureRecorder)(nil)
 
-func (r *recorder) Helper()                   {}
-func (r *recorder) Name() string              { return r.name }
-func (r *recorder) Logf(f string, a ...any)   { fmt.Fprintf(&r.lines, f+"\n", a...) }
-func (r *recorder) Log(a ...any)              { fmt.Fprintln(&r.lines, a...) }
-func (r *recorder) Skipf(f string, a ...any)  { r.Logf(f, a...); r.SkipNow() }
-func (r *recorder) Skip(a ...any)             { r.Log(a...); r.SkipNow() }
-func (r *recorder) SkipNow()                  { runtime.Goexit() }
-func (r *recorder) Errorf(f string, a ...any) { r.Logf(f, a...); r.Fail() }
-func (r *recorder) Error(a ...any)            { r.Log(a...); r.Fail() }
-func (r *recorder) Fatalf(f string, a ...any) { r.Logf(f, a...); r.FailNow() }
-func (r *recorder) Fatal(a ...any)            { r.Log(a...); r.FailNow() }
-func (r *recorder) Fail()                     { r.failed = true }
-func (r *recorder) FailNow()                  { r.failed = true; runtime.Goexit() }
-func (r *recorder) Failed() bool              { return r.failed }
+func (r *failureRecorder) Helper()                   {}
+func (r *failureRecorder) Name() string              { return r.name }
+func (r *failureRecorder) Logf(f string, a ...any)   { fmt.Fprintf(&r.lines, f+"\n", a...) }
+func (r *failureRecorder) Log(a ...any)              { fmt.Fprintln(&r.lines, a...) }
+func (r *failureRecorder) Skipf(f string, a ...any)  { r.Logf(f, a...); r.SkipNow() }
+func (r *failureRecorder) Skip(a ...any)             { r.Log(a...); r.SkipNow() }
+func (r *failureRecorder) SkipNow()                  { runtime.Goexit() }
+func (r *failureRecorder) Errorf(f string, a ...any) { r.Logf(f, a...); r.Fail() }
+func (r *failureRecorder) Error(a ...any)            { r.Log(a...); r.Fail() }
+func (r *failureRecorder) Fatalf(f string, a ...any) { r.Logf(f, a...); r.FailNow() }
+func (r *failureRecorder) Fatal(a ...any)            { r.Log(a...); r.FailNow() }
+func (r *failureRecorder) Fail()                     { r.failed = true }
+func (r *failureRecorder) FailNow()                  { r.failed = true; runtime.Goexit() }
+func (r *failureRecorder) Failed() bool              { return r.failed }
 
 // TestCheckerSeesBrokenLedgers: with one rule broken on purpose, the state
 // machine finds the invariant that breaks.
@@ -44,24 +44,24 @@
 		t.Fatal(err)
 	}
 	for _, broken := range []struct {
-		name    string
-		variant variant
-		finds   string
+		name       string
+		variant    productVariant
+		wantPrefix string
 	}{
-		{"holder makes its acknowledgements up", ownAcks, "spend: "},
-		{"holder uses a grant that is not on the log", unreadGrants, "spend: "},
-		{"a retry's bill has another key", renamedBills, "bills: "},
-		{"a return counts twice", doubledReturns, "spend: "},
+		{"holder makes its acknowledgements up", forgedAcks, "spend: "},
+		{"holder uses a grant that is not on the log", unloggedGrants, "spend: "},
+		{"a retry's bill has another key", uniqueBillKeys, "bills: "},
+		{"a return counts twice", duplicatedReturns, "spend: "},
 	} {
 		t.Run(broken.name, func(t *testing.T) {
-			r := &recorder{name: t.Name()}
+			r := &failureRecorder{name: t.Name()}
 			done := make(chan struct{})
 			go func() {
 				defer close(done)
-				rapid.Check(r, ledgerMachine(broken.variant))
+				rapid.Check(r, ledgerModelTest(broken.variant))
 			}()
 			<-done
-			if !r.failed || !strings.Contains(r.lines.String(), broken.finds) {
+			if !r.failed || !strings.Contains(r.lines.String(), broken.wantPrefix) {
 				t.Fatalf("not found, failed %v: %s", r.failed, r.lines.String())
 			}
 		})
--- a/internal/ledger/driver_test.go
+++ b/internal/ledger/driver_test.go
@@ -14,19 +14,19 @@
 // The load that the policies are driven with. Time is virtual, a second a
 // step; everything else is the real ledger, fold and right code.
 const (
-	zones         = 4
-	perZone       = 2
-	steps         = 6000
-	faultFrom     = 1200
-	faultUntil    = 4800
-	arrivals      = 4 // Requests a step, all zones together.
-	worstCase     = 1000
-	meanUsed      = 400
-	runSteps      = 5   // A run's length.
-	demandOfFunds = 0.9 // Part of the prepaid tokens that the load would use.
-	teams         = 10
-	hotTeam       = 0.8 // Part of the load that one team draws.
-	replaceAfter  = 30  // Steps until a dead instance is replaced.
+	zones                 = 4
+	instancesPerZone      = 2
+	steps                 = 6000
+	faultStartStep        = 1200
+	faultEndStep          = 4800
+	requestsPerStep       = 4 // Requests a step, all zones together.
+	reservedTokens        = 1000
+	meanUsedTokens        = 400
+	runSteps              = 5   // A run's length.
+	usedShareOfPrepaid    = 0.9 // Part of the prepaid tokens that the load would use.
+	teams                 = 10
+	hotTeamShare          = 0.8 // Part of the load that one team draws.
+	replacementDelaySteps = 30  // Steps until a dead instance is replaced.
 )
 
 // zoneShare is the part of the load that each zone draws.
@@ -38,23 +38,23 @@
 	noFault fault = iota
 	zoneCut
 	holderDies
-	farTopUp
-	oneTeam
-	deadInOutage
+	topUpBehindCut
+	hotTeam
+	holderDiesInOutage
 )
 
 var faultNames = map[fault]string{
-	noFault: "none", zoneCut: "cut", holderDies: "death", farTopUp: "far-topup", oneTeam: "team80",
-	deadInOutage: "outage+death",
+	noFault: "none", zoneCut: "cut", holderDies: "death", topUpBehindCut: "far-topup", hotTeam: "team80",
+	holderDiesInOutage: "outage+death",
 }
 
-// policy admits requests to budgets.
-type policy interface {
+// admissionPolicy admits requests to budgets.
+type admissionPolicy interface {
 	// topUp adds prepaid tokens.
 	topUp(budget record.BudgetID, id string, tokens int64)
 	// reserve returns false if it refuses.
-	reserve(zone, instance int, o *job) bool
-	settle(o *job)
+	reserve(zone, instance int, o *simRequest) bool
+	settle(o *simRequest)
 	// step ends a second.
 	step()
 	cut(zone int, on bool)
@@ -66,12 +66,12 @@
 	cost() (appends, bytes int)
 }
 
-// job is one request.
-type job struct {
+// simRequest is one request.
+type simRequest struct {
 	key            record.RequestKey
 	budget         record.BudgetID
 	used           int64
-	end            int
+	endStep        int
 	zone, instance int
 	r              ledger.Reservation
 	lost           bool // Its instance died: nobody settles it.
@@ -79,38 +79,38 @@
 
 // result is what one run of the driver measured.
 type result struct {
-	requests, falseRefusals   int
-	faultRequests, faultFalse int
-	overspend                 int64
-	appends, bytes            int
+	requests, falseRefusals           int
+	faultRequests, faultFalseRefusals int
+	overspend                         int64
+	appends, bytes                    int
 }
 
-// truth is the omniscient count that says which refusals are false.
-type truth struct{ prepaid, spent, reserved map[record.BudgetID]int64 }
+// globalBalance is the omniscient count that says which refusals are false.
+type globalBalance struct{ prepaid, spent, reserved map[record.BudgetID]int64 }
 
-func (t truth) has(b record.BudgetID) bool {
-	return t.prepaid[b]-t.spent[b]-t.reserved[b] >= worstCase
+func (t globalBalance) canAdmit(b record.BudgetID) bool {
+	return t.prepaid[b]-t.spent[b]-t.reserved[b] >= reservedTokens
 }
 
-type driver struct {
-	p       policy
-	fault   fault
-	rng     *rand.Rand
-	truth   truth
-	running []*job
-	turn    int
-	dead    map[[2]int]bool
-	out     result
+type loadSimulation struct {
+	p            admissionPolicy
+	fault        fault
+	rng          *rand.Rand
+	truth        globalBalance
+	running      []*simRequest
+	requestCount int
+	dead         map[[2]int]bool
+	out          result
 }
 
-func drive(p policy, f fault) result {
-	d := &driver{p: p, fault: f, rng: rand.New(rand.NewPCG(1, 2)), dead: map[[2]int]bool{}, truth: truth{
+func simulateLoad(p admissionPolicy, f fault) result {
+	d := &loadSimulation{p: p, fault: f, rng: rand.New(rand.NewPCG(1, 2)), dead: map[[2]int]bool{}, truth: globalBalance{
 		prepaid: map[record.BudgetID]int64{}, spent: map[record.BudgetID]int64{}, reserved: map[record.BudgetID]int64{},
 	}}
-	d.fund(0, 1)
+	d.topUpAll(0, 1)
 	for step := range steps {
 		d.inject(step)
-		for range arrivals {
+		for range requestsPerStep {
 			d.arrive(step)
 		}
 		d.settle(step)
@@ -123,23 +123,23 @@
 	return d.out
 }
 
-// fund tops all budgets up; part is 1 for a whole run's need. At a top-up on
+// topUpAll tops all budgets up; part is 1 for a whole run's need. At a top-up on
 // the far side the first funds are enough until the fault only.
-func (d *driver) fund(step int, part float64) {
-	if d.fault == farTopUp {
-		part = 0.3
+func (d *loadSimulation) topUpAll(step int, share float64) {
+	if d.fault == topUpBehindCut {
+		share = 0.3
 		if step > 0 {
-			part = 0.7
+			share = 0.7
 		}
 	}
-	total := float64(steps*arrivals*meanUsed) / demandOfFunds * part
+	total := float64(steps*requestsPerStep*meanUsedTokens) / usedShareOfPrepaid * share
 	for team := range teams {
 		b := budgetOf(team)
 		tokens := int64(total / teams)
-		if d.fault == oneTeam && team == 0 {
-			tokens = int64(total * hotTeam)
-		} else if d.fault == oneTeam {
-			tokens = int64(total * (1 - hotTeam) / (teams - 1))
+		if d.fault == hotTeam && team == 0 {
+			tokens = int64(total * hotTeamShare)
+		} else if d.fault == hotTeam {
+			tokens = int64(total * (1 - hotTeamShare) / (teams - 1))
 		}
 		d.truth.prepaid[b] += tokens
 		d.p.topUp(b, fmt.Sprint("t", step), tokens)
@@ -150,81 +150,81 @@
 	return record.BudgetID{Team: record.Team(fmt.Sprint("team-", team)), Name: "main"}
 }
 
-const cutZone = 1 // It draws a quarter of the load.
+const isolatedZone = 1 // It draws a quarter of the load.
 
-func (d *driver) inject(step int) {
-	cuts := d.fault == zoneCut || d.fault == farTopUp || d.fault == oneTeam
+func (d *loadSimulation) inject(step int) {
+	cutsZone := d.fault == zoneCut || d.fault == topUpBehindCut || d.fault == hotTeam
 	switch {
-	case cuts && step == faultFrom:
-		d.p.cut(cutZone, true)
-	case cuts && step == faultUntil:
-		d.p.cut(cutZone, false)
-	case d.fault == farTopUp && step == faultFrom+60:
-		d.fund(step, 1)
-	case d.fault == deadInOutage && step == faultFrom-1:
+	case cutsZone && step == faultStartStep:
+		d.p.cut(isolatedZone, true)
+	case cutsZone && step == faultEndStep:
+		d.p.cut(isolatedZone, false)
+	case d.fault == topUpBehindCut && step == faultStartStep+60:
+		d.topUpAll(step, 1)
+	case d.fault == holderDiesInOutage && step == faultStartStep-1:
 		d.p.outage(true)
-	case d.fault == deadInOutage && step == faultUntil:
+	case d.fault == holderDiesInOutage && step == faultEndStep:
 		d.p.outage(false)
-	case (d.fault == holderDies || d.fault == deadInOutage) && step == faultFrom:
+	case (d.fault == holderDies || d.fault == holderDiesInOutage) && step == faultStartStep:
 		d.dead[[2]int{0, 0}] = true
 		d.p.kill(0, 0)
 		for _, j := range d.running {
 			j.lost = j.lost || (j.zone == 0 && j.instance == 0)
 		}
-	case (d.fault == holderDies || d.fault == deadInOutage) && step == faultFrom+replaceAfter:
+	case (d.fault == holderDies || d.fault == holderDiesInOutage) && step == faultStartStep+replacementDelaySteps:
 		delete(d.dead, [2]int{0, 0})
 		d.p.replace(0, 0)
 	}
 }
 
-func (d *driver) arrive(step int) {
+func (d *loadSimulation) arrive(step int) {
 	zone, x := 0, d.rng.Float64()
 	for x > zoneShare[zone] && zone < zones-1 {
 		x -= zoneShare[zone]
 		zone++
 	}
 	team := d.rng.IntN(teams)
-	if d.fault == oneTeam && d.rng.Float64() < hotTeam {
+	if d.fault == hotTeam && d.rng.Float64() < hotTeamShare {
 		team = 0
 	}
-	d.turn++
-	instance := d.turn % perZone
+	d.requestCount++
+	instance := d.requestCount % instancesPerZone
 	if d.dead[[2]int{zone, instance}] {
-		instance = (instance + 1) % perZone // The balancer passes it over.
+		instance = (instance + 1) % instancesPerZone // The balancer passes it over.
 	}
-	used := int64(meanUsed/2 + d.rng.IntN(meanUsed))
-	j := &job{
-		key: record.RequestKey{Team: budgetOf(team).Team, Key: fmt.Sprint(d.turn)}, budget: budgetOf(team),
-		used: used, end: step + runSteps, zone: zone, instance: instance,
+	used := int64(meanUsedTokens/2 + d.rng.IntN(meanUsedTokens))
+	j := &simRequest{
+		key: record.RequestKey{Team: budgetOf(team).Team, Key: fmt.Sprint(d.requestCount)}, budget: budgetOf(team),
+		used: used, endStep: step + runSteps, zone: zone, instance: instance,
 	}
-	due := step >= faultFrom && step < faultUntil
+	duringFault := step >= faultStartStep && step < faultEndStep
 	d.out.requests++
-	if due {
+	if duringFault {
 		d.out.faultRequests++
 	}
 	if d.p.reserve(zone, instance, j) {
-		d.truth.reserved[j.budget] += worstCase
+		d.truth.reserved[j.budget] += reservedTokens
 		d.running = append(d.running, j)
 		return
 	}
-	if d.truth.has(j.budget) {
+	if d.truth.canAdmit(j.budget) {
 		d.out.falseRefusals++
-		if due {
-			d.out.faultFalse++
+		if duringFault {
+			d.out.faultFalseRefusals++
 		}
 	}
 }
 
-func (d *driver) settle(step int) {
+func (d *loadSimulation) settle(step int) {
 	kept := d.running[:0]
 	for _, j := range d.running {
-		if j.end > step {
+		if j.endStep > step {
 			kept = append(kept, j)
 			continue
 		}
-		d.truth.reserved[j.budget] -= worstCase
+		d.truth.reserved[j.budget] -= reservedTokens
 		if j.lost {
-			d.truth.spent[j.budget] += worstCase // Billed as reserved.
+			d.truth.spent[j.budget] += reservedTokens // Billed as reserved.
 			continue
 		}
 		d.truth.spent[j.budget] += j.used
@@ -233,93 +233,93 @@
 	d.running = kept
 }
 
-// adaptive drives the real ledger.
-type adaptive struct {
-	w     *world
-	nodes [zones][perZone]*node
-	opts  ledger.Options
-	lean  float64
-	born  int
-	away  bool // The log is away.
+// grantPolicy drives the real ledger.
+type grantPolicy struct {
+	fleet        *simFleet
+	nodes        [zones][instancesPerZone]*simInstance
+	opts         ledger.Options
+	conservatism float64
+	started      int
+	logDown      bool // The log is away.
 }
 
-func newAdaptive(lean float64, spare ledger.Spare) *adaptive {
-	a := &adaptive{w: newWorld(sound), opts: ledger.DefaultOptions(), lean: lean}
-	a.opts.Spare = spare
-	a.w.async = true
+func newGrantPolicy(conservatism float64, spare ledger.SparePolicy) *grantPolicy {
+	a := &grantPolicy{fleet: newSimFleet(unmodified), opts: ledger.DefaultOptions(), conservatism: conservatism}
+	a.opts.SparePolicy = spare
+	a.fleet.runAsync = true
 	for zone := range zones {
-		for i := range perZone {
+		for i := range instancesPerZone {
 			a.replace(zone, i)
 		}
 	}
 	return a
 }
 
-func (a *adaptive) replace(zone, i int) {
-	a.born++
-	name := fmt.Sprint("z", zone, "i", i, ".", a.born)
-	a.nodes[zone][i] = a.w.add(name, record.Zone(fmt.Sprint("zone-", zone)), a.opts, func(c *ledger.Config) {
-		c.Lean = func(record.BudgetID) float64 { return a.lean }
-		c.Members = &membersOf{w: a.w, id: record.InstanceID(name)}
+func (a *grantPolicy) replace(zone, i int) {
+	a.started++
+	name := fmt.Sprint("z", zone, "i", i, ".", a.started)
+	a.nodes[zone][i] = a.fleet.addInstance(name, record.Zone(fmt.Sprint("zone-", zone)), a.opts, func(c *ledger.Config) {
+		c.Conservatism = func(record.BudgetID) float64 { return a.conservatism }
+		c.Members = &instanceMembers{fleet: a.fleet, id: record.InstanceID(name)}
 	})
-	if a.away {
+	if a.logDown {
 		a.outage(true)
 	}
 }
 
-func (a *adaptive) topUp(b record.BudgetID, id string, tokens int64) { a.w.topUp(b, id, tokens) }
+func (a *grantPolicy) topUp(b record.BudgetID, id string, tokens int64) { a.fleet.topUp(b, id, tokens) }
 
-func (a *adaptive) reserve(zone, i int, j *job) bool {
-	r, err := a.nodes[zone][i].ledger.Reserve(context.Background(), j.key, "", j.budget, worstCase)
+func (a *grantPolicy) reserve(zone, i int, j *simRequest) bool {
+	r, err := a.nodes[zone][i].ledger.Reserve(context.Background(), j.key, "", j.budget, reservedTokens)
 	j.r = r
 	return err == nil
 }
 
-func (a *adaptive) settle(j *job) {
+func (a *grantPolicy) settle(j *simRequest) {
 	_ = a.nodes[j.zone][j.instance].ledger.Settle(context.Background(), j.budget, j.r, j.used)
 }
 
-func (a *adaptive) step() {
-	a.w.running.Wait()
-	a.w.mu.Lock()
-	a.w.now = a.w.now.Add(time.Second)
-	a.w.mu.Unlock()
-	for _, n := range a.w.nodes {
+func (a *grantPolicy) step() {
+	a.fleet.running.Wait()
+	a.fleet.mu.Lock()
+	a.fleet.now = a.fleet.now.Add(time.Second)
+	a.fleet.mu.Unlock()
+	for _, n := range a.fleet.instances {
 		if !n.stopped {
 			n.ledger.Tick(context.Background())
 		}
 	}
-	a.w.running.Wait()
+	a.fleet.running.Wait()
 }
 
-func (a *adaptive) cut(zone int, on bool) {
-	a.w.mu.Lock()
-	defer a.w.mu.Unlock()
-	for _, n := range a.w.nodes {
-		inside := n.zone == record.Zone(fmt.Sprint("zone-", zone))
-		if inside {
-			n.lags, n.mode = on, logUp
+func (a *grantPolicy) cut(zone int, on bool) {
+	a.fleet.mu.Lock()
+	defer a.fleet.mu.Unlock()
+	for _, n := range a.fleet.instances {
+		inZone := n.zone == record.Zone(fmt.Sprint("zone-", zone))
+		if inZone {
+			n.logLagging, n.mode = on, logUp
 			if on {
 				n.mode = logRefuses
 			}
-			n.read()
+			n.readLog()
 		}
-		for _, other := range a.w.nodes {
-			if n.zone != other.zone && (inside || other.zone == record.Zone(fmt.Sprint("zone-", zone))) {
-				a.w.links[[2]record.InstanceID{n.id, other.id}] = linkUp
+		for _, other := range a.fleet.instances {
+			if n.zone != other.zone && (inZone || other.zone == record.Zone(fmt.Sprint("zone-", zone))) {
+				a.fleet.links[[2]record.InstanceID{n.id, other.id}] = linkUp
 				if on {
-					a.w.links[[2]record.InstanceID{n.id, other.id}] = linkCut
+					a.fleet.links[[2]record.InstanceID{n.id, other.id}] = linkCut
 				}
 			}
 		}
 	}
 }
 
-func (a *adaptive) outage(on bool) {
-	a.w.mu.Lock()
-	defer a.w.mu.Unlock()
-	a.away = on
-	for _, n := range a.w.nodes {
+func (a *grantPolicy) outage(on bool) {
+	a.fleet.mu.Lock()
+	defer a.fleet.mu.Unlock()
+	a.logDown = on
+	for _, n := range a.fleet.instances {
 		n.mode = logUp
 		if on {
 			n.mode = logRefuses
@@ -327,34 +327,34 @@
 	}
 }
 
-func (a *adaptive) kill(zone, i int) {
-	a.w.mu.Lock()
-	defer a.w.mu.Unlock()
+func (a *grantPolicy) kill(zone, i int) {
+	a.fleet.mu.Lock()
+	defer a.fleet.mu.Unlock()
 	a.nodes[zone][i].stopped = true
-	a.w.list()
+	a.fleet.updateListed()
 }
 
-func (a *adaptive) cost() (int, int) { return a.w.appends, a.w.bytes }
+func (a *grantPolicy) cost() (int, int) { return a.fleet.appends, a.fleet.bytes }
 
-// membersOf is the instance list as one instance sees it: frozen while it is
+// instanceMembers is the instance list as one instance sees it: frozen while it is
 // cut off, and without those that are cut off from the platform.
-type membersOf struct {
-	w    *world
-	id   record.InstanceID
-	last []logstore.Instance
+type instanceMembers struct {
+	fleet *simFleet
+	id    record.InstanceID
+	last  []logstore.Instance
 }
 
 // Live implements ledger.Members.
-func (m *membersOf) Live() []logstore.Instance {
-	m.w.mu.Lock()
-	defer m.w.mu.Unlock()
-	self := m.w.find(m.id)
-	if self != nil && self.lags {
+func (m *instanceMembers) Live() []logstore.Instance {
+	m.fleet.mu.Lock()
+	defer m.fleet.mu.Unlock()
+	self := m.fleet.findInstance(m.id)
+	if self != nil && self.logLagging {
 		return m.last
 	}
 	m.last = m.last[:0:0]
-	for _, n := range m.w.nodes {
-		if !n.stopped && !n.lags {
+	for _, n := range m.fleet.instances {
+		if !n.stopped && !n.logLagging {
 			m.last = append(m.last, logstore.Instance{ID: n.id, Zone: n.zone})
 		}
 	}
--- a/internal/ledger/latency_bench_test.go
+++ b/internal/ledger/latency_bench_test.go
@@ -14,44 +14,44 @@
 	"guavapier/internal/record"
 )
 
-// addresses finds peers in a fixed table.
-type addresses map[record.InstanceID]string
+// addressTable finds peers in a fixed table.
+type addressTable map[record.InstanceID]string
 
 // PeerAddr implements peer.Addresses.
-func (a addresses) PeerAddr(id record.InstanceID) (string, bool) {
+func (a addressTable) PeerAddr(id record.InstanceID) (string, bool) {
 	addr, ok := a[id]
 	return addr, ok
 }
 
-// loopback makes three instances in one zone that talk over TCP on loopback.
-func loopback(b *testing.B) *world {
+// newLoopbackFleet makes three instances in one zone that talk over TCP on newLoopbackFleet.
+func newLoopbackFleet(b *testing.B) *simFleet {
 	b.Helper()
-	w := newWorld(sound)
-	w.async = true
-	where := addresses{}
+	fleet := newSimFleet(unmodified)
+	fleet.runAsync = true
+	addrs := addressTable{}
 	for i := range 3 {
 		id := record.InstanceID(fmt.Sprint("i", i))
 		server := peer.NewServer(id)
-		pool := peer.NewPool(id, where, peer.Options{})
-		n := w.add(string(id), "hall-a", ledger.DefaultOptions(), func(c *ledger.Config) { c.Peers, c.Now = pool, time.Now })
+		pool := peer.NewPool(id, addrs, peer.Options{})
+		n := fleet.addInstance(string(id), "hall-a", ledger.DefaultOptions(), func(c *ledger.Config) { c.Peers, c.Now = pool, time.Now })
 		for name, service := range map[string]any{ledger.WitnessName: n.ledger.Witness(), ledger.ServiceName: n.service} {
 			if err := server.Register(name, service); err != nil {
 				b.Fatal(err)
 			}
 		}
-		l, err := net.Listen("tcp", "127.0.0.1:0")
+		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			b.Fatal(err)
 		}
-		where[id] = l.Addr().String()
-		go func() { _ = server.Serve(l) }()
+		addrs[id] = listener.Addr().String()
+		go func() { _ = server.Serve(listener) }()
 		b.Cleanup(func() {
 			pool.Close()
-			_ = l.Close()
+			_ = listener.Close()
 			server.Close()
 		})
 	}
-	return w
+	return fleet
 }
 
 // BenchmarkReserveSettle measures one Reserve and Settle over real net/rpc on
@@ -61,12 +61,12 @@
 	for _, callers := range []int{1, 16, 64} {
 		for _, at := range []string{"owner", "other"} {
 			b.Run(fmt.Sprintf("%s/callers=%d", at, callers), func(b *testing.B) {
-				w := loopback(b)
-				w.topUp(mainBudget, "1", fold.MaxTokens/2)
-				owner := ledger.ChooseOwner("hall-a", w.stream, w.Live(), func(record.InstanceID) bool { return false })
-				n := w.find(owner)
+				fleet := newLoopbackFleet(b)
+				fleet.topUp(mainBudget, "1", fold.MaxTokens/2)
+				owner := ledger.ChooseOwner("hall-a", fleet.stream, fleet.Live(), func(record.InstanceID) bool { return false })
+				n := fleet.findInstance(owner)
 				if at == "other" {
-					for _, other := range w.nodes {
+					for _, other := range fleet.instances {
 						if other.id != owner {
 							n = other
 						}
@@ -80,10 +80,10 @@
 	}
 }
 
-// reservations is how many a measurement makes.
-const reservations = 10_000
+// reservationsPerMeasurement is how many a measurement makes.
+const reservationsPerMeasurement = 10_000
 
-func measureReserve(b *testing.B, n *node, callers int) {
+func measureReserve(b *testing.B, n *simInstance, callers int) {
 	b.Helper()
 	times := make([][]time.Duration, callers)
 	reserve := func(c, i int) {
@@ -108,7 +108,7 @@
 	done := make(chan struct{})
 	for c := range callers {
 		go func() {
-			for i := c; i < reservations; i += callers {
+			for i := c; i < reservationsPerMeasurement; i += callers {
 				reserve(c, i)
 			}
 			done <- struct{}{}
@@ -117,7 +117,7 @@
 	for range callers {
 		<-done
 	}
-	b.ReportMetric(reservations/time.Since(began).Seconds(), "reserves/s")
+	b.ReportMetric(reservationsPerMeasurement/time.Since(began).Seconds(), "reserves/s")
 	stop()
 	<-ended
 	all := slices.Concat(times...)
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -34,13 +34,13 @@
 	accounts map[record.BudgetID]*account
 	draining bool
 
-	peersMu  sync.Mutex // Guards suspects and silent.
-	suspects map[record.InstanceID]time.Time
-	silent   map[record.InstanceID]int
+	peersMu        sync.Mutex // Guards suspects and silent.
+	suspectedUntil map[record.InstanceID]time.Time
+	failedPings    map[record.InstanceID]int
 
 	tickMu sync.Mutex // Lets one tick run at a time; guards closing.
-	// closing are the witness's closes that the fold has not applied yet.
-	closing map[record.RightID]record.Close
+	// pendingCloses are the witness's closes that the fold has not applied yet.
+	pendingCloses map[record.RightID]record.Close
 
 	flushMu  sync.Mutex // Guards flushing.
 	flushing map[record.Stream]bool
@@ -54,21 +54,21 @@
 	if c.Go == nil {
 		c.Go = func(f func()) { go f() }
 	}
-	if c.Lean == nil {
-		c.Lean = func(record.BudgetID) float64 { return DefaultLean }
+	if c.Conservatism == nil {
+		c.Conservatism = func(record.BudgetID) float64 { return DefaultConservatism }
 	}
 	l := &Ledger{
-		Config:   c,
-		accounts: map[record.BudgetID]*account{},
-		suspects: map[record.InstanceID]time.Time{},
-		silent:   map[record.InstanceID]int{},
-		closing:  map[record.RightID]record.Close{},
-		flushing: map[record.Stream]bool{},
+		Config:         c,
+		accounts:       map[record.BudgetID]*account{},
+		suspectedUntil: map[record.InstanceID]time.Time{},
+		failedPings:    map[record.InstanceID]int{},
+		pendingCloses:  map[record.RightID]record.Close{},
+		flushing:       map[record.Stream]bool{},
 	}
 	l.batcher = right.NewBatcher[record.Outstanding](callerOrNone(c.Peers), right.BatcherOptions{
-		WitnessService: WitnessName, CallTimeout: c.Options.PeerWait, MaxAttempts: c.Options.AckAttempts,
+		WitnessService: WitnessName, CallTimeout: c.Options.PeerTimeout, MaxAttempts: c.Options.MaxAckAttempts,
 	})
-	l.witness = right.NewService[record.Outstanding](c.Self, validator{c.Partitions}, c.Options.PeerWait/2)
+	l.witness = right.NewService[record.Outstanding](c.Self, validator{c.Partitions}, c.Options.PeerTimeout/2)
 	l.remote = newRemoteSettler(l)
 	return l
 }
@@ -90,7 +90,7 @@
 	if !errors.Is(err, ErrStranded) {
 		return r, err
 	}
-	if far, ok := l.reserveElsewhere(ctx, budget, use); ok {
+	if far, ok := l.reserveAtOtherHolder(ctx, budget, use); ok {
 		return far, nil
 	}
 	return r, err
@@ -101,7 +101,7 @@
 // witness knows the reservation. A request that used nothing has no bill.
 func (l *Ledger) Settle(_ context.Context, budget record.BudgetID, r Reservation, used int64) error {
 	if r.At != l.Self {
-		l.remote.add(r.At, Settlement{Budget: budget, Reservation: r, Used: used})
+		l.remote.enqueue(r.At, Settlement{Budget: budget, Reservation: r, Used: used})
 		return nil
 	}
 	l.account(budget).settle(r, used, l.Now())
@@ -111,42 +111,42 @@
 // reserveHere reserves in this instance's own grants. Each turn of the loop
 // either reserves, or loses a grant, or waits for a new one; ctx bounds it.
 func (l *Ledger) reserveHere(ctx context.Context, from record.InstanceID, id right.UseID, budget record.BudgetID, use record.Outstanding) (Reservation, error) {
-	ctx, cancel := context.WithTimeout(ctx, l.Options.Patience)
+	ctx, cancel := context.WithTimeout(ctx, l.Options.GrantTimeout)
 	defer cancel()
 	a := l.acquire(budget)
 	defer l.release(a)
 	for {
-		if l.stopping() {
-			return Reservation{}, &Stranded{Reason: "this instance is stopping", RetryAfter: retryBusy}
+		if l.isDraining() {
+			return Reservation{}, &Stranded{Reason: "this instance is stopping", RetryAfter: reservedRetryAfter}
 		}
-		g := a.take(id, from, use, l.Now())
+		g := a.reserve(id, from, use, l.Now())
 		if g == nil {
-			if err := l.renewFor(ctx, a, use.Tokens); err != nil {
+			if err := l.awaitRefill(ctx, a, use.Tokens); err != nil {
 				return Reservation{}, err
 			}
 			continue
 		}
 		err := g.held.Use(ctx, right.Use[record.Outstanding]{ID: id, Body: use})
-		if err == nil && a.counted(g, id) {
-			l.renewAhead(a)
-			return Reservation{Key: use.Key, Run: use.Run, Right: g.right(), Tokens: use.Tokens, ID: id, At: l.Self}, nil
+		if err == nil && a.confirm(g, id) {
+			l.refillAhead(a)
+			return Reservation{Key: use.Key, Run: use.Run, Right: g.rightID(), Tokens: use.Tokens, ID: id, At: l.Self}, nil
 		}
-		a.untake(g, id, l.Now())
+		a.cancel(g, id, l.Now())
 		if err := ctx.Err(); err != nil {
-			return Reservation{}, &Stranded{Reason: "no acknowledgement in time", RetryAfter: retryStopped}
+			return Reservation{}, &Stranded{Reason: "no acknowledgement in time", RetryAfter: unavailableRetryAfter}
 		}
-		l.lost(g, err)
+		l.suspectWitness(g, err)
 	}
 }
 
-// lost notes which witness did not answer.
-func (l *Ledger) lost(g *grant, err error) {
-	if witness := g.held.Terms().Witness; isLost(err) && witness != "" {
+// suspectWitness notes which witness did not answer.
+func (l *Ledger) suspectWitness(g *grant, err error) {
+	if witness := g.held.Terms().Witness; isWitnessUnavailable(err) && witness != "" {
 		l.suspect(witness)
 	}
 }
 
-func (l *Ledger) stopping() bool {
+func (l *Ledger) isDraining() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.draining
@@ -163,7 +163,7 @@
 func (l *Ledger) accountLocked(budget record.BudgetID) *account {
 	a, ok := l.accounts[budget]
 	if !ok {
-		a = &account{budget: budget, part: l.Partitions.Of(budget.Team)}
+		a = &account{budget: budget, partition: l.Partitions.ForTeam(budget.Team)}
 		l.accounts[budget] = a
 	}
 	return a
@@ -175,14 +175,14 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	a := l.accountLocked(budget)
-	a.users++
+	a.activeCalls++
 	return a
 }
 
 func (l *Ledger) release(a *account) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	a.users--
+	a.activeCalls--
 }
 
 // prune drops the accounts that hold nothing and that nobody uses. It runs
@@ -192,19 +192,19 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for budget, a := range l.accounts {
-		if a.users == 0 && a.empty(now) {
+		if a.activeCalls == 0 && a.isEmpty(now) {
 			delete(l.accounts, budget)
 		}
 	}
 }
 
-// accountsOf returns the accounts of each partition.
-func (l *Ledger) accountsOf() map[record.Stream][]*account {
+// accountsByStream returns the accounts of each partition.
+func (l *Ledger) accountsByStream() map[record.Stream][]*account {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	out := map[record.Stream][]*account{}
 	for _, a := range l.accounts {
-		out[a.part.Stream()] = append(out[a.part.Stream()], a)
+		out[a.partition.Stream()] = append(out[a.partition.Stream()], a)
 	}
 	return out
 }
@@ -254,8 +254,8 @@
 	a := l.account(row.Budget)
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if g := a.find(row.Right); g != nil {
-		out.Free, out.Reserved, out.Retired = g.free, len(g.reserved), g.retired
+	if g := a.findGrant(row.Right); g != nil {
+		out.Free, out.Reserved, out.Retired = g.free, len(g.reservations), g.retired
 	}
 	return out
 }
--- a/internal/ledger/oracle_test.go
+++ b/internal/ledger/oracle_test.go
@@ -7,24 +7,24 @@
 	"guavapier/internal/record"
 )
 
-// oracle recounts the log by the plainest reading of the rules, with maps that
+// referenceModel recounts the log by the plainest reading of the rules, with maps that
 // only grow. It shares no code with the fold but the record types.
-type oracle struct {
+type referenceModel struct {
 	topUps map[string]int64
-	grants map[record.RightID]*oracleGrant
+	grants map[record.RightID]*referenceGrant
 	// bills counts the charged bills of each key as the caller knows it.
 	bills  map[string]int
 	billed map[record.RequestKey]bool
 }
 
-type oracleGrant struct {
+type referenceGrant struct {
 	holder, witness record.InstanceID
 	amount, spent   int64
 	returns         uint64
 	closed          bool
 }
 
-func (o *oracle) prepaid() int64 {
+func (o *referenceModel) prepaid() int64 {
 	var sum int64
 	for _, tokens := range o.topUps {
 		sum += tokens
@@ -32,8 +32,8 @@
 	return sum
 }
 
-// cost is the sum over grants of what each may still cost.
-func (o *oracle) cost() int64 {
+// committed is the sum over grants of what each may still committed.
+func (o *referenceModel) committed() int64 {
 	var sum int64
 	for _, g := range o.grants {
 		if g.closed {
@@ -45,7 +45,7 @@
 	return sum
 }
 
-func (o *oracle) charge(g *oracleGrant, key record.RequestKey, tokens int64) {
+func (o *referenceModel) charge(g *referenceGrant, key record.RequestKey, tokens int64) {
 	if o.billed[key] {
 		return
 	}
@@ -55,13 +55,13 @@
 	g.spent += min(tokens, g.amount-g.spent)
 }
 
-func (o *oracle) apply(rec record.Record) {
+func (o *referenceModel) apply(rec record.Record) {
 	switch r := rec.(type) {
 	case record.TopUp:
 		o.topUps[r.ID] = r.Tokens
 	case record.Grant:
-		if o.grants[r.Right] == nil && r.Tokens <= o.prepaid()-o.cost() {
-			o.grants[r.Right] = &oracleGrant{holder: r.Holder, witness: r.Witness, amount: r.Tokens}
+		if o.grants[r.Right] == nil && r.Tokens <= o.prepaid()-o.committed() {
+			o.grants[r.Right] = &referenceGrant{holder: r.Holder, witness: r.Witness, amount: r.Tokens}
 		}
 	case record.Return:
 		if g := o.grants[r.Right]; g != nil && !g.closed && r.By == g.holder && r.Seq == g.returns+1 && r.Tokens <= g.amount-g.spent {
@@ -83,20 +83,20 @@
 	}
 }
 
-// recount reads the log on into an oracle and into a fold of its own.
-func (w *world) recount() (*oracle, *fold.Ledger) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.oracle == nil {
-		w.oracle = &oracle{topUps: map[string]int64{}, grants: map[record.RightID]*oracleGrant{}, bills: map[string]int{}, billed: map[record.RequestKey]bool{}}
-		w.fold = fold.NewLedger()
+// replayLog reads the log on into an oracle and into a fold of its own.
+func (fleet *simFleet) replayLog() (*referenceModel, *fold.Ledger) {
+	fleet.mu.Lock()
+	defer fleet.mu.Unlock()
+	if fleet.oracle == nil {
+		fleet.oracle = &referenceModel{topUps: map[string]int64{}, grants: map[record.RightID]*referenceGrant{}, bills: map[string]int{}, billed: map[record.RequestKey]bool{}}
+		fleet.fold = fold.NewLedger()
 	}
-	for _, e := range w.entries[w.fold.Next():] {
+	for _, e := range fleet.entries[fleet.fold.Next():] {
 		b, err := record.DecodeBatch(e.Data)
 		if err != nil {
 			panic(err)
 		}
-		if err := w.fold.Apply(e.Offset, b); err != nil {
+		if err := fleet.fold.Apply(e.Offset, b); err != nil {
 			panic(err)
 		}
 		for _, env := range b.Records {
@@ -104,8 +104,8 @@
 			if err != nil {
 				panic(err)
 			}
-			w.oracle.apply(rec)
+			fleet.oracle.apply(rec)
 		}
 	}
-	return w.oracle, w.fold
+	return fleet.oracle, fleet.fold
 }
--- a/internal/ledger/outstanding.go
+++ b/internal/ledger/outstanding.go
@@ -7,7 +7,7 @@
 	for _, a := range l.allAccounts() {
 		a.mu.Lock()
 		for _, g := range a.grants {
-			n += len(g.reserved)
+			n += len(g.reservations)
 		}
 		a.mu.Unlock()
 	}
--- a/internal/ledger/policy.go
+++ b/internal/ledger/policy.go
@@ -12,68 +12,70 @@
 
 // Limits of the sizing decisions.
 const (
-	// DefaultLean is the setting of a budget that has none. No setting can
+	// DefaultConservatism is the setting of a budget that has none. No setting can
 	// overspend, and holders give tokens to whoever asks, so the refusals behind
 	// a cut decide: docs/measurements/ledger.md.
-	DefaultLean = 1.0
-	// shortHorizon and longHorizon are how long a grant should last at the
+	DefaultConservatism = 1.0
+	// minHorizon and longHorizon are how long a grant should last at the
 	// measured draw rate, for lean 0 and lean 1. Ten seconds is the least that
 	// hides a slow log; an hour is the cut that the sites name.
-	shortHorizon = 10 * time.Second
-	longHorizon  = time.Hour
-	// rateWindow is the time constant of the draw rate: long enough that one
+	minHorizon = 10 * time.Second
+	maxHorizon = time.Hour
+	// rateTimeConstant is the time constant of the draw rate: long enough that one
 	// burst does not size an hour, short enough to follow a shift of load.
-	rateWindow = time.Minute
-	// needsInGrant is how many requests a grant has room for at least, so that
+	rateTimeConstant = time.Minute
+	// minRequestsPerGrant is how many requests a grant has room for at least, so that
 	// a slow budget does not append for each request.
-	needsInGrant = 4
-	// lowestWater and highestWater are the part of the target below which the
+	minRequestsPerGrant = 4
+	// minRefillLevel and highestWater are the part of the target below which the
 	// next grant is asked for, for lean 0 and lean 1. A holder that leans to
 	// few refusals stays nearly full, since a cut may come at any moment.
-	lowestWater  = 0.25
-	highestWater = 0.85
-	// leastIdle is how long a budget must rest before its grants go back.
-	leastIdle = 10 * time.Minute
-	// keepFactor times the target is what a holder keeps; what is above goes
+	minRefillLevel = 0.25
+	maxRefillLevel = 0.85
+	// minIdleTime is how long a budget must rest before its grants go back.
+	minIdleTime = 10 * time.Minute
+	// maxFreeFactor times the target is what a holder keeps; what is above goes
 	// back, so that a budget that falls idle strands little.
-	keepFactor = 2
+	maxFreeFactor = 2
 )
 
-// Demand is what a grant is sized by.
-type Demand struct {
-	Rate    float64 // Draw of this holder, tokens a second.
-	Need    int64   // Worst case of the waiting request, or of the last one.
-	Free    int64   // Tokens that this holder has free in its grants.
-	Left    int64   // Tokens of the budget in no grant.
-	Holders int     // Other instances that hold grants of the budget.
-	First   int64   // Size where nothing is known about the draw.
-	Lean    float64
+// SizingInput is what a grant is sized by.
+type SizingInput struct {
+	ConsumptionRate float64 // Draw of this holder, tokens a second.
+	RequestTokens   int64   // Worst case of the waiting request, or of the last one.
+	FreeTokens      int64   // Tokens that this holder has free in its grants.
+	UngrantedTokens int64   // Tokens of the budget in no grant.
+	OtherHolders    int     // Other instances that hold grants of the budget.
+	InitialGrant    int64   // Size where nothing is known about the draw.
+	Conservatism    float64
 }
 
-// Target returns how many free tokens a holder should have.
+// TargetFreeTokens returns how many free tokens a holder should have.
 //
 // Load: steady draw with a log or a zone that can go away for up to an hour.
 // Harm prevented: refusals behind a cut (too small), tokens that nobody else
 // can reach (too large). The horizon grows geometrically with the lean, since
 // outages differ by orders of magnitude, not by seconds.
-func Target(d Demand) int64 {
-	want := int64(math.Min(d.Rate*horizon(d.Lean).Seconds(), float64(math.MaxInt64/4)))
-	least := d.Need * needsInGrant
-	if d.Rate == 0 {
-		least = max(least, d.First)
+func TargetFreeTokens(d SizingInput) int64 {
+	demand := int64(math.Min(d.ConsumptionRate*grantHorizon(d.Conservatism).Seconds(), float64(math.MaxInt64/4)))
+	minimum := d.RequestTokens * minRequestsPerGrant
+	if d.ConsumptionRate == 0 {
+		minimum = max(minimum, d.InitialGrant)
 	}
-	return max(want, least)
+	return max(demand, minimum)
 }
 
-func horizon(lean float64) time.Duration {
-	ratio := float64(longHorizon) / float64(shortHorizon)
-	return time.Duration(float64(shortHorizon) * math.Pow(ratio, clamp01(lean)))
+func grantHorizon(conservatism float64) time.Duration {
+	ratio := float64(maxHorizon) / float64(minHorizon)
+	return time.Duration(float64(minHorizon) * math.Pow(ratio, clamp01(conservatism)))
 }
 
-// Idle says whether a budget's grants should go back whole, since nothing was
+// IsIdle says whether a budget's grants should go back whole, since nothing was
 // drawn for a while. Harm prevented: tokens stranded, and memory held, for
 // budgets that nobody uses here any more.
-func Idle(since time.Duration, lean float64) bool { return since > max(leastIdle, horizon(lean)) }
+func IsIdle(since time.Duration, conservatism float64) bool {
+	return since > max(minIdleTime, grantHorizon(conservatism))
+}
 
 // GrantSize returns the size of the next grant, or 0 where none is due.
 //
@@ -83,35 +85,35 @@
 // a holder that leans to few refusals takes half, one that leans to few
 // stranded tokens an equal part of the half. A waiting request always gets its
 // worst case if it is there.
-func GrantSize(d Demand) int64 {
-	want := Target(d) - d.Free
-	others := 1 + float64(d.Holders)*(1-clamp01(d.Lean))
-	share := int64(float64(d.Left) / (2 * others))
-	return min(max(min(want, share), d.Need), d.Left)
+func GrantSize(d SizingInput) int64 {
+	demand := TargetFreeTokens(d) - d.FreeTokens
+	divisor := 1 + float64(d.OtherHolders)*(1-clamp01(d.Conservatism))
+	share := int64(float64(d.UngrantedTokens) / (2 * divisor))
+	return min(max(min(demand, share), d.RequestTokens), d.UngrantedTokens)
 }
 
-// Low says whether the next grant should be asked for now, before the free
+// NeedsRefill says whether the next grant should be asked for now, before the free
 // tokens run out.
-func Low(d Demand) bool {
-	water := lowestWater + (highestWater-lowestWater)*clamp01(d.Lean)
-	return float64(d.Free) < water*float64(Target(d))
+func NeedsRefill(d SizingInput) bool {
+	refillLevel := minRefillLevel + (maxRefillLevel-minRefillLevel)*clamp01(d.Conservatism)
+	return float64(d.FreeTokens) < refillLevel*float64(TargetFreeTokens(d))
 }
 
-// Excess returns how many free tokens a holder should give back.
+// ExcessTokens returns how many free tokens a holder should give back.
 //
 // Load: a holder whose draw has fallen. Harm prevented: tokens stranded with
 // an idle holder. The factor keeps a holder from taking and giving in turns.
-func Excess(d Demand) int64 {
-	if keep := keepFactor * Target(d); d.Free > keep {
-		return d.Free - keep
+func ExcessTokens(d SizingInput) int64 {
+	if maxFree := maxFreeFactor * TargetFreeTokens(d); d.FreeTokens > maxFree {
+		return d.FreeTokens - maxFree
 	}
 	return 0
 }
 
-// Gift returns how many free tokens a holder gives to one that has none: what
+// ReleaseSize returns how many free tokens a holder gives to one that has none: what
 // is asked for, or half of its own if that is more, so that a few exchanges
 // even out any skew.
-func Gift(free, asked int64) int64 { return min(free, max(asked, free/2)) }
+func ReleaseSize(free, requested int64) int64 { return min(free, max(requested, free/2)) }
 
 // ChooseWitness picks the witness of a grant: an instance that is not leaving
 // and not in avoid, in the holder's zone if there is one, so that the pair
@@ -151,37 +153,37 @@
 	return best
 }
 
-// drawRate measures tokens a second with an exponential window.
-type drawRate struct {
-	value float64
-	began time.Time
-	last  time.Time
+// rateMeter measures tokens a second with an exponential window.
+type rateMeter struct {
+	decayed   float64
+	startedAt time.Time
+	updatedAt time.Time
 }
 
-func (r *drawRate) note(now time.Time, tokens int64) {
-	if r.began.IsZero() {
-		r.began, r.last = now, now
+func (r *rateMeter) add(now time.Time, tokens int64) {
+	if r.startedAt.IsZero() {
+		r.startedAt, r.updatedAt = now, now
 	}
 	r.decay(now)
-	r.value = math.Max(0, r.value+float64(tokens)/rateWindow.Seconds())
+	r.decayed = math.Max(0, r.decayed+float64(tokens)/rateTimeConstant.Seconds())
 }
 
-func (r *drawRate) decay(now time.Time) {
-	if passed := now.Sub(r.last); passed > 0 {
-		r.value *= math.Exp(-float64(passed) / float64(rateWindow))
-		r.last = now
+func (r *rateMeter) decay(now time.Time) {
+	if passed := now.Sub(r.updatedAt); passed > 0 {
+		r.decayed *= math.Exp(-float64(passed) / float64(rateTimeConstant))
+		r.updatedAt = now
 	}
 }
 
 // perSecond returns the rate; for the first window it is corrected for the
 // time that was not yet measured.
-func (r *drawRate) perSecond(now time.Time) float64 {
-	if r.began.IsZero() {
+func (r *rateMeter) perSecond(now time.Time) float64 {
+	if r.startedAt.IsZero() {
 		return 0
 	}
 	r.decay(now)
-	age := max(now.Sub(r.began), time.Second)
-	return r.value / (1 - math.Exp(-float64(age)/float64(rateWindow)))
+	age := max(now.Sub(r.startedAt), time.Second)
+	return r.decayed / (1 - math.Exp(-float64(age)/float64(rateTimeConstant)))
 }
 
 func clamp01(x float64) float64 { return math.Min(1, math.Max(0, x)) }
--- a/internal/ledger/service.go
+++ b/internal/ledger/service.go
@@ -60,7 +60,7 @@
 	Reservation Reservation
 	Used        int64
 
-	logged bool // Its bill is on the log already.
+	billLogged bool // Its bill is on the log already.
 }
 
 // SettleArgs are settlements for one owner.
@@ -91,13 +91,13 @@
 type Service struct {
 	l *Ledger
 
-	mu      sync.Mutex // Guards both sets.
-	begun   idSet      // Reserve calls that were begun: a copy reserves nothing.
-	dropped idSet      // Reservations that their askers let go.
+	mu        sync.Mutex // Guards both sets.
+	started   idSet      // Reserve calls that were begun: a copy reserves nothing.
+	cancelled idSet      // Reservations that their askers let go.
 }
 
-// maxRemembered bounds a set of identities; the oldest are forgotten.
-const maxRemembered = 4096
+// maxRememberedIDs bounds a set of identities; the oldest are forgotten.
+const maxRememberedIDs = 4096
 
 type idSet struct {
 	ids   map[useID]struct{}
@@ -114,7 +114,7 @@
 	}
 	s.ids[id] = struct{}{}
 	s.order = append(s.order, id)
-	if len(s.order) > maxRemembered {
+	if len(s.order) > maxRememberedIDs {
 		delete(s.ids, s.order[0])
 		s.order = s.order[1:]
 	}
@@ -129,16 +129,16 @@
 
 // Reserve reserves for another instance of the zone.
 func (s *Service) Reserve(args ReserveArgs, reply *ReserveReply) error {
-	if !s.begin(args.ID) {
-		reply.Refusal, reply.Reason, reply.RetryAfter = RefusedStranded, "a copy of an earlier call", retryBusy
+	if !s.markStarted(args.ID) {
+		reply.Refusal, reply.Reason, reply.RetryAfter = RefusedStranded, "a copy of an earlier call", reservedRetryAfter
 		return nil
 	}
-	ctx, cancel := s.context()
+	ctx, cancel := s.callContext()
 	defer cancel()
 	r, err := s.l.reserveHere(ctx, args.From, args.ID, args.Budget, args.Use)
 	var stranded *Stranded
 	switch {
-	case err == nil && s.wasDropped(args.ID):
+	case err == nil && s.isCancelled(args.ID):
 		s.l.account(args.Budget).settle(r, 0, s.l.Now())
 		reply.Refusal, reply.Reason = RefusedStranded, "the asker let go"
 	case err == nil:
@@ -162,7 +162,7 @@
 func (s *Service) Settle(args SettleArgs, _ *SettleReply) error {
 	for _, item := range args.Items {
 		if item.Reservation.Right == "" {
-			s.drop(item.Reservation.ID)
+			s.markCancelled(item.Reservation.ID)
 		}
 		s.l.account(item.Budget).settleByID(item.Reservation, item.Used, s.l.Now())
 	}
@@ -171,42 +171,42 @@
 
 // Spare gives back tokens that another instance needs more.
 func (s *Service) Spare(args SpareArgs, reply *SpareReply) error {
-	ctx, cancel := s.context()
+	ctx, cancel := s.callContext()
 	defer cancel()
 	var err error
-	reply.Offset, reply.Tokens, err = s.l.spare(ctx, args.Budget, args.Tokens)
+	reply.Offset, reply.Tokens, err = s.l.releaseSpare(ctx, args.Budget, args.Tokens)
 	return err
 }
 
-// context bounds the work of one call to half of what its caller waits, so
+// callContext bounds the work of one call to half of what its caller waits, so
 // that a slow log brings a refusal and does not look like a silent peer.
-func (s *Service) context() (context.Context, context.CancelFunc) {
-	return context.WithTimeout(context.Background(), s.l.Options.PeerWait/2)
+func (s *Service) callContext() (context.Context, context.CancelFunc) {
+	return context.WithTimeout(context.Background(), s.l.Options.PeerTimeout/2)
 }
 
-func (s *Service) begin(id useID) bool {
+func (s *Service) markStarted(id useID) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.begun.add(id)
+	return s.started.add(id)
 }
 
-func (s *Service) drop(id useID) {
+func (s *Service) markCancelled(id useID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.dropped.add(id)
+	s.cancelled.add(id)
 }
 
-func (s *Service) wasDropped(id useID) bool {
+func (s *Service) isCancelled(id useID) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	_, ok := s.dropped.ids[id]
+	_, ok := s.cancelled.ids[id]
 	return ok
 }
 
-// call calls another ledger, bounded by Options.PeerWait. One that does not
+// callPeer calls another ledger, bounded by Options.PeerWait. One that does not
 // answer is passed over as witness and owner for a while.
-func (l *Ledger) call(ctx context.Context, to record.InstanceID, method string, args, reply any) error {
-	ctx, cancel := context.WithTimeout(ctx, l.Options.PeerWait)
+func (l *Ledger) callPeer(ctx context.Context, to record.InstanceID, method string, args, reply any) error {
+	ctx, cancel := context.WithTimeout(ctx, l.Options.PeerTimeout)
 	defer cancel()
 	err := callerOrNone(l.Peers).Call(ctx, to, ServiceName+"."+method, args, reply)
 	if errors.Is(err, peer.ErrUnreachable) {
--- a/internal/ledger/tick.go
+++ b/internal/ledger/tick.go
@@ -10,15 +10,15 @@
 )
 
 const (
-	// maxRecords bounds the records of one append.
-	maxRecords = 500
-	// drainPoll is how often Close looks whether all grants are closed.
-	drainPoll = 10 * time.Millisecond
+	// maxRecordsPerAppend bounds the records of one append.
+	maxRecordsPerAppend = 500
+	// drainPollInterval is how often Close looks whether all grants are closed.
+	drainPollInterval = 10 * time.Millisecond
 )
 
 // Run ticks until ctx ends.
 func (l *Ledger) Run(ctx context.Context) error {
-	ticker := time.NewTicker(l.Options.TickEvery)
+	ticker := time.NewTicker(l.Options.TickInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -35,14 +35,14 @@
 func (l *Ledger) Tick(ctx context.Context) {
 	l.tickMu.Lock()
 	defer l.tickMu.Unlock()
-	l.sync()
-	l.probe(ctx)
-	l.watch()
-	accounts := l.accountsOf()
+	l.syncAccounts()
+	l.pingDependents(ctx)
+	l.takeOverDead()
+	accounts := l.accountsByStream()
 	for _, part := range l.Partitions {
 		l.flush(part, accounts[part.Stream()])
 	}
-	l.remote.retry()
+	l.remote.retryFailed()
 	l.prune()
 }
 
@@ -54,18 +54,18 @@
 	l.mu.Unlock()
 	for {
 		l.Tick(ctx)
-		if l.remote.empty() && l.closedAll() {
+		if l.remote.isDrained() && l.allGrantsClosed() {
 			return nil
 		}
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-time.After(drainPoll):
+		case <-time.After(drainPollInterval):
 		}
 	}
 }
 
-func (l *Ledger) closedAll() bool {
+func (l *Ledger) allGrantsClosed() bool {
 	for _, part := range l.Partitions {
 		open := 0
 		part.View(func(f *fold.Ledger) { open = len(f.HeldBy(l.Self)) })
@@ -76,9 +76,9 @@
 	return true
 }
 
-// sync adopts grants whose append had no answer, drops closed ones, and
+// syncAccounts adopts grants whose append had no answer, drops closed ones, and
 // decides what goes back.
-func (l *Ledger) sync() {
+func (l *Ledger) syncAccounts() {
 	for _, part := range l.Partitions {
 		var rows []fold.Grant
 		part.View(func(f *fold.Ledger) { rows = f.HeldBy(l.Self) })
@@ -86,10 +86,10 @@
 			l.adopt(l.account(row.Budget), row)
 		}
 	}
-	stopping := l.stopping()
+	draining := l.isDraining()
 	for _, a := range l.allAccounts() {
-		a.part.View(func(f *fold.Ledger) { l.syncAccount(a, f) })
-		l.trim(a, stopping)
+		a.partition.View(func(f *fold.Ledger) { l.syncAccount(a, f) })
+		l.returnSurplus(a, draining)
 	}
 }
 
@@ -98,14 +98,14 @@
 	defer a.mu.Unlock()
 	kept := a.grants[:0]
 	for _, g := range a.grants {
-		row, ok := f.Grant(g.right())
+		row, ok := f.Grant(g.rightID())
 		if !ok || row.Closed {
 			g.held.Close()
-			clear(g.reserved)
+			clear(g.reservations)
 			continue
 		}
 		kept = append(kept, g)
-		g.resolveReturn(f)
+		g.clearAppliedReturn(f)
 		for id, b := range g.unbilled {
 			if f.Billed(b.Key) {
 				delete(g.unbilled, id)
@@ -117,38 +117,38 @@
 	a.grants = kept
 }
 
-// trim gives back what an idle or stopping holder does not need.
-func (l *Ledger) trim(a *account, stopping bool) {
+// returnSurplus gives back what an idle or stopping holder does not need.
+func (l *Ledger) returnSurplus(a *account, draining bool) {
 	now := l.Now()
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if len(a.grants) == 0 {
 		return
 	}
-	idle := Idle(now.Sub(a.lastUse), l.Lean(a.budget))
+	idle := IsIdle(now.Sub(a.lastUse), l.Conservatism(a.budget))
 	for _, g := range a.grants {
-		g.retired = g.retired || stopping || idle || g.held.Err() != nil
-		if g.retired && g.free > 0 && g.returning == nil && len(g.reserved) > 0 {
-			g.giveBack(l.Self, g.free)
+		g.retired = g.retired || draining || idle || g.held.Err() != nil
+		if g.retired && g.free > 0 && g.pendingReturn == nil && len(g.reservations) > 0 {
+			g.startReturn(l.Self, g.free)
 		}
 	}
-	d := l.demand(a, now)
-	for _, far := range []bool{false, true} {
-		d.Free = a.freeOf(far)
-		if excess := Excess(d); excess > 0 {
-			a.giveBackOf(l.Self, excess, func(g *grant) bool { return g.far == far })
+	d := l.sizingInput(a, now)
+	for _, remoteWitness := range []bool{false, true} {
+		d.FreeTokens = a.freeTokensBy(remoteWitness)
+		if excess := ExcessTokens(d); excess > 0 {
+			a.returnTokensFrom(l.Self, excess, func(g *grant) bool { return g.remoteWitness == remoteWitness })
 		}
 	}
 }
 
 // outbox is what waits for a partition.
 type outbox struct {
-	bills []sentBill
-	later []record.Record // Returns and closes; they go after the bills.
+	bills            []queuedBill
+	returnsAndCloses []record.Record // Returns and closes; they go after the bills.
 }
 
-// sentBill is a bill that an append carries.
-type sentBill struct {
+// queuedBill is a bill that an append carries.
+type queuedBill struct {
 	account *account
 	grant   *grant
 	id      useID
@@ -166,77 +166,77 @@
 	}
 	var box outbox
 	for _, a := range accounts {
-		a.collect(l.Self, &box)
+		a.collectInto(l.Self, &box)
 	}
-	for _, c := range l.closing {
-		if openIn(part, c.Right) {
-			box.later = append(box.later, split(c)...)
+	for _, c := range l.pendingCloses {
+		if isOpen(part, c.Right) {
+			box.returnsAndCloses = append(box.returnsAndCloses, splitClose(c)...)
 		}
 	}
-	if len(box.bills)+len(box.later) == 0 {
+	if len(box.bills)+len(box.returnsAndCloses) == 0 {
 		return
 	}
 	l.flushing[part.Stream()] = true
 	l.Go(func() {
-		l.send(part.Stream(), box)
+		l.appendOutbox(part.Stream(), box)
 		l.flushMu.Lock()
 		defer l.flushMu.Unlock()
 		l.flushing[part.Stream()] = false
 	})
 }
 
-func (l *Ledger) send(stream record.Stream, box outbox) {
-	records := make([]record.Record, 0, len(box.bills)+len(box.later))
+func (l *Ledger) appendOutbox(stream record.Stream, box outbox) {
+	records := make([]record.Record, 0, len(box.bills)+len(box.returnsAndCloses))
 	for _, b := range box.bills {
 		records = append(records, b.bill)
 	}
-	records = append(records, box.later...)
+	records = append(records, box.returnsAndCloses...)
 	for len(records) > 0 {
-		n := min(len(records), maxRecords)
+		n := min(len(records), maxRecordsPerAppend)
 		if _, err := l.Log.Append(context.Background(), stream, records[:n]...); err != nil {
 			return
 		}
 		done := min(len(box.bills), n)
 		for _, b := range box.bills[:done] {
-			b.account.billed(b)
+			b.account.markBilled(b)
 		}
 		records, box.bills = records[n:], box.bills[done:]
 	}
 }
 
-// collect adds what an account has for the log. A retired grant without
+// collectInto adds what an account has for the log. A retired grant without
 // reservations is used no more from here on, and closed.
-func (a *account) collect(self record.InstanceID, box *outbox) {
+func (a *account) collectInto(self record.InstanceID, box *outbox) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for _, g := range a.grants {
 		g.held.Flush()
-		if g.retired && len(g.reserved) == 0 {
+		if g.retired && len(g.reservations) == 0 {
 			g.held.Close()
-			box.later = append(box.later, split(g.close(self))...)
+			box.returnsAndCloses = append(box.returnsAndCloses, splitClose(g.closeRecord(self))...)
 			continue
 		}
 		for id, b := range g.unbilled {
-			box.bills = append(box.bills, sentBill{account: a, grant: g, id: id, bill: b})
+			box.bills = append(box.bills, queuedBill{account: a, grant: g, id: id, bill: b})
 		}
-		if g.returning != nil {
-			box.later = append(box.later, *g.returning)
+		if g.pendingReturn != nil {
+			box.returnsAndCloses = append(box.returnsAndCloses, *g.pendingReturn)
 		}
 	}
 }
 
-// close returns the record that ends a grant without reservations. Bills that
+// closeRecord returns the record that ends a grant without reservations. Bills that
 // may not be on the log go with it.
-func (g *grant) close(self record.InstanceID) record.Close {
-	c := record.Close{Right: g.right(), By: self}
+func (g *grant) closeRecord(self record.InstanceID) record.Close {
+	c := record.Close{Right: g.rightID(), By: self}
 	for _, b := range g.unbilled {
 		c.Outstanding = append(c.Outstanding, record.Outstanding{Key: b.Key, Run: b.Run, Tokens: b.Tokens})
 	}
 	return c
 }
 
-// billed says that a bill is on the log: the witness need not know it longer.
-func (a *account) billed(b sentBill) {
+// markBilled says that a bill is on the log: the witness need not know it longer.
+func (a *account) markBilled(b queuedBill) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if _, ok := b.grant.unbilled[b.id]; ok {
--- a/internal/ledger/types.go
+++ b/internal/ledger/types.go
@@ -52,8 +52,8 @@
 
 // When to come back after a refusal.
 const (
-	retryBusy    = time.Second     // Running requests hold the tokens.
-	retryStopped = 2 * time.Second // The log or a peer did not answer.
+	reservedRetryAfter    = time.Second     // Running requests hold the tokens.
+	unavailableRetryAfter = 2 * time.Second // The log or a peer did not answer.
 )
 
 // Appender appends records to the log in one batch; see logstore.Publisher.
@@ -68,8 +68,8 @@
 	Live() []logstore.Instance
 }
 
-// Usages asks endpoints what a run has used.
-type Usages interface {
+// UsageReader asks endpoints what a run has used.
+type UsageReader interface {
 	// Usage returns the tokens of a run that has ended. known is false where
 	// the run goes on, or its endpoint cannot say.
 	Usage(ctx context.Context, run record.RunID) (tokens int64, known bool)
@@ -78,13 +78,13 @@
 // Partitions gives the replica of each ledger partition.
 type Partitions []*replica.Replica[*fold.Ledger]
 
-// Of returns the replica that holds a team's budgets.
-func (p Partitions) Of(team record.Team) *replica.Replica[*fold.Ledger] {
+// ForTeam returns the replica that holds a team's budgets.
+func (p Partitions) ForTeam(team record.Team) *replica.Replica[*fold.Ledger] {
 	return p[record.TeamPartition(team, len(p))]
 }
 
-// Stream returns the replica of a stream.
-func (p Partitions) Stream(stream record.Stream) (*replica.Replica[*fold.Ledger], bool) {
+// ByStream returns the replica of a stream.
+func (p Partitions) ByStream(stream record.Stream) (*replica.Replica[*fold.Ledger], bool) {
 	for _, part := range p {
 		if part.Stream() == stream {
 			return part, true
@@ -105,13 +105,13 @@
 	At record.InstanceID
 }
 
-// Spare says what a busy budget's holder keeps besides its newest grant.
-type Spare uint8
+// SparePolicy says what a busy budget's holder keeps besides its newest grant.
+type SparePolicy uint8
 
 // The kinds of spare.
 const (
 	// SpareNone keeps one witness until it fails.
-	SpareNone Spare = iota
+	SpareNone SparePolicy = iota
 	// SpareOtherZone keeps as much again in grants whose witness is in another
 	// zone, where this zone has a witness too.
 	SpareOtherZone
@@ -121,34 +121,34 @@
 
 // Options set a Ledger's limits.
 type Options struct {
-	// GrantTokens is the size of a budget's first grant, and the most that a
+	// InitialGrantTokens is the size of a budget's first grant, and the most that a
 	// grant without witness has.
-	GrantTokens int64
-	// Patience is how long Reserve waits for a grant.
-	Patience time.Duration
-	// TickEvery is the period of Run: bills, returns and closes of a period go
+	InitialGrantTokens int64
+	// GrantTimeout is how long Reserve waits for a grant.
+	GrantTimeout time.Duration
+	// TickInterval is the period of Run: bills, returns and closes of a period go
 	// out in one append for each partition.
-	TickEvery time.Duration
-	// PeerWait bounds one call to another instance, and AckAttempts how often
+	TickInterval time.Duration
+	// PeerTimeout bounds one call to another instance, and AckAttempts how often
 	// an acknowledgement is asked for.
-	PeerWait    time.Duration
-	AckAttempts int
-	// SealTries is how many calls in a row a holder must leave unanswered
+	PeerTimeout    time.Duration
+	MaxAckAttempts int
+	// SealAfterFailedPings is how many calls in a row a holder must leave unanswered
 	// before its witness seals its grants. It is a count, not a time, so that
 	// a witness which was paused itself does not seal at once.
-	SealTries int
-	// SuspectFor is how long an instance that did not answer is passed over as
+	SealAfterFailedPings int
+	// SuspicionTTL is how long an instance that did not answer is passed over as
 	// witness and owner.
-	SuspectFor time.Duration
-	Spare      Spare
+	SuspicionTTL time.Duration
+	SparePolicy  SparePolicy
 }
 
 // DefaultOptions are the product's limits.
 func DefaultOptions() Options {
 	return Options{
-		GrantTokens: 20_000, Patience: 2 * time.Second, TickEvery: 500 * time.Millisecond,
-		PeerWait: 250 * time.Millisecond, AckAttempts: 2, SealTries: 6, SuspectFor: 5 * time.Second,
-		Spare: SpareNone,
+		InitialGrantTokens: 20_000, GrantTimeout: 2 * time.Second, TickInterval: 500 * time.Millisecond,
+		PeerTimeout: 250 * time.Millisecond, MaxAckAttempts: 2, SealAfterFailedPings: 6, SuspicionTTL: 5 * time.Second,
+		SparePolicy: SpareNone,
 	}
 }
 
@@ -160,11 +160,11 @@
 	Partitions Partitions
 	Members    Members
 	Peers      peer.Caller // Nil for an instance that has no peers.
-	// Lean returns a budget's setting between 0 (strand few tokens) and 1
+	// Conservatism returns a budget's setting between 0 (strand few tokens) and 1
 	// (refuse seldom). Nil means DefaultLean for all.
-	Lean func(record.BudgetID) float64
+	Conservatism func(record.BudgetID) float64
 	// Usages is nil where endpoints cannot be asked.
-	Usages  Usages
+	Usages  UsageReader
 	Options Options
 	// Now is the clock. It sizes grants and never decides who may spend.
 	Now func() time.Time
--- a/internal/ledger/view.go
+++ b/internal/ledger/view.go
@@ -16,16 +16,16 @@
 
 // budgetView is what the fold says about a budget at one offset.
 type budgetView struct {
-	row  fold.Budget
-	open []fold.Grant
+	budget     fold.Budget
+	openGrants []fold.Grant
 }
 
-func (l *Ledger) view(a *account) (budgetView, error) {
+func (l *Ledger) viewBudget(a *account) (budgetView, error) {
 	var v budgetView
 	known := false
-	a.part.View(func(f *fold.Ledger) {
-		v.row, known = f.Budget(a.budget)
-		v.open = f.OpenGrants(a.budget)
+	a.partition.View(func(f *fold.Ledger) {
+		v.budget, known = f.Budget(a.budget)
+		v.openGrants = f.OpenGrants(a.budget)
 	})
 	if !known {
 		return v, ErrNoBudget
@@ -33,13 +33,13 @@
 	return v, nil
 }
 
-// left returns the tokens that are in no grant.
-func (v budgetView) left() int64 { return v.row.Prepaid - v.row.Committed }
+// ungranted returns the tokens that are in no grant.
+func (v budgetView) ungranted() int64 { return v.budget.Prepaid - v.budget.Committed }
 
-// others counts the other holders that have tokens unbilled.
-func (v budgetView) others(self record.InstanceID) int {
+// otherHolders counts the other holders that have tokens unbilled.
+func (v budgetView) otherHolders(self record.InstanceID) int {
 	holders := map[record.InstanceID]struct{}{}
-	for _, g := range v.open {
+	for _, g := range v.openGrants {
 		if g.Holder != self && g.Tokens > g.Billed {
 			holders[g.Holder] = struct{}{}
 		}
@@ -52,7 +52,7 @@
 
 // Validate implements right.Validator.
 func (v validator) Validate(ctx context.Context, t right.Terms) error {
-	part, ok := v.partitions.Stream(t.Stream)
+	part, ok := v.partitions.ByStream(t.Stream)
 	if !ok {
 		return right.ErrUnknownRight
 	}
@@ -70,22 +70,22 @@
 	return nil
 }
 
-func (l *Ledger) live() []logstore.Instance {
+func (l *Ledger) liveInstances() []logstore.Instance {
 	if l.Members == nil {
 		return nil
 	}
 	return l.Members.Live()
 }
 
-// stays says whether an instance is listed and not leaving.
-func stays(id record.InstanceID, live []logstore.Instance) bool {
+// isStaying says whether an instance is listed and not leaving.
+func isStaying(id record.InstanceID, live []logstore.Instance) bool {
 	return slices.ContainsFunc(live, func(in logstore.Instance) bool { return in.ID == id && !in.Leaving })
 }
 
-// witnessLeaves is called with the lock held.
-func (a *account) witnessLeaves(live []logstore.Instance) bool {
+// hasLeavingWitness is called with the lock held.
+func (a *account) hasLeavingWitness(live []logstore.Instance) bool {
 	for _, g := range a.grants {
-		if witness := g.held.Terms().Witness; g.usable() && witness != "" && !stays(witness, live) {
+		if witness := g.held.Terms().Witness; g.isUsable() && witness != "" && !isStaying(witness, live) {
 			return true
 		}
 	}
@@ -95,38 +95,38 @@
 func (l *Ledger) suspect(id record.InstanceID) {
 	l.peersMu.Lock()
 	defer l.peersMu.Unlock()
-	l.suspects[id] = l.Now().Add(l.Options.SuspectFor)
+	l.suspectedUntil[id] = l.Now().Add(l.Options.SuspicionTTL)
 }
 
-func (l *Ledger) suspected(id record.InstanceID) bool {
+func (l *Ledger) isSuspected(id record.InstanceID) bool {
 	l.peersMu.Lock()
 	defer l.peersMu.Unlock()
-	until, ok := l.suspects[id]
+	until, ok := l.suspectedUntil[id]
 	if ok && !l.Now().Before(until) {
-		delete(l.suspects, id)
+		delete(l.suspectedUntil, id)
 		ok = false
 	}
 	return ok
 }
 
 // chooseWitness applies Options.Spare: far asks for a witness in another zone.
-func (l *Ledger) chooseWitness(a *account, far bool) record.InstanceID {
+func (l *Ledger) chooseWitness(a *account, otherZone bool) record.InstanceID {
 	if l.Peers == nil {
 		return ""
 	}
-	if l.Options.Spare == SpareUnwitnessed && a.unwitnessed() == 0 && a.usable() > 0 {
+	if l.Options.SparePolicy == SpareUnwitnessed && a.countUnwitnessed() == 0 && a.countUsable() > 0 {
 		return ""
 	}
-	live := l.live()
-	if far {
-		near := zonesOf(live, l.Zone)
-		return ChooseWitness(l.Self, l.Zone, live, func(id record.InstanceID) bool { return near[id] || l.suspected(id) })
+	live := l.liveInstances()
+	if otherZone {
+		sameZone := instancesInZone(live, l.Zone)
+		return ChooseWitness(l.Self, l.Zone, live, func(id record.InstanceID) bool { return sameZone[id] || l.isSuspected(id) })
 	}
-	return ChooseWitness(l.Self, l.Zone, live, l.suspected)
+	return ChooseWitness(l.Self, l.Zone, live, l.isSuspected)
 }
 
-// zonesOf returns the instances of a zone.
-func zonesOf(live []logstore.Instance, zone record.Zone) map[record.InstanceID]bool {
+// instancesInZone returns the instances of a zone.
+func instancesInZone(live []logstore.Instance, zone record.Zone) map[record.InstanceID]bool {
 	out := map[record.InstanceID]bool{}
 	for _, in := range live {
 		if in.Zone == zone {
@@ -136,46 +136,46 @@
 	return out
 }
 
-// keepsFar says whether a spare in another zone is wanted and possible: there
+// keepsRemoteSpare says whether a spare in another zone is wanted and possible: there
 // is a witness in this zone, and one elsewhere.
-func (l *Ledger) keepsFar(live []logstore.Instance) bool {
-	if l.Options.Spare != SpareOtherZone {
+func (l *Ledger) keepsRemoteSpare(live []logstore.Instance) bool {
+	if l.Options.SparePolicy != SpareOtherZone {
 		return false
 	}
-	near, far := false, false
+	hasNear, hasFar := false, false
 	for _, in := range live {
 		if in.ID == l.Self || in.Leaving {
 			continue
 		}
-		near, far = near || in.Zone == l.Zone, far || in.Zone != l.Zone
+		hasNear, hasFar = hasNear || in.Zone == l.Zone, hasFar || in.Zone != l.Zone
 	}
-	return near && far
+	return hasNear && hasFar
 }
 
-func (a *account) unwitnessed() int {
+func (a *account) countUnwitnessed() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	n := 0
 	for _, g := range a.grants {
-		if g.usable() && g.held.Terms().Witness == "" {
+		if g.isUsable() && g.held.Terms().Witness == "" {
 			n++
 		}
 	}
 	return n
 }
 
-func (a *account) usable() int {
+func (a *account) countUsable() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	n := 0
 	for _, g := range a.grants {
-		if g.usable() {
+		if g.isUsable() {
 			n++
 		}
 	}
 	return n
 }
 
-func isLost(err error) bool {
+func isWitnessUnavailable(err error) bool {
 	return errors.Is(err, right.ErrLost) || errors.Is(err, right.ErrNotAdopted) || errors.Is(err, peer.ErrUnreachable)
 }
--- a/internal/ledger/watch.go
+++ b/internal/ledger/watch.go
@@ -16,25 +16,25 @@
 
 type useID = right.UseID
 
-// maxOutstanding is how many outstanding uses one close carries, so that it
+// maxUsesPerClose is how many outstanding uses one close carries, so that it
 // fits an entry of the log. More go ahead of it as bills.
-const maxOutstanding = 1000
+const maxUsesPerClose = 1000
 
-// probe calls the instances that this one would have to act for: holders whose
+// pingDependents calls the instances that this one would have to act for: holders whose
 // grants it witnesses, and instances whose requests it holds reservations of.
-func (l *Ledger) probe(ctx context.Context) {
+func (l *Ledger) pingDependents(ctx context.Context) {
 	if l.Peers == nil {
 		return
 	}
-	ids := l.partners()
+	dependents := l.dependentInstances()
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	answers := map[record.InstanceID]bool{}
-	for id := range ids {
+	for id := range dependents {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			err := l.call(ctx, id, "Ping", PingArgs{}, &PingReply{})
+			err := l.callPeer(ctx, id, "Ping", PingArgs{}, &PingReply{})
 			mu.Lock()
 			defer mu.Unlock()
 			answers[id] = err == nil
@@ -43,21 +43,21 @@
 	wg.Wait()
 	l.peersMu.Lock()
 	defer l.peersMu.Unlock()
-	for id := range l.silent {
+	for id := range l.failedPings {
 		if _, known := answers[id]; !known {
-			delete(l.silent, id)
+			delete(l.failedPings, id)
 		}
 	}
 	for id, ok := range answers {
 		if ok {
-			delete(l.silent, id)
+			delete(l.failedPings, id)
 		} else {
-			l.silent[id]++
+			l.failedPings[id]++
 		}
 	}
 }
 
-func (l *Ledger) partners() map[record.InstanceID]struct{} {
+func (l *Ledger) dependentInstances() map[record.InstanceID]struct{} {
 	ids := map[record.InstanceID]struct{}{}
 	for _, part := range l.Partitions {
 		part.View(func(f *fold.Ledger) {
@@ -69,8 +69,8 @@
 	for _, a := range l.allAccounts() {
 		a.mu.Lock()
 		for _, g := range a.grants {
-			for _, h := range g.reserved {
-				ids[h.from] = struct{}{}
+			for _, h := range g.reservations {
+				ids[h.requester] = struct{}{}
 			}
 		}
 		a.mu.Unlock()
@@ -79,35 +79,35 @@
 	return ids
 }
 
-// gone says whether it is time to try to act without an instance. That it may
+// isPresumedDead says whether it is time to try to act without an instance. That it may
 // still live is safe: a seal holds whatever its holder does.
-func (l *Ledger) gone(id record.InstanceID) bool {
+func (l *Ledger) isPresumedDead(id record.InstanceID) bool {
 	l.peersMu.Lock()
 	defer l.peersMu.Unlock()
-	return l.silent[id] >= l.Options.SealTries
+	return l.failedPings[id] >= l.Options.SealAfterFailedPings
 }
 
-// watch seals the grants of holders that are gone, settles the reservations of
+// takeOverDead seals the grants of holders that are gone, settles the reservations of
 // instances that are gone, and forgets rights that the fold has closed.
-func (l *Ledger) watch() {
+func (l *Ledger) takeOverDead() {
 	for _, part := range l.Partitions {
 		var rows []fold.Grant
 		part.View(func(f *fold.Ledger) { rows = f.WitnessedBy(l.Self) })
 		for _, row := range rows {
-			if _, sealed := l.closing[row.Right]; !sealed && l.gone(row.Holder) {
-				l.seal(part, row)
+			if _, isSealed := l.pendingCloses[row.Right]; !isSealed && l.isPresumedDead(row.Holder) {
+				l.sealGrant(part, row)
 			}
 		}
 	}
-	l.forgetClosed()
+	l.forgetClosedRights()
 	for _, a := range l.allAccounts() {
-		l.settleGone(a)
+		l.settleForDead(a)
 	}
 }
 
-// seal ends a grant whose holder is gone. The holder's acknowledged uses are
+// sealGrant ends a grant whose holder is gone. The holder's acknowledged uses are
 // billed at what is known of them: their usage, or what they reserved.
-func (l *Ledger) seal(part *replica.Replica[*fold.Ledger], row fold.Grant) {
+func (l *Ledger) sealGrant(part *replica.Replica[*fold.Ledger], row fold.Grant) {
 	uses, err := l.witness.SealLocal(right.Terms{
 		Right: row.Right, Holder: row.Holder, Witness: row.Witness, Stream: part.Stream(), Offset: row.Offset,
 	})
@@ -118,40 +118,40 @@
 	for _, use := range uses {
 		c.Outstanding = append(c.Outstanding, use.Body)
 	}
-	l.askUsages(c.Outstanding)
-	l.closing[row.Right] = c
+	l.queryUsages(c.Outstanding)
+	l.pendingCloses[row.Right] = c
 }
 
 const (
-	// askUsageAtOnce bounds the questions of one seal that are open at once.
-	askUsageAtOnce = 16
-	// askUsageFor bounds all questions of one seal. Load: a holder that died
+	// maxConcurrentUsageQueries bounds the questions of one seal that are open at once.
+	maxConcurrentUsageQueries = 16
+	// usageQueryTimeout bounds all questions of one seal. Load: a holder that died
 	// with hundreds of runs. Harm prevented: bills of this instance that wait
 	// behind them. What is not known by then is billed as reserved.
-	askUsageFor = 2 * time.Second
+	usageQueryTimeout = 2 * time.Second
 )
 
-// askUsages replaces reserved amounts by usages where endpoints know them.
-func (l *Ledger) askUsages(outstanding []record.Outstanding) {
+// queryUsages replaces reserved amounts by usages where endpoints know them.
+func (l *Ledger) queryUsages(outstanding []record.Outstanding) {
 	if l.Usages == nil {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), askUsageFor)
+	ctx, cancel := context.WithTimeout(context.Background(), usageQueryTimeout)
 	defer cancel()
-	var asked errgroup.Group
-	asked.SetLimit(askUsageAtOnce)
+	var queries errgroup.Group
+	queries.SetLimit(maxConcurrentUsageQueries)
 	for i := range outstanding {
-		asked.Go(func() error {
-			outstanding[i].Tokens = l.usage(ctx, outstanding[i])
+		queries.Go(func() error {
+			outstanding[i].Tokens = l.billableTokens(ctx, outstanding[i])
 			return nil
 		})
 	}
-	_ = asked.Wait()
+	_ = queries.Wait()
 }
 
-// usage returns what a run of a gone instance is billed: what its endpoint
+// billableTokens returns what a run of a gone instance is billed: what its endpoint
 // says, at most what was reserved; else all that was reserved.
-func (l *Ledger) usage(ctx context.Context, o record.Outstanding) int64 {
+func (l *Ledger) billableTokens(ctx context.Context, o record.Outstanding) int64 {
 	if l.Usages == nil {
 		return o.Tokens
 	}
@@ -161,40 +161,40 @@
 	return o.Tokens
 }
 
-func (l *Ledger) forgetClosed() {
+func (l *Ledger) forgetClosedRights() {
 	var adopted []right.Terms
 	l.witness.WithWitness(func(w *right.Witness[record.Outstanding]) { adopted = w.Rights() })
 	for _, t := range adopted {
-		part, ok := l.Partitions.Stream(t.Stream)
-		if !ok || !openIn(part, t.Right) {
+		part, ok := l.Partitions.ByStream(t.Stream)
+		if !ok || !isOpen(part, t.Right) {
 			l.witness.Forget(t.Right)
-			delete(l.closing, t.Right)
+			delete(l.pendingCloses, t.Right)
 		}
 	}
 }
 
-// settleGone ends the reservations that this instance holds for instances that
+// settleForDead ends the reservations that this instance holds for instances that
 // are gone.
-func (l *Ledger) settleGone(a *account) {
+func (l *Ledger) settleForDead(a *account) {
 	var ended []Reservation
 	var outstanding []record.Outstanding
 	a.mu.Lock()
 	for _, g := range a.grants {
-		for id, h := range g.reserved {
-			if h.counted && h.from != l.Self && l.gone(h.from) {
-				ended = append(ended, Reservation{Right: g.right(), ID: id})
+		for id, h := range g.reservations {
+			if h.confirmed && h.requester != l.Self && l.isPresumedDead(h.requester) {
+				ended = append(ended, Reservation{Right: g.rightID(), ID: id})
 				outstanding = append(outstanding, h.outstanding)
 			}
 		}
 	}
 	a.mu.Unlock()
-	l.askUsages(outstanding)
+	l.queryUsages(outstanding)
 	for i, r := range ended {
 		a.settle(r, outstanding[i].Tokens, l.Now())
 	}
 }
 
-func openIn(part *replica.Replica[*fold.Ledger], id record.RightID) bool {
+func isOpen(part *replica.Replica[*fold.Ledger], id record.RightID) bool {
 	open := false
 	part.View(func(f *fold.Ledger) {
 		g, ok := f.Grant(id)
@@ -203,10 +203,10 @@
 	return open
 }
 
-// split returns a close as records that fit an entry of the log.
-func split(c record.Close) []record.Record {
+// splitClose returns a close as records that fit an entry of the log.
+func splitClose(c record.Close) []record.Record {
 	var out []record.Record
-	for len(c.Outstanding) > maxOutstanding {
+	for len(c.Outstanding) > maxUsesPerClose {
 		o := c.Outstanding[0]
 		c.Outstanding = c.Outstanding[1:]
 		out = append(out, record.Bill{Key: o.Key, Right: c.Right, Run: o.Run, Tokens: o.Tokens})
@@ -221,7 +221,7 @@
 // until it reads the close, so that the team gets more than it prepaid.
 func (l *Ledger) ForceClose(ctx context.Context, id record.RightID) (fold.Grant, error) {
 	for _, part := range l.Partitions {
-		if !openIn(part, id) {
+		if !isOpen(part, id) {
 			continue
 		}
 		offset, err := l.Log.Append(ctx, part.Stream(), record.Close{Right: id, By: l.Self, Forced: true})
--- a/internal/ledger/world_test.go
+++ b/internal/ledger/world_test.go
@@ -21,191 +21,191 @@
 type logMode int
 
 const (
-	logUp      logMode = iota
-	logRefuses         // The append has no effect.
-	logLoses           // The append takes effect, its answer is lost.
-	logDelays          // The append may reach the log later.
+	logUp         logMode = iota
+	logRefuses            // The append has no effect.
+	logLosesReply         // The append takes effect, its answer is lost.
+	logDelays             // The append may reach the log later.
 )
 
 // linkMode is how calls from one instance to another go.
 type linkMode int
 
 const (
-	linkUp     linkMode = iota
-	linkCut             // The call has no effect.
-	linkLoses           // The call takes effect, its answer is lost.
-	linkDelays          // The call may arrive later.
+	linkUp         linkMode = iota
+	linkCut                 // The call has no effect.
+	linkLosesReply          // The call takes effect, its answer is lost.
+	linkDelays              // The call may arrive later.
 )
 
-// variant breaks one rule on purpose, for the tests of the checker.
-type variant int
+// productVariant breaks one rule on purpose, for the tests of the checker.
+type productVariant int
 
 const (
-	sound          variant = iota
-	ownAcks                // Holders take every acknowledgement for given.
-	unreadGrants           // Holders use grants that the log does not have.
-	renamedBills           // Each bill has a key of its own.
-	doubledReturns         // Each return stands on the log twice.
+	unmodified        productVariant = iota
+	forgedAcks                       // Holders take every acknowledgement for given.
+	unloggedGrants                   // Holders use grants that the log does not have.
+	uniqueBillKeys                   // Each bill has a key of its own.
+	duplicatedReturns                // Each return stands on the log twice.
 )
 
-// world is a log, a network and a clock for ledgers in one process.
-type world struct {
-	variant variant
+// simFleet is a log, a network and a clock for ledgers in one process.
+type simFleet struct {
+	variant productVariant
 	stream  record.Stream
 
-	mu      sync.Mutex
-	entries []logstore.Entry
-	delayed []record.Batch
-	links   map[[2]record.InstanceID]linkMode
-	late    []func()
-	nodes   []*node
-	listed  []logstore.Instance // What Live returns.
-	now     time.Time
-	appends int
-	bytes   int
-	renamed int
-	// queued is background work that waits for runQueued; with async set it
+	mu             sync.Mutex
+	entries        []logstore.Entry
+	delayedAppends []record.Batch
+	links          map[[2]record.InstanceID]linkMode
+	delayedCalls   []func()
+	instances      []*simInstance
+	listed         []logstore.Instance // What Live returns.
+	now            time.Time
+	appends        int
+	bytes          int
+	uniqueKeys     int
+	// background is background work that waits for runQueued; with async set it
 	// runs at once in goroutines.
-	queued  []func()
-	async   bool
-	running sync.WaitGroup
+	background []func()
+	runAsync   bool
+	running    sync.WaitGroup
 	// oracle and fold are what recount has read so far.
-	oracle *oracle
+	oracle *referenceModel
 	fold   *fold.Ledger
 }
 
-// node is one instance.
-type node struct {
-	w       *world
-	id      record.InstanceID
-	zone    record.Zone
-	ledger  *ledger.Ledger
-	service *ledger.Service
-	part    *replica.Replica[*fold.Ledger]
+// simInstance is one instance.
+type simInstance struct {
+	fleet     *simFleet
+	id        record.InstanceID
+	zone      record.Zone
+	ledger    *ledger.Ledger
+	service   *ledger.Service
+	partition *replica.Replica[*fold.Ledger]
 	// Guarded by world.mu.
-	mode     logMode
-	lags     bool // Reads nothing new of the log.
-	stopped  bool // Killed or paused: answers no call.
-	reserved map[right.UseID]*order
+	mode         logMode
+	logLagging   bool // Reads nothing new of the log.
+	stopped      bool // Killed or paused: answers no call.
+	reservations map[right.UseID]*issuedReservation
 }
 
-// order is what a caller knows of one reservation that was granted.
-type order struct {
+// issuedReservation is what a caller knows of one reservation that was granted.
+type issuedReservation struct {
 	budget  record.BudgetID
 	r       ledger.Reservation
 	settled bool
 	used    int64
 }
 
-func newWorld(v variant) *world {
-	return &world{
+func newSimFleet(v productVariant) *simFleet {
+	return &simFleet{
 		variant: v, stream: record.LedgerStream(0), links: map[[2]record.InstanceID]linkMode{},
 		now: time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC),
 	}
 }
 
-func (w *world) add(name string, zone record.Zone, opts ledger.Options, tune func(*ledger.Config)) *node {
-	n := &node{w: w, id: record.InstanceID(name), zone: zone, part: replica.New(w.stream, fold.NewLedger()), reserved: map[right.UseID]*order{}}
+func (fleet *simFleet) addInstance(name string, zone record.Zone, opts ledger.Options, tune func(*ledger.Config)) *simInstance {
+	n := &simInstance{fleet: fleet, id: record.InstanceID(name), zone: zone, partition: replica.New(fleet.stream, fold.NewLedger()), reservations: map[right.UseID]*issuedReservation{}}
 	c := ledger.Config{
-		Self: n.id, Zone: zone, Log: n, Partitions: ledger.Partitions{n.part}, Members: w, Peers: n, Options: opts,
-		Now: w.clock, Go: w.spawn,
+		Self: n.id, Zone: zone, Log: n, Partitions: ledger.Partitions{n.partition}, Members: fleet, Peers: n, Options: opts,
+		Now: fleet.clock, Go: fleet.runBackground,
 	}
 	if tune != nil {
 		tune(&c)
 	}
 	n.ledger = ledger.New(c)
 	n.service = ledger.NewService(n.ledger)
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.nodes = append(w.nodes, n)
-	w.list()
-	n.read()
+	fleet.mu.Lock()
+	defer fleet.mu.Unlock()
+	fleet.instances = append(fleet.instances, n)
+	fleet.updateListed()
+	n.readLog()
 	return n
 }
 
-func (w *world) clock() time.Time {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.now
+func (fleet *simFleet) clock() time.Time {
+	fleet.mu.Lock()
+	defer fleet.mu.Unlock()
+	return fleet.now
 }
 
-func (w *world) spawn(f func()) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.async {
-		w.running.Go(f)
+func (fleet *simFleet) runBackground(f func()) {
+	fleet.mu.Lock()
+	defer fleet.mu.Unlock()
+	if fleet.runAsync {
+		fleet.running.Go(f)
 		return
 	}
-	w.queued = append(w.queued, f)
+	fleet.background = append(fleet.background, f)
 }
 
 // runQueued does the background work in its order.
-func (w *world) runQueued() {
-	w.mu.Lock()
-	queued := w.queued
-	w.queued = nil
-	w.mu.Unlock()
+func (fleet *simFleet) runQueued() {
+	fleet.mu.Lock()
+	queued := fleet.background
+	fleet.background = nil
+	fleet.mu.Unlock()
 	for _, f := range queued {
 		f()
 	}
 }
 
-// list renews what Live returns. It is called with the lock held.
-func (w *world) list() {
-	w.listed = nil
-	for _, n := range w.nodes {
+// updateListed renews what Live returns. It is called with the lock held.
+func (fleet *simFleet) updateListed() {
+	fleet.listed = nil
+	for _, n := range fleet.instances {
 		if !n.stopped {
-			w.listed = append(w.listed, logstore.Instance{ID: n.id, Zone: n.zone})
+			fleet.listed = append(fleet.listed, logstore.Instance{ID: n.id, Zone: n.zone})
 		}
 	}
 }
 
 // Live implements ledger.Members.
-func (w *world) Live() []logstore.Instance {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.listed
+func (fleet *simFleet) Live() []logstore.Instance {
+	fleet.mu.Lock()
+	defer fleet.mu.Unlock()
+	return fleet.listed
 }
 
 // commit puts a batch on the log. It is called with the lock held.
-func (w *world) commit(b record.Batch) uint64 {
+func (fleet *simFleet) commit(b record.Batch) uint64 {
 	data, err := record.EncodeBatch(b)
 	if err != nil {
 		panic(err)
 	}
-	offset := uint64(len(w.entries))
-	w.entries = append(w.entries, logstore.Entry{Offset: offset, Data: data})
-	w.appends++
-	w.bytes += len(data)
-	for _, n := range w.nodes {
-		n.read()
+	offset := uint64(len(fleet.entries))
+	fleet.entries = append(fleet.entries, logstore.Entry{Offset: offset, Data: data})
+	fleet.appends++
+	fleet.bytes += len(data)
+	for _, n := range fleet.instances {
+		n.readLog()
 	}
 	return offset
 }
 
-// read brings a node up to the log. It is called with the world's lock held.
-func (n *node) read() {
-	if n.lags || n.stopped {
+// readLog brings a node up to the log. It is called with the world's lock held.
+func (n *simInstance) readLog() {
+	if n.logLagging || n.stopped {
 		return
 	}
-	for next := n.part.Next(); next < uint64(len(n.w.entries)); next = n.part.Next() {
-		if err := n.part.Apply(n.w.entries[next]); err != nil {
+	for next := n.partition.Next(); next < uint64(len(n.fleet.entries)); next = n.partition.Next() {
+		if err := n.partition.Apply(n.fleet.entries[next]); err != nil {
 			panic(err)
 		}
 	}
 }
 
 // topUp is an operator's top-up.
-func (w *world) topUp(budget record.BudgetID, id string, tokens int64) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.commit(w.batch("operator", []record.Record{record.TopUp{Budget: budget, ID: id, Tokens: tokens}}))
+func (fleet *simFleet) topUp(budget record.BudgetID, id string, tokens int64) {
+	fleet.mu.Lock()
+	defer fleet.mu.Unlock()
+	fleet.commit(fleet.newBatch("operator", []record.Record{record.TopUp{Budget: budget, ID: id, Tokens: tokens}}))
 }
 
-// batch gives every batch a writer of its own, so that no record is saved from
+// newBatch gives every newBatch a writer of its own, so that no record is saved from
 // a late copy by its writer's sequence number.
-func (w *world) batch(writer record.InstanceID, records []record.Record) record.Batch {
-	b := record.Batch{Writer: record.InstanceID(fmt.Sprint(writer, "/", len(w.entries), "/", len(w.delayed))), Seq: 1}
+func (fleet *simFleet) newBatch(writer record.InstanceID, records []record.Record) record.Batch {
+	b := record.Batch{Writer: record.InstanceID(fmt.Sprint(writer, "/", len(fleet.entries), "/", len(fleet.delayedAppends))), Seq: 1}
 	envelopes, err := record.EncodeAll(records...)
 	if err != nil {
 		panic(err)
@@ -215,47 +215,47 @@
 }
 
 // Append implements ledger.Appender.
-func (n *node) Append(_ context.Context, _ record.Stream, records ...record.Record) (uint64, error) {
-	w := n.w
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	b := w.batch(n.id, w.tamper(records))
-	if _, grant := records[0].(record.Grant); grant && w.variant == unreadGrants {
-		return n.pretend(b)
+func (n *simInstance) Append(_ context.Context, _ record.Stream, records ...record.Record) (uint64, error) {
+	fleet := n.fleet
+	fleet.mu.Lock()
+	defer fleet.mu.Unlock()
+	b := fleet.newBatch(n.id, fleet.modifyRecords(records))
+	if _, grant := records[0].(record.Grant); grant && fleet.variant == unloggedGrants {
+		return n.applyLocally(b)
 	}
 	switch {
 	case n.stopped || n.mode == logRefuses:
 		return 0, logstore.ErrUnavailable
 	case n.mode == logDelays:
-		w.delayed = append(w.delayed, b)
+		fleet.delayedAppends = append(fleet.delayedAppends, b)
 		return 0, logstore.ErrUnavailable
-	case n.mode == logLoses:
-		w.commit(b)
+	case n.mode == logLosesReply:
+		fleet.commit(b)
 		return 0, logstore.ErrUnavailable
 	}
-	return w.commit(b), nil
+	return fleet.commit(b), nil
 }
 
-// pretend applies a batch at this node alone.
-func (n *node) pretend(b record.Batch) (uint64, error) {
+// applyLocally applies a batch at this node alone.
+func (n *simInstance) applyLocally(b record.Batch) (uint64, error) {
 	data, _ := record.EncodeBatch(b)
-	offset := n.part.Next()
-	return offset, n.part.Apply(logstore.Entry{Offset: offset, Data: data})
+	offset := n.partition.Next()
+	return offset, n.partition.Apply(logstore.Entry{Offset: offset, Data: data})
 }
 
-func (w *world) tamper(records []record.Record) []record.Record {
+func (fleet *simFleet) modifyRecords(records []record.Record) []record.Record {
 	var out []record.Record
 	for _, r := range records {
 		out = append(out, r)
 		switch x := r.(type) {
 		case record.Bill:
-			if w.variant == renamedBills {
-				w.renamed++
-				x.Key.Key += fmt.Sprint("~", w.renamed)
+			if fleet.variant == uniqueBillKeys {
+				fleet.uniqueKeys++
+				x.Key.Key += fmt.Sprint("~", fleet.uniqueKeys)
 				out[len(out)-1] = x
 			}
 		case record.Return:
-			if w.variant == doubledReturns {
+			if fleet.variant == duplicatedReturns {
 				x.Seq = 2*x.Seq - 1
 				out[len(out)-1] = x
 				x.Seq++
@@ -267,17 +267,17 @@
 }
 
 // Call implements peer.Caller.
-func (n *node) Call(_ context.Context, to record.InstanceID, method string, args, reply any) error {
-	w := n.w
-	w.mu.Lock()
-	mode := w.links[[2]record.InstanceID{n.id, to}]
-	target := w.find(to)
+func (n *simInstance) Call(_ context.Context, to record.InstanceID, method string, args, reply any) error {
+	fleet := n.fleet
+	fleet.mu.Lock()
+	mode := fleet.links[[2]record.InstanceID{n.id, to}]
+	target := fleet.findInstance(to)
 	if mode == linkDelays && target != nil {
-		w.late = append(w.late, func() { _ = target.serve(method, args, fresh(reply)) })
+		fleet.delayedCalls = append(fleet.delayedCalls, func() { _ = target.serve(method, args, newReply(reply)) })
 	}
 	cut := mode == linkCut || mode == linkDelays || target == nil || target.stopped || n.stopped
-	w.mu.Unlock()
-	if w.variant == ownAcks && strings.HasSuffix(method, ".Acknowledge") {
+	fleet.mu.Unlock()
+	if fleet.variant == forgedAcks && strings.HasSuffix(method, ".Acknowledge") {
 		batches := args.(right.AcknowledgeArgs[record.Outstanding]).Batches
 		reply.(*right.AcknowledgeReply).Results = make([]right.Result, len(batches))
 		return nil
@@ -286,7 +286,7 @@
 		return peer.ErrUnreachable
 	}
 	err := target.serve(method, args, reply)
-	if mode == linkLoses {
+	if mode == linkLosesReply {
 		return peer.ErrUnreachable
 	}
 	if err != nil {
@@ -295,8 +295,8 @@
 	return nil
 }
 
-func (w *world) find(id record.InstanceID) *node {
-	for _, n := range w.nodes {
+func (fleet *simFleet) findInstance(id record.InstanceID) *simInstance {
+	for _, n := range fleet.instances {
 		if n.id == id {
 			return n
 		}
@@ -304,8 +304,8 @@
 	return nil
 }
 
-// fresh returns a reply of the same type, for a call whose caller is gone.
-func fresh(reply any) any {
+// newReply returns a reply of the same type, for a call whose caller is gone.
+func newReply(reply any) any {
 	switch reply.(type) {
 	case *right.AcknowledgeReply:
 		return &right.AcknowledgeReply{}
@@ -320,7 +320,7 @@
 	}
 }
 
-func (n *node) serve(method string, args, reply any) error {
+func (n *simInstance) serve(method string, args, reply any) error {
 	switch a := args.(type) {
 	case right.AcknowledgeArgs[record.Outstanding]:
 		return n.ledger.Witness().Acknowledge(a, reply.(*right.AcknowledgeReply))
--- a/internal/server/budgets.go
+++ b/internal/server/budgets.go
@@ -16,11 +16,11 @@
 // joinBudgets makes the ledger and registers its services with the peers.
 func (s *Server) joinBudgets() error {
 	opts := ledger.DefaultOptions()
-	opts.GrantTokens = s.settings.Ledger.GrantTokens
-	opts.Patience = s.settings.Ledger.Patience.D()
+	opts.InitialGrantTokens = s.settings.Ledger.GrantTokens
+	opts.GrantTimeout = s.settings.Ledger.Patience.D()
 	s.budgets = ledger.New(ledger.Config{
 		Self: s.id, Zone: record.Zone(s.settings.Instance.Zone), Log: s.publisher, Partitions: s.partitions,
-		Members: s.members, Peers: s.pool, Lean: s.lean, Usages: s.finder(), Options: opts,
+		Members: s.members, Peers: s.pool, Conservatism: s.lean, Usages: s.finder(), Options: opts,
 	})
 	s.tables.Register("grants", func() any { return s.budgets.State() })
 	if err := s.peerServer.Register(ledger.WitnessName, s.budgets.Witness()); err != nil {
@@ -57,7 +57,7 @@
 // lean reads a budget's setting between fewer stranded tokens (0) and fewer
 // false refusals (1).
 func (s *Server) lean(budget record.BudgetID) float64 {
-	lean := ledger.DefaultLean
+	lean := ledger.DefaultConservatism
 	s.config.View(func(c *fold.Config) {
 		v, ok := c.Get(leanPath(budget))
 		if !ok {
