--- a/internal/right/batcher.go
+++ b/internal/right/batcher.go
@@ -11,46 +11,50 @@
 	"guavapier/internal/record"
 )
 
-// BatcherOptions bound a Batcher.
+// BatcherOptions configure a Batcher.
 type BatcherOptions struct {
-	// WitnessService is the name under which the witnesses register their WitnessService.
+	// WitnessService is the net/rpc name under which the witnesses register
+	// their Service.
 	WitnessService string
-	// CallTimeout bounds one call.
+	// CallTimeout bounds one call to a witness.
 	CallTimeout time.Duration
-	// MaxAttempts is how often the same batches are sent before they are lost. A
-	// second copy is harmless.
+	// MaxAttempts is how many times the same batches are sent before Send
+	// reports ErrLost. A witness ignores duplicates.
 	MaxAttempts int
 }
 
-// Batcher sends batches to witnesses: those of many rights that wait for the
-// same witness share one call. It is safe for concurrent use.
+// Batcher sends batches to witnesses. Batches of different rights that wait
+// for the same witness share one call. It is safe for concurrent use.
 type Batcher[U any] struct {
 	caller peer.Caller
 	opts   BatcherOptions
 
-	mu     sync.Mutex // Guards lines and their queues.
+	mu     sync.Mutex // Guards queues and their pending batches.
 	queues map[record.InstanceID]*witnessQueue[U]
 }
 
-// witnessQueue is the queue to one witness, with one call under way at a time.
+// witnessQueue holds the batches that wait for one witness. At most one call
+// to the witness is in flight.
 type witnessQueue[U any] struct {
 	sending bool
 	pending []pendingBatch[U]
 }
 
+// pendingBatch is a batch that waits to be sent, and the callback for its
+// result.
 type pendingBatch[U any] struct {
 	batch Batch[U]
 	done  func(error)
 }
 
-// NewBatcher returns a Batcher over caller.
+// NewBatcher returns a Batcher that sends its calls through caller.
 func NewBatcher[U any](caller peer.Caller, opts BatcherOptions) *Batcher[U] {
 	return &Batcher[U]{caller: caller, opts: opts, queues: map[record.InstanceID]*witnessQueue[U]{}}
 }
 
-// Send sends a batch to its witness and calls done once, from another
-// goroutine: with nil for an acknowledged batch, with the witness's error, or
-// with ErrLost if no answer came.
+// Send queues a batch for its witness and calls done exactly once, from
+// another goroutine: with nil if the witness acknowledged the batch, with the
+// witness's error if it refused, or with ErrLost if no attempt was answered.
 func (b *Batcher[U]) Send(batch Batch[U], done func(error)) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -66,7 +70,8 @@
 	}
 }
 
-// sendPending empties a line's queue and ends.
+// sendPending sends the pending batches of one witness until there are none
+// left, then removes the queue.
 func (b *Batcher[U]) sendPending(to record.InstanceID, q *witnessQueue[U]) {
 	for {
 		b.mu.Lock()
@@ -83,6 +88,8 @@
 	}
 }
 
+// deliver sends batches in one call and reports the result of each to its
+// sender.
 func (b *Batcher[U]) deliver(to record.InstanceID, group []pendingBatch[U]) {
 	args := AcknowledgeArgs[U]{}
 	for _, p := range group {
@@ -98,6 +105,8 @@
 	}
 }
 
+// callWithRetries returns the witness's reply, or the last error after
+// MaxAttempts calls.
 func (b *Batcher[U]) callWithRetries(to record.InstanceID, args AcknowledgeArgs[U]) (AcknowledgeReply, error) {
 	var lastErr error
 	for range b.opts.MaxAttempts {
@@ -110,7 +119,7 @@
 		}
 	}
 	if lastErr == nil {
-		lastErr = eris.New("right: results missing in the answer")
+		lastErr = eris.New("right: Acknowledge reply does not have one result per batch")
 	}
 	return AcknowledgeReply{}, lastErr
 }
--- a/internal/right/batcher_test.go
+++ b/internal/right/batcher_test.go
@@ -17,14 +17,15 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// gatedCaller is a caller that hands its calls to a witness service once it is open.
+// gatedCaller is a peer.Caller that blocks its calls until release is closed,
+// and then passes them to a witness service.
 type gatedCaller struct {
 	service *right.Service[int]
 	release chan struct{}
 
 	mu          sync.Mutex
-	batchCounts []int // Batches of each call.
-	unreachable bool
+	batchCounts []int // Number of batches in each call.
+	unreachable bool  // Calls fail once they are released.
 }
 
 func (g *gatedCaller) Call(_ context.Context, _ record.InstanceID, _ string, args, reply any) error {
@@ -40,11 +41,13 @@
 	return g.service.Acknowledge(a, reply.(*right.AcknowledgeReply))
 }
 
-// acceptAll calls every right valid.
+// acceptAll is a right.Validator that accepts every right.
 type acceptAll struct{}
 
 func (acceptAll) Validate(context.Context, right.Terms) error { return nil }
 
+// newHeldRights returns n rights with one witness, whose batches share a
+// Batcher.
 func newHeldRights(g *gatedCaller, n int) []*right.HeldRight[int] {
 	batcher := right.NewBatcher[int](g, right.BatcherOptions{WitnessService: "Grants", CallTimeout: time.Second, MaxAttempts: 2})
 	var out []*right.HeldRight[int]
@@ -56,8 +59,9 @@
 	return out
 }
 
-// TestUsesOfManyRightsShareCalls: while one call is under way, the uses of all
-// other rights with that witness wait for one further call.
+// TestUsesOfManyRightsShareCalls guards against one call per right: while a
+// call is in flight, the uses of all other rights with that witness must wait
+// and share the next call.
 func TestUsesOfManyRightsShareCalls(t *testing.T) {
 	g := &gatedCaller{service: right.NewService[int]("w", acceptAll{}, time.Second), release: make(chan struct{})}
 	held := newHeldRights(g, 8)
@@ -79,11 +83,11 @@
 		}
 	}
 	if g.batchCounts[0] != 1 || g.batchCounts[1] != len(held)-1 {
-		t.Fatalf("calls with %v batches", g.batchCounts)
+		t.Fatalf("batches per call: %v, want 1 in the first and all others in the second", g.batchCounts)
 	}
 }
 
-// awaitCalls waits until so many calls have begun.
+// awaitCalls waits until the given number of calls have started.
 func (g *gatedCaller) awaitCalls(calls int) {
 	for {
 		g.mu.Lock()
@@ -96,31 +100,32 @@
 	}
 }
 
-// TestLostAcknowledgementEndsTheRight: a use whose answer is lost does not
-// count, and neither does any later one.
+// TestLostAcknowledgementEndsTheRight checks that a use whose acknowledgement
+// is lost isn't confirmed, and that the holder sends no later use: the witness
+// may have sealed the right meanwhile.
 func TestLostAcknowledgementEndsTheRight(t *testing.T) {
 	g := &gatedCaller{service: right.NewService[int]("w", acceptAll{}, time.Second), release: make(chan struct{}), unreachable: true}
 	close(g.release)
 	h := newHeldRights(g, 1)[0]
 	for range 2 {
 		if err := h.Use(context.Background(), right.Use[int]{ID: "u"}); !errors.Is(err, right.ErrLost) {
-			t.Fatalf("use: %v", err)
+			t.Fatalf("unexpected result of the use: %v", err)
 		}
 	}
-	if len(g.batchCounts) != 2 { // Two attempts of the first use, none of the second.
-		t.Fatalf("%d calls", len(g.batchCounts))
+	if len(g.batchCounts) != 2 { // Two attempts for the first use, none for the second.
+		t.Fatalf("%d calls, want 2", len(g.batchCounts))
 	}
 }
 
-// TestAbandonedUseIsDropped: a caller that gives up leaves nothing behind at
-// the witness.
+// TestAbandonedUseIsDropped guards against uses left at the witness by callers
+// that gave up, which a close would bill.
 func TestAbandonedUseIsDropped(t *testing.T) {
 	g := &gatedCaller{service: right.NewService[int]("w", acceptAll{}, time.Second), release: make(chan struct{})}
 	h := newHeldRights(g, 1)[0]
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	if err := h.Use(ctx, right.Use[int]{ID: "given up"}); !errors.Is(err, context.Canceled) {
-		t.Fatalf("use: %v", err)
+		t.Fatalf("unexpected result of the use: %v", err)
 	}
 	close(g.release)
 	if err := h.Use(context.Background(), right.Use[int]{ID: "kept"}); err != nil {
@@ -128,6 +133,6 @@
 	}
 	uses, err := g.service.SealLocal(h.Terms())
 	if err != nil || len(uses) != 1 || uses[0].ID != "kept" {
-		t.Fatalf("sealed uses %v, %v", uses, err)
+		t.Fatalf("sealed uses %v, error %v; want only the use that was kept", uses, err)
 	}
 }
--- a/internal/right/held.go
+++ b/internal/right/held.go
@@ -6,35 +6,39 @@
 	"sync"
 )
 
-// HeldRight is a right that this instance holds: a Holder that sends its batches
-// through a Batcher. Concurrent uses share batches. It is safe for concurrent
-// use.
+// HeldRight is a right that this instance holds. It combines a Holder with a
+// Batcher that sends the Holder's batches. Concurrent uses share batches. It
+// is safe for concurrent use.
 type HeldRight[U any] struct {
 	batcher *Batcher[U]
 
-	mu      sync.Mutex // Guards all below.
+	mu      sync.Mutex // Guards the fields below.
 	holder  *Holder[U]
 	waiters map[UseID]chan error
 }
 
-// NewHeldRight returns the holder's side of a right that the fold called valid.
+// NewHeldRight returns a HeldRight for a right that the fold accepted as
+// valid.
 func NewHeldRight[U any](t Terms, batcher *Batcher[U]) *HeldRight[U] {
 	return &HeldRight[U]{batcher: batcher, holder: NewHolder[U](t), waiters: map[UseID]chan error{}}
 }
 
-// Terms returns the right's terms.
+// Terms returns the log's terms of the right.
 func (h *HeldRight[U]) Terms() Terms { return h.holder.Terms() }
 
-// Err returns nil while the right may be used, else why it may not.
+// Err returns nil while the right may be used, otherwise the reason why not:
+// ErrClosed, ErrSealed, ErrLost or another refusal by the witness.
 func (h *HeldRight[U]) Err() error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.holder.Err()
 }
 
-// Use returns nil once the use counts. After any error it does not count for
-// this holder: if ctx ended it is dropped again with the next batch, and after
-// ErrLost or ErrSealed the right is used no more.
+// Use returns nil once the use is confirmed: acknowledged by the witness, or
+// accepted at once if the right has none. After any error the use isn't
+// confirmed for this holder. If ctx ended, the use is dropped with the next
+// batch and the right stays usable; after an error of the witness or ErrLost
+// the right can't be used again.
 func (h *HeldRight[U]) Use(ctx context.Context, use Use[U]) error {
 	done, err := h.enqueue(use)
 	if err != nil || done == nil {
@@ -48,7 +52,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if _, waiting := h.waiters[use.ID]; !waiting {
-		// The answer came at the same moment.
+		// The result arrived while ctx ended.
 		return <-done
 	}
 	delete(h.waiters, use.ID)
@@ -57,6 +61,8 @@
 	return ctx.Err()
 }
 
+// enqueue queues a use and returns the channel for its result, which is nil if
+// the right has no witness.
 func (h *HeldRight[U]) enqueue(use Use[U]) (chan error, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -72,15 +78,15 @@
 	return done, nil
 }
 
-// Update queues a use's new body. It goes out with the next batch or Flush,
-// before any later use.
+// Update queues a use's changed body. It is sent with the next batch or Flush,
+// before any later use. After the right's end it has no effect.
 func (h *HeldRight[U]) Update(use Use[U]) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	_ = h.holder.Put(use)
 }
 
-// Drop queues the end of a use. It goes out with the next batch or Flush,
+// Drop queues the removal of a use. It is sent with the next batch or Flush,
 // before any later use.
 func (h *HeldRight[U]) Drop(id UseID) {
 	h.mu.Lock()
@@ -88,15 +94,15 @@
 	h.holder.Drop(id)
 }
 
-// Flush sends what is queued.
+// Flush sends the queued changes if no batch is in flight.
 func (h *HeldRight[U]) Flush() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.flush()
 }
 
-// Close ends the use of the right. Uses that wait for their acknowledgement
-// fail with ErrClosed. After it the right may be closed on the log.
+// Close stops using the right. Uses that wait for an acknowledgement fail with
+// ErrClosed. Afterwards the holder may append the right's close to the log.
 func (h *HeldRight[U]) Close() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -104,7 +110,7 @@
 	h.failWaiters(ErrClosed)
 }
 
-// flush is called with the lock held.
+// flush sends the next batch, if there is one. The caller holds h.mu.
 func (h *HeldRight[U]) flush() {
 	batch, ok := h.holder.NextBatch()
 	if !ok {
@@ -113,6 +119,8 @@
 	h.batcher.Send(batch, func(err error) { h.onReply(batch, err) })
 }
 
+// onReply handles a batch's result: it completes the waiting uses and sends
+// the next batch, or ends the right after an error.
 func (h *HeldRight[U]) onReply(batch Batch[U], err error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -133,7 +141,9 @@
 	h.flush()
 }
 
-// failWaiters is called with the lock held.
+// failWaiters fails all waiting uses with err. ErrOutOfOrder is reported as
+// ErrLost, since it means that an earlier batch is missing. The caller holds
+// h.mu.
 func (h *HeldRight[U]) failWaiters(err error) {
 	if errors.Is(err, ErrOutOfOrder) {
 		err = ErrLost
--- a/internal/right/holder.go
+++ b/internal/right/holder.go
@@ -1,33 +1,35 @@
 package right
 
-// Holder is the holder's side of one right. It is not safe for concurrent use.
+// Holder is the holder's state machine for one right. It is not safe for
+// concurrent use.
 //
-// Invariants: at most one batch is in flight, so the witness sees the batches
-// in order; a use counts only once its batch is acknowledged; after Close or
-// Lose nothing is sent any more.
+// Invariants: at most one batch is in flight, so the witness receives the
+// batches in order; a use is confirmed only once its batch is acknowledged; no
+// batch is sent after Close or End.
 type Holder[U any] struct {
 	terms       Terms
 	seq         uint64
-	inFlight    bool
-	endReason   error // ErrClosed, ErrSealed or ErrLost; nil while open.
+	inFlight    bool  // True from NextBatch until its result.
+	endReason   error // ErrClosed, ErrSealed, ErrLost or another refusal; nil while usable.
 	queuedPuts  []Use[U]
 	queuedDrops []UseID
 }
 
-// NewHolder returns the open holder's side of a right. The caller has read its
-// own record back and the fold called it valid.
+// NewHolder returns the state of a usable right. The caller must have read its
+// own record back from the log, and the fold must have accepted it as valid.
 func NewHolder[U any](t Terms) *Holder[U] { return &Holder[U]{terms: t} }
 
-// Terms returns the right's terms.
+// Terms returns the log's terms of the right.
 func (h *Holder[U]) Terms() Terms { return h.terms }
 
-// HasWitness says whether a use needs the witness's acknowledgement.
+// HasWitness reports whether a use needs a witness's acknowledgement.
 func (h *Holder[U]) HasWitness() bool { return h.terms.Witness != "" }
 
-// Err returns nil while the right may be used, else why it may not.
+// Err returns nil while the right may be used, otherwise the reason why not.
 func (h *Holder[U]) Err() error { return h.endReason }
 
-// Put queues a use, or a changed body, for the next batch.
+// Put queues a new use, or a use whose body changed, for the next batch. It
+// returns the reason if the right may no longer be used.
 func (h *Holder[U]) Put(use Use[U]) error {
 	if h.endReason != nil {
 		return h.endReason
@@ -38,7 +40,7 @@
 	return nil
 }
 
-// Drop queues the end of a use. A use that was not sent yet is never sent.
+// Drop queues the removal of a use. A use that is still queued is never sent.
 func (h *Holder[U]) Drop(id UseID) {
 	if h.endReason != nil || !h.HasWitness() {
 		return
@@ -53,8 +55,9 @@
 	h.queuedDrops = append(h.queuedDrops, id)
 }
 
-// NextBatch takes what is queued as the next batch. It returns false while a batch
-// is in flight, when nothing is queued, and after the right's end.
+// NextBatch returns the queued changes as the next batch and marks it as in
+// flight. It returns false if a batch is in flight, if nothing is queued, and
+// after the right's end.
 func (h *Holder[U]) NextBatch() (Batch[U], bool) {
 	if h.inFlight || h.endReason != nil || len(h.queuedPuts)+len(h.queuedDrops) == 0 {
 		return Batch[U]{}, false
@@ -66,16 +69,17 @@
 	return b, true
 }
 
-// OnAcknowledged says that the witness acknowledged the batch in flight. It
-// returns the reason if the right has ended meanwhile. The uses count even
-// so: the witness has them in its close.
+// OnAcknowledged records that the witness acknowledged the batch in flight. It
+// returns the reason if the right has ended meanwhile. The uses of the batch
+// are confirmed all the same: the witness includes them in its close.
 func (h *Holder[U]) OnAcknowledged() error {
 	h.inFlight = false
 	return h.endReason
 }
 
-// End ends the use of the right: the witness has sealed it (ErrSealed), or it
-// is not known what became of the batch in flight (ErrLost).
+// End stops using the right and discards queued changes. The reason is
+// ErrSealed if the witness has sealed it, ErrLost if it isn't known whether
+// the batch in flight was acknowledged. The first reason is kept.
 func (h *Holder[U]) End(reason error) {
 	h.inFlight = false
 	if h.endReason == nil {
@@ -84,6 +88,6 @@
 	h.queuedPuts, h.queuedDrops = nil, nil
 }
 
-// Close ends the use of the right by its holder's own will. From then on the
-// holder may close it on the log.
+// Close stops using the right without a failure, for instance because the log
+// has closed it. If it is still open there, the holder may append its close.
 func (h *Holder[U]) Close() { h.End(ErrClosed) }
--- a/internal/right/right.go
+++ b/internal/right/right.go
@@ -1,16 +1,16 @@
-// Package right has the state machines of a right: a budget grant or the
-// ownership of a claim shard. A right is a record on the log that names its
-// holder and, where there is one, its witness.
+// Package right implements exclusive rights with an optional witness. A right
+// is a budget grant or the ownership of a claim shard. It is a record on the
+// log that names its holder and, if it has one, its witness.
 //
-// A holder uses a witnessed right only with the witness's acknowledgement of
-// that use. A witness may seal the right; from then on it acknowledges no
-// further use, so that a holder which was paused or cut off can do nothing
-// with it, and the witness, which knows every acknowledged use, may close the
-// right on the log. The first close in log order wins. No clock takes part in
-// any of this: time decides only when somebody tries a seal.
+// The holder may use a witnessed right only once the witness has acknowledged
+// that use. A witness may seal the right. From then on it acknowledges no new
+// use, so a holder that was paused or partitioned can't use the right any
+// more, and the witness, which has every acknowledged use, may close the right
+// on the log. The first close in log order takes effect. Safety doesn't depend
+// on clocks: timeouts only decide when a seal is attempted.
 //
-// Holder and Witness do no input or output. Held, Batcher and Service carry
-// them over net/rpc.
+// Holder and Witness are state machines without I/O. HeldRight, Batcher and
+// Service connect them over net/rpc.
 package right
 
 import (
@@ -19,54 +19,54 @@
 	"guavapier/internal/record"
 )
 
-// Errors of this package. Callers compare them with errors.Is.
+// Errors returned by this package. Compare them with errors.Is.
 var (
-	// ErrSealed says that the witness has sealed the right. The use does not
-	// count, and no later one will.
+	// ErrSealed means that the witness has sealed the right. Neither this use
+	// nor any later one is confirmed.
 	ErrSealed = eris.New("right: sealed by its witness")
-	// ErrNotAdopted says that the witness has not adopted the right (yet). The
-	// use does not count.
+	// ErrNotAdopted means that the witness hasn't adopted the right, or not
+	// yet. The use isn't confirmed.
 	ErrNotAdopted = eris.New("right: not adopted by the witness")
-	// ErrClosed says that the holder has ended its use of the right.
-	ErrClosed = eris.New("right: closed")
-	// ErrUnknownRight says that the log gives no such right to this holder
-	// with this witness.
-	ErrUnknownRight = eris.New("right: unknown")
-	// ErrOutOfOrder says that a batch before this one is missing.
+	// ErrClosed means that the holder has stopped using the right.
+	ErrClosed = eris.New("right: no longer used by its holder")
+	// ErrUnknownRight means that the log has no open right with these terms.
+	ErrUnknownRight = eris.New("right: no open right with these terms")
+	// ErrOutOfOrder means that an earlier batch of the right is missing.
 	ErrOutOfOrder = eris.New("right: batch out of order")
-	// ErrLost says that it is not known whether a batch was acknowledged. The
-	// holder uses the right no more.
+	// ErrLost means that it isn't known whether the witness acknowledged a
+	// batch. The holder must stop using the right.
 	ErrLost = eris.New("right: acknowledgement lost")
 )
 
-// UseID names one use within its right.
+// UseID identifies a use within its right.
 type UseID string
 
-// Use is one use of a right. U is the kind of use: a reservation in a grant,
-// or a claim in a shard. U crosses net/rpc, so its fields are exported.
+// Use is one use of a right. Its body U is a reservation in a grant or a claim
+// in a shard. U crosses net/rpc, so its fields are exported.
 type Use[U any] struct {
 	ID   UseID
 	Body U
 }
 
-// Terms are what the log says about a right.
+// Terms are the log's description of a right.
 type Terms struct {
 	Right   record.RightID
 	Holder  record.InstanceID
-	Witness record.InstanceID // Empty for none.
-	Stream  record.Stream     // Stream of the right's record.
+	Witness record.InstanceID // Empty if the right has no witness.
+	Stream  record.Stream     // Stream that holds the right's record.
 	Offset  uint64            // Offset of the right's record.
 }
 
-// Batch is what a holder asks its witness to acknowledge at once. A witness
+// Batch is a set of changes that the witness acknowledges together. A witness
 // applies the batches of a right in the order of Seq, which starts at 1, and
-// each once: a late copy changes nothing.
+// each of them once. A duplicate has no effect.
 type Batch[U any] struct {
 	Terms
 	Seq uint64
-	// Drops are uses that ended and need no place in a close. They go before
-	// Puts, so that what they set free can be used again in the same batch.
+	// Drops are ended uses that the right's close needn't list. They are
+	// applied before Puts, so that the tokens they free can be used again in
+	// the same batch.
 	Drops []UseID
-	// Puts are new uses, or uses whose body has changed.
+	// Puts are new uses and uses whose body changed.
 	Puts []Use[U]
 }
--- a/internal/right/right_bench_test.go
+++ b/internal/right/right_bench_test.go
@@ -10,6 +10,8 @@
 	"guavapier/internal/right"
 )
 
+// reservation returns the n-th use of a grant, with identifiers of realistic
+// length.
 func reservation(n int) right.Use[record.Outstanding] {
 	id := fmt.Sprintf("%036d", n)
 	return right.Use[record.Outstanding]{ID: right.UseID(id), Body: record.Outstanding{
@@ -17,8 +19,8 @@
 	}}
 }
 
-// BenchmarkWitnessAcknowledge measures the witness's work for a batch that
-// ends as many uses as it begins.
+// BenchmarkWitnessAcknowledge measures the time per use of batches that add as
+// many uses as they drop.
 func BenchmarkWitnessAcknowledge(b *testing.B) {
 	for _, uses := range []int{1, 16, 256} {
 		b.Run(fmt.Sprintf("uses=%d", uses), func(b *testing.B) {
@@ -31,9 +33,12 @@
 	}
 }
 
-// usesPerMeasurement is how many uses a measurement begins and ends.
+// usesPerMeasurement is the number of uses that one measurement adds and
+// drops.
 const usesPerMeasurement = 1 << 18
 
+// measureAcknowledge applies usesPerMeasurement uses in batches of the given
+// size.
 func measureAcknowledge(b *testing.B, uses int) {
 	w := right.NewWitness[record.Outstanding]("w")
 	_ = w.Adopt(terms)
@@ -53,7 +58,7 @@
 	}
 }
 
-// BenchmarkWitnessMemory measures the bytes that one outstanding use takes.
+// BenchmarkWitnessMemory measures the heap bytes per recorded use.
 func BenchmarkWitnessMemory(b *testing.B) {
 	for _, uses := range []int{1_000, 10_000, 100_000} {
 		b.Run(fmt.Sprintf("uses=%d", uses), func(b *testing.B) {
@@ -71,6 +76,7 @@
 	}
 }
 
+// heapBytes returns the bytes in use on the heap after a garbage collection.
 func heapBytes() uint64 {
 	runtime.GC()
 	var m runtime.MemStats
--- a/internal/right/right_test.go
+++ b/internal/right/right_test.go
@@ -12,14 +12,15 @@
 
 var terms = right.Terms{Right: "r", Holder: "h", Witness: "w", Offset: 7}
 
-// adversary delays, copies and loses batches and answers around a seal.
+// adversary delays, duplicates and loses batches and replies before and after
+// a seal.
 type adversary struct {
 	witness   *right.Witness[int]
 	holder    *right.Holder[int]
-	sent      []right.Batch[int] // Every batch ever sent, for late copies.
-	confirmed map[right.UseID]bool
-	sealed    map[right.UseID]bool // Nil before the seal.
-	lastID    int
+	sent      []right.Batch[int]   // Every batch ever sent, for late duplicates.
+	confirmed map[right.UseID]bool // Uses that the holder considers confirmed.
+	sealed    map[right.UseID]bool // Uses that Seal returned; nil before the seal.
+	lastID    int                  // ID of the newest use.
 }
 
 func (a *adversary) put(*rapid.T) {
@@ -75,16 +76,20 @@
 	}
 }
 
+// check fails if a use that the holder considers confirmed is missing from the
+// seal.
 func (a *adversary) check(t *rapid.T) {
 	for id := range a.confirmed {
 		if a.sealed != nil && !a.sealed[id] {
-			t.Fatalf("use %s counts but is not in the seal %v", id, a.sealed)
+			t.Fatalf("use %s is confirmed but missing from the sealed uses %v", id, a.sealed)
 		}
 	}
 }
 
-// TestSealedWitnessKnowsEveryCountedUse: a use that counts for the holder is
-// in the witness's seal, and after the seal nothing new counts.
+// TestSealedWitnessKnowsEveryCountedUse checks, for random orders of batches,
+// losses, late duplicates and seals, that every use confirmed to the holder is
+// among the sealed uses, and that none is confirmed after the seal. A missing
+// one would never be billed.
 func TestSealedWitnessKnowsEveryCountedUse(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a := &adversary{witness: right.NewWitness[int]("w"), holder: right.NewHolder[int](terms), confirmed: map[right.UseID]bool{}}
@@ -97,6 +102,9 @@
 	})
 }
 
+// TestWitnessRefusals checks the error for each batch or call that a witness
+// must refuse, and that duplicates of applied batches are accepted even after
+// a seal.
 func TestWitnessRefusals(t *testing.T) {
 	w := right.NewWitness[int]("w")
 	batch := right.Batch[int]{Terms: terms, Seq: 1, Puts: []right.Use[int]{{ID: "a"}}}
@@ -109,24 +117,24 @@
 	want("before adoption", w.Acknowledge(batch), right.ErrNotAdopted)
 	_, err := w.Seal("r")
 	want("seal before adoption", err, right.ErrNotAdopted)
-	want("another's right", w.Adopt(right.Terms{Right: "r", Holder: "h", Witness: "x"}), right.ErrUnknownRight)
+	want("right of another witness", w.Adopt(right.Terms{Right: "r", Holder: "h", Witness: "x"}), right.ErrUnknownRight)
 	want("adopt", w.Adopt(terms), nil)
 	gap := batch
 	gap.Seq = 3
-	want("gap", w.Acknowledge(gap), right.ErrOutOfOrder)
+	want("skipped batch", w.Acknowledge(gap), right.ErrOutOfOrder)
 	other := batch
 	other.Holder = "someone"
 	want("another holder", w.Acknowledge(other), right.ErrUnknownRight)
 	want("first", w.Acknowledge(batch), nil)
 	uses, err := w.Seal("r")
 	want("seal", err, nil)
-	want("copy after the seal", w.Acknowledge(batch), nil)
+	want("duplicate after the seal", w.Acknowledge(batch), nil)
 	batch.Seq = 2
 	want("new after the seal", w.Acknowledge(batch), right.ErrSealed)
 	want("adopt again", w.Adopt(terms), nil)
 	want("still sealed", w.Acknowledge(batch), right.ErrSealed)
 	if len(uses) != 1 || uses[0].ID != "a" {
-		t.Fatalf("sealed uses %v", uses)
+		t.Fatalf("sealed uses %v, want only use a", uses)
 	}
 	h := right.NewHolder[int](terms)
 	h.Close()
--- a/internal/right/service.go
+++ b/internal/right/service.go
@@ -11,18 +11,19 @@
 	"guavapier/internal/record"
 )
 
-// Validator looks a right up in the fold.
+// Validator checks rights against the fold.
 type Validator interface {
-	// Validate waits until the fold has applied the right's offset and returns
-	// nil if the fold has this very right, valid and open; ErrUnknownRight if
-	// not, ErrNotAdopted if ctx ended first.
+	// Validate waits until the fold has applied the record at t.Offset. It
+	// returns nil if the fold has an open right with exactly these terms,
+	// ErrUnknownRight if it hasn't, and ErrNotAdopted if ctx ended first.
 	Validate(ctx context.Context, t Terms) error
 }
 
-// Result is an acknowledgement's result on the wire.
+// Result is the result of an acknowledgement or seal as sent between
+// instances.
 type Result uint8
 
-// The results.
+// Results and the errors that they stand for.
 const (
 	ResultOK Result = iota
 	ResultSealed
@@ -38,7 +39,8 @@
 	ResultOutOfOrder:   ErrOutOfOrder,
 }
 
-// Err returns the error that the result stands for.
+// Err returns the error that the result stands for, nil for ResultOK. A result
+// that this version doesn't know is reported as ErrNotAdopted.
 func (r Result) Err() error {
 	if r == ResultOK {
 		return nil
@@ -46,9 +48,11 @@
 	if err, ok := resultErrors[r]; ok {
 		return err
 	}
-	return eris.Wrapf(ErrNotAdopted, "right: result %d", r)
+	return eris.Wrapf(ErrNotAdopted, "right: unknown result %d", r)
 }
 
+// resultFor returns the result for an error. An error without a result of its
+// own becomes ResultNotAdopted.
 func resultFor(err error) Result {
 	if err == nil {
 		return ResultOK
@@ -61,23 +65,25 @@
 	return ResultNotAdopted
 }
 
-// AcknowledgeArgs are the batches of many rights with one witness.
+// AcknowledgeArgs holds batches of any number of rights with the same witness.
 type AcknowledgeArgs[U any] struct{ Batches []Batch[U] }
 
-// AcknowledgeReply has one result for each batch, in order.
+// AcknowledgeReply holds one result for each batch, in the order of the
+// batches.
 type AcknowledgeReply struct{ Results []Result }
 
-// SealArgs name a right.
+// SealArgs identifies the right to seal.
 type SealArgs struct{ Terms Terms }
 
-// SealReply has the uses that a close must account for.
+// SealReply holds the uses that the right's close must account for.
 type SealReply[U any] struct {
 	Result Result
 	Uses   []Use[U]
 }
 
-// Service is the witness's side over net/rpc: a Witness behind a mutex. Each
-// kind of right registers one under a name of its own (rpc.RegisterName).
+// Service serves a Witness over net/rpc. It is safe for concurrent use. Each
+// kind of right has its own Service, registered under its own name with
+// rpc.RegisterName.
 type Service[U any] struct {
 	validator    Validator
 	adoptTimeout time.Duration
@@ -86,14 +92,15 @@
 	witness *Witness[U]
 }
 
-// NewService returns the service over an empty table. patience bounds how long
-// an adoption waits for the fold to reach the right's record.
+// NewService returns a service whose witness has adopted no right yet.
+// adoptTimeout bounds how long an adoption waits for the fold to apply the
+// right's record.
 func NewService[U any](self record.InstanceID, validator Validator, adoptTimeout time.Duration) *Service[U] {
 	return &Service[U]{validator: validator, adoptTimeout: adoptTimeout, witness: NewWitness[U](self)}
 }
 
-// Acknowledge is the net/rpc method. A right that is not adopted yet is looked
-// up in the fold first.
+// Acknowledge is the net/rpc method that acknowledges batches. Rights that
+// aren't adopted yet are checked against the fold and adopted first.
 func (s *Service[U]) Acknowledge(args AcknowledgeArgs[U], reply *AcknowledgeReply) error {
 	reply.Results = make([]Result, 0, len(args.Batches))
 	for _, b := range args.Batches {
@@ -113,15 +120,17 @@
 	return s.acknowledgeAdopted(b)
 }
 
+// acknowledgeAdopted acknowledges a batch if its right is adopted.
 func (s *Service[U]) acknowledgeAdopted(b Batch[U]) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.witness.Acknowledge(b)
 }
 
-// Adopt takes a right in once the fold calls it valid. The second look at the
-// fold is under the lock: between the first one and the lock, a paused
-// instance may have sealed, closed and forgotten the right.
+// Adopt adopts a right that the fold considers valid and open. The check is
+// repeated under the lock: if this instance was paused between the first check
+// and taking the lock, the right may have been sealed, closed and forgotten
+// meanwhile, and must not be adopted again.
 func (s *Service[U]) Adopt(t Terms) error {
 	ctx, cancel := context.WithTimeout(context.Background(), s.adoptTimeout)
 	defer cancel()
@@ -136,14 +145,14 @@
 	return s.witness.Adopt(t)
 }
 
-// Forget drops a right that the fold has closed. The caller has seen the fold
-// say so, so that no later Adopt takes the right in again.
+// Forget removes a right that the fold has closed. The caller must have read
+// the close from the fold, so that no later Adopt adopts the right again.
 func (s *Service[U]) Forget(id record.RightID) {
 	s.WithWitness(func(w *Witness[U]) { w.Forget(id) })
 }
 
-// Seal is the net/rpc method. It adopts the right first where need be, so that
-// a right which was never used can be sealed as well.
+// Seal is the net/rpc method that seals a right. It adopts the right first if
+// needed, so that a right without any acknowledged use can be sealed as well.
 func (s *Service[U]) Seal(args SealArgs, reply *SealReply[U]) error {
 	uses, err := s.SealLocal(args.Terms)
 	reply.Uses, reply.Result = uses, resultFor(err)
--- a/internal/right/service_local.go
+++ b/internal/right/service_local.go
@@ -2,7 +2,8 @@
 
 import "errors"
 
-// SealLocal seals a right at this witness and returns its uses.
+// SealLocal seals a right at this instance's witness and returns the uses that
+// its close must account for, ordered by ID.
 func (s *Service[U]) SealLocal(t Terms) ([]Use[U], error) {
 	uses, err := s.sealAdopted(t)
 	if !errors.Is(err, ErrNotAdopted) {
@@ -14,13 +15,15 @@
 	return s.sealAdopted(t)
 }
 
+// sealAdopted seals a right if it is adopted.
 func (s *Service[U]) sealAdopted(t Terms) ([]Use[U], error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.witness.Seal(t.Right)
 }
 
-// WithWitness calls look with the table. look must not keep it.
+// WithWitness calls fn with the witness while holding the lock. fn must not
+// keep the witness or call the service.
 func (s *Service[U]) WithWitness(fn func(*Witness[U])) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/right/witness.go
+++ b/internal/right/witness.go
@@ -6,32 +6,34 @@
 	"guavapier/internal/record"
 )
 
-// Witness is the table of the rights that this instance is witness of. It is
-// not safe for concurrent use.
+// Witness is the state machine for the rights that this instance witnesses. It
+// is not safe for concurrent use.
 //
-// Invariants: a right enters only by Adopt, after the fold has called its
-// record valid; a sealed right never becomes unsealed; every acknowledged and
-// not dropped use is among the uses that Seal returns.
+// Invariants: a right is added only by Adopt, after the fold has accepted its
+// record as valid; a sealed right never becomes unsealed; Seal returns every
+// use that was acknowledged and not dropped.
 type Witness[U any] struct {
 	self   record.InstanceID
 	rights map[record.RightID]*adoptedRight[U]
 }
 
+// adoptedRight is the state of one witnessed right.
 type adoptedRight[U any] struct {
 	terms   Terms
-	lastSeq uint64
+	lastSeq uint64 // Seq of the last applied batch.
 	sealed  bool
 	uses    map[UseID]U
 }
 
-// NewWitness returns an empty table. An instance that restarts has a new
-// identity, so it starts with no right of its former self.
+// NewWitness returns a witness without rights. An instance has a new ID after
+// each restart, so it never resumes rights that an earlier process witnessed.
 func NewWitness[U any](self record.InstanceID) *Witness[U] {
 	return &Witness[U]{self: self, rights: map[record.RightID]*adoptedRight[U]{}}
 }
 
-// Adopt takes a right in. The caller has read the right's record at its offset
-// and the fold called it valid and open. Adopting a right again has no effect.
+// Adopt adds a right. The caller must have read the right's record at its
+// offset, and the fold must consider it valid and open. Adopting a right again
+// has no effect. A right with another witness is refused with ErrUnknownRight.
 func (w *Witness[U]) Adopt(t Terms) error {
 	if t.Witness != w.self {
 		return ErrUnknownRight
@@ -42,8 +44,8 @@
 	return nil
 }
 
-// Acknowledge counts the uses in b. A batch that was acknowledged before is
-// acknowledged again, also after a seal: its uses are in what Seal returned.
+// Acknowledge applies a batch. A batch that was applied before is acknowledged
+// again, even after a seal: its uses are among those that Seal returned.
 func (w *Witness[U]) Acknowledge(b Batch[U]) error {
 	a, ok := w.rights[b.Right]
 	switch {
@@ -68,8 +70,8 @@
 	return nil
 }
 
-// Seal ends acknowledgement for a right and returns all uses that a close must
-// account for, by use identity. Sealing again returns the same uses.
+// Seal refuses all further batches of a right and returns the uses that its
+// close must account for, ordered by ID. Sealing again returns the same uses.
 func (w *Witness[U]) Seal(id record.RightID) ([]Use[U], error) {
 	a, ok := w.rights[id]
 	if !ok {
@@ -84,10 +86,10 @@
 	return uses, nil
 }
 
-// Forget drops a right that the fold has closed.
+// Forget removes a right that the fold has closed.
 func (w *Witness[U]) Forget(id record.RightID) { delete(w.rights, id) }
 
-// Rights returns the terms of all adopted rights in no fixed order.
+// Rights returns the terms of all adopted rights in no particular order.
 func (w *Witness[U]) Rights() []Terms {
 	out := make([]Terms, 0, len(w.rights))
 	for _, a := range w.rights {
@@ -96,13 +98,14 @@
 	return out
 }
 
-// IsSealed says whether a right is adopted and sealed.
+// IsSealed reports whether a right is adopted and sealed.
 func (w *Witness[U]) IsSealed(id record.RightID) bool {
 	a, ok := w.rights[id]
 	return ok && a.sealed
 }
 
-// UseCount returns the number of uses kept for a right.
+// UseCount returns the number of uses recorded for a right, 0 if it isn't
+// adopted.
 func (w *Witness[U]) UseCount(id record.RightID) int {
 	if a, ok := w.rights[id]; ok {
 		return len(a.uses)
