--- a/internal/ledger/account.go
+++ b/internal/ledger/account.go
@@ -10,67 +10,75 @@
 	"guavapier/internal/right"
 )
 
+// heldRight is the holder's side of a grant; its uses are reservations and
+// bills.
 type heldRight = right.HeldRight[record.Outstanding]
 
-// account is this instance's part of one budget.
+// account holds this instance's grants of one budget and the state of its
+// requests for more tokens.
 type account struct {
 	budget      record.BudgetID
 	partition   *replica.Replica[*fold.Ledger]
-	activeCalls int // Reserve calls under way; guarded by Ledger.mu.
+	activeCalls int // Reserve calls in progress; guarded by Ledger.mu.
 
-	mu          sync.Mutex // Guards all below, the grants included.
+	mu          sync.Mutex // Guards the fields below, including the grants' fields.
 	grants      []*grant   // Oldest first.
 	consumption rateMeter
-	// lastWorstCase is the worst case of the last request.
-	lastWorstCase int64
-	refill        *refill
-	// appendPending is true while the append of a grant has no answer.
+	// lastRequestTokens is the number of tokens in the latest request for a
+	// reservation.
+	lastRequestTokens int64
+	// refill is the attempt in progress to get another grant, or nil.
+	refill *refill
+	// appendPending is true until the append of a grant has returned.
 	appendPending bool
-	// refillPausedUntil is the time before which nobody is asked for spare tokens or a
-	// next grant again, after this brought nothing.
+	// refillPausedUntil is the earliest time for the next request for spare
+	// tokens or for a grant ahead of need, after an unsuccessful one.
 	refillPausedUntil time.Time
-	// remotePausedUntil is the time before which no other holder is asked to reserve.
+	// remotePausedUntil is the earliest time for the next attempt to reserve
+	// at another holder.
 	remotePausedUntil time.Time
-	// lastUse is the time of the last reservation or settlement.
+	// lastUse is the time of the latest reservation or settlement.
 	lastUse time.Time
 }
 
-// grant is a right that this instance holds.
+// grant is a grant that this instance holds.
 //
-// Invariant: free plus the reservations plus what is billed is at most the
-// grant's amount on the log. Tokens become free again only after the end of
-// their reservation was queued for the witness.
+// Invariant: free tokens, reserved tokens and billed tokens add up to at most
+// the grant's amount on the log. Reserved tokens become free again only after
+// the end of their reservation has been queued for the witness.
 type grant struct {
 	held          *heldRight
-	free          int64
-	retired       bool // Takes no more reservations.
-	remoteWitness bool // Its witness is in another zone.
+	free          int64 // Tokens neither reserved nor used.
+	retired       bool  // Accepts no more reservations.
+	remoteWitness bool  // The witness is in another zone.
 	reservations  map[right.UseID]*openReservation
-	unbilled      map[right.UseID]record.Bill // Bills not known to be on the log.
-	// returnSeq counts the returnSeq; returning is the one not known to have taken
-	// effect.
+	unbilled      map[right.UseID]record.Bill // Bills not yet known to be on the log.
+	// returnSeq is the sequence number of the latest return of tokens to the
+	// budget. pendingReturn is the return that the fold hasn't applied yet, or
+	// nil.
 	returnSeq     uint64
 	pendingReturn *record.Return
 }
 
-// openReservation is a reservation that has not been settled.
+// openReservation is a reservation that hasn't been settled yet.
 type openReservation struct {
 	outstanding record.Outstanding
-	requester   record.InstanceID // Instance whose run it is.
-	confirmed   bool              // False until the witness acknowledged it.
+	requester   record.InstanceID // Instance that runs the request.
+	confirmed   bool              // True once the witness has acknowledged it.
 }
 
 func (g *grant) rightID() record.RightID { return g.held.Terms().Right }
 
 func (g *grant) isUsable() bool { return !g.retired && g.held.Err() == nil }
 
-// reserve sets tokens aside in the fullest usable grant that has them: an almost
-// empty one is left to the small requests. Grants with a far witness come
-// last. It returns nil if no grant has them.
+// reserve reserves use.Tokens in the usable grant with the most free tokens,
+// so that nearly empty grants remain for small requests. Grants whose witness
+// is in another zone are used last. It returns nil if no grant has enough
+// tokens.
 func (a *account) reserve(id right.UseID, requester record.InstanceID, use record.Outstanding, now time.Time) *grant {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.lastWorstCase = use.Tokens
+	a.lastRequestTokens = use.Tokens
 	var best *grant
 	for _, g := range a.grants {
 		if g.isUsable() && g.free >= use.Tokens && (best == nil || g.isPreferredTo(best)) {
@@ -87,6 +95,7 @@
 	return best
 }
 
+// isPreferredTo orders grants by the witness's zone, then by free tokens.
 func (g *grant) isPreferredTo(other *grant) bool {
 	if g.remoteWitness != other.remoteWitness {
 		return other.remoteWitness
@@ -95,7 +104,7 @@
 }
 
 // confirm marks a reservation as acknowledged. It returns false if the grant
-// was closed meanwhile: its close accounts for the reservation.
+// was closed meanwhile; then the close bills the reservation.
 func (a *account) confirm(g *grant, id right.UseID) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -106,7 +115,7 @@
 	return ok
 }
 
-// cancel undoes take for a reservation that does not count.
+// cancel releases a reservation that wasn't acknowledged.
 func (a *account) cancel(g *grant, id right.UseID, now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -122,8 +131,8 @@
 	}
 }
 
-// settle ends a reservation at its usage. It returns false if there is no such
-// reservation: it was settled before, or its grant has been closed.
+// settle ends a reservation and bills the used tokens. It returns false if
+// there is no such reservation: it was settled before, or its grant is closed.
 func (a *account) settle(r Reservation, used int64, now time.Time) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -141,8 +150,9 @@
 	return true
 }
 
-// settle is called with the account's lock held. The witness hears of the settle
-// before any use of the tokens that it sets free, since both go out in order.
+// settle frees the tokens that a reservation didn't use and records a bill for
+// the rest. The witness learns of the end of the reservation before any use of
+// the freed tokens, since both are sent in order. The caller holds account.mu.
 func (g *grant) settle(id right.UseID, h *openReservation, used int64) {
 	delete(g.reservations, id)
 	used = min(max(used, 0), h.outstanding.Tokens)
@@ -158,14 +168,16 @@
 	g.unbilled[id] = record.Bill{Key: billed.Key, Right: g.rightID(), Run: billed.Run, Tokens: used}
 }
 
-// isEmpty says whether nothing is left to remember.
+// isEmpty reports whether the account can be deleted: it has no grants,
+// expects none, and hasn't been used for minIdleTime.
 func (a *account) isEmpty(now time.Time) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return len(a.grants) == 0 && a.refill == nil && !a.appendPending && now.Sub(a.lastUse) > minIdleTime
 }
 
-// findGrant is called with the lock held.
+// findGrant returns the grant with the given ID, or nil. The caller holds
+// a.mu.
 func (a *account) findGrant(id record.RightID) *grant {
 	for _, g := range a.grants {
 		if g.rightID() == id {
@@ -175,12 +187,12 @@
 	return nil
 }
 
-// freeTokens returns the tokens that are freeTokens in usable grants. It is called with
-// the lock held.
+// freeTokens returns the free tokens of all usable grants. The caller holds
+// a.mu.
 func (a *account) freeTokens() int64 { return a.freeTokensBy(false) + a.freeTokensBy(true) }
 
-// freeTokensBy counts the grants with a far witness, or the others. It is called with
-// the lock held.
+// freeTokensBy returns the free tokens of the usable grants whose witness is
+// in another zone, or of all other usable ones. The caller holds a.mu.
 func (a *account) freeTokensBy(remoteWitness bool) int64 {
 	var sum int64
 	for _, g := range a.grants {
@@ -191,8 +203,8 @@
 	return sum
 }
 
-// unbilledTokens returns the tokens of bills that the fold may not have yet. It is
-// called with the lock held.
+// unbilledTokens returns the tokens of bills that the fold may not have
+// applied. The caller holds a.mu.
 func (a *account) unbilledTokens() int64 {
 	var sum int64
 	for _, g := range a.grants {
@@ -203,16 +215,16 @@
 	return sum
 }
 
-// returnTokens takes up to tokens out of the grants' free ones, the newest grant
-// first, and returns the records that return them to the budget. They stay
-// with the grants until they are known to have taken effect. It is called with
-// the lock held.
+// returnTokens takes up to the given number of free tokens out of the grants,
+// newest grant first, and returns the records that return them to the budget.
+// The grants keep the records until the fold has applied them. The caller
+// holds a.mu.
 func (a *account) returnTokens(self record.InstanceID, tokens int64) []record.Record {
 	return a.returnTokensFrom(self, tokens, func(*grant) bool { return true })
 }
 
-// returnTokensFrom gives back tokens of some grants only. It is called with the lock
-// held.
+// returnTokensFrom is returnTokens limited to the eligible grants. The caller
+// holds a.mu.
 func (a *account) returnTokensFrom(self record.InstanceID, tokens int64, eligible func(*grant) bool) []record.Record {
 	var out []record.Record
 	for i := len(a.grants) - 1; i >= 0 && tokens > 0; i-- {
@@ -227,7 +239,8 @@
 	return out
 }
 
-// startReturn is called with the account's lock held, and no return under way.
+// startReturn takes free tokens out of the grant and returns the record for
+// it. The grant must have no pending return. The caller holds account.mu.
 func (g *grant) startReturn(self record.InstanceID, tokens int64) record.Return {
 	g.free -= tokens
 	g.returnSeq++
@@ -235,8 +248,8 @@
 	return *g.pendingReturn
 }
 
-// settleByID settles a reservation by its identity alone, for an instance that
-// lost the answer and so does not know the right.
+// settleByID settles a reservation by its ID alone if r.Right is empty: the
+// requester didn't receive the reply that names the right.
 func (a *account) settleByID(r Reservation, used int64, now time.Time) bool {
 	if r.Right != "" {
 		return a.settle(r, used, now)
--- a/internal/ledger/baselines_test.go
+++ b/internal/ledger/baselines_test.go
@@ -2,11 +2,12 @@
 
 import "guavapier/internal/record"
 
-// staticSplit splits each top-up equally over the instances.
+// staticSplit is the baseline policy that splits each top-up equally among the
+// instances.
 type staticSplit struct {
 	free         [zones][instancesPerZone]map[record.BudgetID]int64
-	isolated     [zones]bool
-	unreadShares [zones]map[record.BudgetID]int64 // Shares that a cut zone has not read.
+	isolated     [zones]bool                      // Zones cut off from the others.
+	unreadShares [zones]map[record.BudgetID]int64 // Shares that an isolated zone hasn't read yet.
 }
 
 func newStaticSplit() *staticSplit {
@@ -56,16 +57,17 @@
 	clear(s.unreadShares[zone])
 }
 
-// kill loses the share, as nothing of it is on the log.
+// kill loses the instance's share, since none of it is on the log.
 func (s *staticSplit) kill(zone, i int) { s.free[zone][i] = map[record.BudgetID]int64{} }
 func (s *staticSplit) replace(int, int) {}
 func (s *staticSplit) cost() (int, int) { return 0, 0 }
 
-// centralCounter counts on the log: one append to reserve, one to settle.
+// centralCounter is the baseline policy that counts on the log: one append to
+// reserve and one to settle.
 type centralCounter struct {
 	free      map[record.BudgetID]int64
 	away      [zones]bool
-	unsettled []*simRequest
+	unsettled []*simRequest // Settlements of isolated zones, tried again each step.
 	appends   int
 }
 
@@ -110,5 +112,5 @@
 func (c *centralCounter) replace(int, int) {}
 func (c *centralCounter) cost() (int, int) { return c.appends, c.appends * batchBytesOneBill }
 
-// batchBytesOneBill is the size of one batch with one bill.
+// batchBytesOneBill is the size in bytes of a batch with one bill.
 const batchBytesOneBill = 130
--- a/internal/ledger/checker_test.go
+++ b/internal/ledger/checker_test.go
@@ -10,7 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// failureRecorder takes the verdict of a property that should fail.
+// failureRecorder is a rapid.TB that records the failure of a property that is
+// expected to fail.
 type failureRecorder struct {
 	name   string
 	failed bool
@@ -34,19 +35,20 @@
 func (r *failureRecorder) FailNow()                  { r.failed = true; runtime.Goexit() }
 func (r *failureRecorder) Failed() bool              { return r.failed }
 
-// TestCheckerSeesBrokenLedgers: with one rule broken on purpose, the state
-// machine finds the invariant that breaks.
+// TestCheckerSeesBrokenLedgers guards against a model-based test that can't
+// fail: with one rule deliberately broken, it must report the invariant that
+// the rule protects.
 func TestCheckerSeesBrokenLedgers(t *testing.T) {
 	checks := flag.Lookup("rapid.checks")
 	before := checks.Value.String()
 	defer func() { _ = checks.Value.Set(before) }()
-	if err := checks.Value.Set("2000"); err != nil { // It ends at the first finding.
+	if err := checks.Value.Set("2000"); err != nil { // A run ends at its first failure.
 		t.Fatal(err)
 	}
 	for _, broken := range []struct {
 		name       string
 		variant    productVariant
-		wantPrefix string
+		wantPrefix string // Start of the failure text.
 	}{
 		{"holder makes its acknowledgements up", forgedAcks, "spend: "},
 		{"holder uses a grant that is not on the log", unloggedGrants, "spend: "},
@@ -62,7 +64,7 @@
 			}()
 			<-done
 			if !r.failed || !strings.Contains(r.lines.String(), broken.wantPrefix) {
-				t.Fatalf("not found, failed %v: %s", r.failed, r.lines.String())
+				t.Fatalf("violation not reported, failed %v: %s", r.failed, r.lines.String())
 			}
 		})
 	}
--- a/internal/ledger/driver_test.go
+++ b/internal/ledger/driver_test.go
@@ -11,36 +11,38 @@
 	"guavapier/internal/record"
 )
 
-// The load that the policies are driven with. Time is virtual, a second a
-// step; everything else is the real ledger, fold and right code.
+// Parameters of the simulated load and faults. A step is one second of virtual
+// time. Only time, log and network are simulated; ledger, fold and right are
+// the product's code.
 const (
 	zones                 = 4
 	instancesPerZone      = 2
 	steps                 = 6000
-	faultStartStep        = 1200
-	faultEndStep          = 4800
-	requestsPerStep       = 4 // Requests a step, all zones together.
-	reservedTokens        = 1000
-	meanUsedTokens        = 400
-	runSteps              = 5   // A run's length.
-	usedShareOfPrepaid    = 0.9 // Part of the prepaid tokens that the load would use.
+	faultStartStep        = 1200 // First step of a fault.
+	faultEndStep          = 4800 // First step after a fault.
+	requestsPerStep       = 4    // In all zones together.
+	reservedTokens        = 1000 // Tokens that each request reserves.
+	meanUsedTokens        = 400  // Mean tokens that a request uses.
+	runSteps              = 5    // Duration of a request.
+	usedShareOfPrepaid    = 0.9  // Fraction of the prepaid tokens that the load uses.
 	teams                 = 10
-	hotTeamShare          = 0.8 // Part of the load that one team draws.
-	replacementDelaySteps = 30  // Steps until a dead instance is replaced.
+	hotTeamShare          = 0.8 // Fraction of the load that belongs to one team, for fault hotTeam.
+	replacementDelaySteps = 30  // Time until a dead instance is replaced.
 )
 
-// zoneShare is the part of the load that each zone draws.
+// zoneShare is the fraction of the load that arrives in each zone.
 var zoneShare = [zones]float64{0.55, 0.25, 0.15, 0.05}
 
+// fault is the fault that a simulation injects.
 type fault int
 
 const (
-	noFault fault = iota
-	zoneCut
-	holderDies
-	topUpBehindCut
-	hotTeam
-	holderDiesInOutage
+	noFault            fault = iota
+	zoneCut                  // One zone is cut off from the log and the other zones.
+	holderDies               // An instance dies and is replaced.
+	topUpBehindCut           // zoneCut, and a top-up that the isolated zone can't read.
+	hotTeam                  // zoneCut, with one team that causes most of the load.
+	holderDiesInOutage       // An instance dies while no instance reaches the log.
 )
 
 var faultNames = map[fault]string{
@@ -48,63 +50,72 @@
 	holderDiesInOutage: "outage+death",
 }
 
-// admissionPolicy admits requests to budgets.
+// admissionPolicy decides which requests are admitted.
 type admissionPolicy interface {
-	// topUp adds prepaid tokens.
+	// topUp adds prepaid tokens to a budget; id identifies the top-up.
 	topUp(budget record.BudgetID, id string, tokens int64)
-	// reserve returns false if it refuses.
+	// reserve reserves tokens for a request and returns false if it refuses
+	// it.
 	reserve(zone, instance int, o *simRequest) bool
 	settle(o *simRequest)
-	// step ends a second.
+	// step ends one second.
 	step()
+	// cut isolates a zone, or ends that.
 	cut(zone int, on bool)
-	// outage takes the log away from everybody.
+	// outage makes the log unreachable for all instances, or ends that.
 	outage(on bool)
+	// kill stops an instance for good; replace starts a new one in its place.
 	kill(zone, instance int)
 	replace(zone, instance int)
-	// cost returns appends and bytes so far.
+	// cost returns the number of appends and their bytes so far.
 	cost() (appends, bytes int)
 }
 
-// simRequest is one request.
+// simRequest is one request and its reservation.
 type simRequest struct {
 	key            record.RequestKey
 	budget         record.BudgetID
-	used           int64
+	used           int64 // Tokens that it uses in the end.
 	endStep        int
 	zone, instance int
 	r              ledger.Reservation
-	lost           bool // Its instance died: nobody settles it.
+	lost           bool // Its instance died, so nobody settles it.
 }
 
-// result is what one run of the driver measured.
+// result holds the measurements of one simulation. Tokens and requests are
+// totals over all budgets.
 type result struct {
-	requests, falseRefusals           int
-	faultRequests, faultFalseRefusals int
-	overspend                         int64
+	requests, falseRefusals           int   // Refusals although the budget had enough tokens.
+	faultRequests, faultFalseRefusals int   // The same, during the fault only.
+	overspend                         int64 // Tokens spent beyond the prepaid ones.
 	appends, bytes                    int
 }
 
-// globalBalance is the omniscient count that says which refusals are false.
+// globalBalance counts the tokens of all instances, and so determines which
+// refusals are false.
 type globalBalance struct{ prepaid, spent, reserved map[record.BudgetID]int64 }
 
+// canAdmit reports whether a budget has enough tokens for one more request.
 func (t globalBalance) canAdmit(b record.BudgetID) bool {
 	return t.prepaid[b]-t.spent[b]-t.reserved[b] >= reservedTokens
 }
 
+// loadSimulation drives an admissionPolicy with requests and a fault.
 type loadSimulation struct {
-	p            admissionPolicy
-	fault        fault
-	rng          *rand.Rand
-	truth        globalBalance
-	running      []*simRequest
-	requestCount int
-	dead         map[[2]int]bool
-	out          result
+	policy        admissionPolicy
+	fault         fault
+	rng           *rand.Rand
+	globalBalance globalBalance
+	running       []*simRequest
+	requestCount  int
+	dead          map[[2]int]bool
+	result        result
 }
 
-func simulateLoad(p admissionPolicy, f fault) result {
-	d := &loadSimulation{p: p, fault: f, rng: rand.New(rand.NewPCG(1, 2)), dead: map[[2]int]bool{}, truth: globalBalance{
+// simulateLoad runs a policy with one fault. The random sequence is fixed, so
+// all policies get the same load.
+func simulateLoad(policy admissionPolicy, f fault) result {
+	d := &loadSimulation{policy: policy, fault: f, rng: rand.New(rand.NewPCG(1, 2)), dead: map[[2]int]bool{}, globalBalance: globalBalance{
 		prepaid: map[record.BudgetID]int64{}, spent: map[record.BudgetID]int64{}, reserved: map[record.BudgetID]int64{},
 	}}
 	d.topUpAll(0, 1)
@@ -114,17 +125,17 @@
 			d.arrive(step)
 		}
 		d.settle(step)
-		p.step()
+		policy.step()
 	}
-	for b, prepaid := range d.truth.prepaid {
-		d.out.overspend += max(0, d.truth.spent[b]-prepaid)
+	for b, prepaid := range d.globalBalance.prepaid {
+		d.result.overspend += max(0, d.globalBalance.spent[b]-prepaid)
 	}
-	d.out.appends, d.out.bytes = p.cost()
-	return d.out
+	d.result.appends, d.result.bytes = policy.cost()
+	return d.result
 }
 
-// topUpAll tops all budgets up; part is 1 for a whole run's need. At a top-up on
-// the far side the first funds are enough until the fault only.
+// topUpAll tops up all budgets. Share 1 is enough for the whole simulation.
+// With fault topUpBehindCut the first top-up lasts only until the fault.
 func (d *loadSimulation) topUpAll(step int, share float64) {
 	if d.fault == topUpBehindCut {
 		share = 0.3
@@ -141,42 +152,45 @@
 		} else if d.fault == hotTeam {
 			tokens = int64(total * (1 - hotTeamShare) / (teams - 1))
 		}
-		d.truth.prepaid[b] += tokens
-		d.p.topUp(b, fmt.Sprint("t", step), tokens)
+		d.globalBalance.prepaid[b] += tokens
+		d.policy.topUp(b, fmt.Sprint("t", step), tokens)
 	}
 }
 
+// budgetOf returns the budget of the n-th team.
 func budgetOf(team int) record.BudgetID {
 	return record.BudgetID{Team: record.Team(fmt.Sprint("team-", team)), Name: "main"}
 }
 
-const isolatedZone = 1 // It draws a quarter of the load.
+const isolatedZone = 1 // A quarter of the load arrives here.
 
+// inject starts or ends the fault if this is its step.
 func (d *loadSimulation) inject(step int) {
 	cutsZone := d.fault == zoneCut || d.fault == topUpBehindCut || d.fault == hotTeam
 	switch {
 	case cutsZone && step == faultStartStep:
-		d.p.cut(isolatedZone, true)
+		d.policy.cut(isolatedZone, true)
 	case cutsZone && step == faultEndStep:
-		d.p.cut(isolatedZone, false)
+		d.policy.cut(isolatedZone, false)
 	case d.fault == topUpBehindCut && step == faultStartStep+60:
 		d.topUpAll(step, 1)
 	case d.fault == holderDiesInOutage && step == faultStartStep-1:
-		d.p.outage(true)
+		d.policy.outage(true)
 	case d.fault == holderDiesInOutage && step == faultEndStep:
-		d.p.outage(false)
+		d.policy.outage(false)
 	case (d.fault == holderDies || d.fault == holderDiesInOutage) && step == faultStartStep:
 		d.dead[[2]int{0, 0}] = true
-		d.p.kill(0, 0)
+		d.policy.kill(0, 0)
 		for _, j := range d.running {
 			j.lost = j.lost || (j.zone == 0 && j.instance == 0)
 		}
 	case (d.fault == holderDies || d.fault == holderDiesInOutage) && step == faultStartStep+replacementDelaySteps:
 		delete(d.dead, [2]int{0, 0})
-		d.p.replace(0, 0)
+		d.policy.replace(0, 0)
 	}
 }
 
+// arrive lets one request arrive at a random zone, for a random team.
 func (d *loadSimulation) arrive(step int) {
 	zone, x := 0, d.rng.Float64()
 	for x > zoneShare[zone] && zone < zones-1 {
@@ -190,7 +204,7 @@
 	d.requestCount++
 	instance := d.requestCount % instancesPerZone
 	if d.dead[[2]int{zone, instance}] {
-		instance = (instance + 1) % instancesPerZone // The balancer passes it over.
+		instance = (instance + 1) % instancesPerZone // The load balancer skips it.
 	}
 	used := int64(meanUsedTokens/2 + d.rng.IntN(meanUsedTokens))
 	j := &simRequest{
@@ -198,23 +212,24 @@
 		used: used, endStep: step + runSteps, zone: zone, instance: instance,
 	}
 	duringFault := step >= faultStartStep && step < faultEndStep
-	d.out.requests++
+	d.result.requests++
 	if duringFault {
-		d.out.faultRequests++
+		d.result.faultRequests++
 	}
-	if d.p.reserve(zone, instance, j) {
-		d.truth.reserved[j.budget] += reservedTokens
+	if d.policy.reserve(zone, instance, j) {
+		d.globalBalance.reserved[j.budget] += reservedTokens
 		d.running = append(d.running, j)
 		return
 	}
-	if d.truth.canAdmit(j.budget) {
-		d.out.falseRefusals++
+	if d.globalBalance.canAdmit(j.budget) {
+		d.result.falseRefusals++
 		if duringFault {
-			d.out.faultFalseRefusals++
+			d.result.faultFalseRefusals++
 		}
 	}
 }
 
+// settle ends the requests that are due.
 func (d *loadSimulation) settle(step int) {
 	kept := d.running[:0]
 	for _, j := range d.running {
@@ -222,25 +237,25 @@
 			kept = append(kept, j)
 			continue
 		}
-		d.truth.reserved[j.budget] -= reservedTokens
+		d.globalBalance.reserved[j.budget] -= reservedTokens
 		if j.lost {
-			d.truth.spent[j.budget] += reservedTokens // Billed as reserved.
+			d.globalBalance.spent[j.budget] += reservedTokens // Billed at the reserved amount.
 			continue
 		}
-		d.truth.spent[j.budget] += j.used
-		d.p.settle(j)
+		d.globalBalance.spent[j.budget] += j.used
+		d.policy.settle(j)
 	}
 	d.running = kept
 }
 
-// grantPolicy drives the real ledger.
+// grantPolicy is the policy of package ledger.
 type grantPolicy struct {
 	fleet        *simFleet
-	nodes        [zones][instancesPerZone]*simInstance
+	instances    [zones][instancesPerZone]*simInstance
 	opts         ledger.Options
 	conservatism float64
-	started      int
-	logDown      bool // The log is away.
+	started      int  // Number of instances started so far.
+	logDown      bool // No instance reaches the log.
 }
 
 func newGrantPolicy(conservatism float64, spare ledger.SparePolicy) *grantPolicy {
@@ -258,7 +273,7 @@
 func (a *grantPolicy) replace(zone, i int) {
 	a.started++
 	name := fmt.Sprint("z", zone, "i", i, ".", a.started)
-	a.nodes[zone][i] = a.fleet.addInstance(name, record.Zone(fmt.Sprint("zone-", zone)), a.opts, func(c *ledger.Config) {
+	a.instances[zone][i] = a.fleet.addInstance(name, record.Zone(fmt.Sprint("zone-", zone)), a.opts, func(c *ledger.Config) {
 		c.Conservatism = func(record.BudgetID) float64 { return a.conservatism }
 		c.Members = &instanceMembers{fleet: a.fleet, id: record.InstanceID(name)}
 	})
@@ -270,13 +285,13 @@
 func (a *grantPolicy) topUp(b record.BudgetID, id string, tokens int64) { a.fleet.topUp(b, id, tokens) }
 
 func (a *grantPolicy) reserve(zone, i int, j *simRequest) bool {
-	r, err := a.nodes[zone][i].ledger.Reserve(context.Background(), j.key, "", j.budget, reservedTokens)
+	r, err := a.instances[zone][i].ledger.Reserve(context.Background(), j.key, "", j.budget, reservedTokens)
 	j.r = r
 	return err == nil
 }
 
 func (a *grantPolicy) settle(j *simRequest) {
-	_ = a.nodes[j.zone][j.instance].ledger.Settle(context.Background(), j.budget, j.r, j.used)
+	_ = a.instances[j.zone][j.instance].ledger.Settle(context.Background(), j.budget, j.r, j.used)
 }
 
 func (a *grantPolicy) step() {
@@ -298,9 +313,9 @@
 	for _, n := range a.fleet.instances {
 		inZone := n.zone == record.Zone(fmt.Sprint("zone-", zone))
 		if inZone {
-			n.logLagging, n.mode = on, logUp
+			n.logLagging, n.appendMode = on, logUp
 			if on {
-				n.mode = logRefuses
+				n.appendMode = logRefuses
 			}
 			n.readLog()
 		}
@@ -320,9 +335,9 @@
 	defer a.fleet.mu.Unlock()
 	a.logDown = on
 	for _, n := range a.fleet.instances {
-		n.mode = logUp
+		n.appendMode = logUp
 		if on {
-			n.mode = logRefuses
+			n.appendMode = logRefuses
 		}
 	}
 }
@@ -330,14 +345,15 @@
 func (a *grantPolicy) kill(zone, i int) {
 	a.fleet.mu.Lock()
 	defer a.fleet.mu.Unlock()
-	a.nodes[zone][i].stopped = true
+	a.instances[zone][i].stopped = true
 	a.fleet.updateListed()
 }
 
 func (a *grantPolicy) cost() (int, int) { return a.fleet.appends, a.fleet.bytes }
 
-// instanceMembers is the instance list as one instance sees it: frozen while it is
-// cut off, and without those that are cut off from the platform.
+// instanceMembers is the membership as seen by one instance. It doesn't change
+// while the instance is cut off from the log, and doesn't list other instances
+// that are.
 type instanceMembers struct {
 	fleet *simFleet
 	id    record.InstanceID
--- a/internal/ledger/latency_bench_test.go
+++ b/internal/ledger/latency_bench_test.go
@@ -14,7 +14,7 @@
 	"guavapier/internal/record"
 )
 
-// addressTable finds peers in a fixed table.
+// addressTable maps instances to their addresses.
 type addressTable map[record.InstanceID]string
 
 // PeerAddr implements peer.Addresses.
@@ -23,7 +23,8 @@
 	return addr, ok
 }
 
-// newLoopbackFleet makes three instances in one zone that talk over TCP on newLoopbackFleet.
+// newLoopbackFleet starts three instances in one zone that call each other
+// over TCP on the loopback interface.
 func newLoopbackFleet(b *testing.B) *simFleet {
 	b.Helper()
 	fleet := newSimFleet(unmodified)
@@ -54,9 +55,9 @@
 	return fleet
 }
 
-// BenchmarkReserveSettle measures one Reserve and Settle over real net/rpc on
-// loopback, at the budget's owner (one call, to the witness) and at another
-// instance (two calls), with 1, 16 and 64 callers at once.
+// BenchmarkReserveSettle measures Reserve followed by Settle over net/rpc on
+// the loopback interface: at the budget's owner (one call, to the witness) and
+// at another instance (two calls), with 1, 16 and 64 concurrent callers.
 func BenchmarkReserveSettle(b *testing.B) {
 	for _, callers := range []int{1, 16, 64} {
 		for _, at := range []string{"owner", "other"} {
@@ -80,9 +81,11 @@
 	}
 }
 
-// reservationsPerMeasurement is how many a measurement makes.
+// reservationsPerMeasurement is the number of reservations in one measurement.
 const reservationsPerMeasurement = 10_000
 
+// measureReserve reports throughput and latency quantiles of reservations at
+// one instance.
 func measureReserve(b *testing.B, n *simInstance, callers int) {
 	b.Helper()
 	times := make([][]time.Duration, callers)
@@ -97,7 +100,7 @@
 		_ = n.ledger.Settle(context.Background(), mainBudget, r, 400)
 		times[c] = append(times[c], time.Since(began))
 	}
-	for i := range 50 { // The first grants and connections are not measured.
+	for i := range 50 { // The first grants and connections aren't measured.
 		reserve(0, -i-1)
 	}
 	times[0] = nil
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -14,39 +14,45 @@
 	"guavapier/internal/right"
 )
 
-// Names of the net/rpc services.
+// Names under which the net/rpc services are registered.
 const (
-	// ServiceName is the service between ledgers; see Service.
+	// ServiceName is the name of Service.
 	ServiceName = "Ledger"
-	// WitnessName is the witness service of grants.
+	// WitnessName is the name of the witness service for grants.
 	WitnessName = "Grants"
 )
 
-// Ledger is safe for concurrent use. Lock order: tickMu, flushMu, a replica's
-// lock, mu, account.mu, then the locks of package right. peersMu is held alone.
+// Ledger reserves and settles tokens of prepaid budgets for one instance. It
+// is safe for concurrent use.
+//
+// Lock order: tickMu, flushMu, a replica's lock, mu, account.mu, then the
+// locks of package right. peersMu is never held together with another one of
+// these.
 type Ledger struct {
 	Config
 	batcher *right.Batcher[record.Outstanding]
 	witness *right.Service[record.Outstanding]
 	remote  *remoteSettler
 
-	mu       sync.Mutex // Guards accounts and draining.
+	mu       sync.Mutex // Guards accounts, their activeCalls, and draining.
 	accounts map[record.BudgetID]*account
 	draining bool
 
-	peersMu        sync.Mutex // Guards suspects and silent.
-	suspectedUntil map[record.InstanceID]time.Time
-	failedPings    map[record.InstanceID]int
+	peersMu        sync.Mutex                      // Guards suspectedUntil and failedPings.
+	suspectedUntil map[record.InstanceID]time.Time // See Options.SuspicionTTL.
+	failedPings    map[record.InstanceID]int       // Failed pings in a row.
 
-	tickMu sync.Mutex // Lets one tick run at a time; guards closing.
-	// pendingCloses are the witness's closes that the fold has not applied yet.
+	tickMu sync.Mutex // Serializes ticks; guards pendingCloses.
+	// pendingCloses are the closes of grants sealed here as witness that the
+	// fold hasn't applied yet.
 	pendingCloses map[record.RightID]record.Close
 
-	flushMu  sync.Mutex // Guards flushing.
-	flushing map[record.Stream]bool
+	flushMu  sync.Mutex             // Guards flushing.
+	flushing map[record.Stream]bool // Streams with an append in progress.
 }
 
-// New returns a Ledger that holds no grant yet.
+// New returns a Ledger without grants. Unset Now, Go and Conservatism get
+// their defaults.
 func New(c Config) *Ledger {
 	if c.Now == nil {
 		c.Now = time.Now
@@ -76,8 +82,10 @@
 // Witness returns the net/rpc service to register as WitnessName.
 func (l *Ledger) Witness() *right.Service[record.Outstanding] { return l.witness }
 
-// Reserve sets a request's worst case aside. It asks the budget's owner in
-// this zone first, and falls back to grants of its own.
+// Reserve reserves tokens for a request, at least 1: the most that it may use.
+// It asks the budget's owner in this zone first, then uses this instance's own
+// grants, and finally asks other holders. Its errors are ErrExhausted,
+// ErrNoBudget and *Stranded.
 func (l *Ledger) Reserve(ctx context.Context, key record.RequestKey, run record.RunID, budget record.BudgetID, tokens int64) (Reservation, error) {
 	if tokens <= 0 {
 		tokens = 1
@@ -96,9 +104,10 @@
 	return r, err
 }
 
-// Settle ends a reservation: it bills what the request used and frees the
-// rest at once. The bill reaches the log with a later tick; until then the
-// witness knows the reservation. A request that used nothing has no bill.
+// Settle ends a reservation: it bills the used tokens and frees the rest at
+// once. The bill reaches the log with a later tick; until then the witness
+// keeps it. A request that used no tokens isn't billed. The error is always
+// nil.
 func (l *Ledger) Settle(_ context.Context, budget record.BudgetID, r Reservation, used int64) error {
 	if r.At != l.Self {
 		l.remote.enqueue(r.At, Settlement{Budget: budget, Reservation: r, Used: used})
@@ -108,8 +117,9 @@
 	return nil
 }
 
-// reserveHere reserves in this instance's own grants. Each turn of the loop
-// either reserves, or loses a grant, or waits for a new one; ctx bounds it.
+// reserveHere reserves in this instance's own grants. Each iteration reserves,
+// gives up an unusable grant, or waits for a new one. It ends after
+// GrantTimeout at the latest.
 func (l *Ledger) reserveHere(ctx context.Context, from record.InstanceID, id right.UseID, budget record.BudgetID, use record.Outstanding) (Reservation, error) {
 	ctx, cancel := context.WithTimeout(ctx, l.Options.GrantTimeout)
 	defer cancel()
@@ -139,27 +149,31 @@
 	}
 }
 
-// suspectWitness notes which witness did not answer.
+// suspectWitness avoids a grant's witness for a while if err means that it
+// couldn't be reached.
 func (l *Ledger) suspectWitness(g *grant, err error) {
 	if witness := g.held.Terms().Witness; isWitnessUnavailable(err) && witness != "" {
 		l.suspect(witness)
 	}
 }
 
+// isDraining reports whether Close has been called.
 func (l *Ledger) isDraining() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.draining
 }
 
-// account returns a budget's account. Whoever may add a grant to it keeps it
-// with acquire, or runs within a tick.
+// account returns a budget's account, which it creates if needed. A caller
+// that may add a grant must prevent pruning: it uses acquire instead, or runs
+// within a tick.
 func (l *Ledger) account(budget record.BudgetID) *account {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.accountLocked(budget)
 }
 
+// accountLocked is account for callers that hold l.mu.
 func (l *Ledger) accountLocked(budget record.BudgetID) *account {
 	a, ok := l.accounts[budget]
 	if !ok {
@@ -169,8 +183,8 @@
 	return a
 }
 
-// acquire keeps an account from being pruned until release. There must never
-// be two accounts for one budget: both would draw on the same grant.
+// acquire returns a budget's account and prevents its pruning until release. A
+// budget must never have two accounts, since both would spend the same grants.
 func (l *Ledger) acquire(budget record.BudgetID) *account {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -179,14 +193,15 @@
 	return a
 }
 
+// release ends the protection by acquire.
 func (l *Ledger) release(a *account) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	a.activeCalls--
 }
 
-// prune drops the accounts that hold nothing and that nobody uses. It runs
-// within a tick.
+// prune deletes the accounts that are empty and not in use. It runs within a
+// tick.
 func (l *Ledger) prune() {
 	now := l.Now()
 	l.mu.Lock()
@@ -198,7 +213,7 @@
 	}
 }
 
-// accountsByStream returns the accounts of each partition.
+// accountsByStream returns the accounts by the stream of their partition.
 func (l *Ledger) accountsByStream() map[record.Stream][]*account {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -209,6 +224,7 @@
 	return out
 }
 
+// allAccounts returns the accounts in no particular order.
 func (l *Ledger) allAccounts() []*account {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -219,17 +235,19 @@
 	return out
 }
 
-// GrantState is one open grant in the state dump: an operator finds here which
-// right a forced close would name.
+// GrantState is an open grant in the state dump. It shows operators the ID
+// that a forced close needs.
 type GrantState struct {
 	fold.Grant
-	// Free and Reserved are known of this instance's own grants only.
+	// Free (tokens), Reserved (number of reservations) and Retired are set
+	// only for this instance's own grants.
 	Free     int64 `json:"free,omitempty"`
 	Reserved int   `json:"reserved,omitempty"`
 	Retired  bool  `json:"retired,omitempty"`
 }
 
-// State returns all open grants that the fold knows.
+// State returns all open grants in the fold, those of other instances
+// included.
 func (l *Ledger) State() []GrantState {
 	rows := []GrantState{}
 	for _, part := range l.Partitions {
@@ -246,6 +264,7 @@
 	return rows
 }
 
+// grantState adds this instance's own view to a grant of the fold.
 func (l *Ledger) grantState(row fold.Grant) GrantState {
 	out := GrantState{Grant: row}
 	if row.Holder != l.Self {
@@ -260,7 +279,7 @@
 	return out
 }
 
-// noPeers is the caller of an instance that has no peers.
+// noPeers is the peer.Caller of an instance without peers: no call succeeds.
 type noPeers struct{}
 
 // Call implements peer.Caller.
@@ -268,6 +287,7 @@
 	return peer.ErrUnreachable
 }
 
+// callerOrNone replaces a nil caller by noPeers.
 func callerOrNone(c peer.Caller) peer.Caller {
 	if c == nil {
 		return noPeers{}
--- a/internal/ledger/machine_test.go
+++ b/internal/ledger/machine_test.go
@@ -26,7 +26,9 @@
 	goleak.VerifyTestMain(m)
 }
 
-// shortTimeoutOptions make every wait short and every seal as early as it can be.
+// shortTimeoutOptions returns options with short timeouts and seals after a
+// single failed ping, so that random operations reach timeouts and seals
+// often.
 func shortTimeoutOptions() ledger.Options {
 	return ledger.Options{
 		InitialGrantTokens: 100, GrantTimeout: 10 * time.Millisecond, TickInterval: time.Hour, PeerTimeout: 4 * time.Millisecond,
@@ -34,19 +36,21 @@
 	}
 }
 
-// maxTopUps keeps the budget small, so that the adversary gets to its end.
+// maxTopUps keeps the budget small, so that random operations exhaust it.
 const maxTopUps = 2
 
-// modelTest is the adversary of the state-modelTest test: it picks the order of
-// everything that instances, log, network, operators and callers do.
+// modelTest is the state of the model-based test. Its operations choose, at
+// random, the order of everything that instances, log, network, operators and
+// callers do.
 type modelTest struct {
 	fleet        *simFleet
-	reservations []*issuedReservation
-	keys         int
-	topUps       int
-	started      int
+	reservations []*issuedReservation // All granted ones.
+	keys         int                  // Number of request keys used so far.
+	topUps       int                  // Number of top-up IDs used so far.
+	started      int                  // Number of instances started so far.
 }
 
+// newModelTest starts four instances.
 func newModelTest(v productVariant) *modelTest {
 	m := &modelTest{fleet: newSimFleet(v)}
 	for range 4 {
@@ -55,20 +59,23 @@
 	return m
 }
 
+// startInstance adds an instance to one of two zones.
 func (m *modelTest) startInstance() {
 	m.started++
 	zone := record.Zone(fmt.Sprint("zone-", m.started%2))
 	m.fleet.addInstance(fmt.Sprint("i", m.started), zone, shortTimeoutOptions(), func(c *ledger.Config) {
 		if m.fleet.variant == unloggedGrants {
-			c.Peers = nil // A witness would find the grant missing.
+			c.Peers = nil // A witness would notice that the grant is missing.
 		}
 	})
 }
 
+// drawInstance draws any instance, including stopped ones.
 func (m *modelTest) drawInstance(t *rapid.T, label string) *simInstance {
 	return m.fleet.instances[rapid.IntRange(0, len(m.fleet.instances)-1).Draw(t, label)]
 }
 
+// drawRunningInstance draws an instance and returns nil if it is stopped.
 func (m *modelTest) drawRunningInstance(t *rapid.T) *simInstance {
 	n := m.drawInstance(t, "instance")
 	if n.stopped {
@@ -77,6 +84,9 @@
 	return n
 }
 
+// actions returns the operations by name; those under several names are drawn
+// more often. The one without a name checks the invariants after each
+// operation.
 func (m *modelTest) actions() map[string]func(*rapid.T) {
 	return map[string]func(*rapid.T){
 		"topUp": m.topUp, "reserve": m.reserve, "reserve more": m.reserve, "reserve still more": m.reserve,
@@ -88,14 +98,16 @@
 	}
 }
 
-// topUp also repeats earlier top-ups, as racing or retrying operators do.
+// topUp tops up the budget, or repeats an earlier top-up, as operators do when
+// they race or retry.
 func (m *modelTest) topUp(t *rapid.T) {
 	id := rapid.IntRange(0, min(m.topUps, maxTopUps)).Draw(t, "id")
 	m.topUps = max(m.topUps, id+1)
 	m.fleet.topUp(mainBudget, fmt.Sprint(id), int64(20+id))
 }
 
-// reserve also reuses keys, as retries at another instance do.
+// reserve makes a request with a new key or with a recent one, as a retry at
+// another instance does.
 func (m *modelTest) reserve(t *rapid.T) {
 	n := m.drawRunningInstance(t)
 	if n == nil {
@@ -115,6 +127,7 @@
 	}
 }
 
+// settle settles one reservation of an instance.
 func (m *modelTest) settle(t *rapid.T) {
 	n := m.drawRunningInstance(t)
 	if n == nil {
@@ -138,7 +151,7 @@
 	n, mode := m.drawInstance(t, "instance"), rapid.SampledFrom([]logMode{logUp, logUp, logRefuses, logLosesReply, logDelays}).Draw(t, "mode")
 	m.fleet.mu.Lock()
 	defer m.fleet.mu.Unlock()
-	n.mode = mode
+	n.appendMode = mode
 }
 
 func (m *modelTest) lag(t *rapid.T) {
@@ -164,7 +177,7 @@
 	n.stopped = true
 }
 
-// resume lets a paused instance go on with all that it believed.
+// resume lets a paused instance continue with its outdated state.
 func (m *modelTest) resume(t *rapid.T) {
 	n := m.drawInstance(t, "instance")
 	m.fleet.mu.Lock()
@@ -173,8 +186,8 @@
 	n.readLog()
 }
 
-// restart replaces an instance by one that knows nothing. Its runs go on at
-// their endpoints, so its orders still count as reserved.
+// restart replaces an instance by a new one without state. Its runs continue
+// at their endpoints, so their reservations still count as spent.
 func (m *modelTest) restart(t *rapid.T) {
 	n := m.drawInstance(t, "instance")
 	m.fleet.mu.Lock()
@@ -190,7 +203,7 @@
 	m.startInstance()
 }
 
-// lateCopy puts a second copy of any entry on the log.
+// lateCopy appends a duplicate of any entry to the log.
 func (m *modelTest) lateCopy(t *rapid.T) {
 	m.fleet.mu.Lock()
 	defer m.fleet.mu.Unlock()
@@ -206,6 +219,7 @@
 	m.fleet.commit(b)
 }
 
+// lateAppend lets a delayed append reach the log.
 func (m *modelTest) lateAppend(t *rapid.T) {
 	m.fleet.mu.Lock()
 	defer m.fleet.mu.Unlock()
@@ -216,7 +230,8 @@
 	}
 }
 
-// lateCall lets a call arrive, or arrive once more, after its caller gave up.
+// lateCall delivers a delayed call after its caller has given up, possibly
+// more than once.
 func (m *modelTest) lateCall(t *rapid.T) {
 	m.fleet.mu.Lock()
 	late := m.fleet.delayedCalls
@@ -226,20 +241,22 @@
 	}
 }
 
+// list updates the membership.
 func (m *modelTest) list(*rapid.T) {
 	m.fleet.mu.Lock()
 	defer m.fleet.mu.Unlock()
 	m.fleet.updateListed()
 }
 
+// time advances the clock.
 func (m *modelTest) time(t *rapid.T) {
 	m.fleet.mu.Lock()
 	defer m.fleet.mu.Unlock()
 	m.fleet.now = m.fleet.now.Add(rapid.SampledFrom([]time.Duration{time.Second, time.Minute, time.Hour}).Draw(t, "passed"))
 }
 
-// minSpent is the least that the team's requests have used or may still use,
-// each key once.
+// minSpent returns the fewest tokens that the team's requests have used or may
+// still use, counting each key once.
 func (m *modelTest) minSpent() int64 {
 	least := map[string]int64{}
 	for _, o := range m.reservations {
@@ -258,6 +275,7 @@
 	return sum
 }
 
+// check verifies the invariants against the reference model.
 func (m *modelTest) check(t *rapid.T) {
 	o, l := m.fleet.replayLog()
 	if spent := m.minSpent(); spent > o.prepaid() {
@@ -268,7 +286,7 @@
 	}
 	for key, n := range o.bills {
 		if n > 1 {
-			t.Fatalf("bills: key %s has %d", key, n)
+			t.Fatalf("bills: key %s has %d, want at most 1", key, n)
 		}
 	}
 	row, _ := l.Budget(mainBudget)
@@ -283,13 +301,13 @@
 	defer m.fleet.mu.Unlock()
 	clear(m.fleet.links)
 	for _, n := range m.fleet.instances {
-		n.mode, n.logLagging, n.stopped = logUp, false, false
+		n.appendMode, n.logLagging, n.stopped = logUp, false, false
 		n.readLog()
 	}
 	m.fleet.updateListed()
 }
 
-// quiesce heals everything and lets all instances finish and leave.
+// quiesce ends all faults, settles all reservations and closes all ledgers.
 func (m *modelTest) quiesce(t *rapid.T) {
 	m.heal(t)
 	m.fleet.mu.Lock()
@@ -310,7 +328,7 @@
 	for _, n := range m.fleet.instances {
 		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 		if err := n.ledger.Close(ctx); err != nil {
-			t.Fatalf("%s does not leave: %v; it knows %+v", n.id, err, n.ledger.State())
+			t.Fatalf("%s does not close: %v; open grants %+v", n.id, err, n.ledger.State())
 		}
 		cancel()
 	}
@@ -318,8 +336,8 @@
 	m.checkBilled(t)
 }
 
-// checkBilled: every request that used tokens at an instance which lived to
-// settle it has its one bill.
+// checkBilled verifies that each settled request that used tokens has exactly
+// one bill, if the instance with its grant is still running.
 func (m *modelTest) checkBilled(t *rapid.T) {
 	o, _ := m.fleet.replayLog()
 	for _, order := range m.reservations {
@@ -330,6 +348,8 @@
 	}
 }
 
+// ledgerModelTest returns the property for the product or for a deliberately
+// broken variant of it.
 func ledgerModelTest(v productVariant) func(*rapid.T) {
 	return func(t *rapid.T) {
 		m := newModelTest(v)
@@ -341,8 +361,9 @@
 	}
 }
 
-// TestLedgerUnderAdversary: whatever the order of events, no budget is
-// overspent, no grants exceed it, and no request is billed twice.
+// TestLedgerUnderAdversary checks, for random orders of events and faults,
+// that no budget is overspent, that grants never exceed their budget, and that
+// no request is billed twice.
 func TestLedgerUnderAdversary(t *testing.T) {
 	rapid.Check(t, ledgerModelTest(unmodified))
 }
--- a/internal/ledger/oracle_test.go
+++ b/internal/ledger/oracle_test.go
@@ -7,16 +7,18 @@
 	"guavapier/internal/record"
 )
 
-// referenceModel recounts the log by the plainest reading of the rules, with maps that
-// only grow. It shares no code with the fold but the record types.
+// referenceModel derives budgets and bills from the log by the simplest form
+// of the rules, with maps that only grow. It shares only the record types with
+// the fold.
 type referenceModel struct {
 	topUps map[string]int64
 	grants map[record.RightID]*referenceGrant
-	// bills counts the charged bills of each key as the caller knows it.
+	// bills counts the effective bills per key, as known to the caller.
 	bills  map[string]int
 	billed map[record.RequestKey]bool
 }
 
+// referenceGrant is a grant in the reference model.
 type referenceGrant struct {
 	holder, witness record.InstanceID
 	amount, spent   int64
@@ -24,6 +26,7 @@
 	closed          bool
 }
 
+// prepaid returns the tokens of all top-ups.
 func (o *referenceModel) prepaid() int64 {
 	var sum int64
 	for _, tokens := range o.topUps {
@@ -32,7 +35,7 @@
 	return sum
 }
 
-// committed is the sum over grants of what each may still committed.
+// committed returns the tokens that all grants together may still cost.
 func (o *referenceModel) committed() int64 {
 	var sum int64
 	for _, g := range o.grants {
@@ -45,6 +48,7 @@
 	return sum
 }
 
+// charge applies a bill unless its key has been billed before.
 func (o *referenceModel) charge(g *referenceGrant, key record.RequestKey, tokens int64) {
 	if o.billed[key] {
 		return
@@ -55,6 +59,7 @@
 	g.spent += min(tokens, g.amount-g.spent)
 }
 
+// apply applies one record.
 func (o *referenceModel) apply(rec record.Record) {
 	switch r := rec.(type) {
 	case record.TopUp:
@@ -83,12 +88,13 @@
 	}
 }
 
-// replayLog reads the log on into an oracle and into a fold of its own.
+// replayLog applies the new entries of the log to the reference model and to a
+// separate fold, and returns both.
 func (fleet *simFleet) replayLog() (*referenceModel, *fold.Ledger) {
 	fleet.mu.Lock()
 	defer fleet.mu.Unlock()
-	if fleet.oracle == nil {
-		fleet.oracle = &referenceModel{topUps: map[string]int64{}, grants: map[record.RightID]*referenceGrant{}, bills: map[string]int{}, billed: map[record.RequestKey]bool{}}
+	if fleet.reference == nil {
+		fleet.reference = &referenceModel{topUps: map[string]int64{}, grants: map[record.RightID]*referenceGrant{}, bills: map[string]int{}, billed: map[record.RequestKey]bool{}}
 		fleet.fold = fold.NewLedger()
 	}
 	for _, e := range fleet.entries[fleet.fold.Next():] {
@@ -104,8 +110,8 @@
 			if err != nil {
 				panic(err)
 			}
-			fleet.oracle.apply(rec)
+			fleet.reference.apply(rec)
 		}
 	}
-	return fleet.oracle, fleet.fold
+	return fleet.reference, fleet.fold
 }
--- a/internal/ledger/outstanding.go
+++ b/internal/ledger/outstanding.go
@@ -1,7 +1,7 @@
 package ledger
 
-// Outstanding returns how many reservations in this instance's grants have not
-// been settled, those of other instances' requests included.
+// Outstanding returns the number of unsettled reservations in this instance's
+// grants, including those for requests of other instances.
 func (l *Ledger) Outstanding() int {
 	n := 0
 	for _, a := range l.allAccounts() {
--- a/internal/ledger/policy.go
+++ b/internal/ledger/policy.go
@@ -10,52 +10,59 @@
 	"guavapier/internal/record"
 )
 
-// Limits of the sizing decisions.
+// Parameters of grant sizing.
 const (
-	// DefaultConservatism is the setting of a budget that has none. No setting can
-	// overspend, and holders give tokens to whoever asks, so the refusals behind
-	// a cut decide: docs/measurements/ledger.md.
+	// DefaultConservatism applies to budgets without the setting. No value can
+	// cause overspending, and holders release tokens on request, so refusals
+	// during a partition are the deciding cost: see
+	// docs/measurements/ledger.md.
 	DefaultConservatism = 1.0
-	// minHorizon and longHorizon are how long a grant should last at the
-	// measured draw rate, for lean 0 and lean 1. Ten seconds is the least that
-	// hides a slow log; an hour is the cut that the sites name.
+	// minHorizon and maxHorizon are how long a grant should last at the
+	// current consumption rate, for conservatism 0 and 1. Anything shorter
+	// than ten seconds exposes requests to a slow log; sites expect partitions
+	// of up to an hour.
 	minHorizon = 10 * time.Second
 	maxHorizon = time.Hour
-	// rateTimeConstant is the time constant of the draw rate: long enough that one
-	// burst does not size an hour, short enough to follow a shift of load.
+	// rateTimeConstant is the time constant of the consumption rate. It is
+	// long enough that a single burst doesn't size an hour's grant, and short
+	// enough to follow shifts of load.
 	rateTimeConstant = time.Minute
-	// minRequestsPerGrant is how many requests a grant has room for at least, so that
-	// a slow budget does not append for each request.
+	// minRequestsPerGrant is the minimum number of requests that a grant has
+	// room for. It keeps a budget with little load from appending a grant per
+	// request.
 	minRequestsPerGrant = 4
-	// minRefillLevel and highestWater are the part of the target below which the
-	// next grant is asked for, for lean 0 and lean 1. A holder that leans to
-	// few refusals stays nearly full, since a cut may come at any moment.
+	// minRefillLevel and maxRefillLevel are the fraction of the target below
+	// which a refill starts, for conservatism 0 and 1. A conservative holder
+	// stays nearly full, since a partition may begin at any time.
 	minRefillLevel = 0.25
 	maxRefillLevel = 0.85
-	// minIdleTime is how long a budget must rest before its grants go back.
+	// minIdleTime is the minimum time without use after which an instance
+	// returns a budget's grants.
 	minIdleTime = 10 * time.Minute
-	// maxFreeFactor times the target is what a holder keeps; what is above goes
-	// back, so that a budget that falls idle strands little.
+	// maxFreeFactor times the target is the most that a holder keeps free. It
+	// returns the rest, so that a budget whose load ends strands few tokens.
 	maxFreeFactor = 2
 )
 
-// SizingInput is what a grant is sized by.
+// SizingInput holds the quantities that determine the size of a grant. Tokens
+// are counted for one budget.
 type SizingInput struct {
-	ConsumptionRate float64 // Draw of this holder, tokens a second.
-	RequestTokens   int64   // Worst case of the waiting request, or of the last one.
-	FreeTokens      int64   // Tokens that this holder has free in its grants.
-	UngrantedTokens int64   // Tokens of the budget in no grant.
-	OtherHolders    int     // Other instances that hold grants of the budget.
-	InitialGrant    int64   // Size where nothing is known about the draw.
-	Conservatism    float64
+	ConsumptionRate float64 // This holder's consumption in tokens per second.
+	RequestTokens   int64   // Tokens of the waiting request, otherwise of the latest one.
+	FreeTokens      int64   // Free tokens in this holder's grants.
+	UngrantedTokens int64   // Tokens of the budget that are in no grant.
+	OtherHolders    int     // Number of other instances with unbilled tokens in grants.
+	InitialGrant    int64   // Tokens to hold if the consumption rate is unknown.
+	Conservatism    float64 // From 0 (strand few tokens) to 1 (refuse few requests).
 }
 
 // TargetFreeTokens returns how many free tokens a holder should have.
 //
-// Load: steady draw with a log or a zone that can go away for up to an hour.
-// Harm prevented: refusals behind a cut (too small), tokens that nobody else
-// can reach (too large). The horizon grows geometrically with the lean, since
-// outages differ by orders of magnitude, not by seconds.
+// The target covers steady consumption while the log or the zone is
+// unreachable for up to an hour. A smaller one causes refusals during a
+// partition; a larger one holds tokens that no other instance can use. The
+// horizon grows geometrically with conservatism, since outages differ by
+// orders of magnitude.
 func TargetFreeTokens(d SizingInput) int64 {
 	demand := int64(math.Min(d.ConsumptionRate*grantHorizon(d.Conservatism).Seconds(), float64(math.MaxInt64/4)))
 	minimum := d.RequestTokens * minRequestsPerGrant
@@ -65,26 +72,29 @@
 	return max(demand, minimum)
 }
 
+// grantHorizon returns how long a grant should last, from minHorizon to
+// maxHorizon.
 func grantHorizon(conservatism float64) time.Duration {
 	ratio := float64(maxHorizon) / float64(minHorizon)
 	return time.Duration(float64(minHorizon) * math.Pow(ratio, clamp01(conservatism)))
 }
 
-// IsIdle says whether a budget's grants should go back whole, since nothing was
-// drawn for a while. Harm prevented: tokens stranded, and memory held, for
-// budgets that nobody uses here any more.
+// IsIdle reports whether all grants of a budget should be returned because the
+// budget hasn't been used for the given time. Otherwise they would strand
+// tokens and occupy memory for budgets that this instance no longer serves.
 func IsIdle(since time.Duration, conservatism float64) bool {
 	return since > max(minIdleTime, grantHorizon(conservatism))
 }
 
-// GrantSize returns the size of the next grant, or 0 where none is due.
+// GrantSize returns the size of the next grant in tokens, or 0 if none is
+// needed.
 //
-// Load: a budget near its end, drawn on by several holders. Harm prevented:
-// the last tokens trapped with one holder while others refuse. A grant takes
-// at most a share of what is left, so that the grants shrink geometrically;
-// a holder that leans to few refusals takes half, one that leans to few
-// stranded tokens an equal part of the half. A waiting request always gets its
-// worst case if it is there.
+// A grant takes at most a share of the ungranted tokens, so grants shrink
+// geometrically towards the end of a budget. Otherwise one of several holders
+// could keep the last tokens while the others refuse requests. With
+// conservatism 1 the share is half of them, with 0 it is that half divided
+// equally among the holders. A waiting request always gets its tokens if there
+// are that many.
 func GrantSize(d SizingInput) int64 {
 	demand := TargetFreeTokens(d) - d.FreeTokens
 	divisor := 1 + float64(d.OtherHolders)*(1-clamp01(d.Conservatism))
@@ -92,17 +102,17 @@
 	return min(max(min(demand, share), d.RequestTokens), d.UngrantedTokens)
 }
 
-// NeedsRefill says whether the next grant should be asked for now, before the free
-// tokens run out.
+// NeedsRefill reports whether the next grant should be requested now, before
+// the free tokens run out.
 func NeedsRefill(d SizingInput) bool {
 	refillLevel := minRefillLevel + (maxRefillLevel-minRefillLevel)*clamp01(d.Conservatism)
 	return float64(d.FreeTokens) < refillLevel*float64(TargetFreeTokens(d))
 }
 
-// ExcessTokens returns how many free tokens a holder should give back.
+// ExcessTokens returns how many free tokens a holder should return.
 //
-// Load: a holder whose draw has fallen. Harm prevented: tokens stranded with
-// an idle holder. The factor keeps a holder from taking and giving in turns.
+// A holder whose load has fallen would otherwise strand tokens. The margin of
+// maxFreeFactor prevents it from alternately requesting and returning grants.
 func ExcessTokens(d SizingInput) int64 {
 	if maxFree := maxFreeFactor * TargetFreeTokens(d); d.FreeTokens > maxFree {
 		return d.FreeTokens - maxFree
@@ -110,15 +120,16 @@
 	return 0
 }
 
-// ReleaseSize returns how many free tokens a holder gives to one that has none: what
-// is asked for, or half of its own if that is more, so that a few exchanges
-// even out any skew.
+// ReleaseSize returns how many of its free tokens a holder releases to another
+// that needs them: the requested number, or half of the free ones if that is
+// more. A few exchanges then even out any imbalance.
 func ReleaseSize(free, requested int64) int64 { return min(free, max(requested, free/2)) }
 
-// ChooseWitness picks the witness of a grant: an instance that is not leaving
-// and not in avoid, in the holder's zone if there is one, so that the pair
-// stays whole behind a cut of the zone. Among equals a hash spreads holders
-// over witnesses. It returns "" where no instance is left.
+// ChooseWitness returns the witness for a grant: an instance that isn't
+// leaving and for which avoid returns false. It prefers the holder's zone, so
+// that a partition of the zone doesn't separate holder and witness. Among
+// equal candidates a hash distributes holders over witnesses. It returns "" if
+// there is no candidate.
 func ChooseWitness(self record.InstanceID, zone record.Zone, live []logstore.Instance, avoid func(record.InstanceID) bool) record.InstanceID {
 	var best record.InstanceID
 	var bestHash uint64
@@ -135,9 +146,10 @@
 	return best
 }
 
-// ChooseOwner picks the instance of a zone that preferably holds a budget's
-// grants, by rendezvous hash of the budget's partition. It returns "" where
-// the zone has no instance left.
+// ChooseOwner returns the preferred holder of a budget's grants in a zone, by
+// rendezvous hashing on the budget's partition. It skips instances that are
+// leaving or for which avoid returns true, and returns "" if there is no
+// candidate.
 func ChooseOwner(zone record.Zone, partition record.Stream, live []logstore.Instance, avoid func(record.InstanceID) bool) record.InstanceID {
 	var best record.InstanceID
 	var bestHash uint64
@@ -153,13 +165,15 @@
 	return best
 }
 
-// rateMeter measures tokens a second with an exponential window.
+// rateMeter measures a rate in tokens per second with an exponentially
+// decaying window.
 type rateMeter struct {
-	decayed   float64
-	startedAt time.Time
-	updatedAt time.Time
+	decayed   float64   // Decayed sum of tokens, divided by rateTimeConstant.
+	startedAt time.Time // Time of the first call to add.
+	updatedAt time.Time // Time of the latest decay.
 }
 
+// add records consumed tokens; a negative number takes back unused ones.
 func (r *rateMeter) add(now time.Time, tokens int64) {
 	if r.startedAt.IsZero() {
 		r.startedAt, r.updatedAt = now, now
@@ -168,6 +182,7 @@
 	r.decayed = math.Max(0, r.decayed+float64(tokens)/rateTimeConstant.Seconds())
 }
 
+// decay ages the sum to the given time.
 func (r *rateMeter) decay(now time.Time) {
 	if passed := now.Sub(r.updatedAt); passed > 0 {
 		r.decayed *= math.Exp(-float64(passed) / float64(rateTimeConstant))
@@ -175,8 +190,8 @@
 	}
 }
 
-// perSecond returns the rate; for the first window it is corrected for the
-// time that was not yet measured.
+// perSecond returns the rate. Soon after the first call to add it is scaled
+// up, since the window is only partly covered.
 func (r *rateMeter) perSecond(now time.Time) float64 {
 	if r.startedAt.IsZero() {
 		return 0
--- a/internal/ledger/policy_bench_test.go
+++ b/internal/ledger/policy_bench_test.go
@@ -7,9 +7,10 @@
 	"guavapier/internal/ledger"
 )
 
-// BenchmarkBudgetPolicies drives 100 minutes of virtual time, with the fault from minute 20 to 80, for each policy
-// and fault. Run it with -benchtime 1x; the metrics are per cent of requests,
-// tokens, and appends for each instance and second.
+// BenchmarkBudgetPolicies simulates 100 minutes for each policy and fault,
+// with the fault from minute 20 to 80. Run it with -benchtime 1x. It reports
+// overspent tokens, false refusals in percent of requests, appends per
+// instance and second, and log bytes per request.
 func BenchmarkBudgetPolicies(b *testing.B) {
 	policies := []struct {
 		name string
@@ -28,7 +29,7 @@
 		for _, p := range policies {
 			spares := f == zoneCut || f == holderDiesInOutage
 			if strings.Contains(p.name, "-") && !spares {
-				continue // Where the spare grants differ.
+				continue // Spare grants make a difference only in these faults.
 			}
 			b.Run(faultNames[f]+"/"+p.name, func(b *testing.B) {
 				for range b.N {
--- a/internal/ledger/reclaim.go
+++ b/internal/ledger/reclaim.go
@@ -10,16 +10,16 @@
 	"guavapier/internal/record"
 )
 
-// maxSpareRequests is how many holders are asked at once for tokens they don't need.
+// maxSpareRequests is how many holders are asked at the same time to release
+// tokens.
 const maxSpareRequests = 4
 
-// reclaim moves tokens back to the budget until a request of this size fits:
-// first those scattered over this instance's own grants, then what other
-// holders can spare. It brings nothing where they cannot be reached; the
-// caller looks at the fold again.
-//
-// Load: a budget near its end, or a top-up that one holder took. Harm
-// prevented: refusals while another holder has idle tokens.
+// reclaim returns tokens to the budget until a grant of the needed size fits:
+// first this instance's own free tokens, which may be spread over several
+// grants, then tokens that other holders release. Without it, requests would
+// be refused near the end of a budget, or after one holder took a whole
+// top-up, while another holder has unused tokens. It returns nil even if it
+// found no tokens; the caller reads the fold again.
 func (l *Ledger) reclaim(ctx context.Context, a *account, need int64, view budgetView) error {
 	shortfall := need - view.ungranted()
 	now := l.Now()
@@ -39,15 +39,15 @@
 	offset, received := l.requestSpare(ctx, a.budget, shortfall, view)
 	if received == 0 {
 		a.mu.Lock()
-		a.refillPausedUntil = now.Add(fruitlessRequestPause)
+		a.refillPausedUntil = now.Add(requestBackoff)
 		a.mu.Unlock()
 		return nil
 	}
 	return a.partition.Wait(ctx, offset)
 }
 
-// requestSpare asks the holders with most tokens and returns the last offset of
-// their returns and the sum.
+// requestSpare asks the holders with the most tokens to release some. It
+// returns the number of tokens released and the highest offset of the returns.
 func (l *Ledger) requestSpare(ctx context.Context, budget record.BudgetID, shortfall int64, view budgetView) (offset uint64, received int64) {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
@@ -71,7 +71,8 @@
 	return offset, received
 }
 
-// largestHolders returns the other holders with most unbilled tokens.
+// largestHolders returns up to maxSpareRequests other holders, those with the
+// most unbilled tokens first.
 func largestHolders(self record.InstanceID, open []fold.Grant) []record.InstanceID {
 	unbilledTokens := map[record.InstanceID]int64{}
 	for _, g := range open {
@@ -89,7 +90,8 @@
 	return ids[:min(len(ids), maxSpareRequests)]
 }
 
-// releaseSpare gives back tokens that another instance asks for.
+// releaseSpare returns free tokens to the budget at another instance's
+// request.
 func (l *Ledger) releaseSpare(ctx context.Context, budget record.BudgetID, requested int64) (offset uint64, released int64, err error) {
 	a := l.account(budget)
 	a.mu.Lock()
@@ -102,8 +104,9 @@
 	return offset, sumReturns(records), err
 }
 
-// appendReturns appends returns and waits for the fold. After an error they
-// stay with their grants, and a tick appends them again.
+// appendReturns appends returns and waits until the fold has applied them.
+// After an error they stay pending in their grants, and a tick appends them
+// again.
 func (l *Ledger) appendReturns(ctx context.Context, a *account, records []record.Record) (uint64, error) {
 	offset, err := l.Log.Append(ctx, a.partition.Stream(), records...)
 	if err == nil {
@@ -122,8 +125,8 @@
 	return offset, nil
 }
 
-// clearAppliedReturn forgets a return that the fold has applied. It is called with
-// the account's lock held.
+// clearAppliedReturn clears the pending return if the fold has applied it. The
+// caller holds account.mu.
 func (g *grant) clearAppliedReturn(f *fold.Ledger) {
 	if g.pendingReturn == nil {
 		return
@@ -133,6 +136,7 @@
 	}
 }
 
+// sumReturns returns the tokens of all returns among the records.
 func sumReturns(records []record.Record) int64 {
 	var sum int64
 	for _, r := range records {
--- a/internal/ledger/remote.go
+++ b/internal/ledger/remote.go
@@ -13,17 +13,19 @@
 )
 
 const (
-	// maxQueuedSettlements bounds what is kept for owners that do not answer.
+	// maxQueuedSettlements is the most settlements queued for one owner that
+	// doesn't answer. Further ones are dropped.
 	maxQueuedSettlements = 1 << 16
-	// maxSettleAttempts is how many failed calls in a row, about ten minutes of ticks,
-	// settlements are kept for. An owner that was paused may find a reserve
-	// call in its buffers when it goes on, and must hear that it was let go.
+	// maxSettleAttempts is the number of failed calls in a row, about ten
+	// minutes of ticks, for which settlements are kept in any case. An owner
+	// that was paused may still process a buffered Reserve call when it
+	// resumes, and must then be told that the reservation was cancelled.
 	maxSettleAttempts = 1200
 )
 
-// ownerOf returns the instance to reserve at: this one where no other is wanted
-// or known.
-func (l *Ledger) ownerOf(budget record.BudgetID) record.InstanceID {
+// budgetOwner returns the instance to reserve at: the budget's owner in this zone,
+// or this instance if there is no other candidate.
+func (l *Ledger) budgetOwner(budget record.BudgetID) record.InstanceID {
 	if l.Peers == nil {
 		return l.Self
 	}
@@ -34,24 +36,25 @@
 	return l.Self
 }
 
-// reserveAtOwner tries the owner. done is false where this instance should use
-// its own grants: it is the owner, or the owner can't be reached or can't
-// reach the tokens.
+// reserveAtOwner reserves at the budget's owner. decided is false if this
+// instance should try its own grants: it is the owner itself, or the owner
+// can't be reached or has no access to enough tokens.
 func (l *Ledger) reserveAtOwner(ctx context.Context, budget record.BudgetID, use record.Outstanding) (r Reservation, err error, decided bool) {
-	owner := l.ownerOf(budget)
+	owner := l.budgetOwner(budget)
 	if owner == l.Self {
 		return Reservation{}, nil, false
 	}
 	return l.reserveAt(ctx, owner, budget, use)
 }
 
-// reserveAt asks one instance. done is false if it refused or did not answer.
+// reserveAt reserves at another instance. decided is false if that instance
+// can't reach enough tokens or didn't answer.
 func (l *Ledger) reserveAt(ctx context.Context, owner record.InstanceID, budget record.BudgetID, use record.Outstanding) (r Reservation, err error, decided bool) {
 	args := ReserveArgs{From: l.Self, ID: useID(uuid.NewString()), Budget: budget, Use: use}
 	var reply ReserveReply
 	err = l.callPeer(ctx, owner, "Reserve", args, &reply)
 	if err != nil {
-		// The owner may have reserved or may do so yet: tell it to let go.
+		// The owner may have reserved tokens, or may do so later: cancel it.
 		l.remote.enqueue(owner, Settlement{Budget: budget, Reservation: Reservation{
 			Key: use.Key, Run: use.Run, Tokens: use.Tokens, ID: args.ID, At: owner,
 		}})
@@ -64,13 +67,14 @@
 	return reply.Reservation, err, true
 }
 
-// reserveAtOtherHolder asks the other holders that have most tokens, whatever
-// their zone, for a reservation in their grants.
+// reserveAtOtherHolder reserves in the grants of the other holders with the
+// most tokens, in any zone.
 //
-// Load: a holder whose witness died while the log is away, so that its own
-// grants cannot be used and no new one can be had. Harm prevented: refusals
-// while others could pay. It comes last since each request crosses zones, and
-// rests for askPause after nobody could.
+// It prevents refusals at a holder whose witness failed while the log is
+// unreachable: its own grants are unusable and it can't get a new one, but
+// other holders can still pay. It is the last resort, since each request
+// crosses zones, and pauses for fruitlessRequestPause after it found no
+// holder.
 func (l *Ledger) reserveAtOtherHolder(ctx context.Context, budget record.BudgetID, use record.Outstanding) (Reservation, bool) {
 	a := l.acquire(budget)
 	defer l.release(a)
@@ -90,27 +94,31 @@
 	return Reservation{}, false
 }
 
+// mayReserveRemotely reports whether the pause after the last failure is over.
 func (a *account) mayReserveRemotely(now time.Time) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return !now.Before(a.remotePausedUntil)
 }
 
+// pauseRemoteReserve starts the pause after a failure.
 func (a *account) pauseRemoteReserve(now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.remotePausedUntil = now.Add(fruitlessRequestPause)
+	a.remotePausedUntil = now.Add(requestBackoff)
 }
 
-// remoteSettler sends settlements to the owners that hold the reservations,
-// those of one owner together, again until the owner has them or is gone.
+// remoteSettler sends settlements to the owners of the reservations, several
+// in one call. It repeats them until the owner has received them or all its
+// grants are closed.
 type remoteSettler struct {
 	l *Ledger
 
-	mu     sync.Mutex // Guards owners.
+	mu     sync.Mutex // Guards queues and their fields.
 	queues map[record.InstanceID]*settleQueue
 }
 
+// settleQueue holds the settlements for one owner.
 type settleQueue struct {
 	sending     bool
 	items       []Settlement
@@ -121,6 +129,7 @@
 	return &remoteSettler{l: l, queues: map[record.InstanceID]*settleQueue{}}
 }
 
+// enqueue queues a settlement and starts sending.
 func (s *remoteSettler) enqueue(owner record.InstanceID, item Settlement) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -135,7 +144,8 @@
 	s.startSending(owner, q)
 }
 
-// startSending is called with the lock held.
+// startSending starts a sender for a queue that has none. The caller holds
+// s.mu.
 func (s *remoteSettler) startSending(owner record.InstanceID, q *settleQueue) {
 	if q.sending || len(q.items) == 0 {
 		return
@@ -144,7 +154,7 @@
 	s.l.Go(func() { s.sendQueued(owner, q) })
 }
 
-// sendQueued sends until the queue is empty or a call fails.
+// sendQueued sends settlements until the queue is empty or a call fails.
 func (s *remoteSettler) sendQueued(owner record.InstanceID, q *settleQueue) {
 	for {
 		s.mu.Lock()
@@ -172,8 +182,9 @@
 	}
 }
 
-// appendBills puts usage that the owner does not learn now on the log. If the owner is
-// gone, these bills come before its witness's close and count in its stead.
+// appendBills bills used tokens on the log that the owner couldn't be told of.
+// If the owner has failed, these bills precede the close by its witness and
+// take effect instead of the amounts in it.
 func (s *remoteSettler) appendBills(items []Settlement) {
 	for i, item := range items {
 		if item.Used <= 0 || item.billLogged {
@@ -188,9 +199,10 @@
 	}
 }
 
-// retryFailed sends again what failed. An owner that does not answer may be paused
-// and come back, so its settlements are kept for keepTries, and after that
-// until the fold has closed all its grants: then nothing is left to settle.
+// retryFailed sends settlements again after failed calls. An owner that
+// doesn't answer may only be paused, so its settlements are kept for
+// maxSettleAttempts calls, and after that until the fold has closed all its
+// grants: from then on there is nothing left to settle.
 func (s *remoteSettler) retryFailed() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -203,7 +215,7 @@
 	}
 }
 
-// hasOpenGrants says whether the fold knows an open grant of an instance.
+// hasOpenGrants reports whether an instance holds open grants in the fold.
 func (l *Ledger) hasOpenGrants(id record.InstanceID) bool {
 	for _, part := range l.Partitions {
 		open := 0
@@ -215,8 +227,8 @@
 	return false
 }
 
-// isDrained says whether nothing is left that an owner which answers could still
-// take. The usage that the others don't learn is on the log as bills.
+// isDrained reports whether no settlements remain for owners that might still
+// answer. Usage that the others couldn't be told of is on the log as bills.
 func (s *remoteSettler) isDrained() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/ledger/renew.go
+++ b/internal/ledger/renew.go
@@ -11,25 +11,28 @@
 )
 
 const (
-	// maxGrantAttempts bounds how often a renewal asks for a grant that the fold
-	// calls void, since others were faster.
+	// maxGrantAttempts is how often a refill appends a grant. The fold voids a
+	// grant that exceeds the budget because another instance's grant precedes
+	// it on the log.
 	maxGrantAttempts = 4
-	// fruitlessRequestPause is how long nobody is asked again for tokens after asking
-	// brought none. Load: an empty budget under many requests. Harm prevented:
-	// calls and appends for each refused request.
-	fruitlessRequestPause = 250 * time.Millisecond
+	// requestBackoff is the pause between requests for tokens after one that
+	// brought none. It prevents calls and appends for each refused request of
+	// an exhausted budget under load.
+	requestBackoff = 250 * time.Millisecond
 )
 
-// refill is one attempt to get a grant, shared by all that wait for it.
+// refill is one attempt to get a grant of at least the given number of tokens,
+// or a grant ahead of need if that is 0. All requests that wait for a grant of
+// the budget share it.
 type refill struct {
 	tokens int64
 	done   chan struct{}
-	err    error // Set before done closes.
+	err    error // Set before done is closed.
 }
 
-// awaitRefill returns once there is a new grant, or says why there is none for a
-// request of this size. A smaller request does not take the word of a
-// renewal for a larger one.
+// awaitRefill returns nil once there is a new grant. Otherwise its error says
+// why there is none for a request of this size. The failure of a refill for a
+// larger request doesn't apply to a smaller one, which then starts its own.
 func (l *Ledger) awaitRefill(ctx context.Context, a *account, tokens int64) error {
 	for {
 		r := l.startRefill(a, tokens, func(f func()) { go f() })
@@ -47,7 +50,7 @@
 	}
 }
 
-// startRefill joins the renewal under way or starts one.
+// startRefill returns the refill in progress or starts one.
 func (l *Ledger) startRefill(a *account, tokens int64, spawn func(func())) *refill {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -64,7 +67,7 @@
 		defer a.mu.Unlock()
 		a.refill = nil
 		if err != nil && tokens == 0 {
-			a.refillPausedUntil = l.Now().Add(fruitlessRequestPause)
+			a.refillPausedUntil = l.Now().Add(requestBackoff)
 		}
 		r.err = err
 		close(r.done)
@@ -72,8 +75,8 @@
 	return r
 }
 
-// refillAhead asks for the next grant before the free tokens run out, and when
-// the witness of a grant is leaving or gone.
+// refillAhead starts a refill before the free tokens run out, and when the
+// witness of a usable grant is leaving or no longer listed.
 func (l *Ledger) refillAhead(a *account) {
 	now := l.Now()
 	live := l.liveInstances()
@@ -86,8 +89,9 @@
 	}
 }
 
-// needsRefill says whether a grant is due ahead. It is called with the account's lock
-// held.
+// needsRefill reports whether a grant should be requested ahead of need. With
+// keepsRemote, grants with a witness in another zone are counted separately.
+// The caller holds a.mu.
 func (l *Ledger) needsRefill(a *account, now time.Time, keepsRemote bool) bool {
 	d := l.sizingInput(a, now)
 	if !keepsRemote {
@@ -101,8 +105,8 @@
 	return NeedsRefill(d)
 }
 
-// wantsRemoteWitness says whether the next grant ahead is one with a far witness: the
-// near ones are full.
+// wantsRemoteWitness reports whether the next grant ahead of need should have
+// its witness in another zone: the other grants have enough free tokens.
 func (l *Ledger) wantsRemoteWitness(a *account, keepsRemote bool) bool {
 	if !keepsRemote {
 		return false
@@ -115,15 +119,17 @@
 	return !NeedsRefill(d)
 }
 
-// sizingInput is called with the account's lock held. It lacks what the fold knows.
+// sizingInput returns what this instance itself knows for sizing a grant,
+// without the quantities from the fold. The caller holds a.mu.
 func (l *Ledger) sizingInput(a *account, now time.Time) SizingInput {
 	return SizingInput{
-		ConsumptionRate: a.consumption.perSecond(now), RequestTokens: a.lastWorstCase, FreeTokens: a.freeTokens(),
+		ConsumptionRate: a.consumption.perSecond(now), RequestTokens: a.lastRequestTokens, FreeTokens: a.freeTokens(),
 		InitialGrant: l.Options.InitialGrantTokens, Conservatism: l.Conservatism(a.budget),
 	}
 }
 
-// acquireGrant gets one grant of at least need tokens; need is 0 for one ahead.
+// acquireGrant gets a grant of at least need tokens. With need 0 it gets a
+// grant ahead of need, or none if none is worthwhile.
 func (l *Ledger) acquireGrant(ctx context.Context, a *account, need int64) error {
 	var err error
 	for range maxGrantAttempts {
@@ -155,12 +161,12 @@
 	return &Stranded{Reason: "others drew faster", RetryAfter: reservedRetryAfter}
 }
 
-// grantKind is the kind of grant to size.
+// grantKind holds the properties of a grant that affect its size.
 type grantKind struct{ unwitnessed, keepsRemote, remoteWitness bool }
 
-// grantSize returns the grantSize of the grant to ask for, 0 for none. While peers exist
-// but none can be witness, one grant without a witness is enough, and a small
-// one: what is left of it is lost with its holder.
+// grantSize returns the number of tokens to request, or 0 for no grant. If
+// peers exist but none can be witness, one grant without a witness suffices,
+// and it is kept small: its remaining tokens are lost if its holder fails.
 func (l *Ledger) grantSize(a *account, need int64, view budgetView, kind grantKind) (int64, error) {
 	now := l.Now()
 	witnessMissing := kind.unwitnessed && len(l.liveInstances()) > 1
@@ -183,14 +189,15 @@
 	}
 	size := GrantSize(d)
 	if size < d.RequestTokens*minRequestsPerGrant || (witnessMissing && !NeedsRefill(d)) {
-		a.refillPausedUntil = now.Add(fruitlessRequestPause)
+		a.refillPausedUntil = now.Add(requestBackoff)
 		return 0, nil
 	}
 	return size, nil
 }
 
-// refusalError tells an empty budget from one that is out of reach. It is called
-// with the account's lock held.
+// refusalError returns ErrExhausted if the budget has too few tokens left for
+// the request, or a *Stranded error if there are enough but this instance
+// can't use them now. The caller holds a.mu.
 func (l *Ledger) refusalError(a *account, need int64, view budgetView) error {
 	if view.budget.Prepaid-view.budget.Billed-a.unbilledTokens() < need {
 		return ErrExhausted
@@ -201,7 +208,8 @@
 	return &Stranded{Reason: "running requests have reserved the tokens left", RetryAfter: reservedRetryAfter}
 }
 
-// appendAndAdopt asks for a grant. won is false if the fold voided it.
+// appendAndAdopt appends a grant and adopts it once the fold has applied it.
+// granted is false if the fold voided the grant.
 func (l *Ledger) appendAndAdopt(ctx context.Context, a *account, size int64, witness record.InstanceID) (granted bool, err error) {
 	grant := record.Grant{Right: record.NewRightID(), Budget: a.budget, Tokens: size, Holder: l.Self, Witness: witness, Zone: l.Zone}
 	offset, err := l.appendGrant(ctx, a, grant)
@@ -209,7 +217,7 @@
 		err = a.partition.Wait(ctx, offset)
 	}
 	if err != nil {
-		// It may still reach the log. Then sync finds it in the fold.
+		// It may still reach the log. Then syncAccounts finds it in the fold.
 		return false, &Stranded{Reason: "the log does not answer", RetryAfter: unavailableRetryAfter}
 	}
 	var row fold.Grant
@@ -220,15 +228,16 @@
 	return granted, nil
 }
 
+// appendResult is the result of Appender.Append.
 type appendResult struct {
 	offset uint64
 	err    error
 }
 
-// appendGrant appends a grant and waits for the answer as long as ctx lasts.
-// The append itself goes on, and there is no second one for this account
-// meanwhile. Harm prevented: a grant for every refused request of a long
-// outage, all valid at its end.
+// appendGrant appends a grant and waits for the result until ctx ends. The
+// append itself continues, and until it returns there is no second one for
+// this account. Otherwise each request refused during a long outage of the log
+// would leave a grant behind, and all of them would become valid at its end.
 func (l *Ledger) appendGrant(ctx context.Context, a *account, grant record.Grant) (uint64, error) {
 	a.mu.Lock()
 	if a.appendPending {
@@ -253,8 +262,9 @@
 	}
 }
 
-// adopt adds a grant that the fold calls valid, once, and retires those that
-// it replaces.
+// adopt adds a grant that the fold considers valid to its account, unless it
+// is there already. It retires the grants that the new one replaces: those
+// whose witness is leaving or no longer listed, and depleted ones.
 func (l *Ledger) adopt(a *account, row fold.Grant) {
 	if a.hasGrant(row.Right) {
 		return
@@ -285,17 +295,18 @@
 	a.retireDepleted()
 }
 
-// retireDepleted retires grants that are too small for the last request while
-// the newest one is not, so that few stay open. It is called with the lock
-// held.
+// retireDepleted retires all grants except the newest that have too few free
+// tokens for the latest request, so that few grants stay open. The caller
+// holds a.mu.
 func (a *account) retireDepleted() {
 	for _, g := range a.grants[:len(a.grants)-1] {
-		if g.free < a.lastWorstCase {
+		if g.free < a.lastRequestTokens {
 			g.retired = true
 		}
 	}
 }
 
+// hasGrant reports whether the account has a grant.
 func (a *account) hasGrant(id record.RightID) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/ledger/scenario_test.go
+++ b/internal/ledger/scenario_test.go
@@ -14,20 +14,22 @@
 	"guavapier/internal/right"
 )
 
+// reserve reserves tokens of mainBudget at this instance.
 func (n *simInstance) reserve(key string, tokens int64) (ledger.Reservation, error) {
 	return n.ledger.Reserve(context.Background(), record.RequestKey{Team: "dala", Key: key}, record.NewRunID(), mainBudget, tokens)
 }
 
-// newTwoZoneFleet makes two zones of two instances and a budget of 1000 tokens, most of
-// them in a grant of the first zone.
+// newTwoZoneFleet starts two zones of two instances and a budget of 1000
+// tokens. Most tokens are in grants of rich, which is in the first zone; poor
+// is in the second one and has none.
 func newTwoZoneFleet(t *testing.T) (fleet *simFleet, rich, poor *simInstance) {
 	t.Helper()
 	fleet = newSimFleet(unmodified)
 	fleet.runAsync = true
 	opts := shortTimeoutOptions()
 	opts.InitialGrantTokens = 2000
-	// Every link of a pair answers at once, so these end no sound call; the
-	// machine's waits of a few ms would, on a busy host.
+	// All links work, so these timeouts never end a successful call. The few
+	// milliseconds of shortTimeoutOptions would, on a busy machine.
 	opts.GrantTimeout, opts.PeerTimeout = 10*time.Second, 10*time.Second
 	for i := range 4 {
 		fleet.addInstance(fmt.Sprint("i", i), record.Zone(fmt.Sprint("zone-", i/2)), opts, func(c *ledger.Config) {
@@ -36,7 +38,7 @@
 	}
 	fleet.topUp(mainBudget, "1", 1000)
 	rich, poor = fleet.instances[0], fleet.instances[2]
-	for range 3 { // Half of what is left, and half again, and what is needed.
+	for range 3 { // Half of the ungranted tokens, half of the rest, then what is needed.
 		r, err := rich.reserve("rich", 400)
 		if err != nil {
 			break
@@ -48,6 +50,7 @@
 	return fleet, rich, poor
 }
 
+// cutZones cuts all links between zones.
 func (fleet *simFleet) cutZones() {
 	fleet.mu.Lock()
 	defer fleet.mu.Unlock()
@@ -60,34 +63,41 @@
 	}
 }
 
+// TestTokensMoveToWhoNeedsThem guards against refusals near the end of a
+// budget while another holder has free tokens.
 func TestTokensMoveToWhoNeedsThem(t *testing.T) {
 	fleet, _, poor := newTwoZoneFleet(t)
 	left := ungrantedTokens(fleet)
 	if _, err := poor.reserve("poor", left+100); err != nil {
-		t.Fatalf("%d tokens are in no grant, %d asked: %v", left, left+100, err)
+		t.Fatalf("%d tokens are in no grant, reserving %d: %v", left, left+100, err)
 	}
 }
 
+// TestStrandedIsToldApartFromExhausted checks the three refusals: tokens out
+// of reach may be retried, while an exhausted budget is refused at once,
+// without an append.
 func TestStrandedIsToldApartFromExhausted(t *testing.T) {
 	fleet, _, poor := newTwoZoneFleet(t)
 	fleet.cutZones()
 	_, err := poor.reserve("poor", ungrantedTokens(fleet)+100)
 	var stranded *ledger.Stranded
 	if !errors.As(err, &stranded) || !errors.Is(err, ledger.ErrStranded) || stranded.RetryAfter <= 0 {
-		t.Fatalf("behind the cut: %v", err)
+		t.Fatalf("tokens behind a partition: %v, want ErrStranded with RetryAfter", err)
 	}
 	appends := fleet.appends
 	if _, err := poor.reserve("too much", 1001); !errors.Is(err, ledger.ErrExhausted) {
-		t.Fatalf("more than was prepaid: %v", err)
+		t.Fatalf("request for more than was prepaid: %v, want ErrExhausted", err)
 	}
 	if fleet.appends != appends {
-		t.Fatal("a refusal for good was not told at once")
+		t.Fatal("a request that cannot succeed caused an append")
 	}
 	if _, err := poor.ledger.Reserve(context.Background(), record.RequestKey{Team: "dala", Key: "x"}, "", record.BudgetID{Team: "dala", Name: "none"}, 1); !errors.Is(err, ledger.ErrNoBudget) {
-		t.Fatalf("no such budget: %v", err)
+		t.Fatalf("unknown budget: %v, want ErrNoBudget", err)
 	}
 }
 
+// TestForcedCloseReturnsTokens guards against tokens that stay lost in the
+// grants of dead instances after an operator closed them.
 func TestForcedCloseReturnsTokens(t *testing.T) {
 	fleet, rich, poor := newTwoZoneFleet(t)
 	fleet.mu.Lock()
@@ -101,7 +111,7 @@
 			t.Fatal(err)
 		}
 		if _, err := poor.ledger.ForceClose(context.Background(), g.Right); !errors.Is(err, ledger.ErrNoGrant) {
-			t.Fatalf("closed twice: %v", err)
+			t.Fatalf("second forced close: %v, want ErrNoGrant", err)
 		}
 	}
 	if after := ungrantedTokens(fleet); after <= before || rich == poor {
@@ -109,6 +119,8 @@
 	}
 }
 
+// TestIdleTokensAreReturned guards against tokens stranded with holders that
+// no longer use the budget.
 func TestIdleTokensAreReturned(t *testing.T) {
 	fleet, _, _ := newTwoZoneFleet(t)
 	fleet.mu.Lock()
@@ -129,14 +141,17 @@
 	}
 }
 
+// ungrantedTokens returns the tokens of mainBudget that are in no grant.
 func ungrantedTokens(fleet *simFleet) int64 {
 	_, l := fleet.replayLog()
 	row, _ := l.Budget(mainBudget)
 	return row.Prepaid - row.Committed
 }
 
-// TestGrantSizeKeepsItsBounds: never more than is left, never less than a
-// waiting request needs if that is there, and smaller towards the end.
+// TestGrantSizeKeepsItsBounds checks that a grant never exceeds the ungranted
+// tokens, never is smaller than a waiting request if there are enough tokens,
+// otherwise takes at most half of them, and doesn't grow as the budget
+// shrinks.
 func TestGrantSizeKeepsItsBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := ledger.SizingInput{
@@ -146,7 +161,7 @@
 		}
 		size := ledger.GrantSize(d)
 		if size < 0 || size > d.UngrantedTokens || (d.UngrantedTokens >= d.RequestTokens && size < d.RequestTokens) {
-			t.Fatalf("size %d for %+v", size, d)
+			t.Fatalf("size %d is out of bounds for %+v", size, d)
 		}
 		if size > d.RequestTokens && size > d.UngrantedTokens/2 {
 			t.Fatalf("size %d takes more than half of %d", size, d.UngrantedTokens)
@@ -159,8 +174,9 @@
 	})
 }
 
-// TestReserveCallsThatArriveLateOrTwice: a copy of a reserve call reserves
-// nothing, and neither does a call that arrives after its asker let go.
+// TestReserveCallsThatArriveLateOrTwice guards against reservations that
+// nobody settles: neither a duplicate of a Reserve call nor a call that
+// arrives after its requester cancelled it may reserve tokens.
 func TestReserveCallsThatArriveLateOrTwice(t *testing.T) {
 	fleet, _, _ := newTwoZoneFleet(t)
 	n := fleet.instances[2]
@@ -177,12 +193,12 @@
 		_ = n.service.Settle(ledger.SettleArgs{Items: []ledger.Settlement{item}}, &ledger.SettleReply{})
 	}
 	if first, second := call("twice"), call("twice"); first != nil || !errors.Is(second, ledger.ErrStranded) {
-		t.Fatalf("first %v, copy %v", first, second)
+		t.Fatalf("first call: %v; duplicate: %v, want nil and ErrStranded", first, second)
 	}
 	cancel("twice")
 	cancel("late")
 	if err := call("late"); !errors.Is(err, ledger.ErrStranded) {
-		t.Fatalf("after it was let go: %v", err)
+		t.Fatalf("call after its cancellation: %v, want ErrStranded", err)
 	}
 	for _, g := range n.ledger.State() {
 		if g.Holder == n.id && g.Reserved > 0 {
--- a/internal/ledger/service.go
+++ b/internal/ledger/service.go
@@ -12,8 +12,8 @@
 	"guavapier/internal/record"
 )
 
-// ReserveArgs ask an owner for a reservation. ID is the asker's, so that it
-// can let go of a reservation whose answer was lost.
+// ReserveArgs requests a reservation from another instance. The requester
+// chooses ID, so that it can cancel a reservation whose reply was lost.
 type ReserveArgs struct {
 	From   record.InstanceID
 	ID     useID
@@ -21,10 +21,11 @@
 	Use    record.Outstanding
 }
 
-// Refusal is an error of Reserve on the wire.
+// Refusal is the error of a Reserve call as sent between instances.
 type Refusal uint8
 
-// The refusals.
+// Refusals and the errors that they stand for: none, ErrExhausted, ErrNoBudget
+// and ErrStranded.
 const (
 	NotRefused Refusal = iota
 	RefusedExhausted
@@ -32,7 +33,8 @@
 	RefusedStranded
 )
 
-// ReserveReply is the reservation or why there is none.
+// ReserveReply holds the reservation, or the refusal. Reason and RetryAfter
+// are set for RefusedStranded only.
 type ReserveReply struct {
 	Reservation Reservation
 	Refusal     Refusal
@@ -40,7 +42,7 @@
 	RetryAfter  time.Duration
 }
 
-// Err returns the refusal as an error of this package.
+// Err returns the error that the refusal stands for, or nil.
 func (r ReserveReply) Err() error {
 	switch r.Refusal {
 	case NotRefused:
@@ -54,57 +56,61 @@
 	}
 }
 
-// Settlement ends a reservation at its usage.
+// Settlement ends a reservation and bills the used tokens; 0 cancels it.
 type Settlement struct {
 	Budget      record.BudgetID
 	Reservation Reservation
 	Used        int64
 
-	billLogged bool // Its bill is on the log already.
+	billLogged bool // Its bill is already on the log.
 }
 
-// SettleArgs are settlements for one owner.
+// SettleArgs holds settlements for the instance that holds the reservations.
 type SettleArgs struct{ Items []Settlement }
 
-// SettleReply is empty.
+// SettleReply is the empty reply to Settle.
 type SettleReply struct{}
 
-// SpareArgs ask a holder for tokens of a budget.
+// SpareArgs requests that a holder return free tokens of a budget.
 type SpareArgs struct {
 	Budget record.BudgetID
 	Tokens int64
 }
 
-// SpareReply says how many tokens went back to the budget, at which offset.
+// SpareReply holds the number of tokens that the holder returned, and the
+// offset of the returns on the log.
 type SpareReply struct {
 	Offset uint64
 	Tokens int64
 }
 
-// PingArgs are empty.
+// PingArgs are the empty arguments of Ping.
 type PingArgs struct{}
 
-// PingReply is empty.
+// PingReply is the empty reply to Ping.
 type PingReply struct{}
 
-// Service is the net/rpc service between ledgers; register it as ServiceName.
+// Service is the net/rpc service that ledgers call at each other. Register it
+// as ServiceName.
 type Service struct {
 	l *Ledger
 
-	mu        sync.Mutex // Guards both sets.
-	started   idSet      // Reserve calls that were begun: a copy reserves nothing.
-	cancelled idSet      // Reservations that their askers let go.
+	mu        sync.Mutex // Guards started and cancelled.
+	started   idSet      // IDs of received Reserve calls; a duplicate reserves nothing.
+	cancelled idSet      // IDs of reservations that their requesters cancelled.
 }
 
-// maxRememberedIDs bounds a set of identities; the oldest are forgotten.
+// maxRememberedIDs is the maximum size of an idSet. The oldest IDs are
+// dropped.
 const maxRememberedIDs = 4096
 
+// idSet is a bounded set of IDs.
 type idSet struct {
 	ids   map[useID]struct{}
 	order []useID
 }
 
-// add returns false if the set has id already.
+// add adds an ID and returns false if the set already has it.
 func (s *idSet) add(id useID) bool {
 	if _, ok := s.ids[id]; ok {
 		return false
@@ -121,13 +127,15 @@
 	return true
 }
 
-// NewService returns the service of l.
+// NewService returns the service for l.
 func NewService(l *Ledger) *Service { return &Service{l: l} }
 
-// Ping answers.
+// Ping returns nil; a reply shows that this instance is alive.
 func (s *Service) Ping(PingArgs, *PingReply) error { return nil }
 
-// Reserve reserves for another instance of the zone.
+// Reserve reserves tokens for a request of another instance. Each ID is
+// accepted once. A refusal is part of the reply; an error means an internal
+// failure.
 func (s *Service) Reserve(args ReserveArgs, reply *ReserveReply) error {
 	if !s.markStarted(args.ID) {
 		reply.Refusal, reply.Reason, reply.RetryAfter = RefusedStranded, "a copy of an earlier call", reservedRetryAfter
@@ -155,10 +163,11 @@
 	return nil
 }
 
-// Settle ends reservations that this instance holds for others. One that it
-// does not know was settled before, or will arrive too late. A reservation
-// whose asker lost the answer is remembered as let go first, so that no copy
-// of its call, however late, reserves again.
+// Settle ends reservations that this instance holds for others. An unknown
+// reservation was settled before, or its Reserve call hasn't arrived yet. If
+// the requester didn't receive the reply, the reservation names no right; its
+// ID is recorded as cancelled first, so that no late Reserve call takes
+// effect.
 func (s *Service) Settle(args SettleArgs, _ *SettleReply) error {
 	for _, item := range args.Items {
 		if item.Reservation.Right == "" {
@@ -169,7 +178,8 @@
 	return nil
 }
 
-// Spare gives back tokens that another instance needs more.
+// Spare returns free tokens to the budget for another instance that needs
+// them.
 func (s *Service) Spare(args SpareArgs, reply *SpareReply) error {
 	ctx, cancel := s.callContext()
 	defer cancel()
@@ -178,24 +188,29 @@
 	return err
 }
 
-// callContext bounds the work of one call to half of what its caller waits, so
-// that a slow log brings a refusal and does not look like a silent peer.
+// callContext bounds the work for one call to half of its caller's timeout. A
+// slow log then leads to a refusal, and the caller doesn't take this instance
+// for unreachable.
 func (s *Service) callContext() (context.Context, context.CancelFunc) {
 	return context.WithTimeout(context.Background(), s.l.Options.PeerTimeout/2)
 }
 
+// markStarted returns false if a Reserve call with this ID was received
+// before.
 func (s *Service) markStarted(id useID) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.started.add(id)
 }
 
+// markCancelled records that a requester cancelled its reservation.
 func (s *Service) markCancelled(id useID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.cancelled.add(id)
 }
 
+// isCancelled reports whether a requester cancelled its reservation.
 func (s *Service) isCancelled(id useID) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -203,8 +218,8 @@
 	return ok
 }
 
-// callPeer calls another ledger, bounded by Options.PeerWait. One that does not
-// answer is passed over as witness and owner for a while.
+// callPeer calls another ledger, for at most Options.PeerTimeout. An
+// unreachable one isn't chosen as witness or owner for Options.SuspicionTTL.
 func (l *Ledger) callPeer(ctx context.Context, to record.InstanceID, method string, args, reply any) error {
 	ctx, cancel := context.WithTimeout(ctx, l.Options.PeerTimeout)
 	defer cancel()
--- a/internal/ledger/tick.go
+++ b/internal/ledger/tick.go
@@ -10,13 +10,15 @@
 )
 
 const (
-	// maxRecordsPerAppend bounds the records of one append.
+	// maxRecordsPerAppend is the most records in one append, and the most
+	// settlements in one Settle call.
 	maxRecordsPerAppend = 500
-	// drainPollInterval is how often Close looks whether all grants are closed.
+	// drainPollInterval is how often Close checks whether all grants are
+	// closed.
 	drainPollInterval = 10 * time.Millisecond
 )
 
-// Run ticks until ctx ends.
+// Run calls Tick every TickInterval until ctx ends. Its error is always nil.
 func (l *Ledger) Run(ctx context.Context) error {
 	ticker := time.NewTicker(l.Options.TickInterval)
 	defer ticker.Stop()
@@ -30,14 +32,14 @@
 	}
 }
 
-// Tick brings accounts in line with the fold, seals the grants of holders that
-// are gone, and sends what waits for the log.
+// Tick updates the accounts from the fold, handles dead instances, and appends
+// the pending records to the log.
 func (l *Ledger) Tick(ctx context.Context) {
 	l.tickMu.Lock()
 	defer l.tickMu.Unlock()
 	l.syncAccounts()
 	l.pingDependents(ctx)
-	l.takeOverDead()
+	l.handleDeadInstances()
 	accounts := l.accountsByStream()
 	for _, part := range l.Partitions {
 		l.flush(part, accounts[part.Stream()])
@@ -46,8 +48,9 @@
 	l.prune()
 }
 
-// Close ends all draws, settles what is left and returns every grant. It ends
-// when the fold has closed them all, or with ctx.
+// Close refuses further reservations, sends the settlements that are left, and
+// returns all grants. It returns nil once the fold has closed them all, or the
+// error of ctx if that ends first.
 func (l *Ledger) Close(ctx context.Context) error {
 	l.mu.Lock()
 	l.draining = true
@@ -65,6 +68,7 @@
 	}
 }
 
+// allGrantsClosed reports whether the fold has no open grant of this instance.
 func (l *Ledger) allGrantsClosed() bool {
 	for _, part := range l.Partitions {
 		open := 0
@@ -76,8 +80,8 @@
 	return true
 }
 
-// syncAccounts adopts grants whose append had no answer, drops closed ones, and
-// decides what goes back.
+// syncAccounts adopts grants whose append had no reply, removes closed grants,
+// and returns surplus tokens.
 func (l *Ledger) syncAccounts() {
 	for _, part := range l.Partitions {
 		var rows []fold.Grant
@@ -93,6 +97,8 @@
 	}
 }
 
+// syncAccount removes closed grants, applied returns and logged bills from an
+// account.
 func (l *Ledger) syncAccount(a *account, f *fold.Ledger) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -117,7 +123,9 @@
 	a.grants = kept
 }
 
-// returnSurplus gives back what an idle or stopping holder does not need.
+// returnSurplus retires unusable and idle grants, or all of them while
+// draining, and returns free tokens that this instance doesn't need. Grants
+// with a witness in another zone have their own target.
 func (l *Ledger) returnSurplus(a *account, draining bool) {
 	now := l.Now()
 	a.mu.Lock()
@@ -141,13 +149,13 @@
 	}
 }
 
-// outbox is what waits for a partition.
+// outbox holds the records to append for one partition.
 type outbox struct {
-	bills            []queuedBill
-	returnsAndCloses []record.Record // Returns and closes; they go after the bills.
+	bills            []queuedBill    // Bills, appended before the other records.
+	returnsAndCloses []record.Record // Returns and closes, appended after the bills.
 }
 
-// queuedBill is a bill that an append carries.
+// queuedBill is a bill in an outbox and the grant that it belongs to.
 type queuedBill struct {
 	account *account
 	grant   *grant
@@ -155,9 +163,10 @@
 	bill    record.Bill
 }
 
-// flush appends what waits for a partition, one flush at a time: while the log
-// is away, one append waits and nothing piles up. The records stay where they
-// are until the log or the fold has them; a second copy of any is harmless.
+// flush appends the pending records of a partition. There is one append at a
+// time, so that none accumulate while the log is unreachable. Accounts keep
+// the records until the log or the fold has them. A record that is appended
+// twice takes effect once.
 func (l *Ledger) flush(part *replica.Replica[*fold.Ledger], accounts []*account) {
 	l.flushMu.Lock()
 	defer l.flushMu.Unlock()
@@ -185,6 +194,7 @@
 	})
 }
 
+// appendOutbox appends an outbox in chunks and stops at the first error.
 func (l *Ledger) appendOutbox(stream record.Stream, box outbox) {
 	records := make([]record.Record, 0, len(box.bills)+len(box.returnsAndCloses))
 	for _, b := range box.bills {
@@ -204,8 +214,9 @@
 	}
 }
 
-// collectInto adds what an account has for the log. A retired grant without
-// reservations is used no more from here on, and closed.
+// collectInto adds the account's pending records to an outbox. A retired grant
+// without reservations is closed: its holder stops using it before the close
+// is appended.
 func (a *account) collectInto(self record.InstanceID, box *outbox) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -225,8 +236,8 @@
 	}
 }
 
-// closeRecord returns the record that ends a grant without reservations. Bills that
-// may not be on the log go with it.
+// closeRecord returns the record that closes a grant without reservations. It
+// includes the bills that may not be on the log.
 func (g *grant) closeRecord(self record.InstanceID) record.Close {
 	c := record.Close{Right: g.rightID(), By: self}
 	for _, b := range g.unbilled {
@@ -235,7 +246,7 @@
 	return c
 }
 
-// markBilled says that a bill is on the log: the witness need not know it longer.
+// markBilled removes a bill that is on the log, from the witness as well.
 func (a *account) markBilled(b queuedBill) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/ledger/types.go
+++ b/internal/ledger/types.go
@@ -1,11 +1,13 @@
-// Package ledger draws on prepaid budgets. An instance holds grants: rights on
-// the log to a part of a budget. It reserves the worst case of each request in
-// a grant before the request runs, and bills what the request used.
+// Package ledger spends prepaid token budgets. An instance holds grants, which
+// are rights on the log to part of a budget. It reserves the maximum number of
+// tokens of a request in a grant before the request runs, and bills the tokens
+// that the request used.
 //
-// Safety rests on the fold and on package right alone: a grant that would
-// exceed its budget is void, and a witnessed grant is used only with its
-// witness's acknowledgement. All else here (sizes, owners, who is reachable)
-// decides only how seldom a request is refused.
+// Budgets can't be overspent because of the fold and package right alone: the
+// fold voids a grant that would exceed its budget, and a witnessed grant is
+// used only with its witness's acknowledgement. Everything else in this
+// package (sizes, owners, reachability) only affects how often requests are
+// refused.
 package ledger
 
 import (
@@ -22,25 +24,27 @@
 	"guavapier/internal/right"
 )
 
-// Errors of Reserve. In each case nothing was reserved.
+// Errors returned by Reserve and ForceClose. After an error of Reserve nothing
+// is reserved.
 var (
-	// ErrExhausted says that the budget has no tokens left for the request.
-	// Only a top-up helps.
+	// ErrExhausted means that the budget has too few tokens left for the
+	// request. Only a top-up helps.
 	ErrExhausted = eris.New("ledger: budget exhausted")
-	// ErrStranded says that tokens are left, but reserved by running requests,
-	// or in grants or on a log that this instance cannot reach now. The error
-	// is a *Stranded.
+	// ErrStranded means that the budget has tokens left, but that running
+	// requests have reserved them, or that they are in grants or on a log that
+	// this instance can't reach now. The error is a *Stranded.
 	ErrStranded = eris.New("ledger: budget out of reach")
-	// ErrNoBudget says that there is no such budget.
+	// ErrNoBudget means that the budget doesn't exist.
 	ErrNoBudget = eris.New("ledger: no such budget")
-	// ErrNoGrant says that there is no such open grant to close.
+	// ErrNoGrant means that ForceClose found no open grant with the given ID.
 	ErrNoGrant = eris.New("ledger: no such open grant")
 )
 
-// Stranded is the ErrStranded of one refusal.
+// Stranded is the ErrStranded of one refusal, with its reason.
 type Stranded struct {
+	// Reason completes the sentence that the caller reads.
 	Reason string
-	// RetryAfter is when coming back is worth it.
+	// RetryAfter is the time after which a retry may succeed.
 	RetryAfter time.Duration
 }
 
@@ -50,40 +54,42 @@
 // Is makes errors.Is(err, ErrStranded) true.
 func (s *Stranded) Is(target error) bool { return target == ErrStranded }
 
-// When to come back after a refusal.
+// RetryAfter values.
 const (
-	reservedRetryAfter    = time.Second     // Running requests hold the tokens.
-	unavailableRetryAfter = 2 * time.Second // The log or a peer did not answer.
+	reservedRetryAfter    = time.Second     // Running requests have reserved the tokens.
+	unavailableRetryAfter = 2 * time.Second // The log or a peer didn't answer.
 )
 
-// Appender appends records to the log in one batch; see logstore.Publisher.
-// After an error the records may or may not be on the log, or reach it later.
+// Appender appends records to a stream of the log in one batch and returns its
+// offset; see logstore.Publisher. After an error the records may be on the
+// log, may reach it later, or may never do so.
 type Appender interface {
 	Append(ctx context.Context, stream record.Stream, records ...record.Record) (uint64, error)
 }
 
-// Members is the membership as this instance last knew it.
+// Members provides the membership as last known by this instance.
 type Members interface {
-	// Live returns the listed instances, leaving ones included. It may lag.
+	// Live returns the listed instances, including leaving ones. It may be out
+	// of date.
 	Live() []logstore.Instance
 }
 
-// UsageReader asks endpoints what a run has used.
+// UsageReader reads a run's usage from its endpoint.
 type UsageReader interface {
-	// Usage returns the tokens of a run that has ended. known is false where
-	// the run goes on, or its endpoint cannot say.
+	// Usage returns the tokens that an ended run has used. known is false if
+	// the run hasn't ended or the endpoint can't tell.
 	Usage(ctx context.Context, run record.RunID) (tokens int64, known bool)
 }
 
-// Partitions gives the replica of each ledger partition.
+// Partitions holds the replicas of all ledger partitions, by partition number.
 type Partitions []*replica.Replica[*fold.Ledger]
 
-// ForTeam returns the replica that holds a team's budgets.
+// ForTeam returns the replica of the partition with a team's budgets.
 func (p Partitions) ForTeam(team record.Team) *replica.Replica[*fold.Ledger] {
 	return p[record.TeamPartition(team, len(p))]
 }
 
-// ByStream returns the replica of a stream.
+// ByStream returns the replica of a stream, and false if there is none.
 func (p Partitions) ByStream(stream record.Stream) (*replica.Replica[*fold.Ledger], bool) {
 	for _, part := range p {
 		if part.Stream() == stream {
@@ -93,57 +99,61 @@
 	return nil, false
 }
 
-// Reservation is the worst case of one request, set aside in a grant.
+// Reservation is the maximum number of tokens of one request, reserved in a
+// grant.
 type Reservation struct {
 	Key    record.RequestKey
 	Run    record.RunID
 	Right  record.RightID
 	Tokens int64
-	// ID names the reservation in its grant.
+	// ID identifies the reservation within its grant.
 	ID right.UseID
 	// At is the instance that holds the grant.
 	At record.InstanceID
 }
 
-// SparePolicy says what a busy budget's holder keeps besides its newest grant.
+// SparePolicy determines which spare grants the holder of a busy budget keeps
+// in case the witness of its newest one fails.
 type SparePolicy uint8
 
-// The kinds of spare.
+// Spare policies.
 const (
-	// SpareNone keeps one witness until it fails.
+	// SpareNone keeps no spare grant.
 	SpareNone SparePolicy = iota
-	// SpareOtherZone keeps as much again in grants whose witness is in another
-	// zone, where this zone has a witness too.
+	// SpareOtherZone keeps the same amount again in grants whose witness is in
+	// another zone, provided that this zone has a witness too.
 	SpareOtherZone
 	// SpareUnwitnessed keeps one small grant without a witness.
 	SpareUnwitnessed
 )
 
-// Options set a Ledger's limits.
+// Options are a Ledger's limits and its policy for spare grants.
 type Options struct {
-	// InitialGrantTokens is the size of a budget's first grant, and the most that a
-	// grant without witness has.
+	// InitialGrantTokens is the size of a budget's first grant, and the most
+	// free tokens to aim for in grants without a witness.
 	InitialGrantTokens int64
-	// GrantTimeout is how long Reserve waits for a grant.
+	// GrantTimeout bounds how long Reserve waits for a grant.
 	GrantTimeout time.Duration
-	// TickInterval is the period of Run: bills, returns and closes of a period go
-	// out in one append for each partition.
+	// TickInterval is the interval between ticks. The bills, returns and
+	// closes of one interval are appended together, per partition.
 	TickInterval time.Duration
-	// PeerTimeout bounds one call to another instance, and AckAttempts how often
-	// an acknowledgement is asked for.
+	// PeerTimeout bounds one call to another instance. MaxAckAttempts is how
+	// many times an acknowledgement is requested from a witness.
 	PeerTimeout    time.Duration
 	MaxAckAttempts int
-	// SealAfterFailedPings is how many calls in a row a holder must leave unanswered
-	// before its witness seals its grants. It is a count, not a time, so that
-	// a witness which was paused itself does not seal at once.
+	// SealAfterFailedPings is the number of failed pings in a row after which
+	// a witness seals a holder's grants. It is a count rather than a duration,
+	// so that a witness that was itself paused doesn't seal immediately after
+	// it resumes.
 	SealAfterFailedPings int
-	// SuspicionTTL is how long an instance that did not answer is passed over as
-	// witness and owner.
+	// SuspicionTTL is how long an instance that didn't answer isn't chosen as
+	// witness or owner.
 	SuspicionTTL time.Duration
-	SparePolicy  SparePolicy
+	// SparePolicy applies to all budgets.
+	SparePolicy SparePolicy
 }
 
-// DefaultOptions are the product's limits.
+// DefaultOptions returns the limits used in production.
 func DefaultOptions() Options {
 	return Options{
 		InitialGrantTokens: 20_000, GrantTimeout: 2 * time.Second, TickInterval: 500 * time.Millisecond,
@@ -152,22 +162,24 @@
 	}
 }
 
-// Config is what a Ledger is made of.
+// Config holds a Ledger's identity, dependencies and limits.
 type Config struct {
 	Self       record.InstanceID
 	Zone       record.Zone
 	Log        Appender
 	Partitions Partitions
 	Members    Members
-	Peers      peer.Caller // Nil for an instance that has no peers.
-	// Conservatism returns a budget's setting between 0 (strand few tokens) and 1
-	// (refuse seldom). Nil means DefaultLean for all.
+	Peers      peer.Caller // Nil for an instance without peers.
+	// Conservatism returns a budget's setting, from 0 (strand few tokens) to 1
+	// (refuse few requests). Nil means DefaultConservatism for all budgets.
 	Conservatism func(record.BudgetID) float64
-	// Usages is nil where endpoints cannot be asked.
+	// Usages is nil if endpoints can't report usage. Runs of dead instances
+	// are then billed at their reserved tokens.
 	Usages  UsageReader
 	Options Options
-	// Now is the clock. It sizes grants and never decides who may spend.
+	// Now returns the current time; nil means time.Now. Time affects sizes and
+	// retries, never whether tokens may be spent.
 	Now func() time.Time
-	// Go runs background work; nil means a goroutine each.
+	// Go runs a background task; nil means a new goroutine for each.
 	Go func(func())
 }
--- a/internal/ledger/view.go
+++ b/internal/ledger/view.go
@@ -14,12 +14,14 @@
 	"guavapier/internal/right"
 )
 
-// budgetView is what the fold says about a budget at one offset.
+// budgetView is the state of a budget and its open grants in the fold at one
+// offset.
 type budgetView struct {
 	budget     fold.Budget
 	openGrants []fold.Grant
 }
 
+// viewBudget reads a budget's state from the fold. Its error is ErrNoBudget.
 func (l *Ledger) viewBudget(a *account) (budgetView, error) {
 	var v budgetView
 	known := false
@@ -33,10 +35,11 @@
 	return v, nil
 }
 
-// ungranted returns the tokens that are in no grant.
+// ungranted returns the budget's tokens that are in no grant.
 func (v budgetView) ungranted() int64 { return v.budget.Prepaid - v.budget.Committed }
 
-// otherHolders counts the other holders that have tokens unbilled.
+// otherHolders returns the number of other instances with unbilled tokens in
+// open grants.
 func (v budgetView) otherHolders(self record.InstanceID) int {
 	holders := map[record.InstanceID]struct{}{}
 	for _, g := range v.openGrants {
@@ -47,7 +50,7 @@
 	return len(holders)
 }
 
-// validator looks grants up for the witness service.
+// validator checks grants against the fold, for the witness service.
 type validator struct{ partitions Partitions }
 
 // Validate implements right.Validator.
@@ -70,6 +73,7 @@
 	return nil
 }
 
+// liveInstances returns the listed instances, or none without Members.
 func (l *Ledger) liveInstances() []logstore.Instance {
 	if l.Members == nil {
 		return nil
@@ -77,12 +81,13 @@
 	return l.Members.Live()
 }
 
-// isStaying says whether an instance is listed and not leaving.
+// isStaying reports whether an instance is listed and not leaving.
 func isStaying(id record.InstanceID, live []logstore.Instance) bool {
 	return slices.ContainsFunc(live, func(in logstore.Instance) bool { return in.ID == id && !in.Leaving })
 }
 
-// hasLeavingWitness is called with the lock held.
+// hasLeavingWitness reports whether the witness of a usable grant is leaving
+// or no longer listed. The caller holds a.mu.
 func (a *account) hasLeavingWitness(live []logstore.Instance) bool {
 	for _, g := range a.grants {
 		if witness := g.held.Terms().Witness; g.isUsable() && witness != "" && !isStaying(witness, live) {
@@ -92,12 +97,14 @@
 	return false
 }
 
+// suspect excludes an instance as witness and owner for SuspicionTTL.
 func (l *Ledger) suspect(id record.InstanceID) {
 	l.peersMu.Lock()
 	defer l.peersMu.Unlock()
 	l.suspectedUntil[id] = l.Now().Add(l.Options.SuspicionTTL)
 }
 
+// isSuspected reports whether an instance is excluded as witness and owner.
 func (l *Ledger) isSuspected(id record.InstanceID) bool {
 	l.peersMu.Lock()
 	defer l.peersMu.Unlock()
@@ -109,7 +116,9 @@
 	return ok
 }
 
-// chooseWitness applies Options.Spare: far asks for a witness in another zone.
+// chooseWitness returns the witness for the next grant, or "" for none,
+// according to Options.SparePolicy. otherZone requests a witness in another
+// zone.
 func (l *Ledger) chooseWitness(a *account, otherZone bool) record.InstanceID {
 	if l.Peers == nil {
 		return ""
@@ -125,7 +134,7 @@
 	return ChooseWitness(l.Self, l.Zone, live, l.isSuspected)
 }
 
-// instancesInZone returns the instances of a zone.
+// instancesInZone returns the IDs of a zone's instances.
 func instancesInZone(live []logstore.Instance, zone record.Zone) map[record.InstanceID]bool {
 	out := map[record.InstanceID]bool{}
 	for _, in := range live {
@@ -136,8 +145,9 @@
 	return out
 }
 
-// keepsRemoteSpare says whether a spare in another zone is wanted and possible: there
-// is a witness in this zone, and one elsewhere.
+// keepsRemoteSpare reports whether this instance should keep spare grants with
+// a witness in another zone: the policy asks for them, and both this zone and
+// another one have a candidate.
 func (l *Ledger) keepsRemoteSpare(live []logstore.Instance) bool {
 	if l.Options.SparePolicy != SpareOtherZone {
 		return false
@@ -152,6 +162,7 @@
 	return hasNear && hasFar
 }
 
+// countUnwitnessed returns the number of usable grants without a witness.
 func (a *account) countUnwitnessed() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -164,6 +175,7 @@
 	return n
 }
 
+// countUsable returns the number of usable grants.
 func (a *account) countUsable() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -176,6 +188,8 @@
 	return n
 }
 
+// isWitnessUnavailable reports whether err means that the witness couldn't be
+// reached or hasn't adopted the right, as opposed to having sealed it.
 func isWitnessUnavailable(err error) bool {
 	return errors.Is(err, right.ErrLost) || errors.Is(err, right.ErrNotAdopted) || errors.Is(err, peer.ErrUnreachable)
 }
--- a/internal/ledger/watch.go
+++ b/internal/ledger/watch.go
@@ -14,14 +14,16 @@
 	"guavapier/internal/right"
 )
 
+// useID identifies a reservation within its grant.
 type useID = right.UseID
 
-// maxUsesPerClose is how many outstanding uses one close carries, so that it
-// fits an entry of the log. More go ahead of it as bills.
+// maxUsesPerClose is the most outstanding uses in one close, so that it fits a
+// log entry. Further ones are appended as bills before the close.
 const maxUsesPerClose = 1000
 
-// pingDependents calls the instances that this one would have to act for: holders whose
-// grants it witnesses, and instances whose requests it holds reservations of.
+// pingDependents pings the instances that this one must act for if they fail:
+// holders whose grants it witnesses, and instances for whose requests it holds
+// reservations. It counts the failed pings in a row.
 func (l *Ledger) pingDependents(ctx context.Context) {
 	if l.Peers == nil {
 		return
@@ -57,6 +59,7 @@
 	}
 }
 
+// dependentInstances returns the instances to ping.
 func (l *Ledger) dependentInstances() map[record.InstanceID]struct{} {
 	ids := map[record.InstanceID]struct{}{}
 	for _, part := range l.Partitions {
@@ -79,17 +82,19 @@
 	return ids
 }
 
-// isPresumedDead says whether it is time to try to act without an instance. That it may
-// still live is safe: a seal holds whatever its holder does.
+// isPresumedDead reports whether an instance has failed SealAfterFailedPings
+// pings in a row. Acting for an instance that is in fact alive is safe: once
+// sealed, a grant can't be used by its holder.
 func (l *Ledger) isPresumedDead(id record.InstanceID) bool {
 	l.peersMu.Lock()
 	defer l.peersMu.Unlock()
 	return l.failedPings[id] >= l.Options.SealAfterFailedPings
 }
 
-// takeOverDead seals the grants of holders that are gone, settles the reservations of
-// instances that are gone, and forgets rights that the fold has closed.
-func (l *Ledger) takeOverDead() {
+// handleDeadInstances seals the grants of dead holders, settles the
+// reservations of dead requesters, and forgets rights that the fold has
+// closed.
+func (l *Ledger) handleDeadInstances() {
 	for _, part := range l.Partitions {
 		var rows []fold.Grant
 		part.View(func(f *fold.Ledger) { rows = f.WitnessedBy(l.Self) })
@@ -101,18 +106,19 @@
 	}
 	l.forgetClosedRights()
 	for _, a := range l.allAccounts() {
-		l.settleForDead(a)
+		l.settleForDeadInstances(a)
 	}
 }
 
-// sealGrant ends a grant whose holder is gone. The holder's acknowledged uses are
-// billed at what is known of them: their usage, or what they reserved.
+// sealGrant seals a grant whose holder is presumed dead and queues its close.
+// Each acknowledged use is billed at its usage if that is known, otherwise at
+// the reserved amount.
 func (l *Ledger) sealGrant(part *replica.Replica[*fold.Ledger], row fold.Grant) {
 	uses, err := l.witness.SealLocal(right.Terms{
 		Right: row.Right, Holder: row.Holder, Witness: row.Witness, Stream: part.Stream(), Offset: row.Offset,
 	})
 	if err != nil {
-		return // The fold has closed it meanwhile.
+		return // The fold has closed the grant meanwhile.
 	}
 	c := record.Close{Right: row.Right, By: l.Self}
 	for _, use := range uses {
@@ -123,15 +129,16 @@
 }
 
 const (
-	// maxConcurrentUsageQueries bounds the questions of one seal that are open at once.
+	// maxConcurrentUsageQueries bounds the concurrent usage queries for one
+	// seal.
 	maxConcurrentUsageQueries = 16
-	// usageQueryTimeout bounds all questions of one seal. Load: a holder that died
-	// with hundreds of runs. Harm prevented: bills of this instance that wait
-	// behind them. What is not known by then is billed as reserved.
+	// usageQueryTimeout bounds all usage queries for one seal. A holder may
+	// die with hundreds of runs, and this instance's own bills wait behind the
+	// queries. Runs without a reply by then are billed at the reserved amount.
 	usageQueryTimeout = 2 * time.Second
 )
 
-// queryUsages replaces reserved amounts by usages where endpoints know them.
+// queryUsages replaces reserved amounts by the usage that endpoints report.
 func (l *Ledger) queryUsages(outstanding []record.Outstanding) {
 	if l.Usages == nil {
 		return
@@ -149,8 +156,9 @@
 	_ = queries.Wait()
 }
 
-// billableTokens returns what a run of a gone instance is billed: what its endpoint
-// says, at most what was reserved; else all that was reserved.
+// billableTokens returns the tokens to bill for a run of a dead instance: the
+// usage that its endpoint reports, at most the reserved amount; otherwise all
+// reserved tokens.
 func (l *Ledger) billableTokens(ctx context.Context, o record.Outstanding) int64 {
 	if l.Usages == nil {
 		return o.Tokens
@@ -161,6 +169,7 @@
 	return o.Tokens
 }
 
+// forgetClosedRights removes rights that the fold has closed from the witness.
 func (l *Ledger) forgetClosedRights() {
 	var adopted []right.Terms
 	l.witness.WithWitness(func(w *right.Witness[record.Outstanding]) { adopted = w.Rights() })
@@ -173,9 +182,9 @@
 	}
 }
 
-// settleForDead ends the reservations that this instance holds for instances that
-// are gone.
-func (l *Ledger) settleForDead(a *account) {
+// settleForDeadInstances settles the reservations that this instance holds for
+// dead instances.
+func (l *Ledger) settleForDeadInstances(a *account) {
 	var ended []Reservation
 	var outstanding []record.Outstanding
 	a.mu.Lock()
@@ -194,6 +203,7 @@
 	}
 }
 
+// isOpen reports whether a grant is open in a partition.
 func isOpen(part *replica.Replica[*fold.Ledger], id record.RightID) bool {
 	open := false
 	part.View(func(f *fold.Ledger) {
@@ -203,7 +213,8 @@
 	return open
 }
 
-// splitClose returns a close as records that fit an entry of the log.
+// splitClose returns a close as records that each fit a log entry: bills for
+// the excess uses, then the close.
 func splitClose(c record.Close) []record.Record {
 	var out []record.Record
 	for len(c.Outstanding) > maxUsesPerClose {
@@ -214,11 +225,14 @@
 	return append(out, c)
 }
 
-// ForceClose closes a grant whose holder, and witness if any, are gone for
-// good; an operator says so. The tokens that are not billed go back to the
-// budget. The risk is the operator's: requests that the holder ran and had not
-// billed yet stay unbilled, and if it is alive after all it may go on spending
-// until it reads the close, so that the team gets more than it prepaid.
+// ForceClose closes a grant on an operator's decision that its holder and its
+// witness, if any, are permanently lost. Its unbilled tokens return to the
+// budget. It returns the closed grant, or ErrNoGrant. After any other error
+// the close may still take effect.
+//
+// The operator accepts a risk: requests that the holder ran and hadn't billed
+// stay unbilled, and a holder that is alive after all may continue to spend
+// until it reads the close, so that the team receives more than it prepaid.
 func (l *Ledger) ForceClose(ctx context.Context, id record.RightID) (fold.Grant, error) {
 	for _, part := range l.Partitions {
 		if !isOpen(part, id) {
@@ -229,7 +243,7 @@
 			err = part.Wait(ctx, offset)
 		}
 		if err != nil {
-			return fold.Grant{}, eris.Wrap(err, "ledger: the forced close may have taken effect")
+			return fold.Grant{}, eris.Wrap(err, "ledger: forced close not confirmed, it may have taken effect")
 		}
 		var row fold.Grant
 		part.View(func(f *fold.Ledger) { row, _ = f.Grant(id) })
--- a/internal/ledger/world_test.go
+++ b/internal/ledger/world_test.go
@@ -17,61 +17,63 @@
 	"guavapier/internal/right"
 )
 
-// logMode is how the log answers one instance's appends.
+// logMode is how the log handles one instance's appends.
 type logMode int
 
 const (
-	logUp         logMode = iota
-	logRefuses            // The append has no effect.
-	logLosesReply         // The append takes effect, its answer is lost.
-	logDelays             // The append may reach the log later.
+	logUp         logMode = iota // The append takes effect.
+	logRefuses                   // The append has no effect.
+	logLosesReply                // The append takes effect, but its reply is lost.
+	logDelays                    // The append may reach the log later.
 )
 
-// linkMode is how calls from one instance to another go.
+// linkMode is how calls from one instance to another are handled.
 type linkMode int
 
 const (
-	linkUp         linkMode = iota
-	linkCut                 // The call has no effect.
-	linkLosesReply          // The call takes effect, its answer is lost.
-	linkDelays              // The call may arrive later.
+	linkUp         linkMode = iota // The call succeeds.
+	linkCut                        // The call has no effect.
+	linkLosesReply                 // The call takes effect, but its reply is lost.
+	linkDelays                     // The call may arrive later.
 )
 
-// productVariant breaks one rule on purpose, for the tests of the checker.
+// productVariant is the product or a deliberately broken variant of it, which
+// the model-based test must detect.
 type productVariant int
 
 const (
 	unmodified        productVariant = iota
-	forgedAcks                       // Holders take every acknowledgement for given.
-	unloggedGrants                   // Holders use grants that the log does not have.
-	uniqueBillKeys                   // Each bill has a key of its own.
-	duplicatedReturns                // Each return stands on the log twice.
+	forgedAcks                       // Holders take every use for acknowledged.
+	unloggedGrants                   // Holders use grants that aren't on the log.
+	uniqueBillKeys                   // Each bill has its own key.
+	duplicatedReturns                // Each return takes effect twice.
 )
 
-// simFleet is a log, a network and a clock for ledgers in one process.
+// simFleet simulates log, network, membership and clock for ledgers in one
+// process.
 type simFleet struct {
 	variant productVariant
 	stream  record.Stream
 
 	mu             sync.Mutex
 	entries        []logstore.Entry
-	delayedAppends []record.Batch
+	delayedAppends []record.Batch // Appends under logDelays.
 	links          map[[2]record.InstanceID]linkMode
-	delayedCalls   []func()
+	delayedCalls   []func() // Calls under linkDelays.
 	instances      []*simInstance
-	listed         []logstore.Instance // What Live returns.
+	listed         []logstore.Instance // Returned by Live.
 	now            time.Time
 	appends        int
 	bytes          int
-	uniqueKeys     int
-	// background is background work that waits for runQueued; with async set it
-	// runs at once in goroutines.
+	uniqueKeys     int // Number of keys made for uniqueBillKeys.
+	// background holds the background tasks that wait for runQueued. With
+	// runAsync they run at once, in goroutines.
 	background []func()
 	runAsync   bool
 	running    sync.WaitGroup
-	// oracle and fold are what recount has read so far.
-	oracle *referenceModel
-	fold   *fold.Ledger
+	// reference and fold hold the state that replayLog has derived so far.
+	reference *referenceModel
+	fold      *fold.Ledger
 }
 
 // simInstance is one instance.
@@ -82,14 +84,14 @@
 	ledger    *ledger.Ledger
 	service   *ledger.Service
 	partition *replica.Replica[*fold.Ledger]
-	// Guarded by world.mu.
-	mode         logMode
-	logLagging   bool // Reads nothing new of the log.
-	stopped      bool // Killed or paused: answers no call.
+	// The fields below are guarded by fleet.mu.
+	appendMode   logMode
+	logLagging   bool // Reads no new entries of the log.
+	stopped      bool // Dead or paused: answers no calls.
 	reservations map[right.UseID]*issuedReservation
 }
 
-// issuedReservation is what a caller knows of one reservation that was granted.
+// issuedReservation is a granted reservation as known to its caller.
 type issuedReservation struct {
 	budget  record.BudgetID
 	r       ledger.Reservation
@@ -97,6 +99,7 @@
 	used    int64
 }
 
+// newSimFleet returns a fleet without instances.
 func newSimFleet(v productVariant) *simFleet {
 	return &simFleet{
 		variant: v, stream: record.LedgerStream(0), links: map[[2]record.InstanceID]linkMode{},
@@ -104,6 +107,7 @@
 	}
 }
 
+// addInstance starts an instance. tune may change its configuration.
 func (fleet *simFleet) addInstance(name string, zone record.Zone, opts ledger.Options, tune func(*ledger.Config)) *simInstance {
 	n := &simInstance{fleet: fleet, id: record.InstanceID(name), zone: zone, partition: replica.New(fleet.stream, fold.NewLedger()), reservations: map[right.UseID]*issuedReservation{}}
 	c := ledger.Config{
@@ -123,12 +127,14 @@
 	return n
 }
 
+// clock returns the virtual time.
 func (fleet *simFleet) clock() time.Time {
 	fleet.mu.Lock()
 	defer fleet.mu.Unlock()
 	return fleet.now
 }
 
+// runBackground is the ledgers' Config.Go.
 func (fleet *simFleet) runBackground(f func()) {
 	fleet.mu.Lock()
 	defer fleet.mu.Unlock()
@@ -139,7 +145,7 @@
 	fleet.background = append(fleet.background, f)
 }
 
-// runQueued does the background work in its order.
+// runQueued runs the waiting background tasks in order.
 func (fleet *simFleet) runQueued() {
 	fleet.mu.Lock()
 	queued := fleet.background
@@ -150,7 +156,7 @@
 	}
 }
 
-// updateListed renews what Live returns. It is called with the lock held.
+// updateListed updates what Live returns. The caller holds fleet.mu.
 func (fleet *simFleet) updateListed() {
 	fleet.listed = nil
 	for _, n := range fleet.instances {
@@ -167,7 +173,7 @@
 	return fleet.listed
 }
 
-// commit puts a batch on the log. It is called with the lock held.
+// commit appends a batch to the log. The caller holds fleet.mu.
 func (fleet *simFleet) commit(b record.Batch) uint64 {
 	data, err := record.EncodeBatch(b)
 	if err != nil {
@@ -183,7 +189,8 @@
 	return offset
 }
 
-// readLog brings a node up to the log. It is called with the world's lock held.
+// readLog applies all entries that the instance hasn't read. The caller holds
+// fleet.mu.
 func (n *simInstance) readLog() {
 	if n.logLagging || n.stopped {
 		return
@@ -195,15 +202,15 @@
 	}
 }
 
-// topUp is an operator's top-up.
+// topUp appends an operator's top-up.
 func (fleet *simFleet) topUp(budget record.BudgetID, id string, tokens int64) {
 	fleet.mu.Lock()
 	defer fleet.mu.Unlock()
 	fleet.commit(fleet.newBatch("operator", []record.Record{record.TopUp{Budget: budget, ID: id, Tokens: tokens}}))
 }
 
-// newBatch gives every newBatch a writer of its own, so that no record is saved from
-// a late copy by its writer's sequence number.
+// newBatch returns a batch with a writer of its own, so that the writer's
+// sequence number doesn't protect any record from duplicates.
 func (fleet *simFleet) newBatch(writer record.InstanceID, records []record.Record) record.Batch {
 	b := record.Batch{Writer: record.InstanceID(fmt.Sprint(writer, "/", len(fleet.entries), "/", len(fleet.delayedAppends))), Seq: 1}
 	envelopes, err := record.EncodeAll(records...)
@@ -224,25 +231,26 @@
 		return n.applyLocally(b)
 	}
 	switch {
-	case n.stopped || n.mode == logRefuses:
+	case n.stopped || n.appendMode == logRefuses:
 		return 0, logstore.ErrUnavailable
-	case n.mode == logDelays:
+	case n.appendMode == logDelays:
 		fleet.delayedAppends = append(fleet.delayedAppends, b)
 		return 0, logstore.ErrUnavailable
-	case n.mode == logLosesReply:
+	case n.appendMode == logLosesReply:
 		fleet.commit(b)
 		return 0, logstore.ErrUnavailable
 	}
 	return fleet.commit(b), nil
 }
 
-// applyLocally applies a batch at this node alone.
+// applyLocally applies a batch at this instance only.
 func (n *simInstance) applyLocally(b record.Batch) (uint64, error) {
 	data, _ := record.EncodeBatch(b)
 	offset := n.partition.Next()
 	return offset, n.partition.Apply(logstore.Entry{Offset: offset, Data: data})
 }
 
+// modifyRecords applies the deliberate faults of the variant to records.
 func (fleet *simFleet) modifyRecords(records []record.Record) []record.Record {
 	var out []record.Record
 	for _, r := range records {
@@ -295,6 +303,8 @@
 	return nil
 }
 
+// findInstance returns an instance, or nil. The caller holds fleet.mu, or
+// nothing else uses the fleet.
 func (fleet *simFleet) findInstance(id record.InstanceID) *simInstance {
 	for _, n := range fleet.instances {
 		if n.id == id {
@@ -304,7 +314,8 @@
 	return nil
 }
 
-// newReply returns a reply of the same type, for a call whose caller is gone.
+// newReply returns an empty reply of the same type, for a call whose caller
+// has given up.
 func newReply(reply any) any {
 	switch reply.(type) {
 	case *right.AcknowledgeReply:
@@ -320,6 +331,7 @@
 	}
 }
 
+// serve runs a call at this instance.
 func (n *simInstance) serve(method string, args, reply any) error {
 	switch a := args.(type) {
 	case right.AcknowledgeArgs[record.Outstanding]:
