--- a/internal/ledger/policy.go
+++ b/internal/ledger/policy.go
@@ -13,14 +13,14 @@
 // Parameters of grant sizing.
 const (
 	// DefaultConservatism applies to budgets without the setting. No value can
-	// cause overspending, and holders release tokens on request, so refusals
-	// during a partition are the deciding cost: see
+	// cause overspending, and holders release tokens on request, so the
+	// refusals during a network partition decide: see
 	// docs/measurements/ledger.md.
 	DefaultConservatism = 1.0
 	// minHorizon and maxHorizon are how long a grant should last at the
 	// current consumption rate, for conservatism 0 and 1. Anything shorter
-	// than ten seconds exposes requests to a slow log; sites expect partitions
-	// of up to an hour.
+	// than ten seconds exposes requests to a slow log; sites expect network
+	// partitions of up to an hour.
 	minHorizon = 10 * time.Second
 	maxHorizon = time.Hour
 	// rateTimeConstant is the time constant of the consumption rate. It is
@@ -33,7 +33,7 @@
 	minRequestsPerGrant = 4
 	// minRefillLevel and maxRefillLevel are the fraction of the target below
 	// which a refill starts, for conservatism 0 and 1. A conservative holder
-	// stays nearly full, since a partition may begin at any time.
+	// stays nearly full, since a network partition may begin at any time.
 	minRefillLevel = 0.25
 	maxRefillLevel = 0.85
 	// minIdleTime is the minimum time without use after which an instance
@@ -60,8 +60,8 @@
 //
 // The target covers steady consumption while the log or the zone is
 // unreachable for up to an hour. A smaller one causes refusals during a
-// partition; a larger one holds tokens that no other instance can use. The
-// horizon grows geometrically with conservatism, since outages differ by
+// network partition; a larger one holds tokens that no other instance can use.
+// The horizon grows geometrically with conservatism, since outages differ by
 // orders of magnitude.
 func TargetFreeTokens(d SizingInput) int64 {
 	demand := int64(math.Min(d.ConsumptionRate*grantHorizon(d.Conservatism).Seconds(), float64(math.MaxInt64/4)))
@@ -127,9 +127,9 @@
 
 // ChooseWitness returns the witness for a grant: an instance that isn't
 // leaving and for which avoid returns false. It prefers the holder's zone, so
-// that a partition of the zone doesn't separate holder and witness. Among
-// equal candidates a hash distributes holders over witnesses. It returns "" if
-// there is no candidate.
+// that a network partition between zones doesn't separate holder and witness.
+// Among equal candidates a hash distributes holders over witnesses. It returns
+// "" if there is no candidate.
 func ChooseWitness(self record.InstanceID, zone record.Zone, live []logstore.Instance, avoid func(record.InstanceID) bool) record.InstanceID {
 	var best record.InstanceID
 	var bestHash uint64
--- a/internal/ledger/types.go
+++ b/internal/ledger/types.go
@@ -3,11 +3,11 @@
 // tokens of a request in a grant before the request runs, and bills the tokens
 // that the request used.
 //
-// Budgets can't be overspent because of the fold and package right alone: the
-// fold voids a grant that would exceed its budget, and a witnessed grant is
-// used only with its witness's acknowledgement. Everything else in this
-// package (sizes, owners, reachability) only affects how often requests are
-// refused.
+// Two mechanisms alone keep budgets from being overspent: the fold voids a
+// grant that would exceed its budget, and package right allows a witnessed
+// grant to be used only with its witness's acknowledgement. Everything else in
+// this package (sizes, owners, reachability) only affects how often requests
+// are refused.
 package ledger
 
 import (
