--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -84,8 +84,8 @@
 
 // Reserve reserves tokens for a request, at least 1: the most that it may use.
 // It asks the budget's owner in this zone first, then uses this instance's own
-// grants, and finally asks other holders. Its errors are ErrExhausted,
-// ErrNoBudget and *Stranded.
+// grants, and finally asks other holders. A refusal is ErrExhausted,
+// ErrNoBudget or a *Stranded; any other error comes from waiting for the log.
 func (l *Ledger) Reserve(ctx context.Context, key record.RequestKey, run record.RunID, budget record.BudgetID, tokens int64) (Reservation, error) {
 	if tokens <= 0 {
 		tokens = 1
