--- a/internal/ledger/oracle_test.go
+++ b/internal/ledger/oracle_test.go
@@ -7,24 +7,27 @@
 	"guavapier/internal/record"
 )
 
-// oracle recounts the log by the plainest reading of the rules, with maps that
-// only grow. It shares no code with the fold but the record types.
-type oracle struct {
+// referenceModel derives budgets and bills from the log by the simplest form
+// of the rules, with maps that only grow. It shares only the record types with
+// the fold.
+type referenceModel struct {
 	topUps map[string]int64
-	grants map[record.RightID]*oracleGrant
-	// bills counts the charged bills of each key as the caller knows it.
+	grants map[record.RightID]*referenceGrant
+	// bills counts the effective bills per key, as known to the caller.
 	bills  map[string]int
 	billed map[record.RequestKey]bool
 }
 
-type oracleGrant struct {
+// referenceGrant is a grant in the reference model.
+type referenceGrant struct {
 	holder, witness record.InstanceID
 	amount, spent   int64
 	returns         uint64
 	closed          bool
 }
 
-func (o *oracle) prepaid() int64 {
+// prepaid returns the tokens of all top-ups.
+func (o *referenceModel) prepaid() int64 {
 	var sum int64
 	for _, tokens := range o.topUps {
 		sum += tokens
@@ -32,8 +35,8 @@
 	return sum
 }
 
-// cost is the sum over grants of what each may still cost.
-func (o *oracle) cost() int64 {
+// committed returns the tokens that all grants together may still cost.
+func (o *referenceModel) committed() int64 {
 	var sum int64
 	for _, g := range o.grants {
 		if g.closed {
@@ -45,7 +48,8 @@
 	return sum
 }
 
-func (o *oracle) charge(g *oracleGrant, key record.RequestKey, tokens int64) {
+// charge applies a bill unless its key has been billed before.
+func (o *referenceModel) charge(g *referenceGrant, key record.RequestKey, tokens int64) {
 	if o.billed[key] {
 		return
 	}
@@ -55,13 +59,14 @@
 	g.spent += min(tokens, g.amount-g.spent)
 }
 
-func (o *oracle) apply(rec record.Record) {
+// apply applies one record.
+func (o *referenceModel) apply(rec record.Record) {
 	switch r := rec.(type) {
 	case record.TopUp:
 		o.topUps[r.ID] = r.Tokens
 	case record.Grant:
-		if o.grants[r.Right] == nil && r.Tokens <= o.prepaid()-o.cost() {
-			o.grants[r.Right] = &oracleGrant{holder: r.Holder, witness: r.Witness, amount: r.Tokens}
+		if o.grants[r.Right] == nil && r.Tokens <= o.prepaid()-o.committed() {
+			o.grants[r.Right] = &referenceGrant{holder: r.Holder, witness: r.Witness, amount: r.Tokens}
 		}
 	case record.Return:
 		if g := o.grants[r.Right]; g != nil && !g.closed && r.By == g.holder && r.Seq == g.returns+1 && r.Tokens <= g.amount-g.spent {
@@ -83,20 +88,21 @@
 	}
 }
 
-// recount reads the log on into an oracle and into a fold of its own.
-func (w *world) recount() (*oracle, *fold.Ledger) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.oracle == nil {
-		w.oracle = &oracle{topUps: map[string]int64{}, grants: map[record.RightID]*oracleGrant{}, bills: map[string]int{}, billed: map[record.RequestKey]bool{}}
-		w.fold = fold.NewLedger()
+// replayLog applies the new entries of the log to the reference model and to a
+// separate fold, and returns both.
+func (fleet *simFleet) replayLog() (*referenceModel, *fold.Ledger) {
+	fleet.mu.Lock()
+	defer fleet.mu.Unlock()
+	if fleet.reference == nil {
+		fleet.reference = &referenceModel{topUps: map[string]int64{}, grants: map[record.RightID]*referenceGrant{}, bills: map[string]int{}, billed: map[record.RequestKey]bool{}}
+		fleet.fold = fold.NewLedger()
 	}
-	for _, e := range w.entries[w.fold.Next():] {
+	for _, e := range fleet.entries[fleet.fold.Next():] {
 		b, err := record.DecodeBatch(e.Data)
 		if err != nil {
 			panic(err)
 		}
-		if err := w.fold.Apply(e.Offset, b); err != nil {
+		if err := fleet.fold.Apply(e.Offset, b); err != nil {
 			panic(err)
 		}
 		for _, env := range b.Records {
@@ -104,8 +110,8 @@
 			if err != nil {
 				panic(err)
 			}
-			w.oracle.apply(rec)
+			fleet.reference.apply(rec)
 		}
 	}
-	return w.oracle, w.fold
+	return fleet.reference, fleet.fold
 }
--- a/internal/ledger/tick.go
+++ b/internal/ledger/tick.go
@@ -10,15 +10,17 @@
 )
 
 const (
-	// maxRecords bounds the records of one append.
-	maxRecords = 500
-	// drainPoll is how often Close looks whether all grants are closed.
-	drainPoll = 10 * time.Millisecond
+	// maxRecordsPerAppend is the most records in one append, and the most
+	// settlements in one Settle call.
+	maxRecordsPerAppend = 500
+	// drainPollInterval is how often Close checks whether all grants are
+	// closed.
+	drainPollInterval = 10 * time.Millisecond
 )
 
-// Run ticks until ctx ends.
+// Run calls Tick every TickInterval until ctx ends. Its error is always nil.
 func (l *Ledger) Run(ctx context.Context) error {
-	ticker := time.NewTicker(l.Options.TickEvery)
+	ticker := time.NewTicker(l.Options.TickInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -30,42 +32,44 @@
 	}
 }
 
-// Tick brings accounts in line with the fold, seals the grants of holders that
-// are gone, and sends what waits for the log.
+// Tick updates the accounts from the fold, handles dead instances, and appends
+// the pending records to the log.
 func (l *Ledger) Tick(ctx context.Context) {
 	l.tickMu.Lock()
 	defer l.tickMu.Unlock()
-	l.sync()
-	l.probe(ctx)
-	l.watch()
-	accounts := l.accountsOf()
+	l.syncAccounts()
+	l.pingDependents(ctx)
+	l.handleDeadInstances()
+	accounts := l.accountsByStream()
 	for _, part := range l.Partitions {
 		l.flush(part, accounts[part.Stream()])
 	}
-	l.remote.retry()
+	l.remote.retryFailed()
 	l.prune()
 }
 
-// Close ends all draws, settles what is left and returns every grant. It ends
-// when the fold has closed them all, or with ctx.
+// Close refuses further reservations, sends the settlements that are left, and
+// returns all grants. It returns nil once the fold has closed them all, or the
+// error of ctx if that ends first.
 func (l *Ledger) Close(ctx context.Context) error {
 	l.mu.Lock()
 	l.draining = true
 	l.mu.Unlock()
 	for {
 		l.Tick(ctx)
-		if l.remote.empty() && l.closedAll() {
+		if l.remote.isDrained() && l.allGrantsClosed() {
 			return nil
 		}
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-time.After(drainPoll):
+		case <-time.After(drainPollInterval):
 		}
 	}
 }
 
-func (l *Ledger) closedAll() bool {
+// allGrantsClosed reports whether the fold has no open grant of this instance.
+func (l *Ledger) allGrantsClosed() bool {
 	for _, part := range l.Partitions {
 		open := 0
 		part.View(func(f *fold.Ledger) { open = len(f.HeldBy(l.Self)) })
@@ -76,9 +80,9 @@
 	return true
 }
 
-// sync adopts grants whose append had no answer, drops closed ones, and
-// decides what goes back.
-func (l *Ledger) sync() {
+// syncAccounts adopts grants whose append had no reply, removes closed grants,
+// and returns surplus tokens.
+func (l *Ledger) syncAccounts() {
 	for _, part := range l.Partitions {
 		var rows []fold.Grant
 		part.View(func(f *fold.Ledger) { rows = f.HeldBy(l.Self) })
@@ -86,26 +90,28 @@
 			l.adopt(l.account(row.Budget), row)
 		}
 	}
-	stopping := l.stopping()
+	draining := l.isDraining()
 	for _, a := range l.allAccounts() {
-		a.part.View(func(f *fold.Ledger) { l.syncAccount(a, f) })
-		l.trim(a, stopping)
+		a.partition.View(func(f *fold.Ledger) { l.syncAccount(a, f) })
+		l.returnSurplus(a, draining)
 	}
 }
 
+// syncAccount removes closed grants, applied returns and logged bills from an
+// account.
 func (l *Ledger) syncAccount(a *account, f *fold.Ledger) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	kept := a.grants[:0]
 	for _, g := range a.grants {
-		row, ok := f.Grant(g.right())
+		row, ok := f.Grant(g.rightID())
 		if !ok || row.Closed {
 			g.held.Close()
-			clear(g.reserved)
+			clear(g.reservations)
 			continue
 		}
 		kept = append(kept, g)
-		g.resolveReturn(f)
+		g.clearAppliedReturn(f)
 		for id, b := range g.unbilled {
 			if f.Billed(b.Key) {
 				delete(g.unbilled, id)
@@ -117,47 +123,50 @@
 	a.grants = kept
 }
 
-// trim gives back what an idle or stopping holder does not need.
-func (l *Ledger) trim(a *account, stopping bool) {
+// returnSurplus retires unusable and idle grants, or all of them while
+// draining, and returns free tokens that this instance doesn't need. Grants
+// with a witness in another zone have their own target.
+func (l *Ledger) returnSurplus(a *account, draining bool) {
 	now := l.Now()
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if len(a.grants) == 0 {
 		return
 	}
-	idle := Idle(now.Sub(a.lastUse), l.Lean(a.budget))
+	idle := IsIdle(now.Sub(a.lastUse), l.Conservatism(a.budget))
 	for _, g := range a.grants {
-		g.retired = g.retired || stopping || idle || g.held.Err() != nil
-		if g.retired && g.free > 0 && g.returning == nil && len(g.reserved) > 0 {
-			g.giveBack(l.Self, g.free)
+		g.retired = g.retired || draining || idle || g.held.Err() != nil
+		if g.retired && g.free > 0 && g.pendingReturn == nil && len(g.reservations) > 0 {
+			g.startReturn(l.Self, g.free)
 		}
 	}
-	d := l.demand(a, now)
-	for _, far := range []bool{false, true} {
-		d.Free = a.freeOf(far)
-		if excess := Excess(d); excess > 0 {
-			a.giveBackOf(l.Self, excess, func(g *grant) bool { return g.far == far })
+	d := l.sizingInput(a, now)
+	for _, remoteWitness := range []bool{false, true} {
+		d.FreeTokens = a.freeTokensBy(remoteWitness)
+		if excess := ExcessTokens(d); excess > 0 {
+			a.returnTokensFrom(l.Self, excess, func(g *grant) bool { return g.remoteWitness == remoteWitness })
 		}
 	}
 }
 
-// outbox is what waits for a partition.
+// outbox holds the records to append for one partition.
 type outbox struct {
-	bills []sentBill
-	later []record.Record // Returns and closes; they go after the bills.
+	bills            []queuedBill    // Bills, appended before the other records.
+	returnsAndCloses []record.Record // Returns and closes, appended after the bills.
 }
 
-// sentBill is a bill that an append carries.
-type sentBill struct {
+// queuedBill is a bill in an outbox and the grant that it belongs to.
+type queuedBill struct {
 	account *account
 	grant   *grant
 	id      useID
 	bill    record.Bill
 }
 
-// flush appends what waits for a partition, one flush at a time: while the log
-// is away, one append waits and nothing piles up. The records stay where they
-// are until the log or the fold has them; a second copy of any is harmless.
+// flush appends the pending records of a partition. There is one append at a
+// time, so that none accumulate while the log is unreachable. Accounts keep
+// the records until the log or the fold has them. A record that is appended
+// twice takes effect once.
 func (l *Ledger) flush(part *replica.Replica[*fold.Ledger], accounts []*account) {
 	l.flushMu.Lock()
 	defer l.flushMu.Unlock()
@@ -166,77 +175,79 @@
 	}
 	var box outbox
 	for _, a := range accounts {
-		a.collect(l.Self, &box)
+		a.collectInto(l.Self, &box)
 	}
-	for _, c := range l.closing {
-		if openIn(part, c.Right) {
-			box.later = append(box.later, split(c)...)
+	for _, c := range l.pendingCloses {
+		if isOpen(part, c.Right) {
+			box.returnsAndCloses = append(box.returnsAndCloses, splitClose(c)...)
 		}
 	}
-	if len(box.bills)+len(box.later) == 0 {
+	if len(box.bills)+len(box.returnsAndCloses) == 0 {
 		return
 	}
 	l.flushing[part.Stream()] = true
 	l.Go(func() {
-		l.send(part.Stream(), box)
+		l.appendOutbox(part.Stream(), box)
 		l.flushMu.Lock()
 		defer l.flushMu.Unlock()
 		l.flushing[part.Stream()] = false
 	})
 }
 
-func (l *Ledger) send(stream record.Stream, box outbox) {
-	records := make([]record.Record, 0, len(box.bills)+len(box.later))
+// appendOutbox appends an outbox in chunks and stops at the first error.
+func (l *Ledger) appendOutbox(stream record.Stream, box outbox) {
+	records := make([]record.Record, 0, len(box.bills)+len(box.returnsAndCloses))
 	for _, b := range box.bills {
 		records = append(records, b.bill)
 	}
-	records = append(records, box.later...)
+	records = append(records, box.returnsAndCloses...)
 	for len(records) > 0 {
-		n := min(len(records), maxRecords)
+		n := min(len(records), maxRecordsPerAppend)
 		if _, err := l.Log.Append(context.Background(), stream, records[:n]...); err != nil {
 			return
 		}
 		done := min(len(box.bills), n)
 		for _, b := range box.bills[:done] {
-			b.account.billed(b)
+			b.account.markBilled(b)
 		}
 		records, box.bills = records[n:], box.bills[done:]
 	}
 }
 
-// collect adds what an account has for the log. A retired grant without
-// reservations is used no more from here on, and closed.
-func (a *account) collect(self record.InstanceID, box *outbox) {
+// collectInto adds the account's pending records to an outbox. A retired grant
+// without reservations is closed: its holder stops using it before the close
+// is appended.
+func (a *account) collectInto(self record.InstanceID, box *outbox) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for _, g := range a.grants {
 		g.held.Flush()
-		if g.retired && len(g.reserved) == 0 {
+		if g.retired && len(g.reservations) == 0 {
 			g.held.Close()
-			box.later = append(box.later, split(g.close(self))...)
+			box.returnsAndCloses = append(box.returnsAndCloses, splitClose(g.closeRecord(self))...)
 			continue
 		}
 		for id, b := range g.unbilled {
-			box.bills = append(box.bills, sentBill{account: a, grant: g, id: id, bill: b})
+			box.bills = append(box.bills, queuedBill{account: a, grant: g, id: id, bill: b})
 		}
-		if g.returning != nil {
-			box.later = append(box.later, *g.returning)
+		if g.pendingReturn != nil {
+			box.returnsAndCloses = append(box.returnsAndCloses, *g.pendingReturn)
 		}
 	}
 }
 
-// close returns the record that ends a grant without reservations. Bills that
-// may not be on the log go with it.
-func (g *grant) close(self record.InstanceID) record.Close {
-	c := record.Close{Right: g.right(), By: self}
+// closeRecord returns the record that closes a grant without reservations. It
+// includes the bills that may not be on the log.
+func (g *grant) closeRecord(self record.InstanceID) record.Close {
+	c := record.Close{Right: g.rightID(), By: self}
 	for _, b := range g.unbilled {
 		c.Outstanding = append(c.Outstanding, record.Outstanding{Key: b.Key, Run: b.Run, Tokens: b.Tokens})
 	}
 	return c
 }
 
-// billed says that a bill is on the log: the witness need not know it longer.
-func (a *account) billed(b sentBill) {
+// markBilled removes a bill that is on the log, from the witness as well.
+func (a *account) markBilled(b queuedBill) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if _, ok := b.grant.unbilled[b.id]; ok {
