--- a/internal/record/bench_test.go
+++ b/internal/record/bench_test.go
@@ -16,7 +16,7 @@
 		return record.RequestKey{Team: "dala-vibro", Session: record.SessionID(uuid.NewString()), Key: string(record.NewRunID())}
 	}
 	holder := record.NewInstanceID("hall-a-1")
-	makers := map[string]func() record.Record{
+	constructors := map[string]func() record.Record{
 		"bill": func() record.Record {
 			return record.Bill{Key: key(), Right: record.NewRightID(), Run: record.NewRunID(), Tokens: 1234}
 		},
@@ -31,13 +31,13 @@
 			return record.Claim{Key: key(), Digest: 1 << 60, Run: record.NewRunID(), Right: record.NewRightID(), Runner: holder, UnixMilli: 1_796_000_000_000}
 		},
 	}
-	for name, makeRecord := range makers {
+	for name, newRecord := range constructors {
 		for _, n := range []int{1, 100, 1000} {
 			b.Run(fmt.Sprintf("%s/batch=%d", name, n), func(b *testing.B) {
 				for b.Loop() {
 					batch := record.Batch{Writer: holder, Seq: 1}
 					for range n {
-						env, err := record.Encode(makeRecord())
+						env, err := record.Encode(newRecord())
 						if err != nil {
 							b.Fatal(err)
 						}
--- a/internal/record/codec.go
+++ b/internal/record/codec.go
@@ -63,8 +63,8 @@
 	return decode(e.Body)
 }
 
-// Known says whether this version knows the kind.
-func Known(k Kind) bool { return decoders[k] != nil }
+// IsKnownKind says whether this version knows the kind.
+func IsKnownKind(k Kind) bool { return decoders[k] != nil }
 
 // EncodeBatch returns the bytes of b.
 func EncodeBatch(b Batch) ([]byte, error) {
--- a/internal/record/fuzz_test.go
+++ b/internal/record/fuzz_test.go
@@ -8,9 +8,9 @@
 	"guavapier/internal/record"
 )
 
-// samples has one record of each kind that moves tokens, and one of a kind
+// sampleRecords has one record of each kind that moves tokens, and one of a kind
 // from a newer version.
-func samples() []record.Record {
+func sampleRecords() []record.Record {
 	key := record.RequestKey{Team: "dala", Session: "s", Key: "k"}
 	budget := record.BudgetID{Team: "dala", Name: "main"}
 	return []record.Record{
@@ -27,7 +27,7 @@
 // round trip, unknown kinds included.
 func FuzzDecodeBatch(f *testing.F) {
 	var all []record.Envelope
-	for n, r := range samples() {
+	for n, r := range sampleRecords() {
 		env, err := record.Encode(r)
 		if err != nil {
 			f.Fatal(err)
@@ -51,12 +51,12 @@
 			if err != nil {
 				continue
 			}
-			again, err := record.Encode(rec)
+			reencoded, err := record.Encode(rec)
 			if err != nil {
 				t.Fatalf("decoded %T does not encode: %v", rec, err)
 			}
-			if _, unknown := rec.(record.Unknown); unknown && !bytes.Equal(again.Body, env.Body) {
-				t.Fatalf("unknown kind %d changed from %x to %x", env.Kind, env.Body, again.Body)
+			if _, unknown := rec.(record.Unknown); unknown && !bytes.Equal(reencoded.Body, env.Body) {
+				t.Fatalf("unknown kind %d changed from %x to %x", env.Kind, env.Body, reencoded.Body)
 			}
 		}
 	})
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -112,7 +112,7 @@
 // track looks for snapshots and for kinds that are not known. r.mu is held.
 func (r *Replica[F]) track(offset uint64, batch record.Batch) {
 	for _, env := range batch.Records {
-		if !record.Known(env.Kind) {
+		if !record.IsKnownKind(env.Kind) {
 			r.foreign = true
 		}
 		if env.Kind != record.KindSnapshot {
