--- a/internal/claim/operate.go
+++ b/internal/claim/operate.go
@@ -54,7 +54,7 @@
 	for _, part := range h.parts.Partitions {
 		var s fold.Shard
 		var ok bool
-		part.View(func(f *fold.Ledger) { s, ok = f.ClaimRight(id) })
+		part.View(func(f *fold.Ledger) { s, ok = f.ShardByRight(id) })
 		if !ok || s.Closed {
 			continue
 		}
--- a/internal/claim/service.go
+++ b/internal/claim/service.go
@@ -165,7 +165,7 @@
 	past = true
 	for _, part := range v.partitions {
 		part.View(func(f *fold.Ledger) {
-			s, ok = f.ClaimRight(t.Right)
+			s, ok = f.ShardByRight(t.Right)
 			past = past && f.Next() > t.Offset
 		})
 		if ok {
--- a/internal/config/credentials.go
+++ b/internal/config/credentials.go
@@ -100,7 +100,7 @@
 }
 
 // MayRead says whether the operator may see a path.
-func (o Operator) MayRead(path string) bool { return o.Fleet() || fold.Within(path, o.Scope()) }
+func (o Operator) MayRead(path string) bool { return o.Fleet() || fold.IsAtOrBelow(path, o.Scope()) }
 
 // AuthenticateOperator returns the operator of a token that stands in the
 // settings. Errors: ErrForged, ErrExpired.
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -56,7 +56,7 @@
 	if len(op.Path) > maxPathBytes {
 		return fmt.Sprintf("is a path of %d bytes; allowed: %d", len(op.Path), maxPathBytes)
 	}
-	if scope != "" && !fold.Within(op.Path, scope) {
+	if scope != "" && !fold.IsAtOrBelow(op.Path, scope) {
 		return "is outside of what this credential may change; allowed: paths below " + scope
 	}
 	path, known := Find(op.Path)
--- a/internal/fold/claims.go
+++ b/internal/fold/claims.go
@@ -38,7 +38,7 @@
 }
 
 type claimAge struct {
-	key       billKey
+	key       identityHash
 	run       record.RunID
 	unixMilli int64
 }
@@ -46,24 +46,24 @@
 // claimTables hold claim shards, claims and ended sessions of a partition.
 type claimTables struct {
 	shards map[shardKey]*Shard
-	// current finds the shards' last epochs by their right.
-	current map[record.RightID]*Shard
-	claims  map[billKey]*Claim
+	// shardByRight finds the shards' last epochs by their right.
+	shardByRight map[record.RightID]*Shard
+	claims       map[identityHash]*Claim
 	// order has the claims as they came; old ones leave at the front.
 	order queue[claimAge]
-	// latest is the largest claim time seen. Only it decides what is old.
-	latest int64
-	ended  map[billKey]struct{}
-	opened sessionTable
+	// latestUnixMilli is the largest claim time seen. Only it decides what is old.
+	latestUnixMilli int64
+	endedSessions   map[identityHash]struct{}
+	openSessions    sessionTable
 }
 
 func newClaimTables() claimTables {
 	return claimTables{
-		shards:  map[shardKey]*Shard{},
-		current: map[record.RightID]*Shard{},
-		claims:  map[billKey]*Claim{},
-		ended:   map[billKey]struct{}{},
-		opened:  newSessionTable(),
+		shards:        map[shardKey]*Shard{},
+		shardByRight:  map[record.RightID]*Shard{},
+		claims:        map[identityHash]*Claim{},
+		endedSessions: map[identityHash]struct{}{},
+		openSessions:  newSessionTable(),
 	}
 }
 
@@ -75,16 +75,16 @@
 	case record.Claim:
 		t.applyClaim(r)
 	case record.ClaimEnd:
-		t.applyEnd(r)
+		t.applyClaimEnd(r)
 	case record.Close:
 		t.applyClose(r)
 	case record.SessionOpened:
-		if _, ended := t.ended[sessionKey(r.Team, r.Session)]; !ended {
-			t.opened.open(r)
+		if _, ended := t.endedSessions[hashSession(r.Team, r.Session)]; !ended {
+			t.openSessions.add(r)
 		}
 	case record.SessionEnded:
-		t.ended[sessionKey(r.Team, r.Session)] = struct{}{}
-		t.opened.end(sessionKey(r.Team, r.Session))
+		t.endedSessions[hashSession(r.Team, r.Session)] = struct{}{}
+		t.openSessions.remove(hashSession(r.Team, r.Session))
 	}
 }
 
@@ -93,7 +93,7 @@
 func (t *claimTables) applyShard(offset uint64, r record.Shard) {
 	key := shardKey{zone: r.Zone, shard: r.Shard}
 	last, known := t.shards[key]
-	if r.Right == "" || r.Holder == "" || r.Holder == r.Witness || t.current[r.Right] != nil {
+	if r.Right == "" || r.Holder == "" || r.Holder == r.Witness || t.shardByRight[r.Right] != nil {
 		return
 	}
 	if !known && r.Epoch != 1 {
@@ -103,46 +103,46 @@
 		return
 	}
 	if known {
-		delete(t.current, last.Right)
+		delete(t.shardByRight, last.Right)
 	}
 	row := &Shard{Shard: r, Offset: offset}
 	t.shards[key] = row
-	t.current[r.Right] = row
+	t.shardByRight[r.Right] = row
 }
 
 // applyClaim voids a claim of an epoch that has ended, and of a key that has
 // another run.
 func (t *claimTables) applyClaim(r record.Claim) {
-	if s := t.current[r.Right]; s == nil || s.Closed {
+	if s := t.shardByRight[r.Right]; s == nil || s.Closed {
 		return
 	}
-	t.put(r)
+	t.addClaim(r)
 }
 
-func (t *claimTables) put(r record.Claim) {
+func (t *claimTables) addClaim(r record.Claim) {
 	if r.Run == "" {
 		return
 	}
-	key := keyOf(r.Key)
+	key := hashRequestKey(r.Key)
 	row, ok := t.claims[key]
 	if ok && row.Run == r.Run && r.Endpoint != "" {
 		row.Endpoint = r.Endpoint
 	}
 	// The holder counts a second run of a key only after the first one did not
 	// run; the record of that may come later, or never.
-	freed := ok && row.Right == r.Right && row.Seq < r.Seq && row.Outcome == 0
-	if ok && !freed {
+	released := ok && row.Right == r.Right && row.Seq < r.Seq && row.Outcome == 0
+	if ok && !released {
 		return
 	}
 	t.claims[key] = &Claim{Claim: r}
 	t.order.push(claimAge{key: key, run: r.Run, unixMilli: r.UnixMilli})
-	t.latest = max(t.latest, r.UnixMilli)
-	t.prune()
+	t.latestUnixMilli = max(t.latestUnixMilli, r.UnixMilli)
+	t.pruneExpired()
 }
 
-// prune forgets the claims at the front that are older than the window.
-func (t *claimTables) prune() {
-	oldest := t.latest - ClaimWindow.Milliseconds()
+// pruneExpired forgets the claims at the front that are older than the window.
+func (t *claimTables) pruneExpired() {
+	oldest := t.latestUnixMilli - ClaimWindow.Milliseconds()
 	for t.order.len() > 0 && t.order.front().unixMilli < oldest {
 		old := t.order.pop()
 		if row, ok := t.claims[old.key]; ok && row.Run == old.run {
@@ -151,10 +151,10 @@
 	}
 }
 
-// applyEnd counts the first outcome of a run. A run that did not run frees its
+// applyClaimEnd counts the first outcome of a run. A run that did not run frees its
 // key.
-func (t *claimTables) applyEnd(r record.ClaimEnd) {
-	key := keyOf(r.Key)
+func (t *claimTables) applyClaimEnd(r record.ClaimEnd) {
+	key := hashRequestKey(r.Key)
 	row, ok := t.claims[key]
 	if !ok || row.Run != r.Run || row.Outcome != 0 {
 		return
@@ -169,22 +169,22 @@
 // applyClose ends an epoch: by its holder, its witness or an operator. It
 // brings the counted claims that are not on the log yet.
 func (t *claimTables) applyClose(r record.Close) {
-	s := t.current[r.Right]
+	s := t.shardByRight[r.Right]
 	if s == nil || s.Closed {
 		return
 	}
-	witness := s.Witness != "" && r.By == s.Witness
-	if r.By != s.Holder && !witness && !r.Forced {
+	byWitness := s.Witness != "" && r.By == s.Witness
+	if r.By != s.Holder && !byWitness && !r.Forced {
 		return
 	}
 	for _, c := range r.Claims {
 		if c.Right == r.Right {
-			t.put(c)
+			t.addClaim(c)
 		}
 	}
 	s.Closed = true
 }
 
-func sessionKey(team record.Team, session record.SessionID) billKey {
+func hashSession(team record.Team, session record.SessionID) identityHash {
 	return hashStrings("session", string(team), string(session))
 }
--- a/internal/fold/claims_views.go
+++ b/internal/fold/claims_views.go
@@ -20,10 +20,10 @@
 	return out
 }
 
-// ClaimRight returns the epoch that a right stands for, if it is its shard's
+// ShardByRight returns the epoch that a right stands for, if it is its shard's
 // last one.
-func (l *Ledger) ClaimRight(id record.RightID) (Shard, bool) {
-	s, ok := l.claims.current[id]
+func (l *Ledger) ShardByRight(id record.RightID) (Shard, bool) {
+	s, ok := l.claims.shardByRight[id]
 	if !ok {
 		return Shard{}, false
 	}
@@ -33,7 +33,7 @@
 // Claim returns the claim of a request key. A key that was freed, or is older
 // than ClaimWindow, has none.
 func (l *Ledger) Claim(key record.RequestKey) (Claim, bool) {
-	c, ok := l.claims.claims[keyOf(key)]
+	c, ok := l.claims.claims[hashRequestKey(key)]
 	if !ok {
 		return Claim{}, false
 	}
@@ -43,11 +43,11 @@
 // ClaimCount returns the number of claims remembered.
 func (l *Ledger) ClaimCount() int { return len(l.claims.claims) }
 
-// LatestClaim returns the largest claim time seen, in Unix milliseconds.
-func (l *Ledger) LatestClaim() int64 { return l.claims.latest }
+// LatestClaimUnixMilli returns the largest claim time seen, in Unix milliseconds.
+func (l *Ledger) LatestClaimUnixMilli() int64 { return l.claims.latestUnixMilli }
 
 // SessionEnded says whether a session was ended by its owner.
 func (l *Ledger) SessionEnded(team record.Team, session record.SessionID) bool {
-	_, ok := l.claims.ended[sessionKey(team, session)]
+	_, ok := l.claims.endedSessions[hashSession(team, session)]
 	return ok
 }
--- a/internal/fold/config.go
+++ b/internal/fold/config.go
@@ -64,9 +64,9 @@
 type Config struct {
 	values  map[string]Value
 	results map[string]ChangeResult
-	// order holds the identities in results by offset, oldest first.
-	order []string
-	next  uint64
+	// resultIDs holds the identities in results by offset, oldest first.
+	resultIDs []string
+	next      uint64
 }
 
 // NewConfig returns the empty table.
@@ -93,7 +93,7 @@
 func (c *Config) List(prefix string) []Value {
 	out := []Value{}
 	for path, v := range c.values {
-		if Within(path, prefix) {
+		if IsAtOrBelow(path, prefix) {
 			out = append(out, v)
 		}
 	}
@@ -101,8 +101,8 @@
 	return out
 }
 
-// Within says whether path is prefix or below it.
-func Within(path, prefix string) bool {
+// IsAtOrBelow says whether path is prefix or below it.
+func IsAtOrBelow(path, prefix string) bool {
 	prefix = strings.TrimSuffix(prefix, "/")
 	return path == prefix || strings.HasPrefix(path, prefix+"/")
 }
@@ -117,12 +117,12 @@
 // prefix, newest first, at most limit of them.
 func (c *Config) History(prefix string, limit int) []ChangeResult {
 	out := []ChangeResult{}
-	for _, id := range slices.Backward(c.order) {
+	for _, id := range slices.Backward(c.resultIDs) {
 		if len(out) == limit {
 			break
 		}
 		r := c.results[id]
-		if slices.ContainsFunc(r.Ops, func(op record.ChangeOp) bool { return Within(op.Path, prefix) }) {
+		if slices.ContainsFunc(r.Ops, func(op record.ChangeOp) bool { return IsAtOrBelow(op.Path, prefix) }) {
 			out = append(out, r)
 		}
 	}
@@ -137,7 +137,7 @@
 		return nil
 	}
 	c.next = offset + 1
-	c.forget(offset)
+	c.pruneResults(offset)
 	for _, env := range batch.Records {
 		rec, err := record.Decode(env)
 		if err != nil {
@@ -150,15 +150,15 @@
 	return nil
 }
 
-// forget drops what is older than ResultWindow.
-func (c *Config) forget(offset uint64) {
+// pruneResults drops what is older than ResultWindow.
+func (c *Config) pruneResults(offset uint64) {
 	if offset < ResultWindow {
 		return
 	}
 	oldest := offset - ResultWindow
-	for len(c.order) > 0 && c.results[c.order[0]].Offset < oldest {
-		delete(c.results, c.order[0])
-		c.order = c.order[1:]
+	for len(c.resultIDs) > 0 && c.results[c.resultIDs[0]].Offset < oldest {
+		delete(c.results, c.resultIDs[0])
+		c.resultIDs = c.resultIDs[1:]
 	}
 }
 
@@ -171,10 +171,10 @@
 	result := ChangeResult{
 		ID: change.ID, Offset: offset, By: change.By, UnixMilli: change.UnixMilli, Ops: change.Ops, Digest: ChangeDigest(change.Ops),
 	}
-	result.Verdict, result.Lost = c.judge(change)
+	result.Verdict, result.Lost = c.evaluate(change)
 	result.Accepted = result.Verdict == VerdictAccepted
 	c.results[change.ID] = result
-	c.order = append(c.order, change.ID)
+	c.resultIDs = append(c.resultIDs, change.ID)
 	if !result.Accepted {
 		return
 	}
@@ -187,18 +187,18 @@
 	}
 }
 
-// judge says whether a change applies. The scope and the credential are
+// evaluate says whether a change applies. The scope and the credential are
 // judged here and not only at the operators' interface, since a credential
 // may be revoked while the change is on its way.
-func (c *Config) judge(change record.Change) (Verdict, []Value) {
+func (c *Config) evaluate(change record.Change) (Verdict, []Value) {
 	if change.Credential != "" {
-		if _, stands := c.values[change.Credential]; !stands {
+		if _, exists := c.values[change.Credential]; !exists {
 			return VerdictRevoked, nil
 		}
 	}
 	var lost []Value
 	for _, op := range change.Ops {
-		if change.Scope != "" && !Within(op.Path, change.Scope) {
+		if change.Scope != "" && !IsAtOrBelow(op.Path, change.Scope) {
 			return VerdictOutOfScope, nil
 		}
 		if current := c.values[op.Path]; current.Version != op.Base {
--- a/internal/fold/config_bench_test.go
+++ b/internal/fold/config_bench_test.go
@@ -11,19 +11,19 @@
 
 var configSizes = []int{1_000, 10_000, 100_000}
 
-// configOf returns a table of n values, one change each.
-func configOf(b *testing.B, n int) *fold.Config {
+// newFilledConfig returns a table of n values, one change each.
+func newFilledConfig(b *testing.B, n int) *fold.Config {
 	b.Helper()
 	c := fold.NewConfig()
 	for i := range n {
-		if err := c.Apply(uint64(i), benchBatch(b, i, 0)); err != nil {
+		if err := c.Apply(uint64(i), changeBatch(b, i, 0)); err != nil {
 			b.Fatal(err)
 		}
 	}
 	return c
 }
 
-func benchBatch(b *testing.B, i int, base uint64) record.Batch {
+func changeBatch(b *testing.B, i int, base uint64) record.Batch {
 	b.Helper()
 	change := record.Change{ID: fmt.Sprintf("01a238d2-75b5-79cc-aa82-%012d-%d", i, base), By: "fleet (ana)", Ops: []record.ChangeOp{
 		{Path: fmt.Sprintf("/teams/team-%d/budgets/case-%d/lean", i/50, i), Value: "0.5", Base: base},
@@ -39,14 +39,14 @@
 func BenchmarkConfigApply(b *testing.B) {
 	for _, n := range configSizes {
 		b.Run(fmt.Sprint("values=", n), func(b *testing.B) {
-			c := configOf(b, n)
+			c := newFilledConfig(b, n)
 			batches := make([]record.Batch, b.N)
 			for i := range batches {
 				base := uint64(i%n) + 1
 				if i >= n {
 					base = uint64(i) + 1 // The change one round before: offset n + (i - n).
 				}
-				batches[i] = benchBatch(b, i%n, base)
+				batches[i] = changeBatch(b, i%n, base)
 			}
 			b.ResetTimer()
 			for i, batch := range batches {
@@ -66,7 +66,7 @@
 				var before, after runtime.MemStats
 				runtime.GC()
 				runtime.ReadMemStats(&before)
-				c := configOf(b, n)
+				c := newFilledConfig(b, n)
 				runtime.GC()
 				runtime.ReadMemStats(&after)
 				b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/float64(n), "heap-B/value")
@@ -79,7 +79,7 @@
 // BenchmarkConfigSnapshot is the cost of a snapshot and of starting from it.
 func BenchmarkConfigSnapshot(b *testing.B) {
 	for _, n := range configSizes {
-		c := configOf(b, n)
+		c := newFilledConfig(b, n)
 		state, err := c.Snapshot()
 		if err != nil {
 			b.Fatal(err)
--- a/internal/fold/config_snapshot.go
+++ b/internal/fold/config_snapshot.go
@@ -24,7 +24,7 @@
 	for _, path := range slices.Sorted(maps.Keys(c.values)) {
 		s.Values = append(s.Values, c.values[path])
 	}
-	for _, id := range c.order {
+	for _, id := range c.resultIDs {
 		s.Results = append(s.Results, c.results[id])
 	}
 	return encodeState(s)
@@ -35,10 +35,10 @@
 func (c *Config) Restore(data []byte) error {
 	var s configState
 	if err := cbor.Unmarshal(data, &s); err != nil {
-		return eris.Wrap(ErrSnapshot, err.Error())
+		return eris.Wrap(ErrUnusableSnapshot, err.Error())
 	}
 	if s.Version != configSnapshotVersion {
-		return eris.Wrapf(ErrSnapshot, "fold: config snapshot of version %d", s.Version)
+		return eris.Wrapf(ErrUnusableSnapshot, "fold: config snapshot of version %d", s.Version)
 	}
 	fresh := NewConfig()
 	fresh.next = s.Next
@@ -47,7 +47,7 @@
 	}
 	for _, r := range s.Results {
 		fresh.results[r.ID] = r
-		fresh.order = append(fresh.order, r.ID)
+		fresh.resultIDs = append(fresh.resultIDs, r.ID)
 	}
 	*c = *fresh
 	return nil
--- a/internal/fold/config_test.go
+++ b/internal/fold/config_test.go
@@ -14,8 +14,8 @@
 var configPaths = []string{"/teams/a/x", "/teams/a/y", "/teams/b/x"}
 
 // drawChange draws a change whose bases are mostly current.
-func drawChange(t *rapid.T, c *fold.Config, ids int) record.Change {
-	change := record.Change{ID: fmt.Sprint(rapid.IntRange(0, ids).Draw(t, "id")), By: "by"}
+func drawChange(t *rapid.T, c *fold.Config, maxID int) record.Change {
+	change := record.Change{ID: fmt.Sprint(rapid.IntRange(0, maxID).Draw(t, "id")), By: "by"}
 	if rapid.Bool().Draw(t, "scoped") {
 		change.Scope = "/teams/a"
 	}
@@ -51,7 +51,7 @@
 			for range rapid.IntRange(1, 3).Draw(t, "records") {
 				changes = append(changes, drawChange(t, current, steps))
 			}
-			b = batchOf(t, writer, seqs[writer], changes...)
+			b = newBatch(t, writer, seqs[writer], changes...)
 		}
 		if err := current.Apply(uint64(len(log)), b); err != nil {
 			t.Fatal(err)
@@ -79,8 +79,8 @@
 	decided map[string]fold.ChangeResult
 }
 
-// step checks what the fold made of one change, and follows it.
-func (m configModel) step(t *rapid.T, c *fold.Config, change record.Change, offset uint64) {
+// checkResult checks what the fold made of one change, and follows it.
+func (m configModel) checkResult(t *rapid.T, c *fold.Config, change record.Change, offset uint64) {
 	got, known := c.Result(change.ID)
 	if !known {
 		t.Fatalf("change %s has no result", change.ID)
@@ -92,11 +92,11 @@
 		return
 	}
 	m.decided[change.ID] = got
-	if allowed := expectVerdict(m.values, change); got.Accepted != allowed {
+	if allowed := expectAccepted(m.values, change); got.Accepted != allowed {
 		t.Fatalf("change %+v on %+v: accepted %v", change, m.values, got.Accepted)
 	}
 	if got.Accepted {
-		set(m.values, change, offset+1)
+		applyOps(m.values, change, offset+1)
 	}
 }
 
@@ -111,7 +111,7 @@
 				t.Fatal(err)
 			}
 			for _, change := range changesOf(t, batch) {
-				model.step(t, c, change, uint64(offset))
+				model.checkResult(t, c, change, uint64(offset))
 			}
 			for _, path := range configPaths {
 				if v, _ := c.Get(path); v != model.values[path] {
@@ -122,16 +122,16 @@
 	})
 }
 
-func expectVerdict(now map[string]fold.Value, change record.Change) bool {
+func expectAccepted(now map[string]fold.Value, change record.Change) bool {
 	for _, op := range change.Ops {
-		if now[op.Path].Version != op.Base || change.Scope != "" && !fold.Within(op.Path, change.Scope) {
+		if now[op.Path].Version != op.Base || change.Scope != "" && !fold.IsAtOrBelow(op.Path, change.Scope) {
 			return false
 		}
 	}
 	return true
 }
 
-func set(now map[string]fold.Value, change record.Change, version uint64) {
+func applyOps(now map[string]fold.Value, change record.Change, version uint64) {
 	for _, op := range change.Ops {
 		delete(now, op.Path)
 		if !op.Delete {
@@ -150,7 +150,7 @@
 		drop := record.Change{ID: "drop", Ops: []record.ChangeOp{{Path: key, Base: 1, Delete: true}}}
 		late := record.Change{ID: "late", Credential: key, Scope: "/teams/a", Ops: []record.ChangeOp{{Path: "/teams/a/x", Value: "1"}}}
 		for offset, change := range []record.Change{put, drop, late} {
-			if err := c.Apply(uint64(offset), batchOf(t, "i", uint64(offset)+1, change)); err != nil {
+			if err := c.Apply(uint64(offset), newBatch(t, "i", uint64(offset)+1, change)); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -158,7 +158,7 @@
 			t.Fatalf("%+v", r)
 		}
 		gap := rapid.SampledFrom([]uint64{1, fold.ResultWindow - 1, fold.ResultWindow, fold.ResultWindow + 1, 2 * fold.ResultWindow}).Draw(t, "gap")
-		if err := c.Apply(2+gap, batchOf(t, "other", 1)); err != nil {
+		if err := c.Apply(2+gap, newBatch(t, "other", 1)); err != nil {
 			t.Fatal(err)
 		}
 		if _, known := c.Result("late"); known != (gap <= fold.ResultWindow) {
--- a/internal/fold/ledger.go
+++ b/internal/fold/ledger.go
@@ -36,32 +36,32 @@
 // Ledger holds the tables of one ledger partition. It is not safe for
 // concurrent use.
 type Ledger struct {
-	windows Windows
-	budgets map[record.BudgetID]*budget
-	grants  map[record.RightID]*Grant
-	held    grantIndex // Open grants by holder.
-	watched grantIndex // Open grants by witness.
-	closed  queue[closedGrant]
-	bills   billTable
-	writers writerTable
-	claims  claimTables
-	next    uint64
+	windows       Windows
+	budgets       map[record.BudgetID]*budget
+	grants        map[record.RightID]*Grant
+	openByHolder  grantIndex // Open grants by holder.
+	openByWitness grantIndex // Open grants by witness.
+	closedGrants  queue[closedGrant]
+	bills         billTable
+	writers       writerTable
+	claims        claimTables
+	next          uint64
 }
 
 // NewLedger returns the empty tables.
-func NewLedger() *Ledger { return NewLedgerWith(DefaultWindows) }
+func NewLedger() *Ledger { return NewLedgerWithWindows(DefaultWindows) }
 
-// NewLedgerWith returns empty tables with other windows.
-func NewLedgerWith(w Windows) *Ledger {
+// NewLedgerWithWindows returns empty tables with other windows.
+func NewLedgerWithWindows(w Windows) *Ledger {
 	return &Ledger{
-		windows: w,
-		budgets: map[record.BudgetID]*budget{},
-		grants:  map[record.RightID]*Grant{},
-		held:    grantIndex{},
-		watched: grantIndex{},
-		bills:   billTable{seen: map[billKey]struct{}{}},
-		writers: writerTable{last: map[record.InstanceID]writer{}},
-		claims:  newClaimTables(),
+		windows:       w,
+		budgets:       map[record.BudgetID]*budget{},
+		grants:        map[record.RightID]*Grant{},
+		openByHolder:  grantIndex{},
+		openByWitness: grantIndex{},
+		bills:         billTable{seen: map[identityHash]struct{}{}},
+		writers:       writerTable{lastBatches: map[record.InstanceID]lastBatch{}},
+		claims:        newClaimTables(),
 	}
 }
 
@@ -78,23 +78,23 @@
 		return nil
 	}
 	l.next = offset + 1
-	l.writers.forget(offset, l.windows.Writers)
-	l.forgetGrants(offset)
+	l.writers.removeExpired(offset, l.windows.Writers)
+	l.removeExpiredGrants(offset)
 	if !l.writers.advance(batch, offset) {
 		return nil
 	}
-	var first error
+	var firstErr error
 	for n, env := range batch.Records {
 		rec, err := record.Decode(env)
 		if err == nil {
 			l.applyRecord(offset, rec)
 			continue
 		}
-		if first == nil {
-			first = eris.Wrapf(err, "fold: record %d of kind %d passed over", n, env.Kind)
+		if firstErr == nil {
+			firstErr = eris.Wrapf(err, "fold: record %d of kind %d passed over", n, env.Kind)
 		}
 	}
-	return first
+	return firstErr
 }
 
 func (l *Ledger) applyRecord(offset uint64, rec record.Record) {
--- a/internal/fold/ledger_bench_test.go
+++ b/internal/fold/ledger_bench_test.go
@@ -11,46 +11,46 @@
 )
 
 const (
-	billsInBatch = 20
-	bills        = 200_000
+	billsPerBatch  = 20
+	benchmarkBills = 200_000
 )
 
-func budgetN(n int) record.BudgetID {
+func benchmarkBudget(n int) record.BudgetID {
 	return record.BudgetID{Team: record.Team(fmt.Sprintf("team-%06d", n)), Name: "main"}
 }
 
-func rightN(n int) record.RightID { return record.RightID(fmt.Sprintf("%036d", n)) }
+func benchmarkRight(n int) record.RightID { return record.RightID(fmt.Sprintf("%036d", n)) }
 
-// filled returns a fold with budgets, one open grant each.
-func filled(b *testing.B, budgets int, grants bool) *fold.Ledger {
+// newFilledLedger returns a fold with budgets, one open grant each.
+func newFilledLedger(b *testing.B, budgets int, grants bool) *fold.Ledger {
 	b.Helper()
 	l := fold.NewLedger()
 	for n := range budgets {
-		records := []record.Record{record.TopUp{Budget: budgetN(n), ID: fmt.Sprintf("%036d", n), Tokens: 1 << 40}}
+		records := []record.Record{record.TopUp{Budget: benchmarkBudget(n), ID: fmt.Sprintf("%036d", n), Tokens: 1 << 40}}
 		if grants {
-			records = append(records, record.Grant{Right: rightN(n), Budget: budgetN(n), Tokens: 1 << 39, Holder: holderOf(n), Witness: holderOf(n + 1)})
+			records = append(records, record.Grant{Right: benchmarkRight(n), Budget: benchmarkBudget(n), Tokens: 1 << 39, Holder: benchmarkHolder(n), Witness: benchmarkHolder(n + 1)})
 		}
-		if err := l.Apply(uint64(n), batchOf(b, "w", uint64(n+1), records...)); err != nil {
+		if err := l.Apply(uint64(n), newBatch(b, "w", uint64(n+1), records...)); err != nil {
 			b.Fatal(err)
 		}
 	}
 	return l
 }
 
-func holderOf(n int) record.InstanceID {
+func benchmarkHolder(n int) record.InstanceID {
 	return record.InstanceID(fmt.Sprintf("instance-%032d", n%400))
 }
 
 func billBatch(b *testing.B, budgets, n int) record.Batch {
 	var records []record.Record
-	for i := range billsInBatch {
-		id := n*billsInBatch + i
+	for i := range billsPerBatch {
+		id := n*billsPerBatch + i
 		records = append(records, record.Bill{
-			Key:   record.RequestKey{Team: budgetN(id % budgets).Team, Session: "session-identity-of-32-characters", Key: fmt.Sprintf("%036d", id)},
-			Right: rightN(id % budgets), Run: record.RunID(fmt.Sprintf("%036d", id)), Tokens: 300,
+			Key:   record.RequestKey{Team: benchmarkBudget(id % budgets).Team, Session: "session-identity-of-32-characters", Key: fmt.Sprintf("%036d", id)},
+			Right: benchmarkRight(id % budgets), Run: record.RunID(fmt.Sprintf("%036d", id)), Tokens: 300,
 		})
 	}
-	return batchOf(b, "bench", uint64(n+1), records...)
+	return newBatch(b, "bench", uint64(n+1), records...)
 }
 
 // BenchmarkLedgerApply measures one bill, decoding included, in batches of 20.
@@ -58,9 +58,9 @@
 	for _, budgets := range []int{1_000, 10_000, 100_000} {
 		b.Run(fmt.Sprintf("budgets=%d", budgets), func(b *testing.B) {
 			for range b.N {
-				l := filled(b, budgets, true)
+				l := newFilledLedger(b, budgets, true)
 				var batches []record.Batch
-				for n := range bills / billsInBatch {
+				for n := range benchmarkBills / billsPerBatch {
 					batches = append(batches, billBatch(b, budgets, n))
 				}
 				next := l.Next()
@@ -68,7 +68,7 @@
 				for n, batch := range batches {
 					_ = l.Apply(next+uint64(n), batch)
 				}
-				b.ReportMetric(float64(time.Since(began).Nanoseconds())/bills, "ns/bill")
+				b.ReportMetric(float64(time.Since(began).Nanoseconds())/benchmarkBills, "ns/bill")
 			}
 		})
 	}
@@ -79,35 +79,35 @@
 	for _, n := range []int{1_000, 10_000, 100_000} {
 		b.Run(fmt.Sprintf("rows=%d", n), func(b *testing.B) {
 			for range b.N {
-				perBudget := memoryOf(b, n, false)
+				perBudget := heapBytesPerRow(b, n, false)
 				b.ReportMetric(perBudget, "B/budget")
-				b.ReportMetric(memoryOf(b, n, true)-perBudget, "B/grant")
-				b.ReportMetric(billMemory(b, n), "B/bill")
+				b.ReportMetric(heapBytesPerRow(b, n, true)-perBudget, "B/grant")
+				b.ReportMetric(heapBytesPerBill(b, n), "B/bill")
 			}
 		})
 	}
 }
 
-func memoryOf(b *testing.B, rows int, grants bool) float64 {
-	before := heap()
-	l := filled(b, rows, grants)
-	after := heap()
+func heapBytesPerRow(b *testing.B, rows int, grants bool) float64 {
+	before := heapBytes()
+	l := newFilledLedger(b, rows, grants)
+	after := heapBytes()
 	runtime.KeepAlive(l)
 	return float64(after-before) / float64(rows)
 }
 
-func billMemory(b *testing.B, rows int) float64 {
-	l := filled(b, rows, true)
-	before := heap()
-	for i := range rows / billsInBatch {
+func heapBytesPerBill(b *testing.B, rows int) float64 {
+	l := newFilledLedger(b, rows, true)
+	before := heapBytes()
+	for i := range rows / billsPerBatch {
 		_ = l.Apply(l.Next(), billBatch(b, rows, i))
 	}
-	after := heap()
+	after := heapBytes()
 	runtime.KeepAlive(l)
 	return float64(after-before) / float64(rows)
 }
 
-func heap() uint64 {
+func heapBytes() uint64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
--- a/internal/fold/ledger_bills.go
+++ b/internal/fold/ledger_bills.go
@@ -7,15 +7,15 @@
 	"guavapier/internal/record"
 )
 
-// billKey stands for a request key in the tables: 128 bits of a cryptographic
+// identityHash stands for a request key in the tables: 128 bits of a cryptographic
 // hash, so that no caller can find two keys that share one bill.
-type billKey [16]byte
+type identityHash [16]byte
 
-func keyOf(k record.RequestKey) billKey {
+func hashRequestKey(k record.RequestKey) identityHash {
 	return hashStrings(string(k.Team), string(k.Session), k.Key)
 }
 
-func hashStrings(parts ...string) billKey {
+func hashStrings(parts ...string) identityHash {
 	var buf [128]byte
 	data := buf[:0]
 	for _, part := range parts {
@@ -23,11 +23,11 @@
 		data = append(data, part...)
 	}
 	sum := sha256.Sum256(data)
-	return billKey(sum[:16])
+	return identityHash(sum[:16])
 }
 
 type billEntry struct {
-	key   billKey
+	key   identityHash
 	right record.RightID
 }
 
@@ -35,11 +35,11 @@
 // log order, and those of grants that are still open. The latter matter
 // because a witness may close a grant long after its holder billed a request.
 type billTable struct {
-	seen  map[billKey]struct{}
+	seen  map[identityHash]struct{}
 	order queue[billEntry]
 }
 
-func (t *billTable) add(key billKey, right record.RightID, l *Ledger) {
+func (t *billTable) add(key identityHash, right record.RightID, l *Ledger) {
 	t.seen[key] = struct{}{}
 	t.order.push(billEntry{key: key, right: right})
 	t.trim(l)
@@ -59,8 +59,8 @@
 	}
 }
 
-// settle puts the bills of a grant that has just been closed into the window.
-func (t *billTable) settle(g *Grant, l *Ledger) {
+// requeueBills puts the bills of a grant that has just been closed into the window.
+func (t *billTable) requeueBills(g *Grant, l *Ledger) {
 	for _, key := range g.bills {
 		t.order.push(billEntry{key: key, right: g.Right})
 	}
@@ -79,7 +79,7 @@
 // charge counts one bill: the first of its key, and at most what is left of
 // the grant.
 func (l *Ledger) charge(g *Grant, key record.RequestKey, tokens int64) {
-	hash := keyOf(key)
+	hash := hashRequestKey(key)
 	if _, billed := l.bills.seen[hash]; billed || tokens < 0 {
 		return
 	}
--- a/internal/fold/ledger_grants.go
+++ b/internal/fold/ledger_grants.go
@@ -26,14 +26,14 @@
 	Returns uint64 `json:"returns,omitempty"`
 
 	// bills are those that left the bill window while the grant was open.
-	bills []billKey
+	bills []identityHash
 }
 
 // budget is a row with what only the fold needs.
 type budget struct {
 	Budget
-	topUps queue[billKey]
-	open   map[record.RightID]*Grant
+	topUps     queue[identityHash]
+	openGrants map[record.RightID]*Grant
 }
 
 type closedGrant struct {
@@ -66,7 +66,7 @@
 func (l *Ledger) applyTopUp(r record.TopUp) {
 	b, ok := l.budgets[r.Budget]
 	if !ok {
-		b = &budget{Budget: Budget{ID: r.Budget}, open: map[record.RightID]*Grant{}}
+		b = &budget{Budget: Budget{ID: r.Budget}, openGrants: map[record.RightID]*Grant{}}
 	}
 	id := hashStrings(r.ID)
 	if r.Tokens <= 0 || r.Tokens > MaxTokens-b.Prepaid || b.topUps.contains(id) {
@@ -93,9 +93,9 @@
 	b.Committed += r.Tokens
 	g := &Grant{Grant: r, Offset: offset}
 	l.grants[r.Right] = g
-	b.open[r.Right] = g
-	l.held.add(r.Holder, g)
-	l.watched.add(r.Witness, g)
+	b.openGrants[r.Right] = g
+	l.openByHolder.add(r.Holder, g)
+	l.openByWitness.add(r.Witness, g)
 }
 
 func (l *Ledger) applyReturn(r record.Return) {
@@ -116,8 +116,8 @@
 	if !ok || g.Closed {
 		return
 	}
-	witness := g.Witness != "" && r.By == g.Witness
-	if r.By != g.Holder && !witness && !r.Forced {
+	byWitness := g.Witness != "" && r.By == g.Witness
+	if r.By != g.Holder && !byWitness && !r.Forced {
 		return
 	}
 	for _, o := range r.Outstanding {
@@ -127,16 +127,16 @@
 	g.Closed = true
 	spent := max(g.Billed, min(r.Spent, g.Tokens))
 	b.Committed += spent - g.Tokens
-	delete(b.open, g.Right)
-	l.held.remove(g.Holder, g.Right)
-	l.watched.remove(g.Witness, g.Right)
-	l.closed.push(closedGrant{right: g.Right, offset: offset})
-	l.bills.settle(g, l)
+	delete(b.openGrants, g.Right)
+	l.openByHolder.remove(g.Holder, g.Right)
+	l.openByWitness.remove(g.Witness, g.Right)
+	l.closedGrants.push(closedGrant{right: g.Right, offset: offset})
+	l.bills.requeueBills(g, l)
 }
 
-// forgetGrants drops grants that were closed a window ago.
-func (l *Ledger) forgetGrants(offset uint64) {
-	for l.closed.len() > 0 && l.closed.front().offset+l.windows.Grants < offset {
-		delete(l.grants, l.closed.pop().right)
+// removeExpiredGrants drops grants that were closed a window ago.
+func (l *Ledger) removeExpiredGrants(offset uint64) {
+	for l.closedGrants.len() > 0 && l.closedGrants.front().offset+l.windows.Grants < offset {
+		delete(l.grants, l.closedGrants.pop().right)
 	}
 }
--- a/internal/fold/ledger_snapshot.go
+++ b/internal/fold/ledger_snapshot.go
@@ -12,8 +12,8 @@
 	"guavapier/internal/record"
 )
 
-// ErrSnapshot says that bytes are not a snapshot that this version can use.
-var ErrSnapshot = eris.New("fold: not a usable snapshot")
+// ErrUnusableSnapshot says that bytes are not a snapshot that this version can use.
+var ErrUnusableSnapshot = eris.New("fold: not a usable snapshot")
 
 // The versions of the snapshots' encoding. A new field gets a new version, and
 // TestSnapshotHoldsEveryField fails until the state holds it.
@@ -47,7 +47,7 @@
 type budgetState struct {
 	_      struct{} `cbor:",toarray"`
 	Row    Budget
-	TopUps []billKey
+	TopUps []identityHash
 }
 
 type grantState struct {
@@ -57,7 +57,7 @@
 	Billed  int64
 	Closed  bool
 	Returns uint64
-	Bills   []billKey
+	Bills   []identityHash
 }
 
 type closedState struct {
@@ -68,7 +68,7 @@
 
 type billState struct {
 	_     struct{} `cbor:",toarray"`
-	Key   billKey
+	Key   identityHash
 	Right record.RightID
 }
 
@@ -78,7 +78,7 @@
 	Claims []claimState
 	Order  []claimAgeState
 	Latest int64
-	Ended  []billKey
+	Ended  []identityHash
 	Opened []record.SessionOpened // In the order of opening.
 }
 
@@ -91,14 +91,14 @@
 
 type claimState struct {
 	_       struct{} `cbor:",toarray"`
-	Key     billKey
+	Key     identityHash
 	Claim   record.Claim
 	Outcome record.Outcome
 }
 
 type claimAgeState struct {
 	_         struct{} `cbor:",toarray"`
-	Key       billKey
+	Key       identityHash
 	Run       record.RunID
 	UnixMilli int64
 }
@@ -106,7 +106,7 @@
 // Snapshot returns the state as bytes. Equal states give equal bytes.
 func (l *Ledger) Snapshot() ([]byte, error) {
 	s := ledgerState{
-		Version: ledgerSnapshotVersion, Next: l.next, Swept: l.writers.swept,
+		Version: ledgerSnapshotVersion, Next: l.next, Swept: l.writers.lastSweep,
 		Writers: l.writers.state(), Claims: l.claims.state(),
 	}
 	for _, id := range slices.SortedFunc(maps.Keys(l.budgets), compareBudgets) {
@@ -117,7 +117,7 @@
 		g := l.grants[right]
 		s.Grants = append(s.Grants, grantState{Grant: g.Grant, Offset: g.Offset, Billed: g.Billed, Closed: g.Closed, Returns: g.Returns, Bills: g.bills})
 	}
-	for _, c := range l.closed.items[l.closed.head:] {
+	for _, c := range l.closedGrants.items[l.closedGrants.head:] {
 		s.Closed = append(s.Closed, closedState{Right: c.right, Offset: c.offset})
 	}
 	for _, b := range l.bills.order.items[l.bills.order.head:] {
@@ -143,19 +143,19 @@
 func (l *Ledger) Restore(data []byte) error {
 	var s ledgerState
 	if err := cbor.Unmarshal(data, &s); err != nil {
-		return eris.Wrap(ErrSnapshot, err.Error())
+		return eris.Wrap(ErrUnusableSnapshot, err.Error())
 	}
 	if s.Version != ledgerSnapshotVersion {
-		return eris.Wrapf(ErrSnapshot, "fold: ledger snapshot of version %d", s.Version)
+		return eris.Wrapf(ErrUnusableSnapshot, "fold: ledger snapshot of version %d", s.Version)
 	}
-	fresh := NewLedgerWith(l.windows)
-	fresh.next, fresh.writers.swept = s.Next, s.Swept
+	fresh := NewLedgerWithWindows(l.windows)
+	fresh.next, fresh.writers.lastSweep = s.Next, s.Swept
 	for _, w := range s.Writers {
-		fresh.writers.last[w.ID] = writer{seq: w.Seq, offset: w.Offset}
+		fresh.writers.lastBatches[w.ID] = lastBatch{seq: w.Seq, offset: w.Offset}
 	}
 	fresh.restoreBudgets(s)
 	for _, c := range s.Closed {
-		fresh.closed.push(closedGrant{right: c.Right, offset: c.Offset})
+		fresh.closedGrants.push(closedGrant{right: c.Right, offset: c.Offset})
 	}
 	for _, b := range s.Bills {
 		fresh.bills.seen[b.Key] = struct{}{}
@@ -169,7 +169,7 @@
 // restoreBudgets rebuilds budgets, grants and the indexes of open grants.
 func (l *Ledger) restoreBudgets(s ledgerState) {
 	for _, b := range s.Budgets {
-		l.budgets[b.Row.ID] = &budget{Budget: b.Row, topUps: queue[billKey]{items: b.TopUps}, open: map[record.RightID]*Grant{}}
+		l.budgets[b.Row.ID] = &budget{Budget: b.Row, topUps: queue[identityHash]{items: b.TopUps}, openGrants: map[record.RightID]*Grant{}}
 	}
 	for _, row := range s.Grants {
 		g := &Grant{Grant: row.Grant, Offset: row.Offset, Billed: row.Billed, Closed: row.Closed, Returns: row.Returns, bills: row.Bills}
@@ -180,30 +180,30 @@
 		if g.Closed {
 			continue
 		}
-		l.held.add(g.Holder, g)
-		l.watched.add(g.Witness, g)
+		l.openByHolder.add(g.Holder, g)
+		l.openByWitness.add(g.Witness, g)
 		if b, ok := l.budgets[g.Budget]; ok {
-			b.open[g.Right] = g
+			b.openGrants[g.Right] = g
 		}
 	}
 }
 
 func (t *writerTable) state() []writerState {
-	out := make([]writerState, 0, len(t.last))
-	for _, id := range slices.Sorted(maps.Keys(t.last)) {
-		out = append(out, writerState{ID: id, Seq: t.last[id].seq, Offset: t.last[id].offset})
+	out := make([]writerState, 0, len(t.lastBatches))
+	for _, id := range slices.Sorted(maps.Keys(t.lastBatches)) {
+		out = append(out, writerState{ID: id, Seq: t.lastBatches[id].seq, Offset: t.lastBatches[id].offset})
 	}
 	return out
 }
 
-func compareKeys(a, b billKey) int { return bytes.Compare(a[:], b[:]) }
+func compareKeys(a, b identityHash) int { return bytes.Compare(a[:], b[:]) }
 
 func compareShards(a, b shardKey) int {
 	return cmp.Or(cmp.Compare(a.zone, b.zone), cmp.Compare(a.shard, b.shard))
 }
 
 func (t *claimTables) state() claimsState {
-	s := claimsState{Latest: t.latest, Ended: slices.SortedFunc(maps.Keys(t.ended), compareKeys)}
+	s := claimsState{Latest: t.latestUnixMilli, Ended: slices.SortedFunc(maps.Keys(t.endedSessions), compareKeys)}
 	for _, key := range slices.SortedFunc(maps.Keys(t.shards), compareShards) {
 		row := t.shards[key]
 		s.Shards = append(s.Shards, shardState{Shard: row.Shard, Offset: row.Offset, Closed: row.Closed})
@@ -214,18 +214,18 @@
 	for _, a := range t.order.items[t.order.head:] {
 		s.Order = append(s.Order, claimAgeState{Key: a.key, Run: a.run, UnixMilli: a.unixMilli})
 	}
-	for _, key := range t.opened.listed() {
-		s.Opened = append(s.Opened, t.opened.rows[key])
+	for _, key := range t.openSessions.keysInOrder() {
+		s.Opened = append(s.Opened, t.openSessions.rows[key])
 	}
 	return s
 }
 
 func (t *claimTables) restore(s claimsState) {
-	t.latest = s.Latest
+	t.latestUnixMilli = s.Latest
 	for _, row := range s.Shards {
 		shard := &Shard{Shard: row.Shard, Offset: row.Offset, Closed: row.Closed}
 		t.shards[shardKey{zone: row.Shard.Zone, shard: row.Shard.Shard}] = shard
-		t.current[row.Shard.Right] = shard
+		t.shardByRight[row.Shard.Right] = shard
 	}
 	for _, row := range s.Claims {
 		t.claims[row.Key] = &Claim{Claim: row.Claim, Outcome: row.Outcome}
@@ -234,9 +234,9 @@
 		t.order.push(claimAge{key: a.Key, run: a.Run, unixMilli: a.UnixMilli})
 	}
 	for _, key := range s.Ended {
-		t.ended[key] = struct{}{}
+		t.endedSessions[key] = struct{}{}
 	}
 	for _, r := range s.Opened {
-		t.opened.open(r)
+		t.openSessions.add(r)
 	}
 }
--- a/internal/fold/ledger_test.go
+++ b/internal/fold/ledger_test.go
@@ -12,8 +12,8 @@
 )
 
 var (
-	main  = record.BudgetID{Team: "dala", Name: "main"}
-	small = fold.Windows{Bills: 4, TopUps: 3, Writers: 8, Grants: 2}
+	testBudget   = record.BudgetID{Team: "dala", Name: "main"}
+	smallWindows = fold.Windows{Bills: 4, TopUps: 3, Writers: 8, Grants: 2}
 )
 
 // fataler is what testing.TB and rapid.T have in common.
@@ -22,7 +22,7 @@
 	Fatal(args ...any)
 }
 
-func batchOf(t fataler, writer record.InstanceID, seq uint64, records ...record.Record) record.Batch {
+func newBatch(t fataler, writer record.InstanceID, seq uint64, records ...record.Record) record.Batch {
 	t.Helper()
 	b := record.Batch{Writer: writer, Seq: seq}
 	envelopes, err := record.EncodeAll(records...)
@@ -50,7 +50,7 @@
 	}
 }
 
-func key(n int) record.RequestKey {
+func requestKey(n int) record.RequestKey {
 	return record.RequestKey{Team: "dala", Key: fmt.Sprint(n)}
 }
 
@@ -60,19 +60,19 @@
 	tokens := rapid.OneOf(rapid.Int64Range(1, 60), rapid.Int64Range(1, 60), rapid.Int64Range(-5, 400), rapid.SampledFrom([]int64{math.MaxInt64, math.MinInt64, fold.MaxTokens, fold.MaxTokens - 1})).Draw(t, "tokens")
 	right := record.RightID(fmt.Sprint("r", rapid.IntRange(0, 2).Draw(t, "right")))
 	by := record.InstanceID(rapid.SampledFrom([]string{"a", "b", ""}).Draw(t, "by"))
-	k := key(rapid.IntRange(0, 9).Draw(t, "key"))
+	k := requestKey(rapid.IntRange(0, 9).Draw(t, "key"))
 	switch rapid.IntRange(0, 4).Draw(t, "kind") {
 	case 0:
-		return record.TopUp{Budget: main, ID: fmt.Sprint(rapid.IntRange(0, 9).Draw(t, "id")), Tokens: tokens}
+		return record.TopUp{Budget: testBudget, ID: fmt.Sprint(rapid.IntRange(0, 9).Draw(t, "id")), Tokens: tokens}
 	case 1:
-		return record.Grant{Right: right, Budget: main, Tokens: tokens, Holder: by, Witness: "b"}
+		return record.Grant{Right: right, Budget: testBudget, Tokens: tokens, Holder: by, Witness: "b"}
 	case 2:
 		return record.Return{Right: right, By: by, Seq: rapid.Uint64Range(0, 3).Draw(t, "seq"), Tokens: tokens}
 	case 3:
 		return record.Bill{Key: k, Right: right, Tokens: tokens}
 	default:
 		return record.Close{Right: right, By: by, Spent: tokens, Forced: rapid.Bool().Draw(t, "forced"),
-			Outstanding: []record.Outstanding{{Key: k, Tokens: tokens}, {Key: key(3), Tokens: 7}}}
+			Outstanding: []record.Outstanding{{Key: k, Tokens: tokens}, {Key: requestKey(3), Tokens: 7}}}
 	}
 }
 
@@ -81,16 +81,16 @@
 // record in a batch whose writer the fold has forgotten, while it remembers
 // the grant.
 func TestLedgerInvariantsHoldForAnyRecords(t *testing.T) {
-	rapid.Check(t, ledgerInvariants)
+	rapid.Check(t, checkLedgerInvariants)
 }
 
-func ledgerInvariants(t *rapid.T) {
-	windows := small
+func checkLedgerInvariants(t *rapid.T) {
+	windows := smallWindows
 	windows.Grants = 1000
-	l := fold.NewLedgerWith(windows)
+	l := fold.NewLedgerWithWindows(windows)
 	records := append([]record.Record{
-		record.TopUp{Budget: main, ID: "first", Tokens: 1000},
-		record.Grant{Right: "r0", Budget: main, Tokens: 300, Holder: "a", Witness: "b"},
+		record.TopUp{Budget: testBudget, ID: "first", Tokens: 1000},
+		record.Grant{Right: "r0", Budget: testBudget, Tokens: 300, Holder: "a", Witness: "b"},
 	}, rapid.SliceOfN(rapid.Custom(drawRecord), 1, 60).Draw(t, "records")...)
 	for n, r := range records {
 		env, err := record.Encode(r)
@@ -101,11 +101,11 @@
 		if err := l.Apply(uint64(2*n), b); err != nil {
 			t.Fatal(err)
 		}
-		checkBudget(t, l, main)
-		before, _ := l.Budget(main)
+		checkBudget(t, l, testBudget)
+		before, _ := l.Budget(testBudget)
 		b.Writer = rapid.SampledFrom([]record.InstanceID{"w", record.InstanceID(fmt.Sprint("forgotten", n))}).Draw(t, "writer")
 		_ = l.Apply(uint64(2*n+1), b)
-		if after, _ := l.Budget(main); after != before {
+		if after, _ := l.Budget(testBudget); after != before {
 			t.Fatalf("a copy of %+v changed %+v to %+v", r, before, after)
 		}
 	}
@@ -113,21 +113,21 @@
 
 // FuzzLedgerApply: no bytes on the log panic the fold or break its sums.
 func FuzzLedgerApply(f *testing.F) {
-	budget, right := main, record.RightID("r0")
+	budget, right := testBudget, record.RightID("r0")
 	seed := func(seq uint64, records ...record.Record) {
-		data, err := record.EncodeBatch(batchOf(f, "x", seq, records...))
+		data, err := record.EncodeBatch(newBatch(f, "x", seq, records...))
 		if err != nil {
 			f.Fatal(err)
 		}
 		f.Add(data)
 	}
 	seed(1, record.TopUp{Budget: budget, ID: "t2", Tokens: math.MaxInt64})
-	seed(1, record.Bill{Key: key(1), Right: right, Tokens: 5}, record.Return{Right: right, By: "a", Seq: 1, Tokens: 10})
-	seed(2, record.Close{Right: right, By: "b", Spent: math.MinInt64, Outstanding: []record.Outstanding{{Key: key(2), Tokens: math.MaxInt64}}})
+	seed(1, record.Bill{Key: requestKey(1), Right: right, Tokens: 5}, record.Return{Right: right, By: "a", Seq: 1, Tokens: 10})
+	seed(2, record.Close{Right: right, By: "b", Spent: math.MinInt64, Outstanding: []record.Outstanding{{Key: requestKey(2), Tokens: math.MaxInt64}}})
 	seed(3, record.Unknown{Of: 60_000, Body: []byte{0xa0}}, record.Unknown{Of: record.KindGrant, Body: []byte{0x01}})
 	f.Fuzz(func(t *testing.T, data []byte) {
-		l := fold.NewLedgerWith(small)
-		_ = l.Apply(0, batchOf(t, "w", 1, record.TopUp{Budget: budget, ID: "t1", Tokens: 100},
+		l := fold.NewLedgerWithWindows(smallWindows)
+		_ = l.Apply(0, newBatch(t, "w", 1, record.TopUp{Budget: budget, ID: "t1", Tokens: 100},
 			record.Grant{Right: right, Budget: budget, Tokens: 60, Holder: "a", Witness: "b"}))
 		batch, err := record.DecodeBatch(data)
 		if err != nil {
@@ -144,12 +144,12 @@
 // TestMalformedRecordIsPassedOver: the others of its batch still take effect.
 func TestMalformedRecordIsPassedOver(t *testing.T) {
 	l := fold.NewLedger()
-	b := batchOf(t, "w", 1, record.TopUp{Budget: main, ID: "1", Tokens: 5}, record.Unknown{Of: record.KindGrant, Body: []byte{0x01}},
-		record.Unknown{Of: 60_000, Body: []byte{0xa0}}, record.TopUp{Budget: main, ID: "2", Tokens: 6})
+	b := newBatch(t, "w", 1, record.TopUp{Budget: testBudget, ID: "1", Tokens: 5}, record.Unknown{Of: record.KindGrant, Body: []byte{0x01}},
+		record.Unknown{Of: 60_000, Body: []byte{0xa0}}, record.TopUp{Budget: testBudget, ID: "2", Tokens: 6})
 	if err := l.Apply(0, b); err == nil {
 		t.Fatal("a malformed record is not reported")
 	}
-	if row, _ := l.Budget(main); row.Prepaid != 11 {
+	if row, _ := l.Budget(testBudget); row.Prepaid != 11 {
 		t.Fatalf("prepaid %d", row.Prepaid)
 	}
 }
@@ -157,22 +157,22 @@
 // TestCloseOfOldGrantKnowsItsBills: a witness closes long after the bill left
 // the window; the outstanding use is not billed again.
 func TestCloseOfOldGrantKnowsItsBills(t *testing.T) {
-	l := fold.NewLedgerWith(small)
+	l := fold.NewLedgerWithWindows(smallWindows)
 	records := []record.Record{
-		record.TopUp{Budget: main, ID: "1", Tokens: 1000},
-		record.Grant{Right: "old", Budget: main, Tokens: 100, Holder: "a", Witness: "b"},
-		record.Grant{Right: "new", Budget: main, Tokens: 100, Holder: "c"},
-		record.Bill{Key: key(1), Right: "old", Tokens: 10},
+		record.TopUp{Budget: testBudget, ID: "1", Tokens: 1000},
+		record.Grant{Right: "old", Budget: testBudget, Tokens: 100, Holder: "a", Witness: "b"},
+		record.Grant{Right: "new", Budget: testBudget, Tokens: 100, Holder: "c"},
+		record.Bill{Key: requestKey(1), Right: "old", Tokens: 10},
 	}
-	for n := range 3 * small.Bills {
-		records = append(records, record.Bill{Key: key(100 + n), Right: "new", Tokens: 1})
+	for n := range 3 * smallWindows.Bills {
+		records = append(records, record.Bill{Key: requestKey(100 + n), Right: "new", Tokens: 1})
 	}
-	records = append(records, record.Close{Right: "old", By: "b", Outstanding: []record.Outstanding{{Key: key(1), Tokens: 90}}})
-	if err := l.Apply(0, batchOf(t, "w", 1, records...)); err != nil {
+	records = append(records, record.Close{Right: "old", By: "b", Outstanding: []record.Outstanding{{Key: requestKey(1), Tokens: 90}}})
+	if err := l.Apply(0, newBatch(t, "w", 1, records...)); err != nil {
 		t.Fatal(err)
 	}
-	row, _ := l.Budget(main)
-	if want := int64(10 + 3*small.Bills); row.Billed != want || row.Committed != 10+100 {
+	row, _ := l.Budget(testBudget)
+	if want := int64(10 + 3*smallWindows.Bills); row.Billed != want || row.Committed != 10+100 {
 		t.Fatalf("billed %d, committed %d", row.Billed, row.Committed)
 	}
 }
--- a/internal/fold/ledger_views.go
+++ b/internal/fold/ledger_views.go
@@ -36,18 +36,20 @@
 	if !ok {
 		return nil
 	}
-	return copyGrants(b.open)
+	return copyGrants(b.openGrants)
 }
 
-// HeldBy returns the open grants of a holder in no fixed order.
-func (l *Ledger) HeldBy(id record.InstanceID) []Grant { return copyGrants(l.held[id]) }
+// GrantsHeldBy returns the open grants of a holder in no fixed order.
+func (l *Ledger) GrantsHeldBy(id record.InstanceID) []Grant { return copyGrants(l.openByHolder[id]) }
 
-// WitnessedBy returns the open grants of a witness in no fixed order.
-func (l *Ledger) WitnessedBy(id record.InstanceID) []Grant { return copyGrants(l.watched[id]) }
+// GrantsWitnessedBy returns the open grants of a witness in no fixed order.
+func (l *Ledger) GrantsWitnessedBy(id record.InstanceID) []Grant {
+	return copyGrants(l.openByWitness[id])
+}
 
-// Billed says whether a request key is remembered as billed.
-func (l *Ledger) Billed(key record.RequestKey) bool {
-	_, ok := l.bills.seen[keyOf(key)]
+// IsBilled says whether a request key is remembered as billed.
+func (l *Ledger) IsBilled(key record.RequestKey) bool {
+	_, ok := l.bills.seen[hashRequestKey(key)]
 	return ok
 }
 
--- a/internal/fold/sessions.go
+++ b/internal/fold/sessions.go
@@ -8,45 +8,45 @@
 	"guavapier/internal/record"
 )
 
-// maxListed bounds the open sessions that a partition lists. A session's
+// maxListedSessions bounds the open sessions that a partition lists. A session's
 // validity rests on its token alone, so one that left the list is as good as
 // before; the oldest leave first.
-const maxListed = 1 << 16
+const maxListedSessions = 1 << 16
 
 // sessionTable lists the sessions that were opened and not ended.
 type sessionTable struct {
-	rows map[billKey]record.SessionOpened
+	rows map[identityHash]record.SessionOpened
 	// order has the keys as they were opened, those of ended ones as well.
-	order []billKey
+	order []identityHash
 }
 
 func newSessionTable() sessionTable {
-	return sessionTable{rows: map[billKey]record.SessionOpened{}}
+	return sessionTable{rows: map[identityHash]record.SessionOpened{}}
 }
 
-// open lists a session. A copy of its record has no effect.
-func (t *sessionTable) open(r record.SessionOpened) {
-	key := sessionKey(r.Team, r.Session)
+// add lists a session. A copy of its record has no effect.
+func (t *sessionTable) add(r record.SessionOpened) {
+	key := hashSession(r.Team, r.Session)
 	if _, listed := t.rows[key]; listed {
 		return
 	}
 	t.rows[key] = r
 	t.order = append(t.order, key)
-	for len(t.rows) > maxListed {
+	for len(t.rows) > maxListedSessions {
 		delete(t.rows, t.order[0])
 		t.order = t.order[1:]
 	}
-	if len(t.order) > 2*maxListed {
-		t.order = t.listed()
+	if len(t.order) > 2*maxListedSessions {
+		t.order = t.keysInOrder()
 	}
 }
 
-// end takes a session off the list.
-func (t *sessionTable) end(key billKey) { delete(t.rows, key) }
+// remove takes a session off the list.
+func (t *sessionTable) remove(key identityHash) { delete(t.rows, key) }
 
-// listed returns the keys that are still listed, in the order of opening.
-func (t *sessionTable) listed() []billKey {
-	out := make([]billKey, 0, len(t.rows))
+// keysInOrder returns the keys that are still keysInOrder, in the order of opening.
+func (t *sessionTable) keysInOrder() []identityHash {
+	out := make([]identityHash, 0, len(t.rows))
 	for _, key := range t.order {
 		if _, ok := t.rows[key]; ok {
 			out = append(out, key)
@@ -58,7 +58,7 @@
 // OpenSessions returns the listed sessions of a team, oldest first.
 func (l *Ledger) OpenSessions(team record.Team) []record.SessionOpened {
 	var out []record.SessionOpened
-	for r := range maps.Values(l.claims.opened.rows) {
+	for r := range maps.Values(l.claims.openSessions.rows) {
 		if r.Team == team {
 			out = append(out, r)
 		}
--- a/internal/fold/snapshot_test.go
+++ b/internal/fold/snapshot_test.go
@@ -55,19 +55,19 @@
 // From a snapshot of any prefix and the tail come the same tables as from the
 // whole log.
 func TestAnyPrefixAsSnapshotGivesTheSameTables(t *testing.T) {
-	small := Windows{Bills: 3, TopUps: 2, Writers: sweepEvery, Grants: 3}
+	smallWindows := Windows{Bills: 3, TopUps: 2, Writers: sweepInterval, Grants: 3}
 	for name, fresh := range map[string]func() table{
-		"ledger": func() table { return NewLedgerWith(small) },
+		"ledger": func() table { return NewLedgerWithWindows(smallWindows) },
 		"config": func() table { return NewConfig() },
 	} {
 		t.Run(name, func(t *testing.T) {
-			rapid.Check(t, func(t *rapid.T) { checkPrefix(t, fresh) })
+			rapid.Check(t, func(t *rapid.T) { checkSnapshotOfPrefix(t, fresh) })
 		})
 	}
 }
 
-// prepay tops up the budgets, so that grants are valid.
-func prepay(t *rapid.T, f table) {
+// topUpBudgets tops up the budgets, so that grants are valid.
+func topUpBudgets(t *rapid.T, f table) {
 	batch := record.Batch{Writer: "operator", Seq: 1}
 	for _, name := range []string{"0", "1"} {
 		env, err := record.Encode(record.TopUp{Budget: record.BudgetID{Team: "a", Name: name}, ID: "first", Tokens: 1000})
@@ -81,13 +81,13 @@
 	}
 }
 
-func checkPrefix(t *rapid.T, fresh func() table) {
+func checkSnapshotOfPrefix(t *rapid.T, fresh func() table) {
 	const steps = 60
 	// Offsets may jump, as far as the windows of writers and results.
 	stride := rapid.SampledFrom([]uint64{1, ResultWindow / 8}).Draw(t, "stride")
 	cut := rapid.IntRange(0, steps).Draw(t, "cut")
 	whole, restored := fresh(), fresh()
-	prepay(t, whole)
+	topUpBudgets(t, whole)
 	for step := range steps + 1 {
 		if step == cut {
 			if err := restored.Restore(mustSnapshot(t, whole)); err != nil {
@@ -115,23 +115,23 @@
 		if !bytes.Equal(mustSnapshot(t, whole), mustSnapshot(t, restored)) {
 			t.Fatalf("tables differ at step %d after the cut at %d:\n%+v\n%+v", step, cut, whole, restored)
 		}
-		if a, b := derived(whole), derived(restored); !reflect.DeepEqual(a, b) {
+		if a, b := derivedIndexes(whole), derivedIndexes(restored); !reflect.DeepEqual(a, b) {
 			t.Fatalf("indexes differ at step %d after the cut at %d:\n%+v\n%+v", step, cut, a, b)
 		}
 	}
 }
 
-// derived returns the indexes that a snapshot does not hold.
-func derived(f table) []any {
+// derivedIndexes returns the indexes that a snapshot does not hold.
+func derivedIndexes(f table) []any {
 	l, ok := f.(*Ledger)
 	if !ok {
 		return nil
 	}
 	open := map[record.BudgetID]map[record.RightID]*Grant{}
 	for id, b := range l.budgets {
-		open[id] = b.open
+		open[id] = b.openGrants
 	}
-	return []any{l.bills.seen, l.held, l.watched, l.claims.current, open}
+	return []any{l.bills.seen, l.openByHolder, l.openByWitness, l.claims.shardByRight, open}
 }
 
 func TestDamagedSnapshotChangesNothing(t *testing.T) {
@@ -155,19 +155,19 @@
 		of   reflect.Type
 		want string
 	}{
-		{reflect.TypeFor[Ledger](), "windows budgets grants held watched closed bills writers claims next"},
-		{reflect.TypeFor[budget](), "Budget topUps open"},
+		{reflect.TypeFor[Ledger](), "windows budgets grants openByHolder openByWitness closedGrants bills writers claims next"},
+		{reflect.TypeFor[budget](), "Budget topUps openGrants"},
 		{reflect.TypeFor[Budget](), "ID Prepaid Committed Billed"},
 		{reflect.TypeFor[Grant](), "Grant Offset Billed Closed Returns bills"},
 		{reflect.TypeFor[billTable](), "seen order"},
-		{reflect.TypeFor[writerTable](), "last swept"},
-		{reflect.TypeFor[writer](), "seq offset"},
-		{reflect.TypeFor[claimTables](), "shards current claims order latest ended opened"},
+		{reflect.TypeFor[writerTable](), "lastBatches lastSweep"},
+		{reflect.TypeFor[lastBatch](), "seq offset"},
+		{reflect.TypeFor[claimTables](), "shards shardByRight claims order latestUnixMilli endedSessions openSessions"},
 		{reflect.TypeFor[sessionTable](), "rows order"},
 		{reflect.TypeFor[Shard](), "Shard Offset Closed"},
 		{reflect.TypeFor[Claim](), "Claim Outcome"},
 		{reflect.TypeFor[claimAge](), "key run unixMilli"},
-		{reflect.TypeFor[Config](), "values results order next"},
+		{reflect.TypeFor[Config](), "values results resultIDs next"},
 	} {
 		var fields []string
 		for i := range row.of.NumField() {
--- a/internal/fold/window.go
+++ b/internal/fold/window.go
@@ -32,34 +32,34 @@
 
 // writerTable remembers the last batch of each writer for a window of offsets.
 type writerTable struct {
-	last  map[record.InstanceID]writer
-	swept uint64
+	lastBatches map[record.InstanceID]lastBatch
+	lastSweep   uint64
 }
 
-type writer struct{ seq, offset uint64 }
+type lastBatch struct{ seq, offset uint64 }
 
-// sweepEvery is the distance in offsets between two looks for old writers.
-const sweepEvery = 4096
+// sweepInterval is the distance in offsets between two looks for old writers.
+const sweepInterval = 4096
 
 // advance says whether a batch is its writer's next; a copy is not.
 func (t *writerTable) advance(b record.Batch, offset uint64) bool {
-	if b.Seq <= t.last[b.Writer].seq {
+	if b.Seq <= t.lastBatches[b.Writer].seq {
 		return false
 	}
-	t.last[b.Writer] = writer{seq: b.Seq, offset: offset}
+	t.lastBatches[b.Writer] = lastBatch{seq: b.Seq, offset: offset}
 	return true
 }
 
-// forget drops writers whose last batch is a window ago. It sweeps at fixed
-// offsets, so that all instances forget alike.
-func (t *writerTable) forget(offset, window uint64) {
-	if offset/sweepEvery == t.swept {
+// removeExpired drops writers whose last batch is a window ago. It sweeps at fixed
+// offsets, so that all instances removeExpired alike.
+func (t *writerTable) removeExpired(offset, window uint64) {
+	if offset/sweepInterval == t.lastSweep {
 		return
 	}
-	t.swept = offset / sweepEvery
-	for id, w := range t.last {
+	t.lastSweep = offset / sweepInterval
+	for id, w := range t.lastBatches {
 		if w.offset+window < offset {
-			delete(t.last, id)
+			delete(t.lastBatches, id)
 		}
 	}
 }
--- a/internal/ledger/remote.go
+++ b/internal/ledger/remote.go
@@ -207,7 +207,7 @@
 func (l *Ledger) holdsAny(id record.InstanceID) bool {
 	for _, part := range l.Partitions {
 		open := 0
-		part.View(func(f *fold.Ledger) { open = len(f.HeldBy(id)) })
+		part.View(func(f *fold.Ledger) { open = len(f.GrantsHeldBy(id)) })
 		if open > 0 {
 			return true
 		}
--- a/internal/ledger/tick.go
+++ b/internal/ledger/tick.go
@@ -68,7 +68,7 @@
 func (l *Ledger) closedAll() bool {
 	for _, part := range l.Partitions {
 		open := 0
-		part.View(func(f *fold.Ledger) { open = len(f.HeldBy(l.Self)) })
+		part.View(func(f *fold.Ledger) { open = len(f.GrantsHeldBy(l.Self)) })
 		if open > 0 {
 			return false
 		}
@@ -81,7 +81,7 @@
 func (l *Ledger) sync() {
 	for _, part := range l.Partitions {
 		var rows []fold.Grant
-		part.View(func(f *fold.Ledger) { rows = f.HeldBy(l.Self) })
+		part.View(func(f *fold.Ledger) { rows = f.GrantsHeldBy(l.Self) })
 		for _, row := range rows {
 			l.adopt(l.account(row.Budget), row)
 		}
@@ -107,7 +107,7 @@
 		kept = append(kept, g)
 		g.resolveReturn(f)
 		for id, b := range g.unbilled {
-			if f.Billed(b.Key) {
+			if f.IsBilled(b.Key) {
 				delete(g.unbilled, id)
 				g.held.Drop(id)
 			}
--- a/internal/ledger/watch.go
+++ b/internal/ledger/watch.go
@@ -61,7 +61,7 @@
 	ids := map[record.InstanceID]struct{}{}
 	for _, part := range l.Partitions {
 		part.View(func(f *fold.Ledger) {
-			for _, g := range f.WitnessedBy(l.Self) {
+			for _, g := range f.GrantsWitnessedBy(l.Self) {
 				ids[g.Holder] = struct{}{}
 			}
 		})
@@ -92,7 +92,7 @@
 func (l *Ledger) watch() {
 	for _, part := range l.Partitions {
 		var rows []fold.Grant
-		part.View(func(f *fold.Ledger) { rows = f.WitnessedBy(l.Self) })
+		part.View(func(f *fold.Ledger) { rows = f.GrantsWitnessedBy(l.Self) })
 		for _, row := range rows {
 			if _, sealed := l.closing[row.Right]; !sealed && l.gone(row.Holder) {
 				l.seal(part, row)
