--- a/internal/claim/holder.go
+++ b/internal/claim/holder.go
@@ -213,7 +213,7 @@
 		Holder: o.self, Witness: o.witness(),
 	}
 	offset, err := h.parts.Log.Append(ctx, part.Stream(), r)
-	if err == nil && part.Wait(ctx, offset) == nil {
+	if err == nil && part.AwaitOffset(ctx, offset) == nil {
 		h.hold(id, part, r)
 	}
 	// Else it may reach the log later; a later tick then finds it.
@@ -274,7 +274,7 @@
 	}
 	out := append([]record.Record{record.Close{Right: id, By: h.parts.Self.ID, Claims: claims}}, ends...)
 	offset, err := h.parts.Log.Append(ctx, part.Stream(), out...)
-	return err == nil && part.Wait(ctx, offset) == nil
+	return err == nil && part.AwaitOffset(ctx, offset) == nil
 }
 
 // missing returns the claims that the fold lacks, and all outcomes.
--- a/internal/claim/operate.go
+++ b/internal/claim/operate.go
@@ -62,7 +62,7 @@
 		if err != nil {
 			return s, err
 		}
-		return s, part.Wait(ctx, offset)
+		return s, part.AwaitOffset(ctx, offset)
 	}
 	return fold.Shard{}, ErrNoShard
 }
--- a/internal/claim/shard.go
+++ b/internal/claim/shard.go
@@ -193,7 +193,7 @@
 	defer cancel()
 	offset, err := s.log.Append(ctx, s.part.Stream(), w.claim)
 	if err == nil {
-		err = s.part.Wait(ctx, offset)
+		err = s.part.AwaitOffset(ctx, offset)
 	}
 	c := s.logged(w.claim.Key)
 	switch {
@@ -355,7 +355,7 @@
 	}
 	offset, err := s.log.Append(s.ctx, s.part.Stream(), records...)
 	if err == nil {
-		err = s.part.Wait(s.ctx, offset)
+		err = s.part.AwaitOffset(s.ctx, offset)
 	}
 	for _, l := range group {
 		if err == nil && l.then != nil {
--- a/internal/ledger/reclaim.go
+++ b/internal/ledger/reclaim.go
@@ -43,7 +43,7 @@
 		a.mu.Unlock()
 		return nil
 	}
-	return a.part.Wait(ctx, offset)
+	return a.part.AwaitOffset(ctx, offset)
 }
 
 // askSpare asks the holders with most tokens and returns the last offset of
@@ -107,7 +107,7 @@
 func (l *Ledger) appendReturns(ctx context.Context, a *account, records []record.Record) (uint64, error) {
 	offset, err := l.Log.Append(ctx, a.part.Stream(), records...)
 	if err == nil {
-		err = a.part.Wait(ctx, offset)
+		err = a.part.AwaitOffset(ctx, offset)
 	}
 	if err != nil {
 		return 0, err
--- a/internal/ledger/renew.go
+++ b/internal/ledger/renew.go
@@ -206,7 +206,7 @@
 	grant := record.Grant{Right: record.NewRightID(), Budget: a.budget, Tokens: size, Holder: l.Self, Witness: witness, Zone: l.Zone}
 	offset, err := l.appendGrant(ctx, a, grant)
 	if err == nil {
-		err = a.part.Wait(ctx, offset)
+		err = a.part.AwaitOffset(ctx, offset)
 	}
 	if err != nil {
 		// It may still reach the log. Then sync finds it in the fold.
--- a/internal/ledger/view.go
+++ b/internal/ledger/view.go
@@ -56,7 +56,7 @@
 	if !ok {
 		return right.ErrUnknownRight
 	}
-	if err := part.Wait(ctx, t.Offset); err != nil {
+	if err := part.AwaitOffset(ctx, t.Offset); err != nil {
 		return eris.Wrap(right.ErrNotAdopted, err.Error())
 	}
 	valid := false
--- a/internal/ledger/watch.go
+++ b/internal/ledger/watch.go
@@ -226,7 +226,7 @@
 		}
 		offset, err := l.Log.Append(ctx, part.Stream(), record.Close{Right: id, By: l.Self, Forced: true})
 		if err == nil {
-			err = part.Wait(ctx, offset)
+			err = part.AwaitOffset(ctx, offset)
 		}
 		if err != nil {
 			return fold.Grant{}, eris.Wrap(err, "ledger: the forced close may have taken effect")
--- a/internal/operator/budgets.go
+++ b/internal/operator/budgets.go
@@ -81,7 +81,7 @@
 	if err != nil {
 		return err
 	}
-	return part.Wait(ctx, offset)
+	return part.AwaitOffset(ctx, offset)
 }
 
 func (i *Interface) partition(team record.Team) *replica.Replica[*fold.Ledger] {
--- a/internal/operator/changes.go
+++ b/internal/operator/changes.go
@@ -82,7 +82,7 @@
 	if err != nil {
 		return err
 	}
-	return i.Config.Wait(ctx, offset)
+	return i.Config.AwaitOffset(ctx, offset)
 }
 
 // by names the operator for the history: the credential's name, which is
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -40,9 +40,9 @@
 	fold      F
 	changed   chan struct{}
 	snapshots snapshot.Tracker
-	// gap says that records aged out before they were read, and foreign that
+	// hasGap says that records aged out before they were read, and hasUnknownKind that
 	// this version did not know one of them.
-	gap, foreign bool
+	hasGap, hasUnknownKind bool
 }
 
 // New returns the replica of a stream that starts from fold's state.
@@ -61,10 +61,10 @@
 }
 
 // View calls look with the tables. look must not keep or change them.
-func (r *Replica[F]) View(look func(F)) {
+func (r *Replica[F]) View(read func(F)) {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
-	look(r.fold)
+	read(r.fold)
 }
 
 // Changed returns a channel that closes with the next applied batch.
@@ -74,8 +74,8 @@
 	return r.changed
 }
 
-// Wait returns when the batch at offset has been applied.
-func (r *Replica[F]) Wait(ctx context.Context, offset uint64) error {
+// AwaitOffset returns when the batch at offset has been applied.
+func (r *Replica[F]) AwaitOffset(ctx context.Context, offset uint64) error {
 	for {
 		changed := r.Changed()
 		if r.Next() > offset {
@@ -97,23 +97,23 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.track(entry.Offset, batch)
+	r.trackBatch(entry.Offset, batch)
 	err = r.fold.Apply(entry.Offset, batch)
-	r.wake()
+	r.notifyWaiters()
 	return err
 }
 
-// wake tells the waiters of a change. r.mu is held.
-func (r *Replica[F]) wake() {
+// notifyWaiters tells the waiters of a change. r.mu is held.
+func (r *Replica[F]) notifyWaiters() {
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
 
-// track looks for snapshots and for kinds that are not known. r.mu is held.
-func (r *Replica[F]) track(offset uint64, batch record.Batch) {
+// trackBatch looks for snapshots and for kinds that are not known. r.mu is held.
+func (r *Replica[F]) trackBatch(offset uint64, batch record.Batch) {
 	for _, env := range batch.Records {
 		if !record.IsKnownKind(env.Kind) {
-			r.foreign = true
+			r.hasUnknownKind = true
 		}
 		if env.Kind != record.KindSnapshot {
 			continue
@@ -124,9 +124,9 @@
 	}
 }
 
-// Handle is the watermill handler of the stream. A batch that cannot be
+// Handler returns the watermill handler of the stream. A batch that cannot be
 // decoded is the same for every instance; it is passed over, not retried.
-func (r *Replica[F]) Handle(onError func(error)) message.NoPublishHandlerFunc {
+func (r *Replica[F]) Handler(onError func(error)) message.NoPublishHandlerFunc {
 	return func(msg *message.Message) error {
 		offset, err := strconv.ParseUint(msg.Metadata.Get(logstore.MetaOffset), 10, 64)
 		if err != nil {
--- a/internal/replica/snapshot.go
+++ b/internal/replica/snapshot.go
@@ -6,26 +6,26 @@
 	"guavapier/internal/snapshot"
 )
 
-// ErrOlder is returned for a snapshot that covers no more than what has been
+// ErrSnapshotNotNewer is returned for a snapshot that covers no more than what has been
 // applied.
-var ErrOlder = eris.New("replica: snapshot is not newer")
+var ErrSnapshotNotNewer = eris.New("replica: snapshot is not newer")
 
 var _ snapshot.Source = (*Replica[Fold])(nil)
 
-// Newest returns the newest whole snapshot that went by on the stream.
-func (r *Replica[F]) Newest() snapshot.Seen {
+// NewestSnapshot returns the newest whole snapshot that went by on the stream.
+func (r *Replica[F]) NewestSnapshot() snapshot.Summary {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	return r.snapshots.Newest()
 }
 
-// Complete says whether the tables hold every record of the stream, and this
+// IsComplete says whether the tables hold every record of the stream, and this
 // version understood each of them. Only then may a snapshot be written: during
 // an upgrade an older version passes over records that a newer one applies.
-func (r *Replica[F]) Complete() bool {
+func (r *Replica[F]) IsComplete() bool {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
-	return !r.gap && !r.foreign
+	return !r.hasGap && !r.hasUnknownKind
 }
 
 // SetGap notes that records have aged out before they were applied. From then
@@ -33,14 +33,14 @@
 func (r *Replica[F]) SetGap() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.gap = true
+	r.hasGap = true
 }
 
-// Gap says whether records are missing.
-func (r *Replica[F]) Gap() bool {
+// HasGap says whether records are missing.
+func (r *Replica[F]) HasGap() bool {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
-	return r.gap
+	return r.hasGap
 }
 
 // State returns the state and the offset after the last record in it.
@@ -51,18 +51,18 @@
 	return r.fold.Next(), state, err
 }
 
-// Restore replaces the tables by a newer snapshot. Errors: ErrOlder, and those
+// Restore replaces the tables by a newer snapshot. Errors: ErrSnapshotNotNewer, and those
 // of the fold, after which the tables are as they were.
-func (r *Replica[F]) Restore(whole snapshot.Whole) error {
+func (r *Replica[F]) Restore(assembled snapshot.Assembled) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if whole.Covers <= r.fold.Next() {
-		return ErrOlder
+	if assembled.Covers <= r.fold.Next() {
+		return ErrSnapshotNotNewer
 	}
-	if err := r.fold.Restore(whole.State); err != nil {
+	if err := r.fold.Restore(assembled.State); err != nil {
 		return err
 	}
-	r.gap = false
-	r.wake()
+	r.hasGap = false
+	r.notifyWaiters()
 	return nil
 }
--- a/internal/server/operators.go
+++ b/internal/server/operators.go
@@ -66,12 +66,12 @@
 
 // streamRow is one row of the state dump's table of streams.
 type streamRow struct {
-	Stream   record.Stream `json:"stream"`
-	Next     uint64        `json:"next"`
-	First    uint64        `json:"first_kept"`
-	Current  bool          `json:"current"`
-	Gap      bool          `json:"gap"`
-	Snapshot snapshot.Seen `json:"snapshot"`
+	Stream   record.Stream    `json:"stream"`
+	Next     uint64           `json:"next"`
+	First    uint64           `json:"first_kept"`
+	Current  bool             `json:"current"`
+	Gap      bool             `json:"gap"`
+	Snapshot snapshot.Summary `json:"snapshot"`
 }
 
 func (s *Server) streamRows() []streamRow {
@@ -79,7 +79,7 @@
 	for _, st := range s.streams() {
 		rows = append(rows, streamRow{
 			Stream: st.Stream(), Next: st.Next(), First: s.subscriber.First(st.Stream()),
-			Current: s.subscriber.Current(st.Stream()), Gap: st.Gap(), Snapshot: st.Newest(),
+			Current: s.subscriber.Current(st.Stream()), Gap: st.HasGap(), Snapshot: st.NewestSnapshot(),
 		})
 	}
 	return rows
--- a/internal/server/streams.go
+++ b/internal/server/streams.go
@@ -16,10 +16,10 @@
 // stream is a stream that this instance follows.
 type stream interface {
 	snapshot.Source
-	Handle(onError func(error)) message.NoPublishHandlerFunc
-	Restore(whole snapshot.Whole) error
+	Handler(onError func(error)) message.NoPublishHandlerFunc
+	Restore(whole snapshot.Assembled) error
 	SetGap()
-	Gap() bool
+	HasGap() bool
 }
 
 // streams lists the streams that this instance follows.
@@ -40,7 +40,7 @@
 	}
 	var sources []replica.Source
 	for _, st := range s.streams() {
-		sources = append(sources, replica.Source{Stream: st.Stream(), Handler: st.Handle(onError)})
+		sources = append(sources, replica.Source{Stream: st.Stream(), Handler: st.Handler(onError)})
 	}
 	return replica.Follow(ctx, s.subscriber, sources)
 }
@@ -70,7 +70,7 @@
 
 func (s *Server) start(ctx context.Context, st stream) (uint64, error) {
 	_, err := s.client.Read(ctx, st.Stream(), st.Next(), 0)
-	if err == nil && !st.Gap() {
+	if err == nil && !st.HasGap() {
 		return st.Next(), nil
 	}
 	if err != nil && !errors.Is(err, logstore.ErrTrimmed) {
@@ -94,12 +94,12 @@
 
 func (s *Server) snapshotWriter() *snapshot.Writer {
 	w := &snapshot.Writer{
-		Log: s.publisher, First: s.subscriber.First, Every: s.settings.Snapshots.Every.D(),
-		Written: func(name record.Stream, covers uint64, bytes int) {
+		Log: s.publisher, FirstOffset: s.subscriber.First, MaxAge: s.settings.Snapshots.Every.D(),
+		OnWritten: func(name record.Stream, covers uint64, bytes int) {
 			s.metrics.Counter(metrics.SnapshotsWritten).Inc(1)
 			s.log.Info().Str("stream", string(name)).Uint64("covers", covers).Int("bytes", bytes).Msg("snapshot: written")
 		},
-		Failed: func(name record.Stream, err error) {
+		OnError: func(name record.Stream, err error) {
 			s.log.Error().Err(err).Str("stream", string(name)).Msg("snapshot: not written")
 		},
 	}
--- a/internal/session/ends.go
+++ b/internal/session/ends.go
@@ -41,7 +41,7 @@
 	if err != nil {
 		return err
 	}
-	return part.Wait(ctx, offset)
+	return part.AwaitOffset(ctx, offset)
 }
 
 // Listed returns the open sessions of a team, oldest first. The list holds what
--- a/internal/snapshot/find.go
+++ b/internal/snapshot/find.go
@@ -10,34 +10,34 @@
 	"guavapier/internal/record"
 )
 
-// ErrUnreachable says that records have aged out which no whole snapshot
+// ErrRecordsLost says that records have aged out which no whole snapshot
 // covers: the stream's tables cannot be built.
-var ErrUnreachable = eris.New("snapshot: records aged out that no whole snapshot covers")
+var ErrRecordsLost = eris.New("snapshot: records aged out that no whole snapshot covers")
 
 // Find reads what the log keeps of a stream and returns the newest whole
 // snapshot from which the kept records go on without a gap. At the end of a
 // stream that has lost nothing there may be none: ok is false and the stream
 // is read from its start. discarded is how many chunks and snapshots were not
-// usable. Errors: ErrUnreachable, and those of the log.
-func Find(ctx context.Context, log logstore.Log, stream record.Stream) (whole Whole, ok bool, discarded int, err error) {
+// usable. Errors: ErrRecordsLost, and those of the log.
+func Find(ctx context.Context, log logstore.Log, stream record.Stream) (newest Assembled, ok bool, discarded int, err error) {
 	assembly := NewAssembly()
-	first, err := scan(ctx, log, stream, assembly)
+	first, err := collectSnapshots(ctx, log, stream, assembly)
 	if err != nil {
-		return Whole{}, false, 0, err
+		return Assembled{}, false, 0, err
 	}
-	whole, ok = assembly.Newest()
-	if ok && whole.Covers >= first {
-		return whole, true, assembly.Discarded, nil
+	newest, ok = assembly.Newest()
+	if ok && newest.Covers >= first {
+		return newest, true, assembly.Discarded, nil
 	}
 	if first > 0 {
-		return Whole{}, false, assembly.Discarded, ErrUnreachable
+		return Assembled{}, false, assembly.Discarded, ErrRecordsLost
 	}
-	return Whole{}, false, assembly.Discarded, nil
+	return Assembled{}, false, assembly.Discarded, nil
 }
 
-// scan hands every kept snapshot record to the assembly. It returns the first
-// offset that the log keeps at the end of the scan.
-func scan(ctx context.Context, log logstore.Log, stream record.Stream, assembly *Assembly) (uint64, error) {
+// collectSnapshots hands every kept snapshot record to the assembly. It returns the first
+// offset that the log keeps at the end of the collectSnapshots.
+func collectSnapshots(ctx context.Context, log logstore.Log, stream record.Stream, assembly *Assembly) (uint64, error) {
 	next := uint64(0)
 	for {
 		page, err := log.Read(ctx, stream, next, 0)
@@ -52,14 +52,14 @@
 			return page.First, nil
 		}
 		for _, entry := range page.Entries {
-			collect(assembly, entry)
+			addChunks(assembly, entry)
 			next = entry.Offset + 1
 		}
 	}
 }
 
-// collect passes over what is no snapshot, as the folds do.
-func collect(assembly *Assembly, entry logstore.Entry) {
+// addChunks passes over what is no snapshot, as the folds do.
+func addChunks(assembly *Assembly, entry logstore.Entry) {
 	batch, err := record.DecodeBatch(entry.Data)
 	if err != nil {
 		return
--- a/internal/snapshot/policy.go
+++ b/internal/snapshot/policy.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Span is what an instance knows of a stream when it decides.
-type Span struct {
+// StreamStatus is what an instance knows of a stream when it decides.
+type StreamStatus struct {
 	// First is the oldest offset that the log still keeps; Next is the offset
 	// after the last one that this instance has applied.
 	First, Next uint64
@@ -13,11 +13,11 @@
 	Age    time.Duration
 }
 
-// minRecords is the least number of new records that make another snapshot due
+// minNewRecords is the least number of new records that make another snapshot due
 // before its time.
-const minRecords = 64
+const minNewRecords = 64
 
-// Due says whether a new snapshot is to be written now.
+// IsDue says whether a new snapshot is to be written now.
 //
 // Load: a stream with a steady flow of records and a log that drops the oldest
 // ones, by number or by age, at a pace that instances are not told.
@@ -30,12 +30,12 @@
 // Without any new record the log may still drop the snapshot's own records by
 // age, and all at once after a burst; hence a new one after every, which must
 // be less than half of the log's retention.
-func Due(s Span, every time.Duration) bool {
+func IsDue(s StreamStatus, maxAge time.Duration) bool {
 	if s.Covers == 0 || s.Covers < s.First {
 		return s.Next > 0
 	}
-	if s.Covers+minRecords <= s.Next && s.Covers < s.First+(s.Next-s.First)/2 {
+	if s.Covers+minNewRecords <= s.Next && s.Covers < s.First+(s.Next-s.First)/2 {
 		return true
 	}
-	return s.Age >= every
+	return s.Age >= maxAge
 }
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -35,8 +35,8 @@
 	return out
 }
 
-// Whole is a snapshot of which every chunk was read.
-type Whole struct {
+// Assembled is a snapshot of which every chunk was read.
+type Assembled struct {
 	ID     string
 	Covers uint64
 	State  []byte
@@ -45,18 +45,18 @@
 // maxChunks bounds the memory that one damaged record can claim.
 const maxChunks = 1 << 14
 
-// partial is a snapshot of which some chunks were read.
-type partial struct {
-	chunks [][]byte
-	covers uint64
-	sum    uint64
-	left   int
+// partialSnapshot is a snapshot of which some chunks were read.
+type partialSnapshot struct {
+	chunks  [][]byte
+	covers  uint64
+	sum     uint64
+	missing int
 }
 
 // Assembly puts chunks together. It is not safe for concurrent use.
 type Assembly struct {
-	partial map[string]*partial
-	newest  Whole
+	partial map[string]*partialSnapshot
+	newest  Assembled
 	found   bool
 	// Discarded counts the chunks that fit no snapshot, and the whole
 	// snapshots that were damaged.
@@ -64,10 +64,10 @@
 }
 
 // NewAssembly returns an empty assembly.
-func NewAssembly() *Assembly { return &Assembly{partial: map[string]*partial{}} }
+func NewAssembly() *Assembly { return &Assembly{partial: map[string]*partialSnapshot{}} }
 
 // Newest returns the whole snapshot that covers most.
-func (a *Assembly) Newest() (Whole, bool) { return a.newest, a.found }
+func (a *Assembly) Newest() (Assembled, bool) { return a.newest, a.found }
 
 // Add takes the chunk at an offset; a copy of one that is there has no effect.
 func (a *Assembly) Add(offset uint64, r record.Snapshot) {
@@ -84,7 +84,7 @@
 			a.Discarded++
 			return
 		}
-		p = &partial{chunks: make([][]byte, r.Chunks), covers: r.Covers, sum: r.Sum, left: r.Chunks}
+		p = &partialSnapshot{chunks: make([][]byte, r.Chunks), covers: r.Covers, sum: r.Sum, missing: r.Chunks}
 		a.partial[r.ID] = p
 	}
 	if r.Chunk < 0 || r.Chunk >= len(p.chunks) || r.Chunks != len(p.chunks) || r.Covers != p.covers || r.Sum != p.sum {
@@ -95,15 +95,15 @@
 		return
 	}
 	p.chunks[r.Chunk] = append([]byte{}, r.Data...)
-	p.left--
-	if p.left == 0 {
-		a.complete(r.ID, p)
+	p.missing--
+	if p.missing == 0 {
+		a.assemble(r.ID, p)
 	}
 }
 
-// complete takes a whole snapshot if it is as it was written, and lets go of
+// assemble takes a whole snapshot if it is as it was written, and lets go of
 // those that cover less.
-func (a *Assembly) complete(id string, p *partial) {
+func (a *Assembly) assemble(id string, p *partialSnapshot) {
 	delete(a.partial, id)
 	var state []byte
 	for _, chunk := range p.chunks {
@@ -113,7 +113,7 @@
 		a.Discarded++
 		return
 	}
-	a.newest, a.found = Whole{ID: id, Covers: p.covers, State: state}, true
+	a.newest, a.found = Assembled{ID: id, Covers: p.covers, State: state}, true
 	for other, q := range a.partial {
 		if q.covers <= p.covers {
 			delete(a.partial, other)
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -14,14 +14,14 @@
 	"guavapier/internal/snapshot"
 )
 
-// keptLog is a log that has dropped everything before first.
-type keptLog struct {
+// trimmedLog is a log that has dropped everything before first.
+type trimmedLog struct {
 	logstore.Log
 	first   uint64
 	entries []logstore.Entry
 }
 
-func (l *keptLog) Read(_ context.Context, _ record.Stream, from uint64, _ time.Duration) (logstore.Page, error) {
+func (l *trimmedLog) Read(_ context.Context, _ record.Stream, from uint64, _ time.Duration) (logstore.Page, error) {
 	page := logstore.Page{First: l.first, Next: l.first + uint64(len(l.entries))}
 	if from < l.first {
 		return page, logstore.ErrTrimmed
@@ -32,7 +32,7 @@
 	return page, nil
 }
 
-func (l *keptLog) append(t *rapid.T, records ...record.Record) {
+func (l *trimmedLog) append(t *rapid.T, records ...record.Record) {
 	batch := record.Batch{Writer: "w"}
 	envelopes, err := record.EncodeAll(records...)
 	if err != nil {
@@ -46,20 +46,20 @@
 	l.entries = append(l.entries, logstore.Entry{Offset: l.first + uint64(len(l.entries)), Data: data})
 }
 
-// written is a snapshot that the test put on the log.
-type written struct {
-	whole  snapshot.Whole
-	damage string
+// appendedSnapshot is a snapshot that the test put on the log.
+type appendedSnapshot struct {
+	assembled snapshot.Assembled
+	damage    string
 }
 
 // drawSnapshot appends a snapshot that is whole, torn, damaged, copied, from
 // the future, or whose chunks are out of order.
-func drawSnapshot(t *rapid.T, l *keptLog) written {
+func drawSnapshot(t *rapid.T, l *trimmedLog) appendedSnapshot {
 	next := l.first + uint64(len(l.entries))
-	w := written{damage: rapid.SampledFrom([]string{"", "", "", "copied", "reversed", "torn", "flipped", "future"}).Draw(t, "damage")}
+	w := appendedSnapshot{damage: rapid.SampledFrom([]string{"", "", "", "copied", "reversed", "torn", "flipped", "future"}).Draw(t, "damage")}
 	state := bytes.Repeat([]byte{byte(next)}, rapid.SampledFrom([]int{0, 1, snapshot.ChunkBytes, 2*snapshot.ChunkBytes + 7}).Draw(t, "size"))
-	w.whole = snapshot.Whole{ID: snapshot.NewID(), Covers: rapid.Uint64Range(max(l.first, 3)-3, next).Draw(t, "covers"), State: state}
-	chunks := snapshot.Split(w.whole.ID, w.whole.Covers, state)
+	w.assembled = snapshot.Assembled{ID: snapshot.NewID(), Covers: rapid.Uint64Range(max(l.first, 3)-3, next).Draw(t, "covers"), State: state}
+	chunks := snapshot.Split(w.assembled.ID, w.assembled.Covers, state)
 	switch w.damage {
 	case "copied":
 		chunks = append(chunks, chunks...)
@@ -86,22 +86,22 @@
 // on without a gap is found, and nothing else is ever used.
 func TestFindTakesTheNewestWholeOneOnly(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l := &keptLog{first: rapid.Uint64Range(0, 10).Draw(t, "first")}
-		var best snapshot.Whole
+		l := &trimmedLog{first: rapid.Uint64Range(0, 10).Draw(t, "first")}
+		var best snapshot.Assembled
 		usable := false
 		for range rapid.IntRange(0, 6).Draw(t, "snapshots") {
 			for range rapid.IntRange(0, 3).Draw(t, "records") {
 				l.append(t, record.TopUp{ID: "x", Tokens: 1})
 			}
 			w := drawSnapshot(t, l)
-			bad := w.damage == "torn" || w.damage == "flipped" || w.damage == "future"
-			if !bad && w.whole.Covers >= l.first && (!usable || w.whole.Covers > best.Covers) {
-				best, usable = w.whole, true
+			unusable := w.damage == "torn" || w.damage == "flipped" || w.damage == "future"
+			if !unusable && w.assembled.Covers >= l.first && (!usable || w.assembled.Covers > best.Covers) {
+				best, usable = w.assembled, true
 			}
 		}
 		got, ok, _, err := snapshot.Find(context.Background(), l, record.ConfigStream)
 		if !usable && l.first > 0 {
-			if !errors.Is(err, snapshot.ErrUnreachable) {
+			if !errors.Is(err, snapshot.ErrRecordsLost) {
 				t.Fatalf("records are lost, got %v %v", ok, err)
 			}
 			return
@@ -117,7 +117,7 @@
 func TestDueKeepsEveryRecordCovered(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		retain := rapid.Uint64Range(512, 4096).Draw(t, "retain")
-		var s snapshot.Span
+		var s snapshot.StreamStatus
 		written, failed := 0, 0
 		const rounds, maxFailures = 400, 3
 		for range rounds {
@@ -128,7 +128,7 @@
 			if s.First > s.Covers {
 				t.Fatalf("records %d to %d aged out uncovered: %+v", s.Covers, s.First, s)
 			}
-			if !snapshot.Due(s, time.Hour) {
+			if !snapshot.IsDue(s, time.Hour) {
 				continue
 			}
 			if failed < maxFailures && rapid.Bool().Draw(t, "fails") {
@@ -137,8 +137,8 @@
 			}
 			s.Covers, s.Next, written, failed = s.Next, s.Next+1, written+1, 0
 		}
-		if most := 12 + 4*int(s.Next/retain); written > most {
-			t.Fatalf("%d snapshots for %d records on a log of %d, want at most %d", written, s.Next, retain, most)
+		if maxWritten := 12 + 4*int(s.Next/retain); written > maxWritten {
+			t.Fatalf("%d snapshots for %d records on a log of %d, want at most %d", written, s.Next, retain, maxWritten)
 		}
 	})
 }
@@ -146,8 +146,8 @@
 // Age alone makes one due, so that a log which drops by age is covered after
 // the last change.
 func TestDueByAge(t *testing.T) {
-	s := snapshot.Span{Next: 4, Covers: 2, Age: time.Hour}
-	if !snapshot.Due(s, time.Hour) || snapshot.Due(s, 2*time.Hour) {
+	s := snapshot.StreamStatus{Next: 4, Covers: 2, Age: time.Hour}
+	if !snapshot.IsDue(s, time.Hour) || snapshot.IsDue(s, 2*time.Hour) {
 		t.Fatal("age is not what decides")
 	}
 }
--- a/internal/snapshot/writer.go
+++ b/internal/snapshot/writer.go
@@ -12,11 +12,11 @@
 type Source interface {
 	Stream() record.Stream
 	Next() uint64
-	// Newest returns the newest whole snapshot that went by.
-	Newest() Seen
-	// Complete says whether the tables hold every record of the stream, and
+	// NewestSnapshot returns the newest whole snapshot that went by.
+	NewestSnapshot() Summary
+	// IsComplete says whether the tables hold every record of the stream, and
 	// this version understood each of them.
-	Complete() bool
+	IsComplete() bool
 	// State returns the state and the offset after the last record in it.
 	State() (covers uint64, state []byte, err error)
 }
@@ -32,18 +32,18 @@
 type Writer struct {
 	Log     Appender
 	Sources []Source
-	// First gives the oldest offset that the log was seen to keep.
-	First func(record.Stream) uint64
-	// Every is the longest time between two snapshots of a stream.
-	Every   time.Duration
-	Written func(stream record.Stream, covers uint64, bytes int)
-	Failed  func(stream record.Stream, err error)
+	// FirstOffset gives the oldest offset that the log was seen to keep.
+	FirstOffset func(record.Stream) uint64
+	// MaxAge is the longest time between two snapshots of a stream.
+	MaxAge    time.Duration
+	OnWritten func(stream record.Stream, covers uint64, bytes int)
+	OnError   func(stream record.Stream, err error)
 }
 
 const (
-	checkEvery  = time.Second
-	maxJitter   = 2 * time.Second
-	writeWithin = time.Minute
+	checkInterval = time.Second
+	maxJitter     = 2 * time.Second
+	writeTimeout  = time.Minute
 )
 
 // Run writes until ctx ends.
@@ -51,25 +51,25 @@
 	for {
 		var due []Source
 		for _, s := range w.Sources {
-			if w.due(s) {
+			if w.isDue(s) {
 				due = append(due, s)
 			}
 		}
-		if len(due) > 0 && !pause(ctx, rand.N(min(maxJitter, w.Every/4)+1)) {
+		if len(due) > 0 && !sleep(ctx, rand.N(min(maxJitter, w.MaxAge/4)+1)) {
 			return
 		}
 		for _, s := range due {
-			if w.due(s) {
+			if w.isDue(s) {
 				w.write(ctx, s)
 			}
 		}
-		if !pause(ctx, min(checkEvery, w.Every/4)) {
+		if !sleep(ctx, min(checkInterval, w.MaxAge/4)) {
 			return
 		}
 	}
 }
 
-func pause(ctx context.Context, d time.Duration) bool {
+func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-time.After(d):
 		return true
@@ -78,27 +78,27 @@
 	}
 }
 
-func (w *Writer) due(s Source) bool {
-	newest := s.Newest()
-	span := Span{First: w.First(s.Stream()), Next: s.Next(), Covers: newest.Covers, Age: newest.Age(time.Now())}
-	return s.Complete() && Due(span, w.Every)
+func (w *Writer) isDue(s Source) bool {
+	newest := s.NewestSnapshot()
+	status := StreamStatus{First: w.FirstOffset(s.Stream()), Next: s.Next(), Covers: newest.Covers, Age: newest.Age(time.Now())}
+	return s.IsComplete() && IsDue(status, w.MaxAge)
 }
 
 // write appends the chunks one after the other. If it ends half-way the
 // snapshot is torn, nobody uses it, and the next one has another identity.
 func (w *Writer) write(ctx context.Context, s Source) {
-	ctx, cancel := context.WithTimeout(ctx, writeWithin)
+	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
 	covers, state, err := s.State()
 	if err != nil {
-		w.Failed(s.Stream(), err)
+		w.OnError(s.Stream(), err)
 		return
 	}
 	for _, chunk := range Split(NewID(), covers, state) {
 		if _, err := w.Log.Append(ctx, s.Stream(), chunk); err != nil {
-			w.Failed(s.Stream(), err)
+			w.OnError(s.Stream(), err)
 			return
 		}
 	}
-	w.Written(s.Stream(), covers, len(state))
+	w.OnWritten(s.Stream(), covers, len(state))
 }
