--- a/internal/record/bench_test.go
+++ b/internal/record/bench_test.go
@@ -9,8 +9,8 @@
 	"guavapier/internal/record"
 )
 
-// BenchmarkRecordBytes gives the bytes on the log of each record of a batch, by
-// the number of records that share the batch.
+// BenchmarkRecordBytes reports the encoded bytes and the encoding time per
+// record, by kind and by the number of records in the batch.
 func BenchmarkRecordBytes(b *testing.B) {
 	key := func() record.RequestKey {
 		return record.RequestKey{Team: "dala-vibro", Session: record.SessionID(uuid.NewString()), Key: string(record.NewRunID())}
--- a/internal/record/codec.go
+++ b/internal/record/codec.go
@@ -5,30 +5,33 @@
 	"github.com/rotisserie/eris"
 )
 
-// MaxBatchBytes bounds one encoded batch. The platform's log takes entries of
-// up to one mebibyte.
+// MaxBatchBytes bounds one encoded batch, in bytes. The platform's log takes
+// entries of up to 1 MiB.
 const MaxBatchBytes = 1 << 20
 
-// ErrMalformed is returned for bytes that are not a batch or a record.
+// ErrMalformed is returned for bytes that do not decode as a batch, an envelope
+// or a record of the given kind.
 var ErrMalformed = eris.New("record: malformed")
 
-// Envelope is an encoded record with its kind.
+// Envelope holds one encoded record and its kind.
 type Envelope struct {
 	Kind Kind            `cbor:"1,keyasint"`
 	Body cbor.RawMessage `cbor:"2,keyasint"`
 }
 
-// Batch is what one append carries: the records that one writer committed
-// together. Writer and Seq make an append idempotent: a writer sends batch
-// Seq+1 only when it has read batch Seq back, and folds skip a Seq that they
-// have seen from that writer.
+// Batch is the payload of one append to the log: the records that one writer
+// committed together. Writer and Seq make an append idempotent: a writer sends
+// batch Seq+1 only after it has read batch Seq back from the log, and
+// fold.Ledger ignores a batch whose Seq is not above the last one that it has
+// seen from that writer.
 type Batch struct {
 	Writer  InstanceID `cbor:"1,keyasint"`
 	Seq     uint64     `cbor:"2,keyasint"`
 	Records []Envelope `cbor:"3,keyasint"`
 }
 
-// Encode returns the envelope of r.
+// Encode returns the envelope of r. An Unknown record keeps its kind and its
+// bytes.
 func Encode(r Record) (Envelope, error) {
 	if u, ok := r.(Unknown); ok {
 		return Envelope{Kind: u.Of, Body: u.Body}, nil
@@ -40,7 +43,7 @@
 	return Envelope{Kind: r.Kind(), Body: body}, nil
 }
 
-// EncodeAll returns the envelopes of records, in their order.
+// EncodeAll returns the envelopes of records, in the same order.
 func EncodeAll(records ...Record) ([]Envelope, error) {
 	envelopes := make([]Envelope, 0, len(records))
 	for _, r := range records {
@@ -53,8 +56,9 @@
 	return envelopes, nil
 }
 
-// Decode returns the typed record in e. A kind that this version does not
-// know comes back as Unknown, without an error.
+// Decode returns the typed record in e. A kind that this version does not know
+// is returned as Unknown, without an error. It returns ErrMalformed if the body
+// does not decode as a record of its kind.
 func Decode(e Envelope) (Record, error) {
 	decode, ok := decoders[e.Kind]
 	if !ok {
@@ -63,10 +67,10 @@
 	return decode(e.Body)
 }
 
-// IsKnownKind says whether this version knows the kind.
+// IsKnownKind reports whether this version can decode records of kind k.
 func IsKnownKind(k Kind) bool { return decoders[k] != nil }
 
-// EncodeBatch returns the bytes of b.
+// EncodeBatch returns the encoded form of b. It does not check MaxBatchBytes.
 func EncodeBatch(b Batch) ([]byte, error) {
 	data, err := cbor.Marshal(b)
 	if err != nil {
@@ -75,7 +79,8 @@
 	return data, nil
 }
 
-// DecodeBatch reads a batch. It returns ErrMalformed for anything else.
+// DecodeBatch decodes a batch. The bodies of its records stay encoded. It
+// returns ErrMalformed for bytes that are not a batch.
 func DecodeBatch(data []byte) (Batch, error) {
 	var b Batch
 	if err := cbor.Unmarshal(data, &b); err != nil {
@@ -84,10 +89,11 @@
 	return b, nil
 }
 
-// EncodeEnvelope returns the bytes of one envelope.
+// EncodeEnvelope returns the encoded form of one envelope, outside a batch.
 func EncodeEnvelope(e Envelope) ([]byte, error) { return cbor.Marshal(e) }
 
-// DecodeEnvelope reads one envelope.
+// DecodeEnvelope decodes one envelope. It returns ErrMalformed for bytes that
+// are not an envelope.
 func DecodeEnvelope(data []byte) (Envelope, error) {
 	var e Envelope
 	if err := cbor.Unmarshal(data, &e); err != nil {
@@ -96,6 +102,7 @@
 	return e, nil
 }
 
+// decoders holds the decoder of each kind that this version knows.
 var decoders = map[Kind]func([]byte) (Record, error){
 	KindTopUp:         decodeAs[TopUp],
 	KindGrant:         decodeAs[Grant],
--- a/internal/record/fuzz_test.go
+++ b/internal/record/fuzz_test.go
@@ -8,8 +8,8 @@
 	"guavapier/internal/record"
 )
 
-// sampleRecords has one record of each kind that moves tokens, and one of a kind
-// from a newer version.
+// sampleRecords returns one record of each kind that moves tokens, and one of a
+// kind from a newer version.
 func sampleRecords() []record.Record {
 	key := record.RequestKey{Team: "dala", Session: "s", Key: "k"}
 	budget := record.BudgetID{Team: "dala", Name: "main"}
@@ -23,8 +23,9 @@
 	}
 }
 
-// FuzzDecodeBatch: no input panics, and what decodes keeps every record over a
-// round trip, unknown kinds included.
+// FuzzDecodeBatch checks that no input panics, that every decoded record can be
+// encoded again, and that a record of an unknown kind keeps its body over that
+// round trip.
 func FuzzDecodeBatch(f *testing.F) {
 	var all []record.Envelope
 	for n, r := range sampleRecords() {
@@ -53,10 +54,10 @@
 			}
 			reencoded, err := record.Encode(rec)
 			if err != nil {
-				t.Fatalf("decoded %T does not encode: %v", rec, err)
+				t.Fatalf("decoded %T cannot be encoded again: %v", rec, err)
 			}
 			if _, unknown := rec.(record.Unknown); unknown && !bytes.Equal(reencoded.Body, env.Body) {
-				t.Fatalf("unknown kind %d changed from %x to %x", env.Kind, env.Body, reencoded.Body)
+				t.Fatalf("the body of unknown kind %d changed from %x to %x", env.Kind, env.Body, reencoded.Body)
 			}
 		}
 	})
--- a/internal/record/ids.go
+++ b/internal/record/ids.go
@@ -1,9 +1,9 @@
-// Package record defines every record that guavapier appends to the
-// platform's log, the identities used in them, and their encoding.
+// Package record defines the records that guavapier appends to the platform's
+// log, the identifiers used in them, and their CBOR encoding.
 //
-// A record takes effect only when the fold of its stream, read in offset
-// order, applies it. Records are never changed after they are written; a new
-// meaning gets a new Kind.
+// A record takes effect when the fold of its stream, which reads the stream in
+// offset order, applies it. A written record never changes; a new meaning gets
+// a new Kind.
 package record
 
 import (
@@ -13,74 +13,83 @@
 	"github.com/google/uuid"
 )
 
-// InstanceID names one run of one instance. It is drawn anew at each start,
-// so an instance that restarts is a different instance and inherits no right.
+// InstanceID identifies one process of an instance. It is generated at each
+// start, so that a restarted instance is a new one and inherits none of the
+// rights that it held before.
 type InstanceID string
 
-// NewInstanceID draws an instance identity. The name is kept in front so that
-// operators can read logs and state dumps.
+// NewInstanceID returns a new identifier of the form NAME.UUID. It contains the
+// configured name so that operators can read logs and state dumps.
 func NewInstanceID(name string) InstanceID {
 	return InstanceID(name + "." + uuid.NewString())
 }
 
-// Zone names an availability zone.
+// Zone is the name of an availability zone.
 type Zone string
 
-// Team names a team (the customer whose budgets are drawn on).
+// Team is the name of a team, the customer that owns prepaid budgets.
 type Team string
 
-// BudgetID names a prepaid budget within its team.
+// BudgetID identifies a prepaid budget by its team and its name within the
+// team.
 type BudgetID struct {
 	Team Team   `cbor:"1,keyasint" json:"team"`
 	Name string `cbor:"2,keyasint" json:"name"`
 }
 
-// String returns team/name.
+// String returns TEAM/NAME.
 func (b BudgetID) String() string { return string(b.Team) + "/" + b.Name }
 
-// RightID names a right: a budget grant or the ownership of a claim shard.
+// RightID identifies a right: a budget grant or one epoch of a claim shard.
 type RightID string
 
-// NewRightID draws a right identity.
+// NewRightID returns a new random identifier (UUIDv4).
 func NewRightID() RightID { return RightID(uuid.NewString()) }
 
-// RunID names the execution of one request. All attempts of a run share it.
+// RunID identifies the execution of one request. All attempts of the execution
+// share it.
 type RunID string
 
-// NewRunID draws a run identity. It is time-ordered (UUIDv7).
+// NewRunID returns a new time-ordered identifier (UUIDv7).
 func NewRunID() RunID { return RunID(uuid.Must(uuid.NewV7()).String()) }
 
-// SessionID names a session within its team.
+// SessionID identifies a session within its team.
 type SessionID string
 
-// RequestKey identifies one request of one caller, whatever its retries.
+// RequestKey identifies one request of one caller; retries of the request have
+// the same key. Session is empty for a request outside a session.
 type RequestKey struct {
 	Team    Team      `cbor:"1,keyasint" json:"team"`
 	Session SessionID `cbor:"2,keyasint,omitempty" json:"session,omitempty"`
 	Key     string    `cbor:"3,keyasint" json:"key"`
 }
 
-// String returns team/session/key.
+// String returns TEAM/SESSION/KEY.
 func (k RequestKey) String() string {
 	return string(k.Team) + "/" + string(k.Session) + "/" + k.Key
 }
 
-// Stream names one stream of the platform's log.
+// Stream is the name of one stream of the platform's log.
 type Stream string
 
-// ConfigStream carries settings changes.
+// ConfigStream carries the changes of settings and the snapshots of the
+// settings table.
 const ConfigStream Stream = "config"
 
-// LedgerStream returns the stream of ledger partition n.
+// LedgerStream returns the name of the stream of ledger partition n, counted
+// from 0.
 func LedgerStream(n int) Stream { return Stream("ledger-" + strconv.Itoa(n)) }
 
-// TeamPartition returns the ledger partition that holds a team's budgets.
+// TeamPartition returns the number of the ledger partition that holds a team's
+// budgets, from 0 to partitions-1.
 func TeamPartition(team Team, partitions int) int {
 	return int(xxhash.Sum64String(string(team)) % uint64(partitions))
 }
 
-// ClaimPartition returns the ledger partition that holds a request's claim.
-// Claims are spread by key so that one large team does not load one shard.
+// ClaimPartition returns the number of the ledger partition that holds a
+// request's claim, from 0 to partitions-1. Claims are spread by request key
+// rather than by team, so that one large team does not load a single claim
+// shard.
 func ClaimPartition(key RequestKey, partitions int) int {
 	return int(xxhash.Sum64String(key.String()) % uint64(partitions))
 }
--- a/internal/record/records.go
+++ b/internal/record/records.go
@@ -1,6 +1,6 @@
 package record
 
-// Kind tells the type of a record on the log. Numbers are never reused.
+// Kind identifies the type of a record on the log. Numbers are never reused.
 type Kind uint16
 
 // The kinds known to this version.
@@ -24,8 +24,8 @@
 	Kind() Kind
 }
 
-// TopUp adds prepaid tokens to a budget; the first one creates the budget.
-// Its own ID makes it idempotent: the fold counts each ID once.
+// TopUp adds prepaid tokens to a budget; the first top-up creates the budget.
+// ID makes it idempotent: the fold counts each remembered ID once.
 type TopUp struct {
 	Budget BudgetID `cbor:"1,keyasint"`
 	ID     string   `cbor:"2,keyasint"`
@@ -33,8 +33,9 @@
 	By     string   `cbor:"4,keyasint,omitempty"`
 }
 
-// Grant reserves part of a budget for one holder. The fold voids a grant that
-// would raise the committed sum above the prepaid sum.
+// Grant reserves part of a budget for one holder. The witness, if there is one,
+// may close the grant in the holder's place. The fold ignores a grant that
+// would raise the budget's committed tokens above its prepaid tokens.
 type Grant struct {
 	Right   RightID    `cbor:"1,keyasint"`
 	Budget  BudgetID   `cbor:"2,keyasint"`
@@ -44,9 +45,10 @@
 	Zone    Zone       `cbor:"6,keyasint"`
 }
 
-// Return gives part of an open grant back to its budget. Only the holder may
-// do so, after it has taken the tokens out of what it reserves from. Seq counts
-// the returns of one right from 1, so that a late copy has no effect.
+// Return gives tokens of an open grant back to its budget. Only the holder may
+// return tokens, and only after it has subtracted them from the amount that it
+// reserves from. Seq counts the returns of one grant from 1, so that a late
+// copy has no effect.
 type Return struct {
 	Right  RightID    `cbor:"1,keyasint"`
 	By     InstanceID `cbor:"2,keyasint"`
@@ -54,31 +56,32 @@
 	Tokens int64      `cbor:"4,keyasint"`
 }
 
-// Outstanding is a reservation whose final usage the closer does not know.
+// Outstanding is a reservation whose final usage is unknown to the instance
+// that closes the grant.
 type Outstanding struct {
 	Key    RequestKey `cbor:"1,keyasint"`
 	Run    RunID      `cbor:"2,keyasint"`
 	Tokens int64      `cbor:"3,keyasint"`
 }
 
-// Close ends a right. The first close in log order wins. For a grant, each
-// Outstanding reservation becomes a bill of its amount unless its key has one,
-// and Spent is the least sum that stays charged whatever was billed. For a
-// claim shard, Claims are the counted claims that may not have reached the log
-// yet.
+// Close ends a right. The first close in log order wins. When a grant is
+// closed, each Outstanding reservation is billed at its amount unless its key
+// has been billed, and Spent is the minimum that stays charged in any case.
+// When a claim shard is closed, Claims lists the counted claims that may not
+// have reached the log yet.
 type Close struct {
 	Right       RightID       `cbor:"1,keyasint"`
 	By          InstanceID    `cbor:"2,keyasint"`
 	Spent       int64         `cbor:"3,keyasint"`
 	Outstanding []Outstanding `cbor:"4,keyasint,omitempty"`
 	Claims      []Claim       `cbor:"5,keyasint,omitempty"`
-	// Forced marks an operator's close of a right whose holder is gone.
+	// Forced marks a close by an operator, of a right whose holder is gone.
 	Forced bool `cbor:"6,keyasint,omitempty"`
 }
 
-// Bill charges one request's tokens to a grant, at most what is left of the
-// grant. The fold counts the first bill of each key and ignores bills to a
-// closed grant.
+// Bill charges the tokens used by one request to a grant, at most what is left
+// of the grant. The fold counts the first bill of each key and ignores bills to
+// a closed grant.
 type Bill struct {
 	Key    RequestKey `cbor:"1,keyasint"`
 	Right  RightID    `cbor:"2,keyasint"`
@@ -87,8 +90,9 @@
 }
 
 // Shard makes an instance the holder of a claim shard for one epoch. It is
-// valid only if Epoch is the shard's last epoch plus one, and that last epoch
-// is closed or had no witness: then its claims count by the log alone.
+// valid only if Epoch is one above the shard's last epoch, and that last epoch
+// is closed or has no witness. Without a witness, claims count only once they
+// are on the log, so that the next epoch can begin without a close.
 type Shard struct {
 	Right   RightID    `cbor:"1,keyasint"`
 	Zone    Zone       `cbor:"2,keyasint"`
@@ -98,7 +102,9 @@
 	Witness InstanceID `cbor:"6,keyasint,omitempty"`
 }
 
-// Claim says that a request has been given one run under a shard's epoch.
+// Claim assigns one run to a request, under one epoch of a claim shard. Digest
+// is a hash of the request's body, and Runner is the instance that executes the
+// run.
 type Claim struct {
 	Key      RequestKey `cbor:"1,keyasint"`
 	Digest   uint64     `cbor:"2,keyasint"`
@@ -106,25 +112,25 @@
 	Right    RightID    `cbor:"4,keyasint"`
 	Runner   InstanceID `cbor:"5,keyasint"`
 	Endpoint string     `cbor:"6,keyasint,omitempty"`
-	// UnixMilli is the time of the claim by its holder's clock. It decides
-	// only when the fold may forget the claim, never who may run.
+	// UnixMilli is the time of the claim by its holder's clock. It only decides
+	// when the fold may forget the claim, never which run may proceed.
 	UnixMilli int64 `cbor:"7,keyasint"`
-	// Seq orders the claims of one right. A later one of the same key says
-	// that the holder has freed the key in between.
+	// Seq orders the claims of one right. A second claim of a key with a higher
+	// Seq means that the holder has released the key in between.
 	Seq uint64 `cbor:"8,keyasint,omitempty"`
 }
 
-// Outcome is the final outcome of a request.
+// Outcome is the final outcome of a claimed request.
 type Outcome uint8
 
-// The three final outcomes.
+// The final outcomes. OutcomeNotRun releases the request's key for another run.
 const (
 	OutcomeAnswered Outcome = 1
 	OutcomeNotRun   Outcome = 2
 	OutcomeUnknown  Outcome = 3
 )
 
-// String returns the outcome's name on the callers' interface.
+// String returns the name that the outcome has in the callers' API.
 func (o Outcome) String() string {
 	switch o {
 	case OutcomeAnswered:
@@ -143,7 +149,8 @@
 	Outcome Outcome    `cbor:"3,keyasint"`
 }
 
-// SessionOpened lists a session. Validity rests on the session's own token.
+// SessionOpened adds a session to the list of open sessions. The list does not
+// decide whether a session is valid; the session's own token does.
 type SessionOpened struct {
 	Session   SessionID `cbor:"1,keyasint"`
 	Team      Team      `cbor:"2,keyasint"`
@@ -152,48 +159,54 @@
 	UnixMilli int64     `cbor:"5,keyasint"`
 }
 
-// SessionEnded ends a session by its owner's word.
+// SessionEnded ends a session at the request of its owner.
 type SessionEnded struct {
 	Session SessionID `cbor:"1,keyasint"`
 	Team    Team      `cbor:"2,keyasint"`
 }
 
-// ChangeOp sets or deletes the value at one path.
+// ChangeOp sets or deletes the value at one path of the settings.
 type ChangeOp struct {
 	Path string `cbor:"1,keyasint" json:"path"`
-	// Base is the path's version that the operator saw; 0 for none.
+	// Base is the version of the path that the operator has seen, 0 for a path
+	// without a value. The change is refused if the path has another version.
 	Base   uint64 `cbor:"2,keyasint" json:"base,omitempty"`
 	Value  string `cbor:"3,keyasint,omitempty" json:"value,omitempty"`
 	Delete bool   `cbor:"4,keyasint,omitempty" json:"delete,omitempty"`
 }
 
-// Change is an operator's settings change. All its operations apply or none.
+// Change is an operator's change of settings. Either all its operations apply
+// or none.
 type Change struct {
 	ID        string     `cbor:"1,keyasint" json:"id"`
 	By        string     `cbor:"2,keyasint" json:"by"`
 	UnixMilli int64      `cbor:"3,keyasint" json:"unix_milli,omitempty"`
 	Ops       []ChangeOp `cbor:"4,keyasint" json:"ops"`
-	// Scope is the subtree that the change may touch; empty for all.
+	// Scope is the subtree that the change is restricted to; empty for no
+	// restriction.
 	Scope string `cbor:"5,keyasint,omitempty" json:"scope,omitempty"`
-	// Credential is the path that must still stand when the change is
-	// applied; empty where the credential does not stand in the settings.
+	// Credential is the settings path of the credential that authorized the
+	// change. It must still have a value when the change is applied. It is
+	// empty for a credential that is not part of the settings.
 	Credential string `cbor:"6,keyasint,omitempty" json:"credential,omitempty"`
 }
 
-// Snapshot is one chunk of a fold's state, appended anew before the records
-// it covers age out.
+// Snapshot is one chunk of a fold's encoded state. Snapshots are appended
+// repeatedly, each before the records that it covers age out of the log.
 type Snapshot struct {
 	ID string `cbor:"1,keyasint"`
-	// Covers is the offset after the last record in the snapshot.
+	// Covers is the offset after the last record that the state includes.
 	Covers uint64 `cbor:"2,keyasint"`
+	// Chunk is the chunk's index, from 0 to Chunks-1.
 	Chunk  int    `cbor:"3,keyasint"`
 	Chunks int    `cbor:"4,keyasint"`
 	Data   []byte `cbor:"5,keyasint"`
-	Sum    uint64 `cbor:"6,keyasint"`
+	// Sum is the xxHash64 checksum of the whole state.
+	Sum uint64 `cbor:"6,keyasint"`
 }
 
-// Unknown is a record of a kind that this version does not know. It is kept
-// as it is and has no effect.
+// Unknown is a record of kind Of, which this version does not know. It has no
+// effect and keeps its encoded body.
 type Unknown struct {
 	Of   Kind
 	Body []byte
