--- a/internal/fold/claims.go
+++ b/internal/fold/claims.go
@@ -6,22 +6,24 @@
 	"guavapier/internal/record"
 )
 
-// ClaimWindow is how long the tables remember a claim after it was made. It is
-// part of what a record means: all instances must have the same one. A caller
-// may retry a request under its key for that long.
+// ClaimWindow is how long the tables remember a claim after it was made, and
+// thus how long a caller may retry a request under its key. It decides what
+// effect a record has, so all instances must use the same value.
 const ClaimWindow = 24 * time.Hour
 
-// Shard is the last epoch of a claim shard.
+// Shard is the last epoch of a claim shard. Offset is the offset of the batch
+// that began the epoch.
 type Shard struct {
 	record.Shard
 	Offset uint64 `json:"offset"`
 	Closed bool   `json:"closed"`
 }
 
-// Supersedable says whether the next epoch may begin. An epoch with a witness
-// must be closed first: its holder and witness may go on counting claims
-// behind a partition. An epoch without one counts its claims by this log
-// alone, so the next epoch's record itself ends it.
+// Supersedable reports whether the next epoch may begin. An epoch with a
+// witness must be closed first: its holder and its witness may still count
+// claims on the far side of a network partition. An epoch without a witness
+// counts a claim only once it is on the log, so that the record of the next
+// epoch ends it.
 func (s Shard) Supersedable() bool { return s.Closed || s.Witness == "" }
 
 // Claim is one row of the claim table.
@@ -31,27 +33,30 @@
 	Outcome record.Outcome `json:"outcome"`
 }
 
-// shardKey names a claim shard of this partition.
+// shardKey identifies a claim shard within a partition.
 type shardKey struct {
 	zone  record.Zone
 	shard int
 }
 
+// claimAge is an entry of the queue by which claims expire.
 type claimAge struct {
 	key       identityHash
 	run       record.RunID
 	unixMilli int64
 }
 
-// claimTables hold claim shards, claims and ended sessions of a partition.
+// claimTables holds the claim shards, claims and sessions of a partition.
 type claimTables struct {
 	shards map[shardKey]*Shard
-	// shardByRight finds the shards' last epochs by their right.
+	// shardByRight holds the last epochs of the shards by their right.
 	shardByRight map[record.RightID]*Shard
 	claims       map[identityHash]*Claim
-	// order has the claims as they came; old ones leave at the front.
+	// order holds the claims in log order; expired claims are removed from its
+	// front.
 	order queue[claimAge]
-	// latestUnixMilli is the largest claim time seen. Only it decides what is old.
+	// latestUnixMilli is the largest claim time seen. Claims expire by it and
+	// not by a clock, so that the fold stays deterministic.
 	latestUnixMilli int64
 	endedSessions   map[identityHash]struct{}
 	openSessions    sessionTable
@@ -67,7 +72,7 @@
 	}
 }
 
-// apply applies one record; kinds of other tables have no effect.
+// apply applies one record. It ignores the kinds that belong to other tables.
 func (t *claimTables) apply(offset uint64, rec record.Record) {
 	switch r := rec.(type) {
 	case record.Shard:
@@ -88,8 +93,8 @@
 	}
 }
 
-// applyShard voids an epoch that is not the next one, or whose predecessor
-// may still count claims.
+// applyShard ignores an epoch that is not the next one, whose predecessor may
+// still count claims, or whose holder is its own witness.
 func (t *claimTables) applyShard(offset uint64, r record.Shard) {
 	key := shardKey{zone: r.Zone, shard: r.Shard}
 	last, known := t.shards[key]
@@ -110,8 +115,8 @@
 	t.shardByRight[r.Right] = row
 }
 
-// applyClaim voids a claim of an epoch that has ended, and of a key that has
-// another run.
+// applyClaim ignores a claim of an epoch that has ended, and a claim of a key
+// that has another run.
 func (t *claimTables) applyClaim(r record.Claim) {
 	if s := t.shardByRight[r.Right]; s == nil || s.Closed {
 		return
@@ -119,6 +124,9 @@
 	t.addClaim(r)
 }
 
+// addClaim adds a claim, or sets the endpoint of the claim that its run has
+// already. It ignores a claim of a key that has another run, unless the holder
+// has released the key in between.
 func (t *claimTables) addClaim(r record.Claim) {
 	if r.Run == "" {
 		return
@@ -128,8 +136,8 @@
 	if ok && row.Run == r.Run && r.Endpoint != "" {
 		row.Endpoint = r.Endpoint
 	}
-	// The holder counts a second run of a key only after the first one did not
-	// run; the record of that may come later, or never.
+	// The holder counts a second run of a key only after the first one ended as
+	// OutcomeNotRun. The first run's ClaimEnd may follow later, or never.
 	released := ok && row.Right == r.Right && row.Seq < r.Seq && row.Outcome == 0
 	if ok && !released {
 		return
@@ -140,7 +148,8 @@
 	t.pruneExpired()
 }
 
-// pruneExpired forgets the claims at the front that are older than the window.
+// pruneExpired removes the claims that are older than ClaimWindow from the
+// front of the queue. A later claim of the same key stays.
 func (t *claimTables) pruneExpired() {
 	oldest := t.latestUnixMilli - ClaimWindow.Milliseconds()
 	for t.order.len() > 0 && t.order.front().unixMilli < oldest {
@@ -151,8 +160,8 @@
 	}
 }
 
-// applyClaimEnd counts the first outcome of a run. A run that did not run frees its
-// key.
+// applyClaimEnd records the first outcome of a run. OutcomeNotRun removes the
+// claim and so releases its key.
 func (t *claimTables) applyClaimEnd(r record.ClaimEnd) {
 	key := hashRequestKey(r.Key)
 	row, ok := t.claims[key]
@@ -166,8 +175,8 @@
 	row.Outcome = r.Outcome
 }
 
-// applyClose ends an epoch: by its holder, its witness or an operator. It
-// brings the counted claims that are not on the log yet.
+// applyClose ends an epoch on behalf of its holder, its witness or an operator.
+// It adds the counted claims that were not on the log yet.
 func (t *claimTables) applyClose(r record.Close) {
 	s := t.shardByRight[r.Right]
 	if s == nil || s.Closed {
--- a/internal/fold/claims_test.go
+++ b/internal/fold/claims_test.go
@@ -29,8 +29,8 @@
 	return record.Claim{Key: record.RequestKey{Team: "t", Key: key}, Right: right, Run: run, UnixMilli: at}
 }
 
-// An epoch with a witness ends by a close of one who may; one without ends by
-// the next epoch's record.
+// An epoch with a witness ends by a close of its holder, its witness or an
+// operator; one without a witness ends by the record of the next epoch.
 func TestClaimShardEpochs(t *testing.T) {
 	for name, c := range map[string]struct {
 		records []record.Record
@@ -52,7 +52,7 @@
 			applyRecords(t, l, c.records...)
 			got, _ := l.ClaimShard("z", 0)
 			if got.Right != c.want {
-				t.Fatalf("right %q, want %q", got.Right, c.want)
+				t.Fatalf("the last epoch has right %q, want %q", got.Right, c.want)
 			}
 		})
 	}
@@ -63,6 +63,8 @@
 	return c
 }
 
+// A key has one run at a time. Only OutcomeNotRun, a later claim of the same
+// epoch, or the end of ClaimWindow releases the key.
 func TestClaimOfAKey(t *testing.T) {
 	open := shardEpoch(1, "r1", "a", "b")
 	key := record.RequestKey{Team: "t", Key: "k"}
@@ -97,7 +99,7 @@
 			applyRecords(t, l, c.records...)
 			got, _ := l.Claim(key)
 			if got.Run != c.run || got.Outcome != c.outcome {
-				t.Fatalf("run %q outcome %d, want %q and %d", got.Run, got.Outcome, c.run, c.outcome)
+				t.Fatalf("the claim has run %q and outcome %d, want %q and %d", got.Run, got.Outcome, c.run, c.outcome)
 			}
 		})
 	}
--- a/internal/fold/config.go
+++ b/internal/fold/config.go
@@ -11,65 +11,70 @@
 	"guavapier/internal/record"
 )
 
-// ResultWindow is for how many offsets of the configuration stream the fold
-// remembers a change's identity and result. A retry after that is a new change, which its base versions judge. At 2,100
-// changes a day and an hourly snapshot of 40 chunks it is more than a day; a
-// change is at most config.MaxChangeBytes, which bounds the memory.
+// ResultWindow is the number of offsets of the configuration stream for which
+// the fold remembers a change's ID and result. A retry after that counts as a
+// new change, which its base versions admit or refuse. At 2,100 changes a day
+// and an hourly snapshot of 40 chunks the window is more than a day long; a
+// change has at most config.MaxChangeBytes, which bounds the memory.
 const ResultWindow = 4096
 
 // Value is one row of the settings table.
 type Value struct {
 	Path    string `json:"path" cbor:"1,keyasint"`
 	Value   string `json:"value" cbor:"2,keyasint"`
-	Version uint64 `json:"version" cbor:"3,keyasint"` // Offset plus one of the change that set it.
+	Version uint64 `json:"version" cbor:"3,keyasint"` // Offset of the change that set the value, plus 1.
 	By      string `json:"by" cbor:"4,keyasint"`
 	Change  string `json:"change" cbor:"5,keyasint"`
 }
 
-// Verdict says what the fold made of a change.
+// Verdict is the fold's decision on a change.
 type Verdict string
 
-// The verdicts. Only VerdictAccepted has changed anything.
+// The verdicts. Only an accepted change modifies the table.
 const (
 	VerdictAccepted Verdict = "accepted"
-	// VerdictLost: another change came first on one of the paths.
+	// VerdictLost: another change modified one of the paths first.
 	VerdictLost Verdict = "lost"
-	// VerdictOutOfScope: a path is outside the subtree of the credential.
+	// VerdictOutOfScope: a path is outside the subtree that the change is
+	// restricted to.
 	VerdictOutOfScope Verdict = "out_of_scope"
-	// VerdictRevoked: the credential was gone when the change was applied.
+	// VerdictRevoked: the credential no longer existed when the change was
+	// applied.
 	VerdictRevoked Verdict = "credential_revoked"
 )
 
-// ChangeResult says what became of a change.
+// ChangeResult is a change with the fold's decision on it. Offset is the offset
+// at which the decision was made.
 type ChangeResult struct {
 	ID       string  `json:"id" cbor:"1,keyasint"`
 	Accepted bool    `json:"accepted" cbor:"2,keyasint"`
 	Verdict  Verdict `json:"verdict" cbor:"3,keyasint"`
 	Offset   uint64  `json:"offset" cbor:"4,keyasint"`
-	// Lost lists the values that stood at the paths on which a refused change
-	// lost its race, with who set them. A path without value has version 0.
+	// Lost lists the current values, and who set them, of the paths on which a
+	// refused change was based on another version. A path without a value has
+	// version 0.
 	Lost []Value `json:"lost,omitempty" cbor:"5,keyasint,omitempty"`
-	// By, UnixMilli and Ops are the change itself, for the history.
+	// By, UnixMilli and Ops are those of the change; the history shows them.
 	By        string            `json:"by" cbor:"6,keyasint"`
 	UnixMilli int64             `json:"unix_milli" cbor:"7,keyasint"`
 	Ops       []record.ChangeOp `json:"ops" cbor:"8,keyasint"`
-	// Digest tells this change from another one under the same identity.
+	// Digest distinguishes the change from a different one with the same ID.
 	Digest uint64 `json:"-" cbor:"9,keyasint"`
 }
 
-// Config holds the settings under paths. It is not safe for concurrent use.
+// Config is the table of settings by path. It is not safe for concurrent use.
 //
-// Invariants: a path's version only rises while it stands; a change applies
-// whole or not at all, and at most once within ResultWindow.
+// Invariants: a path's version only rises while the path has a value; a change
+// applies entirely or not at all, and at most once within ResultWindow.
 type Config struct {
 	values  map[string]Value
 	results map[string]ChangeResult
-	// resultIDs holds the identities in results by offset, oldest first.
+	// resultIDs holds the keys of results in the order of their offsets.
 	resultIDs []string
 	next      uint64
 }
 
-// NewConfig returns the empty table.
+// NewConfig returns an empty table.
 func NewConfig() *Config {
 	return &Config{
 		values:  map[string]Value{},
@@ -80,7 +85,7 @@
 // Next returns the offset after the last applied batch.
 func (c *Config) Next() uint64 { return c.next }
 
-// Len returns the number of values.
+// Len returns the number of paths that have a value.
 func (c *Config) Len() int { return len(c.values) }
 
 // Get returns the value at a path.
@@ -89,7 +94,7 @@
 	return v, ok
 }
 
-// List returns the values at and below a path, by path.
+// List returns the values at and below prefix, sorted by path.
 func (c *Config) List(prefix string) []Value {
 	out := []Value{}
 	for path, v := range c.values {
@@ -101,20 +106,21 @@
 	return out
 }
 
-// IsAtOrBelow says whether path is prefix or below it.
+// IsAtOrBelow reports whether path equals prefix or is below it. A slash at the
+// end of prefix has no meaning.
 func IsAtOrBelow(path, prefix string) bool {
 	prefix = strings.TrimSuffix(prefix, "/")
 	return path == prefix || strings.HasPrefix(path, prefix+"/")
 }
 
-// Result returns what became of a change.
+// Result returns the decision on a change, if the fold remembers it.
 func (c *Config) Result(id string) (ChangeResult, bool) {
 	r, ok := c.results[id]
 	return r, ok
 }
 
-// History returns the remembered changes that touch a path at or below
-// prefix, newest first, at most limit of them.
+// History returns the remembered changes, accepted or not, that have an
+// operation at or below prefix: newest first, at most limit of them.
 func (c *Config) History(prefix string, limit int) []ChangeResult {
 	out := []ChangeResult{}
 	for _, id := range slices.Backward(c.resultIDs) {
@@ -129,9 +135,10 @@
 	return out
 }
 
-// Apply applies the batch at an offset. Batches that were applied before have
-// no effect; in a copy of a batch at a later offset, each change is known by
-// its identity.
+// Apply applies the batch at an offset. Offsets that were applied before have
+// no effect; in a copy of a batch at a later offset, each change is recognized
+// by its ID. The first record that cannot be decoded ends the batch; the error
+// is that of record.Decode.
 func (c *Config) Apply(offset uint64, batch record.Batch) error {
 	if offset < c.next {
 		return nil
@@ -150,7 +157,7 @@
 	return nil
 }
 
-// pruneResults drops what is older than ResultWindow.
+// pruneResults removes the results that are older than ResultWindow.
 func (c *Config) pruneResults(offset uint64) {
 	if offset < ResultWindow {
 		return
@@ -162,8 +169,8 @@
 	}
 }
 
-// applyChange applies all operations of a change or none. A change identity
-// that was seen before has no effect.
+// applyChange applies all operations of a change or none. A change whose ID is
+// remembered has no effect.
 func (c *Config) applyChange(offset uint64, change record.Change) {
 	if _, seen := c.results[change.ID]; seen {
 		return
@@ -187,9 +194,10 @@
 	}
 }
 
-// evaluate says whether a change applies. The scope and the credential are
-// judged here and not only at the operators' interface, since a credential
-// may be revoked while the change is on its way.
+// evaluate decides whether a change applies, and returns the current values of
+// the paths with another version. The scope and the credential are checked here
+// and not only in the operators' API, because a credential may be revoked while
+// the change is on its way to the log.
 func (c *Config) evaluate(change record.Change) (Verdict, []Value) {
 	if change.Credential != "" {
 		if _, exists := c.values[change.Credential]; !exists {
@@ -212,7 +220,8 @@
 	return VerdictAccepted, nil
 }
 
-// ChangeDigest tells two changes apart by what they set.
+// ChangeDigest returns a hash of a change's operations. It tells a retry of a
+// change from a different change with the same ID.
 func ChangeDigest(ops []record.ChangeOp) uint64 {
 	data, err := cbor.Marshal(ops)
 	if err != nil {
--- a/internal/fold/config_bench_test.go
+++ b/internal/fold/config_bench_test.go
@@ -11,7 +11,7 @@
 
 var configSizes = []int{1_000, 10_000, 100_000}
 
-// newFilledConfig returns a table of n values, one change each.
+// newFilledConfig returns a table of n values, each set by a change of its own.
 func newFilledConfig(b *testing.B, n int) *fold.Config {
 	b.Helper()
 	c := fold.NewConfig()
@@ -23,6 +23,7 @@
 	return c
 }
 
+// changeBatch returns a batch with one change, of value i from version base.
 func changeBatch(b *testing.B, i int, base uint64) record.Batch {
 	b.Helper()
 	change := record.Change{ID: fmt.Sprintf("01a238d2-75b5-79cc-aa82-%012d-%d", i, base), By: "fleet (ana)", Ops: []record.ChangeOp{
@@ -35,7 +36,8 @@
 	return record.Batch{Writer: "i", Seq: uint64(i) + 1, Records: []record.Envelope{env}}
 }
 
-// BenchmarkConfigApply is the cost of one change on a table of a size.
+// BenchmarkConfigApply measures one change, by the number of values in the
+// table.
 func BenchmarkConfigApply(b *testing.B) {
 	for _, n := range configSizes {
 		b.Run(fmt.Sprint("values=", n), func(b *testing.B) {
@@ -44,7 +46,7 @@
 			for i := range batches {
 				base := uint64(i%n) + 1
 				if i >= n {
-					base = uint64(i) + 1 // The change one round before: offset n + (i - n).
+					base = uint64(i) + 1 // The previous change of this value, at offset n + (i - n).
 				}
 				batches[i] = changeBatch(b, i%n, base)
 			}
@@ -58,7 +60,7 @@
 	}
 }
 
-// BenchmarkConfigMemory reports the heap of a table by value.
+// BenchmarkConfigMemory reports the heap bytes per value.
 func BenchmarkConfigMemory(b *testing.B) {
 	for _, n := range configSizes {
 		b.Run(fmt.Sprint("values=", n), func(b *testing.B) {
@@ -76,7 +78,8 @@
 	}
 }
 
-// BenchmarkConfigSnapshot is the cost of a snapshot and of starting from it.
+// BenchmarkConfigSnapshot measures taking a snapshot and restoring one, and
+// reports the encoded bytes per value.
 func BenchmarkConfigSnapshot(b *testing.B) {
 	for _, n := range configSizes {
 		c := newFilledConfig(b, n)
--- a/internal/fold/config_snapshot.go
+++ b/internal/fold/config_snapshot.go
@@ -8,8 +8,9 @@
 	"github.com/rotisserie/eris"
 )
 
-// configState is a Config's state; the results are in the order of their
-// offsets.
+// configState is the encoded state of a Config. Values are sorted by path and
+// results are in the order of their offsets, so that equal states encode to
+// equal bytes.
 type configState struct {
 	_       struct{} `cbor:",toarray"`
 	Version int
@@ -18,7 +19,7 @@
 	Results []ChangeResult
 }
 
-// Snapshot returns the state as bytes. Equal states give equal bytes.
+// Snapshot returns the encoded state. Equal states encode to equal bytes.
 func (c *Config) Snapshot() ([]byte, error) {
 	s := configState{Version: configSnapshotVersion, Next: c.next}
 	for _, path := range slices.Sorted(maps.Keys(c.values)) {
@@ -30,15 +31,15 @@
 	return encodeState(s)
 }
 
-// Restore replaces the state by a snapshot's. After an error the state is as
-// it was.
+// Restore replaces the state with that of a snapshot. It returns
+// ErrUnusableSnapshot, and then leaves the state unchanged.
 func (c *Config) Restore(data []byte) error {
 	var s configState
 	if err := cbor.Unmarshal(data, &s); err != nil {
 		return eris.Wrap(ErrUnusableSnapshot, err.Error())
 	}
 	if s.Version != configSnapshotVersion {
-		return eris.Wrapf(ErrUnusableSnapshot, "fold: config snapshot of version %d", s.Version)
+		return eris.Wrapf(ErrUnusableSnapshot, "fold: config snapshot has unsupported version %d", s.Version)
 	}
 	fresh := NewConfig()
 	fresh.next = s.Next
--- a/internal/fold/config_test.go
+++ b/internal/fold/config_test.go
@@ -13,7 +13,7 @@
 
 var configPaths = []string{"/teams/a/x", "/teams/a/y", "/teams/b/x"}
 
-// drawChange draws a change whose bases are mostly current.
+// drawChange draws a change whose base versions are mostly current.
 func drawChange(t *rapid.T, c *fold.Config, maxID int) record.Change {
 	change := record.Change{ID: fmt.Sprint(rapid.IntRange(0, maxID).Draw(t, "id")), By: "by"}
 	if rapid.Bool().Draw(t, "scoped") {
@@ -34,8 +34,9 @@
 	return change
 }
 
-// drawLog draws a log of racing operators, retries under the same identity,
-// and copies of batches whose answer was lost.
+// drawLog draws a log of concurrent operators, of retries with the same change
+// ID, and of copies of batches, as a writer sends them when the answer to an
+// append is lost.
 func drawLog(t *rapid.T, steps int) []record.Batch {
 	var log []record.Batch
 	current := fold.NewConfig()
@@ -73,13 +74,15 @@
 	return out
 }
 
-// configModel is what the table must be after each batch.
+// configModel is the reference model: the values, and the results by change ID,
+// that the table must have after each batch.
 type configModel struct {
 	values  map[string]fold.Value
 	decided map[string]fold.ChangeResult
 }
 
-// checkResult checks what the fold made of one change, and follows it.
+// checkResult checks the fold's decision on one change and applies the change
+// to the model.
 func (m configModel) checkResult(t *rapid.T, c *fold.Config, change record.Change, offset uint64) {
 	got, known := c.Result(change.ID)
 	if !known {
@@ -87,21 +90,21 @@
 	}
 	if before, seen := m.decided[change.ID]; seen {
 		if !reflect.DeepEqual(before, got) {
-			t.Fatalf("a retry changed the result from %+v to %+v", before, got)
+			t.Fatalf("a retry of the change modified its result from %+v to %+v", before, got)
 		}
 		return
 	}
 	m.decided[change.ID] = got
 	if allowed := expectAccepted(m.values, change); got.Accepted != allowed {
-		t.Fatalf("change %+v on %+v: accepted %v", change, m.values, got.Accepted)
+		t.Fatalf("change %+v of values %+v: accepted is %v, want the opposite", change, m.values, got.Accepted)
 	}
 	if got.Accepted {
 		applyOps(m.values, change, offset+1)
 	}
 }
 
-// Every change applies whole or not at all, once, on the versions it names,
-// within its scope; and no value goes back to what an earlier change set.
+// Every change applies entirely or not at all, once, on the versions that it
+// names and within its scope. No value goes back to that of an earlier change.
 func TestConfigNeverRevertsAndAppliesAllOrNothing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := fold.NewConfig()
@@ -122,6 +125,8 @@
 	})
 }
 
+// expectAccepted reports whether the fold must accept a change of the given
+// values.
 func expectAccepted(now map[string]fold.Value, change record.Change) bool {
 	for _, op := range change.Ops {
 		if now[op.Path].Version != op.Base || change.Scope != "" && !fold.IsAtOrBelow(op.Path, change.Scope) {
@@ -131,6 +136,7 @@
 	return true
 }
 
+// applyOps applies an accepted change to the model's values.
 func applyOps(now map[string]fold.Value, change record.Change, version uint64) {
 	for _, op := range change.Ops {
 		delete(now, op.Path)
@@ -140,8 +146,9 @@
 	}
 }
 
-// A revoked credential changes nothing, also when it was revoked while its
-// change was on the way; results are forgotten after the window, and no sooner.
+// A change with a revoked credential modifies nothing, also if the credential
+// was revoked after the change was sent. Results are remembered for
+// ResultWindow and no longer.
 func TestConfigRevokedCredentialAndWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := fold.NewConfig()
@@ -155,14 +162,14 @@
 			}
 		}
 		if r, _ := c.Result("late"); r.Verdict != fold.VerdictRevoked {
-			t.Fatalf("%+v", r)
+			t.Fatalf("the result of a change with a revoked credential is %+v", r)
 		}
 		gap := rapid.SampledFrom([]uint64{1, fold.ResultWindow - 1, fold.ResultWindow, fold.ResultWindow + 1, 2 * fold.ResultWindow}).Draw(t, "gap")
 		if err := c.Apply(2+gap, newBatch(t, "other", 1)); err != nil {
 			t.Fatal(err)
 		}
 		if _, known := c.Result("late"); known != (gap <= fold.ResultWindow) {
-			t.Fatalf("after %d offsets: known %v", gap, known)
+			t.Fatalf("%d offsets after the change: its result is remembered: %v, want the opposite", gap, known)
 		}
 	})
 }
--- a/internal/fold/ledger.go
+++ b/internal/fold/ledger.go
@@ -1,6 +1,6 @@
-// Package fold turns the records of a stream, read in offset order, into
-// tables. It is deterministic and does no input or output: every instance
-// that has applied the same records has the same tables.
+// Package fold computes tables from the records of a stream, which it applies
+// in offset order. It is deterministic and does no I/O: instances that have
+// applied the same records have the same tables.
 package fold
 
 import (
@@ -9,32 +9,35 @@
 	"guavapier/internal/record"
 )
 
-// MaxTokens is the most that one budget can hold. Every sum in the tables
-// stays at or below it, so that none can overflow.
+// MaxTokens is the most that one budget can hold. No sum of tokens in the
+// tables exceeds it, so that none can overflow.
 const MaxTokens int64 = 1 << 53
 
-// Windows bound what the tables remember. All instances must have the same
-// ones: they are part of what a record means.
+// Windows bound what the tables remember. They decide what effect a record has,
+// so all instances must use the same ones.
 type Windows struct {
-	// Bills is how many bills of closed grants a partition remembers to tell a
-	// second bill of the same key. Bills of open grants are remembered as well.
+	// Bills is the number of most recent bills that a partition remembers in
+	// order to ignore a second bill of the same key. Bills of open grants are
+	// remembered in any case.
 	Bills int
-	// TopUps is how many top-up identities each budget remembers.
+	// TopUps is the number of most recent top-up IDs that each budget
+	// remembers.
 	TopUps int
-	// Writers is for how many offsets a writer's last sequence number is
-	// remembered. After it a late copy of a batch is told by the identities in
-	// its records: bills by key, grants by right, returns by sequence.
+	// Writers is the number of offsets for which a writer's last sequence
+	// number is remembered. A copy of a batch that arrives later is recognized
+	// by the identities in its records: bills by key, grants by right, returns
+	// by sequence number.
 	Writers uint64
-	// Grants is for how many offsets a closed grant is remembered.
+	// Grants is the number of offsets for which a closed grant is remembered.
 	Grants uint64
 }
 
-// DefaultWindows are the windows of the product; docs/adr/0010 has the reason
-// of each.
+// DefaultWindows are the windows that instances use; docs/adr/0010 gives the
+// reason for each.
 var DefaultWindows = Windows{Bills: 1 << 18, TopUps: 64, Writers: 1 << 20, Grants: 1 << 16}
 
-// Ledger holds the tables of one ledger partition. It is not safe for
-// concurrent use.
+// Ledger holds the tables of one ledger partition: budgets, grants, bills,
+// claims and sessions. It is not safe for concurrent use.
 type Ledger struct {
 	windows       Windows
 	budgets       map[record.BudgetID]*budget
@@ -48,10 +51,10 @@
 	next          uint64
 }
 
-// NewLedger returns the empty tables.
+// NewLedger returns empty tables with DefaultWindows.
 func NewLedger() *Ledger { return NewLedgerWithWindows(DefaultWindows) }
 
-// NewLedgerWithWindows returns empty tables with other windows.
+// NewLedgerWithWindows returns empty tables with the given windows.
 func NewLedgerWithWindows(w Windows) *Ledger {
 	return &Ledger{
 		windows:       w,
@@ -68,11 +71,11 @@
 // Next returns the offset after the last applied batch.
 func (l *Ledger) Next() uint64 { return l.next }
 
-// Apply applies the batch at an offset. Batches that were applied before, and
-// copies of a batch by the same writer, have no effect. A record that cannot
-// be decoded is passed over and the others of its batch take effect: every
-// instance decodes the same bytes alike, so all of them agree. The error names
-// the first such record.
+// Apply applies the batch at an offset. Offsets that were applied before, and
+// copies of a batch by the same writer, have no effect. A record that cannot be
+// decoded is skipped and the others of its batch take effect; every instance
+// decodes the same bytes with the same result, so their tables stay equal. The
+// error names the first record that was skipped.
 func (l *Ledger) Apply(offset uint64, batch record.Batch) error {
 	if offset < l.next {
 		return nil
@@ -91,7 +94,7 @@
 			continue
 		}
 		if firstErr == nil {
-			firstErr = eris.Wrapf(err, "fold: record %d of kind %d passed over", n, env.Kind)
+			firstErr = eris.Wrapf(err, "fold: record %d of kind %d skipped", n, env.Kind)
 		}
 	}
 	return firstErr
--- a/internal/fold/ledger_bench_test.go
+++ b/internal/fold/ledger_bench_test.go
@@ -21,7 +21,8 @@
 
 func benchmarkRight(n int) record.RightID { return record.RightID(fmt.Sprintf("%036d", n)) }
 
-// newFilledLedger returns a fold with budgets, one open grant each.
+// newFilledLedger returns a ledger with a number of budgets and, if grants is
+// true, one open grant of each.
 func newFilledLedger(b *testing.B, budgets int, grants bool) *fold.Ledger {
 	b.Helper()
 	l := fold.NewLedger()
@@ -53,7 +54,8 @@
 	return newBatch(b, "bench", uint64(n+1), records...)
 }
 
-// BenchmarkLedgerApply measures one bill, decoding included, in batches of 20.
+// BenchmarkLedgerApply measures the time per bill, including decoding, in
+// batches of 20 bills.
 func BenchmarkLedgerApply(b *testing.B) {
 	for _, budgets := range []int{1_000, 10_000, 100_000} {
 		b.Run(fmt.Sprintf("budgets=%d", budgets), func(b *testing.B) {
@@ -74,7 +76,8 @@
 	}
 }
 
-// BenchmarkLedgerMemory measures bytes for each budget, open grant and bill.
+// BenchmarkLedgerMemory reports the heap bytes per budget, per open grant and
+// per bill.
 func BenchmarkLedgerMemory(b *testing.B) {
 	for _, n := range []int{1_000, 10_000, 100_000} {
 		b.Run(fmt.Sprintf("rows=%d", n), func(b *testing.B) {
--- a/internal/fold/ledger_bills.go
+++ b/internal/fold/ledger_bills.go
@@ -7,14 +7,17 @@
 	"guavapier/internal/record"
 )
 
-// identityHash stands for a request key in the tables: 128 bits of a cryptographic
-// hash, so that no caller can find two keys that share one bill.
+// identityHash stands for an identity in the tables: a request key, a session
+// or a top-up ID. It holds 128 bits of a cryptographic hash, so that no caller
+// can construct two request keys that share one bill.
 type identityHash [16]byte
 
 func hashRequestKey(k record.RequestKey) identityHash {
 	return hashStrings(string(k.Team), string(k.Session), k.Key)
 }
 
+// hashStrings hashes parts, each preceded by its length, so that lists of
+// strings that differ have different encodings.
 func hashStrings(parts ...string) identityHash {
 	var buf [128]byte
 	data := buf[:0]
@@ -26,14 +29,16 @@
 	return identityHash(sum[:16])
 }
 
+// billEntry is one entry of the queue of remembered bills.
 type billEntry struct {
 	key   identityHash
 	right record.RightID
 }
 
-// billTable remembers the keys that have a bill: those of the last bills in
-// log order, and those of grants that are still open. The latter matter
-// because a witness may close a grant long after its holder billed a request.
+// billTable remembers the keys that have been billed: those of the most recent
+// bills in log order, and those of all open grants. The latter are needed
+// because a witness may close a grant long after its holder billed a request,
+// and the request must not be billed again.
 type billTable struct {
 	seen  map[identityHash]struct{}
 	order queue[billEntry]
@@ -45,8 +50,9 @@
 	t.trim(l)
 }
 
-// trim moves the oldest entries out of the window: to their grant while it is
-// open, else out of the table.
+// trim removes the oldest entries beyond Windows.Bills from the queue. While
+// its grant is open, the key of such an entry is kept with the grant; otherwise
+// it is forgotten.
 func (t *billTable) trim(l *Ledger) {
 	for t.order.len() > l.windows.Bills {
 		old := t.order.pop()
@@ -59,7 +65,8 @@
 	}
 }
 
-// requeueBills puts the bills of a grant that has just been closed into the window.
+// requeueBills moves the keys kept with a grant that has just been closed back
+// into the queue.
 func (t *billTable) requeueBills(g *Grant, l *Ledger) {
 	for _, key := range g.bills {
 		t.order.push(billEntry{key: key, right: g.Right})
@@ -76,8 +83,8 @@
 	l.charge(g, r.Key, r.Tokens)
 }
 
-// charge counts one bill: the first of its key, and at most what is left of
-// the grant.
+// charge counts a bill, at most what is left of the grant. It ignores a key
+// that has been billed before and a negative number of tokens.
 func (l *Ledger) charge(g *Grant, key record.RequestKey, tokens int64) {
 	hash := hashRequestKey(key)
 	if _, billed := l.bills.seen[hash]; billed || tokens < 0 {
--- a/internal/fold/ledger_grants.go
+++ b/internal/fold/ledger_grants.go
@@ -2,7 +2,7 @@
 
 import "guavapier/internal/record"
 
-// Budget is one row of the budget table. All sums are tokens.
+// Budget is one row of the budget table. All sums are in tokens.
 type Budget struct {
 	ID record.BudgetID `json:"id"`
 	// Prepaid is the sum of top-ups.
@@ -11,37 +11,44 @@
 	// amount while open, its final spend once closed. Invariant: Committed
 	// never exceeds Prepaid.
 	Committed int64 `json:"committed"`
-	// Billed is the sum of counted bills. Invariant: never above Committed.
+	// Billed is the sum of counted bills. Invariant: Billed never exceeds
+	// Committed.
 	Billed int64 `json:"billed"`
 }
 
-// Grant is one row of the grant table. Tokens is the amount less what was
-// returned.
+// Grant is one row of the grant table. Tokens is the granted amount minus what
+// was returned.
 type Grant struct {
 	record.Grant
+	// Offset is the offset of the batch that holds the grant.
 	Offset uint64 `json:"offset"`
 	Billed int64  `json:"billed"`
 	Closed bool   `json:"closed"`
-	// Returns is the sequence number of the last return that took effect.
+	// Returns is the sequence number of the last return that took effect, 0 for
+	// none.
 	Returns uint64 `json:"returns,omitempty"`
 
-	// bills are those that left the bill window while the grant was open.
+	// bills holds the billed keys that left the queue of recent bills while the
+	// grant was open.
 	bills []identityHash
 }
 
-// budget is a row with what only the fold needs.
+// budget is a Budget with the state that only the fold uses.
 type budget struct {
 	Budget
 	topUps     queue[identityHash]
 	openGrants map[record.RightID]*Grant
 }
 
+// closedGrant is an entry of the queue of closed grants; offset is that of the
+// close.
 type closedGrant struct {
 	right  record.RightID
 	offset uint64
 }
 
-// grantIndex finds open grants by an instance.
+// grantIndex holds open grants by instance, either their holder or their
+// witness.
 type grantIndex map[record.InstanceID]map[record.RightID]*Grant
 
 func (x grantIndex) add(id record.InstanceID, g *Grant) {
@@ -63,6 +70,8 @@
 	}
 }
 
+// applyTopUp ignores a top-up that would raise the prepaid sum above MaxTokens,
+// and one whose ID is remembered.
 func (l *Ledger) applyTopUp(r record.TopUp) {
 	b, ok := l.budgets[r.Budget]
 	if !ok {
@@ -80,8 +89,8 @@
 	b.Prepaid += r.Tokens
 }
 
-// applyGrant voids a grant that would raise the committed sum above the
-// prepaid one.
+// applyGrant ignores a grant that would raise the committed sum above the
+// prepaid sum, and one whose right is known already.
 func (l *Ledger) applyGrant(offset uint64, r record.Grant) {
 	b, ok := l.budgets[r.Budget]
 	if !ok || r.Right == "" || r.Holder == "" || r.Tokens <= 0 || r.Tokens > b.Prepaid-b.Committed {
@@ -98,6 +107,8 @@
 	l.openByWitness.add(r.Witness, g)
 }
 
+// applyReturn ignores a return that is not the holder's next one, or that
+// exceeds what has not been billed.
 func (l *Ledger) applyReturn(r record.Return) {
 	g, ok := l.grants[r.Right]
 	if !ok || g.Closed || r.By != g.Holder || r.Seq != g.Returns+1 {
@@ -111,6 +122,8 @@
 	l.budgets[g.Budget].Committed -= r.Tokens
 }
 
+// applyClose ends a grant on behalf of its holder, its witness or an operator.
+// The part of it that is not spent becomes available in the budget again.
 func (l *Ledger) applyClose(offset uint64, r record.Close) {
 	g, ok := l.grants[r.Right]
 	if !ok || g.Closed {
@@ -134,7 +147,8 @@
 	l.bills.requeueBills(g, l)
 }
 
-// removeExpiredGrants drops grants that were closed a window ago.
+// removeExpiredGrants removes the grants that were closed more than
+// Windows.Grants offsets ago.
 func (l *Ledger) removeExpiredGrants(offset uint64) {
 	for l.closedGrants.len() > 0 && l.closedGrants.front().offset+l.windows.Grants < offset {
 		delete(l.grants, l.closedGrants.pop().right)
--- a/internal/fold/ledger_snapshot.go
+++ b/internal/fold/ledger_snapshot.go
@@ -12,19 +12,21 @@
 	"guavapier/internal/record"
 )
 
-// ErrUnusableSnapshot says that bytes are not a snapshot that this version can use.
+// ErrUnusableSnapshot is returned for bytes that are not a snapshot, and for a
+// snapshot in an encoding that this version does not support.
 var ErrUnusableSnapshot = eris.New("fold: not a usable snapshot")
 
-// The versions of the snapshots' encoding. A new field gets a new version, and
-// TestSnapshotHoldsEveryField fails until the state holds it.
+// Versions of the snapshots' encoding. A new field requires a new version;
+// TestSnapshotHoldsEveryField fails until the encoded state holds the field.
 const (
 	ledgerSnapshotVersion = 1
 	configSnapshotVersion = 1
 )
 
-// ledgerState is a Ledger's state without what can be derived from it: the
-// indexes of open grants and of shards by right. Every list is sorted or in
-// the order of its queue, so that equal states have equal bytes.
+// ledgerState is the encoded state of a Ledger. It omits what Restore can
+// derive: the indexes of open grants, the index of shards by right, and the set
+// of billed keys. Every list is sorted or in the order of its queue, so that
+// equal states encode to equal bytes.
 type ledgerState struct {
 	_       struct{} `cbor:",toarray"`
 	Version int
@@ -79,7 +81,7 @@
 	Order  []claimAgeState
 	Latest int64
 	Ended  []identityHash
-	Opened []record.SessionOpened // In the order of opening.
+	Opened []record.SessionOpened // In the order in which they were opened.
 }
 
 type shardState struct {
@@ -103,7 +105,7 @@
 	UnixMilli int64
 }
 
-// Snapshot returns the state as bytes. Equal states give equal bytes.
+// Snapshot returns the encoded state. Equal states encode to equal bytes.
 func (l *Ledger) Snapshot() ([]byte, error) {
 	s := ledgerState{
 		Version: ledgerSnapshotVersion, Next: l.next, Swept: l.writers.lastSweep,
@@ -138,15 +140,16 @@
 	return cmp.Or(cmp.Compare(a.Team, b.Team), cmp.Compare(a.Name, b.Name))
 }
 
-// Restore replaces the state by a snapshot's. After an error the state is as
-// it was. The windows must be those of the ledger that was copied.
+// Restore replaces the state with that of a snapshot. The ledger must have the
+// same windows as the one that the snapshot was taken of. It returns
+// ErrUnusableSnapshot, and then leaves the state unchanged.
 func (l *Ledger) Restore(data []byte) error {
 	var s ledgerState
 	if err := cbor.Unmarshal(data, &s); err != nil {
 		return eris.Wrap(ErrUnusableSnapshot, err.Error())
 	}
 	if s.Version != ledgerSnapshotVersion {
-		return eris.Wrapf(ErrUnusableSnapshot, "fold: ledger snapshot of version %d", s.Version)
+		return eris.Wrapf(ErrUnusableSnapshot, "fold: ledger snapshot has unsupported version %d", s.Version)
 	}
 	fresh := NewLedgerWithWindows(l.windows)
 	fresh.next, fresh.writers.lastSweep = s.Next, s.Swept
@@ -166,7 +169,8 @@
 	return nil
 }
 
-// restoreBudgets rebuilds budgets, grants and the indexes of open grants.
+// restoreBudgets rebuilds the budgets, the grants and the indexes of open
+// grants.
 func (l *Ledger) restoreBudgets(s ledgerState) {
 	for _, b := range s.Budgets {
 		l.budgets[b.Row.ID] = &budget{Budget: b.Row, topUps: queue[identityHash]{items: b.TopUps}, openGrants: map[record.RightID]*Grant{}}
--- a/internal/fold/ledger_snapshot_bench_test.go
+++ b/internal/fold/ledger_snapshot_bench_test.go
@@ -8,8 +8,9 @@
 	"guavapier/internal/record"
 )
 
-// BenchmarkLedgerSnapshot is the cost of a snapshot of a partition with a
-// number of budgets, each with one top-up, one open grant and one bill.
+// BenchmarkLedgerSnapshot measures taking and restoring a snapshot of a
+// partition, by its number of budgets, each with one top-up, one open grant and
+// one bill.
 func BenchmarkLedgerSnapshot(b *testing.B) {
 	for _, n := range []int{1_000, 10_000, 50_000} {
 		l := fold.NewLedger()
--- a/internal/fold/ledger_test.go
+++ b/internal/fold/ledger_test.go
@@ -16,7 +16,7 @@
 	smallWindows = fold.Windows{Bills: 4, TopUps: 3, Writers: 8, Grants: 2}
 )
 
-// fataler is what testing.TB and rapid.T have in common.
+// fataler is the part that testing.TB and rapid.T share.
 type fataler interface {
 	Helper()
 	Fatal(args ...any)
@@ -33,6 +33,7 @@
 	return b
 }
 
+// checkBudget checks the invariants of a budget and its open grants.
 func checkBudget(t interface{ Fatalf(string, ...any) }, l *fold.Ledger, id record.BudgetID) {
 	b, ok := l.Budget(id)
 	if !ok {
@@ -41,12 +42,12 @@
 	var open int64
 	for _, g := range l.OpenGrants(id) {
 		if g.Billed < 0 || g.Billed > g.Tokens {
-			t.Fatalf("grant billed %d of %d", g.Billed, g.Tokens)
+			t.Fatalf("%d tokens of a grant of %d are billed", g.Billed, g.Tokens)
 		}
 		open += g.Tokens
 	}
 	if b.Billed < 0 || b.Billed > b.Committed || b.Committed > b.Prepaid || b.Prepaid > fold.MaxTokens || open > b.Committed {
-		t.Fatalf("budget %+v with %d in open grants", b, open)
+		t.Fatalf("the sums of budget %+v are out of bounds; its open grants have %d tokens", b, open)
 	}
 }
 
@@ -54,8 +55,8 @@
 	return record.RequestKey{Team: "dala", Key: fmt.Sprint(n)}
 }
 
-// drawRecord draws any record that moves tokens, with amounts that may be
-// negative or close to overflow.
+// drawRecord draws a record that moves tokens; its amount may be negative or
+// close to overflow.
 func drawRecord(t *rapid.T) record.Record {
 	tokens := rapid.OneOf(rapid.Int64Range(1, 60), rapid.Int64Range(1, 60), rapid.Int64Range(-5, 400), rapid.SampledFrom([]int64{math.MaxInt64, math.MinInt64, fold.MaxTokens, fold.MaxTokens - 1})).Draw(t, "tokens")
 	right := record.RightID(fmt.Sprint("r", rapid.IntRange(0, 2).Draw(t, "right")))
@@ -76,10 +77,10 @@
 	}
 }
 
-// TestLedgerInvariantsHoldForAnyRecords: whatever stands on the log, sums stay
-// in bounds. A copy of a batch changes nothing, and neither does the same
-// record in a batch whose writer the fold has forgotten, while it remembers
-// the grant.
+// TestLedgerInvariantsHoldForAnyRecords checks that sums stay in bounds
+// whatever the log holds. A copy of a batch has no effect; nor has a copy of a
+// record in a batch of another writer, as after the fold has forgotten the
+// writer, while the fold remembers the grant.
 func TestLedgerInvariantsHoldForAnyRecords(t *testing.T) {
 	rapid.Check(t, checkLedgerInvariants)
 }
@@ -106,12 +107,13 @@
 		b.Writer = rapid.SampledFrom([]record.InstanceID{"w", record.InstanceID(fmt.Sprint("forgotten", n))}).Draw(t, "writer")
 		_ = l.Apply(uint64(2*n+1), b)
 		if after, _ := l.Budget(testBudget); after != before {
-			t.Fatalf("a copy of %+v changed %+v to %+v", r, before, after)
+			t.Fatalf("a copy of record %+v changed the budget from %+v to %+v", r, before, after)
 		}
 	}
 }
 
-// FuzzLedgerApply: no bytes on the log panic the fold or break its sums.
+// FuzzLedgerApply checks that no bytes on the log make the fold panic or bring
+// its sums out of bounds.
 func FuzzLedgerApply(f *testing.F) {
 	budget, right := testBudget, record.RightID("r0")
 	seed := func(seq uint64, records ...record.Record) {
@@ -141,21 +143,23 @@
 	})
 }
 
-// TestMalformedRecordIsPassedOver: the others of its batch still take effect.
+// TestMalformedRecordIsPassedOver checks that a record that cannot be decoded
+// is skipped and reported, and that the others of its batch take effect.
 func TestMalformedRecordIsPassedOver(t *testing.T) {
 	l := fold.NewLedger()
 	b := newBatch(t, "w", 1, record.TopUp{Budget: testBudget, ID: "1", Tokens: 5}, record.Unknown{Of: record.KindGrant, Body: []byte{0x01}},
 		record.Unknown{Of: 60_000, Body: []byte{0xa0}}, record.TopUp{Budget: testBudget, ID: "2", Tokens: 6})
 	if err := l.Apply(0, b); err == nil {
-		t.Fatal("a malformed record is not reported")
+		t.Fatal("the malformed record is not reported as an error")
 	}
 	if row, _ := l.Budget(testBudget); row.Prepaid != 11 {
-		t.Fatalf("prepaid %d", row.Prepaid)
+		t.Fatalf("%d tokens are prepaid, want 11", row.Prepaid)
 	}
 }
 
-// TestCloseOfOldGrantKnowsItsBills: a witness closes long after the bill left
-// the window; the outstanding use is not billed again.
+// TestCloseOfOldGrantKnowsItsBills checks that a key is not billed a second
+// time when a witness closes the grant long after the bill has left the window
+// of recent bills.
 func TestCloseOfOldGrantKnowsItsBills(t *testing.T) {
 	l := fold.NewLedgerWithWindows(smallWindows)
 	records := []record.Record{
@@ -173,6 +177,6 @@
 	}
 	row, _ := l.Budget(testBudget)
 	if want := int64(10 + 3*smallWindows.Bills); row.Billed != want || row.Committed != 10+100 {
-		t.Fatalf("billed %d, committed %d", row.Billed, row.Committed)
+		t.Fatalf("%d tokens are billed and %d committed; the outstanding use may have been billed twice", row.Billed, row.Committed)
 	}
 }
--- a/internal/fold/ledger_views.go
+++ b/internal/fold/ledger_views.go
@@ -2,7 +2,7 @@
 
 import "guavapier/internal/record"
 
-// Budget returns a budget's row.
+// Budget returns a row of the budget table.
 func (l *Ledger) Budget(id record.BudgetID) (Budget, bool) {
 	b, ok := l.budgets[id]
 	if !ok {
@@ -11,7 +11,7 @@
 	return b.Budget, true
 }
 
-// Budgets returns a copy of the budget table in no fixed order.
+// Budgets returns a copy of the budget table, in no particular order.
 func (l *Ledger) Budgets() []Budget {
 	rows := make([]Budget, 0, len(l.budgets))
 	for _, b := range l.budgets {
@@ -20,8 +20,8 @@
 	return rows
 }
 
-// Grant returns a grant's row. A void grant has none, and one that was closed
-// long ago is forgotten.
+// Grant returns a row of the grant table. There is none for a grant that was
+// ignored, nor for one that was closed more than Windows.Grants offsets ago.
 func (l *Ledger) Grant(id record.RightID) (Grant, bool) {
 	g, ok := l.grants[id]
 	if !ok {
@@ -30,7 +30,7 @@
 	return *g, true
 }
 
-// OpenGrants returns a budget's open grants in no fixed order.
+// OpenGrants returns a budget's open grants, in no particular order.
 func (l *Ledger) OpenGrants(id record.BudgetID) []Grant {
 	b, ok := l.budgets[id]
 	if !ok {
@@ -39,15 +39,16 @@
 	return copyGrants(b.openGrants)
 }
 
-// GrantsHeldBy returns the open grants of a holder in no fixed order.
+// GrantsHeldBy returns the open grants of a holder, in no particular order.
 func (l *Ledger) GrantsHeldBy(id record.InstanceID) []Grant { return copyGrants(l.openByHolder[id]) }
 
-// GrantsWitnessedBy returns the open grants of a witness in no fixed order.
+// GrantsWitnessedBy returns the open grants of a witness, in no particular
+// order.
 func (l *Ledger) GrantsWitnessedBy(id record.InstanceID) []Grant {
 	return copyGrants(l.openByWitness[id])
 }
 
-// IsBilled says whether a request key is remembered as billed.
+// IsBilled reports whether the fold remembers a bill of a request key.
 func (l *Ledger) IsBilled(key record.RequestKey) bool {
 	_, ok := l.bills.seen[hashRequestKey(key)]
 	return ok
--- a/internal/fold/sessions.go
+++ b/internal/fold/sessions.go
@@ -8,15 +8,16 @@
 	"guavapier/internal/record"
 )
 
-// maxListedSessions bounds the open sessions that a partition lists. A session's
-// validity rests on its token alone, so one that left the list is as good as
-// before; the oldest leave first.
+// maxListedSessions bounds the open sessions that a partition lists. The oldest
+// are removed first; they stay valid, since validity depends on a session's
+// token alone.
 const maxListedSessions = 1 << 16
 
-// sessionTable lists the sessions that were opened and not ended.
+// sessionTable lists the sessions that were opened and have not been ended.
 type sessionTable struct {
 	rows map[identityHash]record.SessionOpened
-	// order has the keys as they were opened, those of ended ones as well.
+	// order holds the keys in the order of opening, including those of ended
+	// sessions.
 	order []identityHash
 }
 
@@ -24,7 +25,7 @@
 	return sessionTable{rows: map[identityHash]record.SessionOpened{}}
 }
 
-// add lists a session. A copy of its record has no effect.
+// add lists a session. A copy of the record of a listed session has no effect.
 func (t *sessionTable) add(r record.SessionOpened) {
 	key := hashSession(r.Team, r.Session)
 	if _, listed := t.rows[key]; listed {
@@ -41,10 +42,10 @@
 	}
 }
 
-// remove takes a session off the list.
+// remove removes a session from the list; its key stays in order.
 func (t *sessionTable) remove(key identityHash) { delete(t.rows, key) }
 
-// keysInOrder returns the keys that are still keysInOrder, in the order of opening.
+// keysInOrder returns the keys of the listed sessions in the order of opening.
 func (t *sessionTable) keysInOrder() []identityHash {
 	out := make([]identityHash, 0, len(t.rows))
 	for _, key := range t.order {
@@ -55,7 +56,8 @@
 	return out
 }
 
-// OpenSessions returns the listed sessions of a team, oldest first.
+// OpenSessions returns the listed sessions of a team, by time of opening,
+// oldest first.
 func (l *Ledger) OpenSessions(team record.Team) []record.SessionOpened {
 	var out []record.SessionOpened
 	for r := range maps.Values(l.claims.openSessions.rows) {
--- a/internal/fold/snapshot_test.go
+++ b/internal/fold/snapshot_test.go
@@ -12,14 +12,15 @@
 	"guavapier/internal/record"
 )
 
-// table is a fold with snapshots.
+// table is a fold that can be saved as a snapshot.
 type table interface {
 	Apply(offset uint64, batch record.Batch) error
 	Snapshot() ([]byte, error)
 	Restore(data []byte) error
 }
 
-// drawRecord draws a record from so few identities that they meet.
+// drawRecord draws a record of any kind. There are few identities, so that
+// records often concern the same one.
 func drawRecord(t *rapid.T) record.Record {
 	pick := func(label string, n int) string { return fmt.Sprint(rapid.IntRange(0, n).Draw(t, label)) }
 	budget := record.BudgetID{Team: "a", Name: pick("budget", 1)}
@@ -52,8 +53,8 @@
 	return data
 }
 
-// From a snapshot of any prefix and the tail come the same tables as from the
-// whole log.
+// A table restored from a snapshot of any prefix of the log, to which the rest
+// of the log is applied, equals the table that the whole log gives.
 func TestAnyPrefixAsSnapshotGivesTheSameTables(t *testing.T) {
 	smallWindows := Windows{Bills: 3, TopUps: 2, Writers: sweepInterval, Grants: 3}
 	for name, fresh := range map[string]func() table{
@@ -66,7 +67,7 @@
 	}
 }
 
-// topUpBudgets tops up the budgets, so that grants are valid.
+// topUpBudgets tops up both budgets, so that grants can be valid.
 func topUpBudgets(t *rapid.T, f table) {
 	batch := record.Batch{Writer: "operator", Seq: 1}
 	for _, name := range []string{"0", "1"} {
@@ -83,7 +84,7 @@
 
 func checkSnapshotOfPrefix(t *rapid.T, fresh func() table) {
 	const steps = 60
-	// Offsets may jump, as far as the windows of writers and results.
+	// Offsets may advance fast enough to leave the windows of writers and results.
 	stride := rapid.SampledFrom([]uint64{1, ResultWindow / 8}).Draw(t, "stride")
 	cut := rapid.IntRange(0, steps).Draw(t, "cut")
 	whole, restored := fresh(), fresh()
@@ -134,22 +135,23 @@
 	return []any{l.bills.seen, l.openByHolder, l.openByWitness, l.claims.shardByRight, open}
 }
 
+// Restore of a truncated snapshot fails and leaves the state unchanged.
 func TestDamagedSnapshotChangesNothing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := NewLedger()
 		before := mustSnapshot(t, l)
 		damaged := append([]byte(nil), before[:rapid.IntRange(0, len(before)-1).Draw(t, "length")]...)
 		if err := l.Restore(damaged); err == nil {
-			t.Fatal("taken")
+			t.Fatal("a truncated snapshot was restored")
 		}
 		if !bytes.Equal(before, mustSnapshot(t, l)) {
-			t.Fatal("changed")
+			t.Fatal("a failed restore changed the state")
 		}
 	})
 }
 
-// A field that is added to a table must be added to its snapshot, or be
-// derived from one that is there. Then it is added here.
+// Each field of a table must be part of its snapshot or be derived from one
+// that is. A new field fails this test until it is listed here as such.
 func TestSnapshotHoldsEveryField(t *testing.T) {
 	for _, row := range []struct {
 		of   reflect.Type
