--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -1,7 +1,7 @@
-// Package replica keeps this instance's copies of the folds: it follows the
-// streams of the log as a watermill handler and applies each batch in offset
-// order. Readers look at the tables through View and wait for an offset with
-// Wait.
+// Package replica keeps an instance's copies of the folds up to date: it
+// follows the streams of the log as a Watermill handler and applies each batch
+// in offset order. Readers access the tables through View and wait for an
+// offset with AwaitOffset.
 package replica
 
 import (
@@ -18,34 +18,35 @@
 	"guavapier/internal/snapshot"
 )
 
-// Fold is what a replica applies batches to.
+// Fold is the state that a replica applies batches to.
 type Fold interface {
-	// Apply applies the batch at an offset; it ignores offsets that it has
+	// Apply applies the batch at an offset; it ignores offsets that were
 	// applied before.
 	Apply(offset uint64, batch record.Batch) error
 	// Next returns the offset after the last applied one.
 	Next() uint64
-	// Snapshot returns the state as bytes.
+	// Snapshot returns the encoded state.
 	Snapshot() ([]byte, error)
-	// Restore replaces the state; after an error it is as it was.
+	// Restore replaces the state with an encoded one; after an error the state
+	// is unchanged.
 	Restore(state []byte) error
 }
 
-// Replica is one stream's fold, kept current. F is the fold's type. It is safe
-// for concurrent use.
+// Replica keeps the fold of one stream up to date. F is the fold's type. It is
+// safe for concurrent use.
 type Replica[F Fold] struct {
 	stream record.Stream
 
-	mu        sync.RWMutex // Guards all below.
+	mu        sync.RWMutex // Guards the fields below.
 	fold      F
 	changed   chan struct{}
 	snapshots snapshot.Tracker
-	// hasGap says that records aged out before they were read, and hasUnknownKind that
-	// this version did not know one of them.
+	// hasGap is set when records aged out of the log before they were applied,
+	// and hasUnknownKind when this version did not know the kind of a record.
 	hasGap, hasUnknownKind bool
 }
 
-// New returns the replica of a stream that starts from fold's state.
+// New returns a replica of a stream that continues from fold's state.
 func New[F Fold](stream record.Stream, fold F) *Replica[F] {
 	return &Replica[F]{stream: stream, fold: fold, changed: make(chan struct{})}
 }
@@ -60,21 +61,24 @@
 	return r.fold.Next()
 }
 
-// View calls look with the tables. look must not keep or change them.
+// View calls read with the tables and holds a read lock meanwhile. read must
+// neither keep nor modify the tables.
 func (r *Replica[F]) View(read func(F)) {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	read(r.fold)
 }
 
-// Changed returns a channel that closes with the next applied batch.
+// Changed returns a channel that is closed when the next batch has been applied
+// or a snapshot restored.
 func (r *Replica[F]) Changed() <-chan struct{} {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	return r.changed
 }
 
-// AwaitOffset returns when the batch at offset has been applied.
+// AwaitOffset blocks until the batch at offset has been applied. It returns the
+// error of ctx if ctx ends first.
 func (r *Replica[F]) AwaitOffset(ctx context.Context, offset uint64) error {
 	for {
 		changed := r.Changed()
@@ -84,12 +88,13 @@
 		select {
 		case <-changed:
 		case <-ctx.Done():
-			return eris.Wrapf(ctx.Err(), "replica: %s not at offset %d", r.stream, offset)
+			return eris.Wrapf(ctx.Err(), "replica: %s has not applied offset %d", r.stream, offset)
 		}
 	}
 }
 
-// Apply applies one entry of the log.
+// Apply applies one entry of the log. It returns record.ErrMalformed for an
+// entry that is not a batch, and the errors of the fold.
 func (r *Replica[F]) Apply(entry logstore.Entry) error {
 	batch, err := record.DecodeBatch(entry.Data)
 	if err != nil {
@@ -103,13 +108,14 @@
 	return err
 }
 
-// notifyWaiters tells the waiters of a change. r.mu is held.
+// notifyWaiters closes the channel that Changed returned. r.mu must be held.
 func (r *Replica[F]) notifyWaiters() {
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
 
-// trackBatch looks for snapshots and for kinds that are not known. r.mu is held.
+// trackBatch notes the snapshot chunks and the records of unknown kinds in a
+// batch. r.mu must be held.
 func (r *Replica[F]) trackBatch(offset uint64, batch record.Batch) {
 	for _, env := range batch.Records {
 		if !record.IsKnownKind(env.Kind) {
@@ -124,8 +130,9 @@
 	}
 }
 
-// Handler returns the watermill handler of the stream. A batch that cannot be
-// decoded is the same for every instance; it is passed over, not retried.
+// Handler returns the Watermill handler of the stream. A batch that cannot be
+// decoded fails in the same way on every instance, so it is passed to onError
+// and skipped, not retried.
 func (r *Replica[F]) Handler(onError func(error)) message.NoPublishHandlerFunc {
 	return func(msg *message.Message) error {
 		offset, err := strconv.ParseUint(msg.Metadata.Get(logstore.MetaOffset), 10, 64)
@@ -145,11 +152,11 @@
 	Handler message.NoPublishHandlerFunc
 }
 
-// Follow runs the handlers on a watermill router until ctx ends.
+// Follow runs the handlers on a Watermill router until ctx ends.
 func Follow(ctx context.Context, sub message.Subscriber, sources []Source) error {
 	router, err := message.NewRouter(message.RouterConfig{}, watermill.NopLogger{})
 	if err != nil {
-		return eris.Wrap(err, "replica: router")
+		return eris.Wrap(err, "replica: create router")
 	}
 	for _, s := range sources {
 		router.AddConsumerHandler("fold-"+string(s.Stream), string(s.Stream), sub, s.Handler)
--- a/internal/replica/snapshot.go
+++ b/internal/replica/snapshot.go
@@ -6,44 +6,46 @@
 	"guavapier/internal/snapshot"
 )
 
-// ErrSnapshotNotNewer is returned for a snapshot that covers no more than what has been
-// applied.
-var ErrSnapshotNotNewer = eris.New("replica: snapshot is not newer")
+// ErrSnapshotNotNewer is returned for a snapshot that covers no more than what
+// has been applied.
+var ErrSnapshotNotNewer = eris.New("replica: snapshot is not newer than the tables")
 
 var _ snapshot.Source = (*Replica[Fold])(nil)
 
-// NewestSnapshot returns the newest whole snapshot that went by on the stream.
+// NewestSnapshot returns the newest complete snapshot that was read from the
+// stream, or the zero value if there was none.
 func (r *Replica[F]) NewestSnapshot() snapshot.Summary {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	return r.snapshots.Newest()
 }
 
-// IsComplete says whether the tables hold every record of the stream, and this
-// version understood each of them. Only then may a snapshot be written: during
-// an upgrade an older version passes over records that a newer one applies.
+// IsComplete reports whether the tables hold every record of the stream and
+// this version knew the kind of each. Only then may a snapshot be written:
+// during an upgrade an older version ignores records that a newer version
+// applies.
 func (r *Replica[F]) IsComplete() bool {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	return !r.hasGap && !r.hasUnknownKind
 }
 
-// SetGap notes that records have aged out before they were applied. From then
-// on the tables are not to be trusted, until Restore.
+// SetGap records that entries of the log aged out before they were applied. The
+// tables must not be trusted from then on until Restore succeeds.
 func (r *Replica[F]) SetGap() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.hasGap = true
 }
 
-// HasGap says whether records are missing.
+// HasGap reports whether records are missing from the tables; see SetGap.
 func (r *Replica[F]) HasGap() bool {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	return r.hasGap
 }
 
-// State returns the state and the offset after the last record in it.
+// State returns the encoded state and the offset after the last record in it.
 func (r *Replica[F]) State() (covers uint64, state []byte, err error) {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
@@ -51,8 +53,9 @@
 	return r.fold.Next(), state, err
 }
 
-// Restore replaces the tables by a newer snapshot. Errors: ErrSnapshotNotNewer, and those
-// of the fold, after which the tables are as they were.
+// Restore replaces the tables with those of a newer snapshot. It returns
+// ErrSnapshotNotNewer or the error of the fold, and then leaves the tables
+// unchanged.
 func (r *Replica[F]) Restore(assembled snapshot.Assembled) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/snapshot/find.go
+++ b/internal/snapshot/find.go
@@ -10,15 +10,15 @@
 	"guavapier/internal/record"
 )
 
-// ErrRecordsLost says that records have aged out which no whole snapshot
-// covers: the stream's tables cannot be built.
-var ErrRecordsLost = eris.New("snapshot: records aged out that no whole snapshot covers")
+// ErrRecordsLost is returned when records have aged out of the log that no
+// complete snapshot covers, so that the stream's tables cannot be rebuilt.
+var ErrRecordsLost = eris.New("snapshot: records aged out that no complete snapshot covers")
 
-// Find reads what the log keeps of a stream and returns the newest whole
-// snapshot from which the kept records go on without a gap. At the end of a
-// stream that has lost nothing there may be none: ok is false and the stream
-// is read from its start. discarded is how many chunks and snapshots were not
-// usable. Errors: ErrRecordsLost, and those of the log.
+// Find reads the retained part of a stream and returns the newest complete
+// snapshot from which the retained records continue without a gap. If the log
+// has dropped nothing there may be none; then ok is false and the stream must
+// be read from its start. discarded is the number of chunks and snapshots that
+// were not usable. Errors: ErrRecordsLost, and those of the log.
 func Find(ctx context.Context, log logstore.Log, stream record.Stream) (newest Assembled, ok bool, discarded int, err error) {
 	assembly := NewAssembly()
 	first, err := collectSnapshots(ctx, log, stream, assembly)
@@ -35,8 +35,8 @@
 	return Assembled{}, false, assembly.Discarded, nil
 }
 
-// collectSnapshots hands every kept snapshot record to the assembly. It returns the first
-// offset that the log keeps at the end of the collectSnapshots.
+// collectSnapshots adds every retained snapshot record to the assembly. It
+// returns the first offset that the log retains at the end of the read.
 func collectSnapshots(ctx context.Context, log logstore.Log, stream record.Stream, assembly *Assembly) (uint64, error) {
 	next := uint64(0)
 	for {
@@ -58,7 +58,8 @@
 	}
 }
 
-// addChunks passes over what is no snapshot, as the folds do.
+// addChunks adds the snapshot records of an entry to the assembly. Like the
+// replicas, it skips what cannot be decoded.
 func addChunks(assembly *Assembly, entry logstore.Entry) {
 	batch, err := record.DecodeBatch(entry.Data)
 	if err != nil {
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -1,9 +1,9 @@
-// Package snapshot keeps a stream's state on the log against the log's limited
-// retention. A state goes out as chunks, each one record; the newest whole one
-// plus the tail of the stream gives the same tables as the whole stream.
+// Package snapshot saves a stream's state on the log, which drops old records.
+// A state is written as chunks of one record each. The newest complete snapshot
+// and the records after it give the same tables as the whole stream.
 //
-// A snapshot is only a copy: any instance may write one, a second copy is
-// harmless, and a torn, damaged or older one is never used.
+// A snapshot is only a copy: any instance may write one, a duplicate is
+// harmless, and an incomplete, damaged or older one is never used.
 package snapshot
 
 import (
@@ -13,15 +13,16 @@
 	"guavapier/internal/record"
 )
 
-// ChunkBytes is the size of a chunk. It leaves room in an entry of the log,
-// which takes record.MaxBatchBytes, for what is committed together with it.
+// ChunkBytes is the maximum size of a chunk's data, in bytes. An entry of the
+// log takes up to record.MaxBatchBytes; the rest is for the records that are
+// committed in the same batch.
 const ChunkBytes = 256 << 10
 
-// NewID draws a snapshot's identity. It is time-ordered (UUIDv7).
+// NewID returns a new snapshot ID. It is time-ordered (UUIDv7).
 func NewID() string { return uuid.Must(uuid.NewV7()).String() }
 
-// Split returns a state as records. covers is the offset after the last record
-// that the state holds.
+// Split returns the encoded state as chunk records, at least one. covers is the
+// offset after the last record that the state includes.
 func Split(id string, covers uint64, state []byte) []record.Snapshot {
 	sum := xxhash.Sum64(state)
 	chunks := max(1, (len(state)+ChunkBytes-1)/ChunkBytes)
@@ -35,17 +36,20 @@
 	return out
 }
 
-// Assembled is a snapshot of which every chunk was read.
+// Assembled is a complete snapshot whose chunks were all read and whose
+// checksum matched. Covers is the offset after the last record in State.
 type Assembled struct {
 	ID     string
 	Covers uint64
 	State  []byte
 }
 
-// maxChunks bounds the memory that one damaged record can claim.
+// maxChunks bounds the memory that one damaged record can make an Assembly
+// allocate.
 const maxChunks = 1 << 14
 
-// partialSnapshot is a snapshot of which some chunks were read.
+// partialSnapshot is a snapshot of which some chunks have not been read yet;
+// missing is their number.
 type partialSnapshot struct {
 	chunks  [][]byte
 	covers  uint64
@@ -53,29 +57,32 @@
 	missing int
 }
 
-// Assembly puts chunks together. It is not safe for concurrent use.
+// Assembly builds snapshots from their chunks. It is not safe for concurrent
+// use.
 type Assembly struct {
 	partial map[string]*partialSnapshot
 	newest  Assembled
 	found   bool
-	// Discarded counts the chunks that fit no snapshot, and the whole
-	// snapshots that were damaged.
+	// Discarded counts the chunks that fit no valid snapshot, and the snapshots
+	// with all chunks whose checksum did not match.
 	Discarded int
 }
 
 // NewAssembly returns an empty assembly.
 func NewAssembly() *Assembly { return &Assembly{partial: map[string]*partialSnapshot{}} }
 
-// Newest returns the whole snapshot that covers most.
+// Newest returns the assembled snapshot that covers the most records, and false
+// if there is none.
 func (a *Assembly) Newest() (Assembled, bool) { return a.newest, a.found }
 
-// Add takes the chunk at an offset; a copy of one that is there has no effect.
+// Add adds the chunk that was read at an offset. A chunk that was added before,
+// or that covers no more than the newest assembled snapshot, has no effect.
 func (a *Assembly) Add(offset uint64, r record.Snapshot) {
 	if a.found && r.Covers <= a.newest.Covers {
 		return
 	}
 	if r.Covers > offset {
-		a.Discarded++ // It claims to hold records that came after it.
+		a.Discarded++ // No snapshot covers records after its own offset.
 		return
 	}
 	p, ok := a.partial[r.ID]
@@ -101,8 +108,9 @@
 	}
 }
 
-// assemble takes a whole snapshot if it is as it was written, and lets go of
-// those that cover less.
+// assemble joins the chunks of a snapshot. If the checksum matches, the
+// snapshot becomes the newest one, and partial snapshots that cover no more are
+// dropped.
 func (a *Assembly) assemble(id string, p *partialSnapshot) {
 	delete(a.partial, id)
 	var state []byte
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -14,7 +14,7 @@
 	"guavapier/internal/snapshot"
 )
 
-// trimmedLog is a log that has dropped everything before first.
+// trimmedLog is a log that has dropped all entries before the offset first.
 type trimmedLog struct {
 	logstore.Log
 	first   uint64
@@ -46,14 +46,15 @@
 	l.entries = append(l.entries, logstore.Entry{Offset: l.first + uint64(len(l.entries)), Data: data})
 }
 
-// appendedSnapshot is a snapshot that the test put on the log.
+// appendedSnapshot is a snapshot that the test has put on the log. damage is
+// empty for an intact one.
 type appendedSnapshot struct {
 	assembled snapshot.Assembled
 	damage    string
 }
 
-// drawSnapshot appends a snapshot that is whole, torn, damaged, copied, from
-// the future, or whose chunks are out of order.
+// drawSnapshot appends a snapshot that is intact, or whose chunks are copied,
+// in reverse order, not all there, altered, or said to cover later records.
 func drawSnapshot(t *rapid.T, l *trimmedLog) appendedSnapshot {
 	next := l.first + uint64(len(l.entries))
 	w := appendedSnapshot{damage: rapid.SampledFrom([]string{"", "", "", "copied", "reversed", "torn", "flipped", "future"}).Draw(t, "damage")}
@@ -82,8 +83,9 @@
 	return w
 }
 
-// Whatever lies on the log, the newest whole snapshot from which the tail goes
-// on without a gap is found, and nothing else is ever used.
+// Find returns the newest complete snapshot from which the retained records
+// continue without a gap, whatever else is on the log, and never uses another
+// one.
 func TestFindTakesTheNewestWholeOneOnly(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := &trimmedLog{first: rapid.Uint64Range(0, 10).Draw(t, "first")}
@@ -102,18 +104,19 @@
 		got, ok, _, err := snapshot.Find(context.Background(), l, record.ConfigStream)
 		if !usable && l.first > 0 {
 			if !errors.Is(err, snapshot.ErrRecordsLost) {
-				t.Fatalf("records are lost, got %v %v", ok, err)
+				t.Fatalf("records are lost, but Find returned ok %v and error %v", ok, err)
 			}
 			return
 		}
 		if err != nil || ok != usable || ok && (got.Covers != best.Covers || !bytes.Equal(got.State, best.State)) {
-			t.Fatalf("got %s covering %d (%v, %v), want %s covering %d (%v)", got.ID, got.Covers, ok, err, best.ID, best.Covers, usable)
+			t.Fatalf("got snapshot %s covering %d (ok %v, error %v), want %s covering %d (ok %v)", got.ID, got.Covers, ok, err, best.ID, best.Covers, usable)
 		}
 	})
 }
 
-// On a log that keeps a number of records, a writer that looks now and then
-// and fails up to three times in a row never lets a record age out that no snapshot covers.
+// On a log that retains a fixed number of records, a writer that checks from
+// time to time, and fails up to three times in a row, lets no record age out
+// before a snapshot covers it.
 func TestDueKeepsEveryRecordCovered(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		retain := rapid.Uint64Range(512, 4096).Draw(t, "retain")
@@ -126,7 +129,7 @@
 				s.First = s.Next - retain
 			}
 			if s.First > s.Covers {
-				t.Fatalf("records %d to %d aged out uncovered: %+v", s.Covers, s.First, s)
+				t.Fatalf("records %d to %d aged out before a snapshot covered them: %+v", s.Covers, s.First, s)
 			}
 			if !snapshot.IsDue(s, time.Hour) {
 				continue
@@ -138,16 +141,16 @@
 			s.Covers, s.Next, written, failed = s.Next, s.Next+1, written+1, 0
 		}
 		if maxWritten := 12 + 4*int(s.Next/retain); written > maxWritten {
-			t.Fatalf("%d snapshots for %d records on a log of %d, want at most %d", written, s.Next, retain, maxWritten)
+			t.Fatalf("%d snapshots of %d records on a log that retains %d, want at most %d", written, s.Next, retain, maxWritten)
 		}
 	})
 }
 
-// Age alone makes one due, so that a log which drops by age is covered after
-// the last change.
+// Age alone makes a snapshot due, so that a log that drops records by age is
+// covered after the last change.
 func TestDueByAge(t *testing.T) {
 	s := snapshot.StreamStatus{Next: 4, Covers: 2, Age: time.Hour}
 	if !snapshot.IsDue(s, time.Hour) || snapshot.IsDue(s, 2*time.Hour) {
-		t.Fatal("age is not what decides")
+		t.Fatal("a snapshot is not due at maxAge, or is due before it")
 	}
 }
--- a/internal/snapshot/tracker.go
+++ b/internal/snapshot/tracker.go
@@ -8,14 +8,16 @@
 	"guavapier/internal/record"
 )
 
-// Summary is a whole snapshot that went by on the stream.
+// Summary identifies a snapshot of which every chunk was read from the stream.
+// Covers is the offset after the last record in it.
 type Summary struct {
 	ID     string `json:"id"`
 	Covers uint64 `json:"covers"`
 }
 
-// Age returns the time since the snapshot was begun, by its identity. Clocks
-// may differ between instances, so it may only say when to write a new one.
+// Age returns the time since the snapshot was begun, according to the time in
+// its ID, or 0 if the ID is not a UUID. Clocks may differ between instances, so
+// the age may only decide when to write a new snapshot.
 func (s Summary) Age(now time.Time) time.Duration {
 	id, err := uuid.Parse(s.ID)
 	if err != nil {
@@ -25,26 +27,27 @@
 	return now.Sub(time.Unix(sec, nsec))
 }
 
-// maxPartials bounds the snapshots under way that a Tracker follows.
+// maxPartials bounds the incomplete snapshots that a Tracker follows.
 const maxPartials = 8
 
-// Tracker finds the newest whole snapshot of a stream without keeping its
-// data. It is not safe for concurrent use.
+// Tracker finds the newest complete snapshot of a stream without keeping its
+// data or checking its checksum. It is not safe for concurrent use.
 type Tracker struct {
 	receivedChunks map[string]map[int]struct{}
 	newest         Summary
 }
 
-// Newest returns the newest whole snapshot seen; the zero value for none.
+// Newest returns the newest complete snapshot, or the zero value if there is
+// none.
 func (t *Tracker) Newest() Summary { return t.newest }
 
-// Add follows the chunk at an offset.
+// Add records the chunk that was read at an offset.
 func (t *Tracker) Add(offset uint64, r record.Snapshot) {
 	if r.Covers > offset || r.Covers <= t.newest.Covers || r.Chunk < 0 || r.Chunk >= r.Chunks {
 		return
 	}
 	if t.receivedChunks == nil || len(t.receivedChunks) >= maxPartials {
-		t.receivedChunks = map[string]map[int]struct{}{} // Torn ones pile up: begin anew.
+		t.receivedChunks = map[string]map[int]struct{}{} // Drops snapshots that were never completed.
 	}
 	chunks, ok := t.receivedChunks[r.ID]
 	if !ok {
