--- a/internal/ledger/reclaim.go
+++ b/internal/ledger/reclaim.go
@@ -43,7 +43,7 @@
 		a.mu.Unlock()
 		return nil
 	}
-	return a.partition.Wait(ctx, offset)
+	return a.partition.AwaitOffset(ctx, offset)
 }
 
 // requestSpare asks the holders with the most tokens to release some. It
@@ -110,7 +110,7 @@
 func (l *Ledger) appendReturns(ctx context.Context, a *account, records []record.Record) (uint64, error) {
 	offset, err := l.Log.Append(ctx, a.partition.Stream(), records...)
 	if err == nil {
-		err = a.partition.Wait(ctx, offset)
+		err = a.partition.AwaitOffset(ctx, offset)
 	}
 	if err != nil {
 		return 0, err
--- a/internal/snapshot/writer.go
+++ b/internal/snapshot/writer.go
@@ -8,68 +8,78 @@
 	"guavapier/internal/record"
 )
 
-// Source is a stream whose state can be written; see replica.Replica.
+// Source is a stream whose state can be written as a snapshot. replica.Replica
+// implements it.
 type Source interface {
 	Stream() record.Stream
 	Next() uint64
-	// Newest returns the newest whole snapshot that went by.
-	Newest() Seen
-	// Complete says whether the tables hold every record of the stream, and
-	// this version understood each of them.
-	Complete() bool
-	// State returns the state and the offset after the last record in it.
+	// NewestSnapshot returns the newest complete snapshot that was read from
+	// the stream, or the zero value if there was none.
+	NewestSnapshot() Summary
+	// IsComplete reports whether the tables hold every record of the stream and
+	// this version knew the kind of each.
+	IsComplete() bool
+	// State returns the encoded state and the offset after the last record in
+	// it.
 	State() (covers uint64, state []byte, err error)
 }
 
-// Appender appends records to the log; see platform.Publisher.
+// Appender appends records to the log. platform.Publisher implements it.
 type Appender interface {
 	Append(ctx context.Context, stream record.Stream, records ...record.Record) (uint64, error)
 }
 
-// Writer writes snapshots of its sources when they are due. Every instance has
-// one; a random pause before each makes it likely that only one writes, and
-// two copies do no harm.
+// Writer writes snapshots of its sources when they are due. Every instance runs
+// one. A random delay before each write makes it likely that only one instance
+// writes, and a duplicate is harmless.
 type Writer struct {
 	Log     Appender
 	Sources []Source
-	// First gives the oldest offset that the log was seen to keep.
-	First func(record.Stream) uint64
-	// Every is the longest time between two snapshots of a stream.
-	Every   time.Duration
-	Written func(stream record.Stream, covers uint64, bytes int)
-	Failed  func(stream record.Stream, err error)
+	// FirstOffset returns the oldest offset of a stream that the log was last
+	// seen to retain.
+	FirstOffset func(record.Stream) uint64
+	// MaxAge is the longest time between two snapshots of a stream.
+	MaxAge time.Duration
+	// OnWritten is called after a snapshot was written; bytes is the size of
+	// the encoded state.
+	OnWritten func(stream record.Stream, covers uint64, bytes int)
+	OnError   func(stream record.Stream, err error)
 }
 
 const (
-	checkEvery  = time.Second
-	maxJitter   = 2 * time.Second
-	writeWithin = time.Minute
+	// checkInterval is the time between two checks of the sources.
+	checkInterval = time.Second
+	// maxJitter bounds the random delay before a write.
+	maxJitter = 2 * time.Second
+	// writeTimeout bounds the writing of one snapshot.
+	writeTimeout = time.Minute
 )
 
-// Run writes until ctx ends.
+// Run checks the sources and writes the snapshots that are due, until ctx ends.
 func (w *Writer) Run(ctx context.Context) {
 	for {
 		var due []Source
 		for _, s := range w.Sources {
-			if w.due(s) {
+			if w.isDue(s) {
 				due = append(due, s)
 			}
 		}
-		if len(due) > 0 && !pause(ctx, rand.N(min(maxJitter, w.Every/4)+1)) {
+		if len(due) > 0 && !sleep(ctx, rand.N(min(maxJitter, w.MaxAge/4)+1)) {
 			return
 		}
 		for _, s := range due {
-			if w.due(s) {
+			if w.isDue(s) {
 				w.write(ctx, s)
 			}
 		}
-		if !pause(ctx, min(checkEvery, w.Every/4)) {
+		if !sleep(ctx, min(checkInterval, w.MaxAge/4)) {
 			return
 		}
 	}
 }
 
-func pause(ctx context.Context, d time.Duration) bool {
+// sleep blocks for d. It returns false if ctx ends first.
+func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-time.After(d):
 		return true
@@ -78,27 +88,27 @@
 	}
 }
 
-func (w *Writer) due(s Source) bool {
-	newest := s.Newest()
-	span := Span{First: w.First(s.Stream()), Next: s.Next(), Covers: newest.Covers, Age: newest.Age(time.Now())}
-	return s.Complete() && Due(span, w.Every)
+func (w *Writer) isDue(s Source) bool {
+	newest := s.NewestSnapshot()
+	status := StreamStatus{First: w.FirstOffset(s.Stream()), Next: s.Next(), Covers: newest.Covers, Age: newest.Age(time.Now())}
+	return s.IsComplete() && IsDue(status, w.MaxAge)
 }
 
-// write appends the chunks one after the other. If it ends half-way the
-// snapshot is torn, nobody uses it, and the next one has another identity.
+// write appends the chunks one after the other. A snapshot whose write ends
+// halfway is incomplete and never used; the next one has another ID.
 func (w *Writer) write(ctx context.Context, s Source) {
-	ctx, cancel := context.WithTimeout(ctx, writeWithin)
+	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
 	covers, state, err := s.State()
 	if err != nil {
-		w.Failed(s.Stream(), err)
+		w.OnError(s.Stream(), err)
 		return
 	}
 	for _, chunk := range Split(NewID(), covers, state) {
 		if _, err := w.Log.Append(ctx, s.Stream(), chunk); err != nil {
-			w.Failed(s.Stream(), err)
+			w.OnError(s.Stream(), err)
 			return
 		}
 	}
-	w.Written(s.Stream(), covers, len(state))
+	w.OnWritten(s.Stream(), covers, len(state))
 }
