--- a/internal/entry/chat.go
+++ b/internal/entry/chat.go
@@ -11,56 +11,56 @@
 	"guavapier/internal/run"
 )
 
-func (c *Callers) handleChat(w http.ResponseWriter, r *http.Request) {
-	body, refused := c.readBody(w, r)
-	if refused != nil {
-		refused.write(w)
+func (a *API) handleChat(w http.ResponseWriter, r *http.Request) {
+	body, reqErr := a.readBody(w, r)
+	if reqErr != nil {
+		reqErr.write(w)
 		return
 	}
-	chat, req, refused := c.chatOf(r, body)
-	if refused != nil {
-		refused.write(w)
+	chat, req, reqErr := a.parseChatRequest(r, body)
+	if reqErr != nil {
+		reqErr.write(w)
 		return
 	}
 	if req.Stream {
-		c.streamChat(w, r, chat, req.StreamOptions.IncludeUsage)
+		a.serveStreamedChat(w, r, chat, req.StreamOptions.IncludeUsage)
 		return
 	}
-	c.wholeChat(w, r, chat)
+	a.serveBufferedChat(w, r, chat)
 }
 
-// chatOf reads a chat request whole; nothing has run before it returns.
-func (c *Callers) chatOf(r *http.Request, body []byte) (run.Chat, *chatRequest, *refusal) {
-	req, refused := c.parseChat(body)
-	if refused != nil {
-		return run.Chat{}, nil, refused
+// parseChatRequest reads a chat request whole; nothing has run before it returns.
+func (a *API) parseChatRequest(r *http.Request, body []byte) (run.Chat, *chatRequest, *requestError) {
+	req, reqErr := a.parseChatBody(body)
+	if reqErr != nil {
+		return run.Chat{}, nil, reqErr
 	}
-	common, refused := c.common(r, body)
-	if refused != nil {
-		return run.Chat{}, nil, refused
+	common, reqErr := a.parseCommon(r, body)
+	if reqErr != nil {
+		return run.Chat{}, nil, reqErr
 	}
-	common.Wait = c.Limits.FirstToken
-	have, refused := c.lastEvent(r)
-	if refused == nil && have.Run != "" && !req.Stream {
-		refused = badRequest("last_event_id_without_stream", "%s is for streamed answers.", HeaderLast)
+	common.Wait = a.Limits.FirstTokenTimeout
+	position, reqErr := a.parseLastEventID(r)
+	if reqErr == nil && position.Run != "" && !req.Stream {
+		reqErr = badRequest("last_event_id_without_stream", "%s is for streamed answers.", HeaderLastEventID)
 	}
 	chat := run.Chat{
 		Request: common, Model: req.Model, Messages: req.messages, Params: req.params,
-		PromptTokens: c.promptBound(req.messages), MaxTokens: req.maxTokens, Have: have,
+		PromptTokens: a.maxPromptTokens(req.messages), MaxTokens: req.maxTokens, Have: position,
 	}
-	return chat, req, refused
+	return chat, req, reqErr
 }
 
-type chatMessage struct {
+type answerMessage struct {
 	Role    string `json:"role"`
 	Content string `json:"content"`
 }
 
 type chatChoice struct {
-	Index        int          `json:"index"`
-	Message      *chatMessage `json:"message,omitempty"`
-	Delta        *chatDelta   `json:"delta,omitempty"`
-	FinishReason *string      `json:"finish_reason"`
+	Index        int            `json:"index"`
+	Message      *answerMessage `json:"message,omitempty"`
+	Delta        *chatDelta     `json:"delta,omitempty"`
+	FinishReason *string        `json:"finish_reason"`
 }
 
 type chatDelta struct {
@@ -88,28 +88,28 @@
 	Usage   *chatUsage   `json:"usage,omitempty"`
 }
 
-func usageOf(u endpoint.Usage) *chatUsage {
+func newChatUsage(u endpoint.Usage) *chatUsage {
 	return &chatUsage{
 		Prompt: u.Prompt, Completion: u.Completion, Total: u.Prompt + u.Completion, Details: usageDetails{Cached: u.Cached},
 	}
 }
 
-// errTooLarge says that an answer is larger than may be buffered.
-var errTooLarge = errors.New("entry: answer too large")
+// errAnswerTooLarge says that an answer is larger than may be buffered.
+var errAnswerTooLarge = errors.New("entry: answer too large")
 
-// wholeChat buffers the answer: the caller gets it whole or not at all.
-func (c *Callers) wholeChat(w http.ResponseWriter, r *http.Request, chat run.Chat) {
+// serveBufferedChat buffers the answer: the caller gets it whole or not at all.
+func (a *API) serveBufferedChat(w http.ResponseWriter, r *http.Request, chat run.Chat) {
 	var text strings.Builder
 	tooLarge := false
-	result, err := c.Runner.Chat(r.Context(), chat, func(_ record.RunID, t endpoint.Token) error {
-		if text.Len()+len(t.Text) > c.Limits.AnswerBytes {
+	result, err := a.Runner.Chat(r.Context(), chat, func(_ record.RunID, t endpoint.Token) error {
+		if text.Len()+len(t.Text) > a.Limits.MaxAnswerBytes {
 			tooLarge = true
-			return errTooLarge
+			return errAnswerTooLarge
 		}
 		text.WriteString(t.Text)
 		return r.Context().Err()
 	})
-	c.writeWithin(w)
+	a.setWriteDeadline(w)
 	if tooLarge {
 		writeProblem(w, http.StatusBadGateway, problem{
 			Type: typeServer, Code: "answer_too_large", Message: "The answer is too large to be sent whole; ask for a stream.", Outcome: record.OutcomeUnknown,
@@ -117,19 +117,19 @@
 		return
 	}
 	if err != nil {
-		status, p := fromFailure(err)
+		status, p := problemFromError(err)
 		writeProblem(w, status, p)
 		return
 	}
 	writeJSON(w, http.StatusOK, chatCompletion{
 		ID: result.Run, Object: "chat.completion", Created: time.Now().Unix(), Model: chat.Model,
-		Choices: []chatChoice{{Message: &chatMessage{Role: "assistant", Content: text.String()}, FinishReason: &result.Finish}},
-		Usage:   usageOf(result.Usage),
+		Choices: []chatChoice{{Message: &answerMessage{Role: "assistant", Content: text.String()}, FinishReason: &result.Finish}},
+		Usage:   newChatUsage(result.Usage),
 	})
 }
 
-// writeWithin bounds the next write, so that a caller who takes nothing does
+// setWriteDeadline bounds the next write, so that a caller who takes nothing does
 // not hold the connection for ever.
-func (c *Callers) writeWithin(w http.ResponseWriter) {
-	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(c.Limits.Write))
+func (a *API) setWriteDeadline(w http.ResponseWriter) {
+	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(a.Limits.WriteTimeout))
 }
--- a/internal/entry/door_test.go
+++ b/internal/entry/door_test.go
@@ -30,27 +30,29 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 const (
-	testKey    = "dala:secret"
-	testSecret = "0123456789abcdef"
+	testAPIKey     = "dala:secret"
+	testSigningKey = "0123456789abcdef"
 )
 
-// free is Accounts without a limit.
-type free struct{}
+// unlimitedAccounts is Accounts without a limit.
+type unlimitedAccounts struct{}
 
-func (free) Reserve(_ context.Context, _ record.RequestKey, run record.RunID, _ record.BudgetID, tokens int64) (ledger.Reservation, error) {
+func (unlimitedAccounts) Reserve(_ context.Context, _ record.RequestKey, run record.RunID, _ record.BudgetID, tokens int64) (ledger.Reservation, error) {
 	return ledger.Reservation{Run: run, Tokens: tokens}, nil
 }
 
-func (free) Settle(context.Context, record.BudgetID, ledger.Reservation, int64) error { return nil }
+func (unlimitedAccounts) Settle(context.Context, record.BudgetID, ledger.Reservation, int64) error {
+	return nil
+}
 
-// oneRun is Claims for one key: the first request owns the run, later ones
+// singleRunClaims is Claims for one key: the first request owns the run, later ones
 // join it.
-type oneRun struct {
+type singleRunClaims struct {
 	mu     sync.Mutex
 	ticket claim.Ticket
 }
 
-func (o *oneRun) Begin(context.Context, claim.Request) (claim.Ticket, error) {
+func (o *singleRunClaims) Begin(context.Context, claim.Request) (claim.Ticket, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	t := o.ticket
@@ -63,13 +65,13 @@
 	return t, nil
 }
 
-func (o *oneRun) Place(_ context.Context, _ record.RequestKey, name string) {
+func (o *singleRunClaims) Place(_ context.Context, _ record.RequestKey, name string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.ticket.Endpoint = name
 }
 
-func (o *oneRun) End(_ context.Context, _ record.RequestKey, end claim.End) {
+func (o *singleRunClaims) End(_ context.Context, _ record.RequestKey, end claim.End) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.ticket.Outcome = end.Outcome
@@ -78,33 +80,33 @@
 	}
 }
 
-type urls map[string]string
+type endpointURLs map[string]string
 
-func (u urls) URL(name string) (string, bool) { url, ok := u[name]; return url, ok }
+func (u endpointURLs) URL(name string) (string, bool) { url, ok := u[name]; return url, ok }
 
-// door is a callers' interface before one stand-in engine.
-type door struct {
-	base    string
-	engine  *standin.Engine
-	behind  *httptest.Server // The engine's server.
-	keys    session.Keyring
-	limits  *Limits
-	callers *Callers
+// testServer is a callers' interface before one stand-in engine.
+type testServer struct {
+	baseURL      string
+	engine       *standin.Engine
+	engineServer *httptest.Server // The engine's server.
+	sessionKeys  session.Keyring
+	limits       *Limits
+	api          *API
 }
 
-func newDoor(t *testing.T) *door {
+func newTestServer(t *testing.T) *testServer {
 	t.Helper()
 	f := fold.NewConfig()
-	change, err := record.Encode(record.Change{ID: "1", Ops: []record.ChangeOp{{Path: config.APIKeyPath("dala", testKey), Value: "test"}}})
+	change, err := record.Encode(record.Change{ID: "1", Ops: []record.ChangeOp{{Path: config.APIKeyPath("dala", testAPIKey), Value: "test"}}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if err := f.Apply(0, record.Batch{Writer: "w", Seq: 1, Records: []record.Envelope{change}}); err != nil {
 		t.Fatal(err)
 	}
-	d := &door{engine: standin.NewEngine(standin.EngineOptions{Model: "small", Step: time.Millisecond, Heartbeat: 20 * time.Millisecond})}
-	engine := httptest.NewServer(d.engine.Handler())
-	d.behind = engine
+	s := &testServer{engine: standin.NewEngine(standin.EngineOptions{Model: "small", Step: time.Millisecond, Heartbeat: 20 * time.Millisecond})}
+	engine := httptest.NewServer(s.engine.Handler())
+	s.engineServer = engine
 	dispatcher := dispatch.New()
 	dispatcher.Update(func(decider *decide.Decider) {
 		decider.SetEndpoints([]decide.Endpoint{{Name: "e1", Models: []string{"small"}, Slots: 8, Weight: 1}})
@@ -112,63 +114,63 @@
 	opts := endpoint.Options{Connect: time.Second, Silence: 500 * time.Millisecond, Control: time.Second, AnswerBytes: 1 << 16}
 	var counts endpoint.Counts
 	runner := &run.Runner{
-		Claims: &oneRun{}, Accounts: free{}, Placer: dispatcher, Endpoints: urls{"e1": engine.URL},
+		Claims: &singleRunClaims{}, Accounts: unlimitedAccounts{}, Placer: dispatcher, Endpoints: endpointURLs{"e1": engine.URL},
 		Engines: endpoint.NewHTTPEngines(opts, &counts), Services: endpoint.NewHTTPServices(opts, &counts),
 		Limits:  run.Limits{Endpoints: 2, Resumes: 1, Progress: 10 * time.Second, Linger: time.Minute, Control: 2 * time.Second},
 		Leaving: func(string) {}, OnError: func(err error) { t.Error(err) },
 	}
-	d.keys = session.Keyring{Current: "k1", Keys: map[string][]byte{"k1": []byte(testSecret)}}
-	callers := &Callers{
-		Zone: "hall-a", Config: replica.New(record.ConfigStream, f), Sessions: d.keys, Runner: runner,
+	s.sessionKeys = session.Keyring{Current: "k1", Keys: map[string][]byte{"k1": []byte(testSigningKey)}}
+	api := &API{
+		Zone: "hall-a", Config: replica.New(record.ConfigStream, f), SessionKeys: s.sessionKeys, Runner: runner,
 		Limits: Limits{
-			BodyBytes: 1 << 12, AnswerBytes: 3000, MaxTokens: 100_000, BytesPerToken: 2, FirstToken: 5 * time.Second,
-			ServiceAnswer: time.Second, Read: 5 * time.Second, Write: 5 * time.Second, Heartbeat: 50 * time.Millisecond,
+			MaxBodyBytes: 1 << 12, MaxAnswerBytes: 3000, MaxTokens: 100_000, MinPromptBytesPerToken: 2, FirstTokenTimeout: 5 * time.Second,
+			ServiceAnswerTimeout: time.Second, BodyReadTimeout: 5 * time.Second, WriteTimeout: 5 * time.Second, HeartbeatInterval: 50 * time.Millisecond,
 		},
-		Ready: func() bool { return true },
+		IsReady: func() bool { return true },
 	}
-	d.limits, d.callers = &callers.Limits, callers
+	s.limits, s.api = &api.Limits, api
 	server := httptest.NewUnstartedServer(nil)
-	server.Config = NewServer(callers.Handler())
+	server.Config = NewServer(api.Handler())
 	server.Config.ConnState = func(conn net.Conn, state http.ConnState) {
 		if tcp, ok := conn.(*net.TCPConn); ok && state == http.StateNew {
 			_ = tcp.SetWriteBuffer(4 << 10)
 		}
 	}
 	server.Start()
-	d.base = server.URL
+	s.baseURL = server.URL
 	t.Cleanup(func() {
-		d.engine.SetFaults(standin.EngineFaults{})
+		s.engine.SetFaults(standin.EngineFaults{})
 		server.Close()
 		runner.Close()
 		dispatcher.Close()
 		engine.Close()
 		http.DefaultClient.CloseIdleConnections()
 	})
-	return d
+	return s
 }
 
-type reply struct {
+type testResponse struct {
 	status int
 	header http.Header
 	body   string
 	err    error
 }
 
-// send makes a request; header is pairs.
-func (d *door) send(method, path, body string, header ...string) reply {
-	req, err := http.NewRequest(method, d.base+path, strings.NewReader(body))
+// request makes a request; header is pairs.
+func (s *testServer) request(method, path, body string, header ...string) testResponse {
+	req, err := http.NewRequest(method, s.baseURL+path, strings.NewReader(body))
 	if err != nil {
-		return reply{err: err}
+		return testResponse{err: err}
 	}
-	req.Header.Set("Authorization", "Bearer "+testKey)
+	req.Header.Set("Authorization", "Bearer "+testAPIKey)
 	for i := 0; i+1 < len(header); i += 2 {
 		req.Header.Set(header[i], header[i+1])
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return reply{err: err}
+		return testResponse{err: err}
 	}
 	defer resp.Body.Close()
 	text, err := io.ReadAll(resp.Body)
-	return reply{status: resp.StatusCode, header: resp.Header, body: string(text), err: err}
+	return testResponse{status: resp.StatusCode, header: resp.Header, body: string(text), err: err}
 }
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -20,31 +20,31 @@
 
 // The headers of the callers' interface.
 const (
-	HeaderSession = "X-Session"
-	HeaderKey     = "Idempotency-Key"
-	// HeaderFirst is the caller's promise that this is its first attempt.
-	HeaderFirst    = "X-First-Attempt"
-	HeaderPriority = "X-Priority"
-	// HeaderLast names the last event that the caller has; see eventID.
-	HeaderLast = "Last-Event-ID"
+	HeaderSession        = "X-Session"
+	HeaderIdempotencyKey = "Idempotency-Key"
+	// HeaderFirstAttempt is the caller's promise that this is its first attempt.
+	HeaderFirstAttempt = "X-First-Attempt"
+	HeaderPriority     = "X-Priority"
+	// HeaderLastEventID names the last event that the caller has; see eventID.
+	HeaderLastEventID = "Last-Event-ID"
 )
 
 // Limits bound what callers may send and how long they wait.
 type Limits struct {
-	BodyBytes int64
-	// AnswerBytes bounds an answer that is buffered whole.
-	AnswerBytes int
-	MaxTokens   int
-	// BytesPerToken is the least number of prompt bytes that one token stands
+	MaxBodyBytes int64
+	// MaxAnswerBytes bounds an answer that is buffered whole.
+	MaxAnswerBytes int
+	MaxTokens      int
+	// MinPromptBytesPerToken is the least number of prompt bytes that one token stands
 	// for. The prompt's worst case is reserved by it; see promptBound.
-	BytesPerToken int
-	FirstToken    time.Duration
-	ServiceAnswer time.Duration
-	// Read bounds the arrival of a body, Write each write to a caller: one that
+	MinPromptBytesPerToken int
+	FirstTokenTimeout      time.Duration
+	ServiceAnswerTimeout   time.Duration
+	// BodyReadTimeout bounds the arrival of a body, WriteTimeout each write to a caller: one that
 	// takes nothing for so long counts as gone.
-	Read, Write time.Duration
-	// Heartbeat is the time between two comments on a stream without tokens.
-	Heartbeat time.Duration
+	BodyReadTimeout, WriteTimeout time.Duration
+	// HeartbeatInterval is the time between two comments on a stream without tokens.
+	HeartbeatInterval time.Duration
 }
 
 // Appender appends records to the log; see platform.Publisher.
@@ -52,52 +52,52 @@
 	Append(ctx context.Context, stream record.Stream, records ...record.Record) (uint64, error)
 }
 
-// Callers serves the callers' interface.
-type Callers struct {
-	Zone     record.Zone
-	Config   *replica.Replica[*fold.Config]
-	Sessions session.Keyring
-	Ends     session.Ends
-	Runner   *run.Runner
-	Limits   Limits
-	// Ready says whether the instance takes new requests.
-	Ready func() bool
+// API serves the callers' interface.
+type API struct {
+	Zone            record.Zone
+	Config          *replica.Replica[*fold.Config]
+	SessionKeys     session.Keyring
+	SessionRegistry session.Ends
+	Runner          *run.Runner
+	Limits          Limits
+	// IsReady says whether the instance takes new requests.
+	IsReady func() bool
 }
 
 const (
-	headWithin     = 10 * time.Second
-	idleWithin     = 2 * time.Minute
-	maxHeaderBytes = 32 << 10
+	headerReadTimeout = 10 * time.Second
+	idleTimeout       = 2 * time.Minute
+	maxHeaderBytes    = 32 << 10
 )
 
 // NewServer returns a server for callers. It has no time limit on whole
 // requests, since a stream may last; the handlers bound each read and write.
 func NewServer(h http.Handler) *http.Server {
 	return &http.Server{
-		Handler: h, ReadHeaderTimeout: headWithin, IdleTimeout: idleWithin, MaxHeaderBytes: maxHeaderBytes,
+		Handler: h, ReadHeaderTimeout: headerReadTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
 	}
 }
 
 // Handler returns the callers' routes.
-func (c *Callers) Handler() http.Handler {
+func (a *API) Handler() http.Handler {
 	r := chi.NewRouter()
 	r.NotFound(handleNotFound)
 	r.MethodNotAllowed(handleMethodNotAllowed)
-	r.Get("/readyz", c.handleReady)
+	r.Get("/readyz", a.handleReady)
 	r.Group(func(r chi.Router) {
-		r.Use(c.authenticate)
-		r.Post("/v1/chat/completions", c.handleChat)
-		r.Post("/v1/sessions", c.handleOpenSession)
-		r.Get("/v1/sessions", c.handleSessions)
-		r.Get("/v1/sessions/{id}", c.handleSession)
-		r.Delete("/v1/sessions/{id}", c.handleEndSession)
-		r.HandleFunc("/v1/services/{service}/*", c.handleService)
+		r.Use(a.authenticate)
+		r.Post("/v1/chat/completions", a.handleChat)
+		r.Post("/v1/sessions", a.handleOpenSession)
+		r.Get("/v1/sessions", a.handleListSessions)
+		r.Get("/v1/sessions/{id}", a.handleGetSession)
+		r.Delete("/v1/sessions/{id}", a.handleEndSession)
+		r.HandleFunc("/v1/services/{service}/*", a.handleService)
 	})
 	return r
 }
 
 func handleNotFound(w http.ResponseWriter, _ *http.Request) {
-	writeProblem(w, http.StatusNotFound, invalid("no_such_path", "There is nothing at this path."))
+	writeProblem(w, http.StatusNotFound, invalidRequest("no_such_path", "There is nothing at this path."))
 }
 
 func handleMethodNotAllowed(w http.ResponseWriter, r *http.Request) {
@@ -106,25 +106,25 @@
 		allowed = http.MethodGet
 	}
 	w.Header().Set("Allow", allowed)
-	writeProblem(w, http.StatusMethodNotAllowed, invalid("method_not_allowed", "This path takes "+allowed+" only."))
+	writeProblem(w, http.StatusMethodNotAllowed, invalidRequest("method_not_allowed", "This path takes "+allowed+" only."))
 }
 
-func (c *Callers) handleReady(w http.ResponseWriter, _ *http.Request) {
-	if !c.Ready() {
+func (a *API) handleReady(w http.ResponseWriter, _ *http.Request) {
+	if !a.IsReady() {
 		http.Error(w, "not ready", http.StatusServiceUnavailable)
 		return
 	}
 	w.WriteHeader(http.StatusOK)
 }
 
-type teamKey struct{}
+type teamContextKey struct{}
 
 // authenticate finds the team of the request's bearer key.
-func (c *Callers) authenticate(next http.Handler) http.Handler {
+func (a *API) authenticate(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		var team config.Team
 		ok := false
-		c.Config.View(func(f *fold.Config) { team, ok = config.Authenticate(f, bearer(r)) })
+		a.Config.View(func(f *fold.Config) { team, ok = config.Authenticate(f, bearerToken(r)) })
 		if !ok {
 			w.Header().Set("WWW-Authenticate", "Bearer")
 			writeProblem(w, http.StatusUnauthorized, problem{
@@ -132,11 +132,11 @@
 			})
 			return
 		}
-		next.ServeHTTP(w, r.WithContext(context.WithValue(r.Context(), teamKey{}, team)))
+		next.ServeHTTP(w, r.WithContext(context.WithValue(r.Context(), teamContextKey{}, team)))
 	})
 }
 
-func teamOf(r *http.Request) config.Team {
-	team, _ := r.Context().Value(teamKey{}).(config.Team)
+func authenticatedTeam(r *http.Request) config.Team {
+	team, _ := r.Context().Value(teamContextKey{}).(config.Team)
 	return team
 }
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -18,14 +18,14 @@
 
 const chatPath = "/v1/chat/completions"
 
-// chat returns a chat body with more fields.
-func chat(fields string) string {
+// chatBody returns a chat body with more fields.
+func chatBody(fields string) string {
 	return `{"model":"small","messages":[{"role":"user","content":"hello"}],"max_tokens":5` + fields + `}`
 }
 
 func TestMalformedInputGetsItsOwnClearAnswer(t *testing.T) {
-	d := newDoor(t)
-	_, foreign, err := d.keys.Open("another", "hall-a")
+	s := newTestServer(t)
+	_, otherTeamToken, err := s.sessionKeys.Open("another", "hall-a")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -39,59 +39,59 @@
 		"no such path":                {post, "/v2/x", "", nil, 404, "no_such_path"},
 		"no such path, no key":        {post, "/v2/x", "", []string{"Authorization", ""}, 404, "no_such_path"},
 		"wrong method":                {"GET", chatPath, "", nil, 405, "method_not_allowed"},
-		"no API key":                  {post, chatPath, chat(""), []string{"Authorization", ""}, 401, "invalid_api_key"},
-		"wrong API key":               {post, chatPath, chat(""), []string{"Authorization", "Bearer dala:other"}, 401, "invalid_api_key"},
-		"other team's API key":        {post, chatPath, chat(""), []string{"Authorization", "Bearer another:secret"}, 401, "invalid_api_key"},
-		"path as a team":              {post, chatPath, chat(""), []string{"Authorization", "Bearer dala/x:secret"}, 401, "invalid_api_key"},
+		"no API key":                  {post, chatPath, chatBody(""), []string{"Authorization", ""}, 401, "invalid_api_key"},
+		"wrong API key":               {post, chatPath, chatBody(""), []string{"Authorization", "Bearer dala:other"}, 401, "invalid_api_key"},
+		"other team's API key":        {post, chatPath, chatBody(""), []string{"Authorization", "Bearer another:secret"}, 401, "invalid_api_key"},
+		"path as a team":              {post, chatPath, chatBody(""), []string{"Authorization", "Bearer dala/x:secret"}, 401, "invalid_api_key"},
 		"empty body":                  {post, chatPath, "", nil, 400, "malformed_body"},
 		"not JSON":                    {post, chatPath, "hello", nil, 400, "malformed_body"},
 		"cut JSON":                    {post, chatPath, `{"model":"sm`, nil, 400, "malformed_body"},
-		"two values":                  {post, chatPath, chat("") + "{}", nil, 400, "malformed_body"},
+		"two values":                  {post, chatPath, chatBody("") + "{}", nil, 400, "malformed_body"},
 		"not an object":               {post, chatPath, `[1]`, nil, 400, "malformed_body"},
 		"null":                        {post, chatPath, `null`, nil, 400, "malformed_body"},
 		"deep":                        {post, chatPath, strings.Repeat("[", 4000), nil, 400, "malformed_body"},
-		"too large":                   {post, chatPath, chat(`,"user":"` + strings.Repeat("x", 1<<13) + `"`), nil, 413, "body_too_large"},
+		"too large":                   {post, chatPath, chatBody(`,"user":"` + strings.Repeat("x", 1<<13) + `"`), nil, 413, "body_too_large"},
 		"model missing":               {post, chatPath, `{"messages":[{"role":"user"}]}`, nil, 400, "model_missing"},
-		"model a number":              {post, chatPath, chat(`,"model":3`), nil, 400, "invalid_type"},
+		"model a number":              {post, chatPath, chatBody(`,"model":3`), nil, 400, "invalid_type"},
 		"messages missing":            {post, chatPath, `{"model":"small"}`, nil, 400, "messages_missing"},
-		"messages empty":              {post, chatPath, chat(`,"messages":[]`), nil, 400, "messages_missing"},
-		"messages a string":           {post, chatPath, chat(`,"messages":"hello"`), nil, 400, "invalid_type"},
-		"message a string":            {post, chatPath, chat(`,"messages":["hello"]`), nil, 400, "invalid_type"},
+		"messages empty":              {post, chatPath, chatBody(`,"messages":[]`), nil, 400, "messages_missing"},
+		"messages a string":           {post, chatPath, chatBody(`,"messages":"hello"`), nil, 400, "invalid_type"},
+		"message a string":            {post, chatPath, chatBody(`,"messages":["hello"]`), nil, 400, "invalid_type"},
 		"other letters":               {post, chatPath, `{"model":"small","Messages":[{"role":"user"}]}`, nil, 400, "messages_missing"},
-		"message without role":        {post, chatPath, chat(`,"messages":[{"content":"x"}]`), nil, 400, "role_missing"},
-		"content a number":            {post, chatPath, chat(`,"messages":[{"role":"user","content":3}]`), nil, 400, "invalid_type"},
-		"max_tokens negative":         {post, chatPath, chat(`,"max_tokens":-1`), nil, 400, "max_tokens_out_of_range"},
-		"max_tokens zero":             {post, chatPath, chat(`,"max_tokens":0`), nil, 400, "max_tokens_out_of_range"},
-		"max_tokens too many":         {post, chatPath, chat(`,"max_tokens":100001`), nil, 400, "max_tokens_out_of_range"},
-		"max_tokens huge":             {post, chatPath, chat(`,"max_tokens":1e400`), nil, 400, "invalid_type"},
-		"max_tokens past int":         {post, chatPath, chat(`,"max_tokens":99999999999999999999`), nil, 400, "invalid_type"},
-		"max_tokens a fraction":       {post, chatPath, chat(`,"max_tokens":1.5`), nil, 400, "invalid_type"},
-		"max_tokens a string":         {post, chatPath, chat(`,"max_tokens":"5"`), nil, 400, "invalid_type"},
-		"stream a string":             {post, chatPath, chat(`,"stream":"yes"`), nil, 400, "invalid_type"},
-		"temperature a string":        {post, chatPath, chat(`,"temperature":"hot"`), nil, 400, "invalid_type"},
-		"two choices":                 {post, chatPath, chat(`,"n":2`), nil, 400, "n_not_supported"},
-		"priority a word":             {post, chatPath, chat(""), []string{HeaderPriority, "high"}, 400, "invalid_priority"},
-		"priority out of range":       {post, chatPath, chat(""), []string{HeaderPriority, "9"}, 400, "invalid_priority"},
-		"key too long":                {post, chatPath, chat(""), []string{HeaderKey, strings.Repeat("k", 256)}, 400, "invalid_idempotency_key"},
-		"key with a space":            {post, chatPath, chat(""), []string{HeaderKey, "a b"}, 400, "invalid_idempotency_key"},
-		"session malformed":           {post, chatPath, chat(""), []string{HeaderSession, "gs1.x"}, 403, "invalid_session"},
-		"other team's session":        {post, chatPath, chat(""), []string{HeaderSession, foreign}, 403, "invalid_session"},
-		"last event malformed":        {post, chatPath, chat(`,"stream":true`), []string{HeaderKey, "k", HeaderLast, "x"}, 400, "invalid_last_event_id"},
-		"last event negative":         {post, chatPath, chat(`,"stream":true`), []string{HeaderKey, "k", HeaderLast, "r.-3"}, 400, "invalid_last_event_id"},
-		"last event negative, signed": {post, chatPath, chat(`,"stream":true`), []string{HeaderLast, "r.-3." + signRun([]byte(testSecret), "dala", "r")}, 400, "invalid_last_event_id"},
-		"last event forged":           {post, chatPath, chat(`,"stream":true`), []string{HeaderLast, "r.3." + signRun([]byte("guess"), "dala", "r")}, 400, "invalid_last_event_id"},
-		"other team's event":          {post, chatPath, chat(`,"stream":true`), []string{HeaderLast, "r.3." + signRun([]byte(testSecret), "another", "r")}, 400, "invalid_last_event_id"},
-		"last event, whole":           {post, chatPath, chat(""), []string{HeaderLast, "r.3." + signRun([]byte(testSecret), "dala", "r")}, 400, "last_event_id_without_stream"},
+		"message without role":        {post, chatPath, chatBody(`,"messages":[{"content":"x"}]`), nil, 400, "role_missing"},
+		"content a number":            {post, chatPath, chatBody(`,"messages":[{"role":"user","content":3}]`), nil, 400, "invalid_type"},
+		"max_tokens negative":         {post, chatPath, chatBody(`,"max_tokens":-1`), nil, 400, "max_tokens_out_of_range"},
+		"max_tokens zero":             {post, chatPath, chatBody(`,"max_tokens":0`), nil, 400, "max_tokens_out_of_range"},
+		"max_tokens too many":         {post, chatPath, chatBody(`,"max_tokens":100001`), nil, 400, "max_tokens_out_of_range"},
+		"max_tokens huge":             {post, chatPath, chatBody(`,"max_tokens":1e400`), nil, 400, "invalid_type"},
+		"max_tokens past int":         {post, chatPath, chatBody(`,"max_tokens":99999999999999999999`), nil, 400, "invalid_type"},
+		"max_tokens a fraction":       {post, chatPath, chatBody(`,"max_tokens":1.5`), nil, 400, "invalid_type"},
+		"max_tokens a string":         {post, chatPath, chatBody(`,"max_tokens":"5"`), nil, 400, "invalid_type"},
+		"stream a string":             {post, chatPath, chatBody(`,"stream":"yes"`), nil, 400, "invalid_type"},
+		"temperature a string":        {post, chatPath, chatBody(`,"temperature":"hot"`), nil, 400, "invalid_type"},
+		"two choices":                 {post, chatPath, chatBody(`,"n":2`), nil, 400, "n_not_supported"},
+		"priority a word":             {post, chatPath, chatBody(""), []string{HeaderPriority, "high"}, 400, "invalid_priority"},
+		"priority out of range":       {post, chatPath, chatBody(""), []string{HeaderPriority, "9"}, 400, "invalid_priority"},
+		"key too long":                {post, chatPath, chatBody(""), []string{HeaderIdempotencyKey, strings.Repeat("k", 256)}, 400, "invalid_idempotency_key"},
+		"key with a space":            {post, chatPath, chatBody(""), []string{HeaderIdempotencyKey, "a b"}, 400, "invalid_idempotency_key"},
+		"session malformed":           {post, chatPath, chatBody(""), []string{HeaderSession, "gs1.x"}, 403, "invalid_session"},
+		"other team's session":        {post, chatPath, chatBody(""), []string{HeaderSession, otherTeamToken}, 403, "invalid_session"},
+		"last event malformed":        {post, chatPath, chatBody(`,"stream":true`), []string{HeaderIdempotencyKey, "k", HeaderLastEventID, "x"}, 400, "invalid_last_event_id"},
+		"last event negative":         {post, chatPath, chatBody(`,"stream":true`), []string{HeaderIdempotencyKey, "k", HeaderLastEventID, "r.-3"}, 400, "invalid_last_event_id"},
+		"last event negative, signed": {post, chatPath, chatBody(`,"stream":true`), []string{HeaderLastEventID, "r.-3." + runSignature([]byte(testSigningKey), "dala", "r")}, 400, "invalid_last_event_id"},
+		"last event forged":           {post, chatPath, chatBody(`,"stream":true`), []string{HeaderLastEventID, "r.3." + runSignature([]byte("guess"), "dala", "r")}, 400, "invalid_last_event_id"},
+		"other team's event":          {post, chatPath, chatBody(`,"stream":true`), []string{HeaderLastEventID, "r.3." + runSignature([]byte(testSigningKey), "another", "r")}, 400, "invalid_last_event_id"},
+		"last event, whole":           {post, chatPath, chatBody(""), []string{HeaderLastEventID, "r.3." + runSignature([]byte(testSigningKey), "dala", "r")}, 400, "last_event_id_without_stream"},
 		"call without key":            {post, service, "{}", nil, 400, "idempotency_key_missing"},
-		"call with dots":              {post, "/v1/services/rig/x/../setpoint", "{}", []string{HeaderKey, "k"}, 400, "malformed_path"},
-		"call with hidden dots":       {post, "/v1/services/rig/x/%2e%2e/setpoint", "{}", []string{HeaderKey, "k"}, 400, "malformed_path"},
-		"call, two slashes":           {post, "/v1/services/rig//setpoint", "{}", []string{HeaderKey, "k"}, 400, "malformed_path"},
-		"call body too large":         {post, service, strings.Repeat("x", 1<<13), []string{HeaderKey, "k"}, 413, "body_too_large"},
-		"unknown model":               {post, chatPath, chat(`,"model":"large"`), nil, 404, string(decide.CodeUnknownModel)},
-		"unknown service":             {post, "/v1/services/none/x", "{}", []string{HeaderKey, "k"}, 503, string(decide.CodeNoEndpoint)},
+		"call with dots":              {post, "/v1/services/rig/x/../setpoint", "{}", []string{HeaderIdempotencyKey, "k"}, 400, "malformed_path"},
+		"call with hidden dots":       {post, "/v1/services/rig/x/%2e%2e/setpoint", "{}", []string{HeaderIdempotencyKey, "k"}, 400, "malformed_path"},
+		"call, two slashes":           {post, "/v1/services/rig//setpoint", "{}", []string{HeaderIdempotencyKey, "k"}, 400, "malformed_path"},
+		"call body too large":         {post, service, strings.Repeat("x", 1<<13), []string{HeaderIdempotencyKey, "k"}, 413, "body_too_large"},
+		"unknown model":               {post, chatPath, chatBody(`,"model":"large"`), nil, 404, string(decide.CodeUnknownModel)},
+		"unknown service":             {post, "/v1/services/none/x", "{}", []string{HeaderIdempotencyKey, "k"}, 503, string(decide.CodeNoEndpoint)},
 	} {
 		t.Run(name, func(t *testing.T) {
-			got := d.send(c.method, c.path, c.body, c.header...)
+			got := s.request(c.method, c.path, c.body, c.header...)
 			var body problemBody
 			if err := json.Unmarshal([]byte(got.body), &body); err != nil || got.err != nil {
 				t.Fatalf("%v, %v: %q", err, got.err, got.body)
@@ -104,10 +104,10 @@
 			}
 		})
 	}
-	if runs := d.engine.Runs(); len(runs) != 0 {
+	if runs := s.engine.Runs(); len(runs) != 0 {
 		t.Fatalf("refused input ran: %+v", runs)
 	}
-	if got := d.send(post, chatPath, chat(""), "X-Large", strings.Repeat("x", 2*maxHeaderBytes)); got.status != http.StatusRequestHeaderFieldsTooLarge {
+	if got := s.request(post, chatPath, chatBody(""), "X-Large", strings.Repeat("x", 2*maxHeaderBytes)); got.status != http.StatusRequestHeaderFieldsTooLarge {
 		t.Fatalf("large head: %d %v", got.status, got.err)
 	}
 	for name, fields := range map[string]string{
@@ -115,20 +115,20 @@
 		"unknown fields": `,"tools":[],"response_format":{"type":"text"},"prior":"x","seed":3`,
 		"content list":   `,"messages":[{"role":"user","content":[{"type":"text","text":"x"}]},{"role":"assistant","content":null}]`,
 	} {
-		if got := d.send(post, chatPath, chat(fields)); got.status != http.StatusOK {
+		if got := s.request(post, chatPath, chatBody(fields)); got.status != http.StatusOK {
 			t.Errorf("%s: %d %s", name, got.status, got.body)
 		}
 	}
 }
 
-// event is one server-sent event.
-type event struct {
+// sseEvent is one server-sent event.
+type sseEvent struct {
 	id   string
 	data string
 }
 
-func eventsOf(body string) (out []event, comments int) {
-	var e event
+func parseEvents(body string) (out []sseEvent, comments int) {
+	var e sseEvent
 	scanner := bufio.NewScanner(strings.NewReader(body))
 	for scanner.Scan() {
 		name, value, _ := strings.Cut(scanner.Text(), ": ")
@@ -138,7 +138,7 @@
 		case "data":
 			e.data = value
 			out = append(out, e)
-			e = event{}
+			e = sseEvent{}
 		case "":
 			if value != "" {
 				comments++
@@ -149,9 +149,9 @@
 }
 
 func TestStreamIsNumberedAndGoesOnFromTheLastEvent(t *testing.T) {
-	d := newDoor(t)
-	body := chat(`,"stream":true,"stream_options":{"include_usage":true}`)
-	whole, _ := eventsOf(d.send(http.MethodPost, chatPath, body, HeaderKey, "k").body)
+	s := newTestServer(t)
+	body := chatBody(`,"stream":true,"stream_options":{"include_usage":true}`)
+	whole, _ := parseEvents(s.request(http.MethodPost, chatPath, body, HeaderIdempotencyKey, "k").body)
 	const tokens = 5
 	if len(whole) != tokens+3 || whole[len(whole)-1].data != "[DONE]" {
 		t.Fatalf("events %+v", whole)
@@ -165,26 +165,26 @@
 		if runID == "" {
 			runID = string(chunk.ID)
 		}
-		if string(chunk.ID) != runID || i < tokens && e.id != d.callers.eventID("dala", record.RunID(runID), i+1) || i >= tokens && e.id != "" {
+		if string(chunk.ID) != runID || i < tokens && e.id != s.api.eventID("dala", record.RunID(runID), i+1) || i >= tokens && e.id != "" {
 			t.Fatalf("event %d: id %q, chunk id %q", i, e.id, chunk.ID)
 		}
 	}
 	for n := 1; n <= tokens; n++ {
-		rest, _ := eventsOf(d.send(http.MethodPost, chatPath, body, HeaderKey, "k", HeaderLast, whole[n-1].id).body)
-		if len(rest) != len(whole)-n || rest[0].id != whole[n].id || rest[len(rest)-1].data != "[DONE]" {
-			t.Fatalf("after event %d: %+v", n, rest)
+		remaining, _ := parseEvents(s.request(http.MethodPost, chatPath, body, HeaderIdempotencyKey, "k", HeaderLastEventID, whole[n-1].id).body)
+		if len(remaining) != len(whole)-n || remaining[0].id != whole[n].id || remaining[len(remaining)-1].data != "[DONE]" {
+			t.Fatalf("after event %d: %+v", n, remaining)
 		}
 	}
 }
 
 func TestFailureAfterTheFirstEventEndsWithoutClosing(t *testing.T) {
-	d := newDoor(t)
+	s := newTestServer(t)
 	time.AfterFunc(100*time.Millisecond, func() {
-		d.behind.Listener.Close()
-		d.behind.CloseClientConnections()
+		s.engineServer.Listener.Close()
+		s.engineServer.CloseClientConnections()
 	})
-	got := d.send(http.MethodPost, chatPath, chat(`,"stream":true,"max_tokens":1000`), HeaderKey, "k")
-	events, _ := eventsOf(got.body)
+	got := s.request(http.MethodPost, chatPath, chatBody(`,"stream":true,"max_tokens":1000`), HeaderIdempotencyKey, "k")
+	events, _ := parseEvents(got.body)
 	if got.status != http.StatusOK || len(events) < 2 {
 		t.Fatalf("status %d, %d events", got.status, len(events))
 	}
@@ -199,19 +199,19 @@
 }
 
 func TestCommentsComeWhileThereAreNoTokens(t *testing.T) {
-	d := newDoor(t)
-	d.engine.SetFaults(standin.EngineFaults{Hang: true})
-	time.AfterFunc(400*time.Millisecond, func() { d.engine.SetFaults(standin.EngineFaults{}) })
-	got := d.send(http.MethodPost, chatPath, chat(`,"stream":true`))
-	events, comments := eventsOf(got.body)
+	s := newTestServer(t)
+	s.engine.SetFaults(standin.EngineFaults{Hang: true})
+	time.AfterFunc(400*time.Millisecond, func() { s.engine.SetFaults(standin.EngineFaults{}) })
+	got := s.request(http.MethodPost, chatPath, chatBody(`,"stream":true`))
+	events, comments := parseEvents(got.body)
 	if comments == 0 || len(events) != 7 || events[6].data != "[DONE]" {
 		t.Fatalf("%d comments, events %+v", comments, events)
 	}
 }
 
 func TestWholeAnswerIsBufferedBoundedAndHasItsLength(t *testing.T) {
-	d := newDoor(t)
-	got := d.send(http.MethodPost, chatPath, chat(""))
+	s := newTestServer(t)
+	got := s.request(http.MethodPost, chatPath, chatBody(""))
 	var whole chatCompletion
 	if err := json.Unmarshal([]byte(got.body), &whole); err != nil || got.status != http.StatusOK {
 		t.Fatalf("%d %v %q", got.status, err, got.body)
@@ -220,13 +220,13 @@
 		t.Fatalf("%+v, length %q", whole, got.header.Get("Content-Length"))
 	}
 	// Above a few kilobytes net/http would not set the length by itself.
-	d = newDoor(t)
-	got = d.send(http.MethodPost, chatPath, chat(`,"max_tokens":600`))
+	s = newTestServer(t)
+	got = s.request(http.MethodPost, chatPath, chatBody(`,"max_tokens":600`))
 	if got.status != http.StatusOK || got.header.Get("Content-Length") != strconv.Itoa(len(got.body)) {
 		t.Fatalf("%d, length %q for %d bytes", got.status, got.header.Get("Content-Length"), len(got.body))
 	}
-	d = newDoor(t)
-	got = d.send(http.MethodPost, chatPath, chat(`,"max_tokens":1000`))
+	s = newTestServer(t)
+	got = s.request(http.MethodPost, chatPath, chatBody(`,"max_tokens":1000`))
 	if got.status != http.StatusBadGateway || !strings.Contains(got.body, "answer_too_large") {
 		t.Fatalf("%d %q", got.status, got.body)
 	}
@@ -234,18 +234,18 @@
 
 // TestCallerWhoTakesNothingDoesNotHoldTheRun opens a stream and never reads it.
 func TestCallerWhoTakesNothingDoesNotHoldTheRun(t *testing.T) {
-	d := newDoor(t)
-	d.limits.Write = 200 * time.Millisecond
-	conn, err := net.Dial("tcp", strings.TrimPrefix(d.base, "http://"))
+	s := newTestServer(t)
+	s.limits.WriteTimeout = 200 * time.Millisecond
+	conn, err := net.Dial("tcp", strings.TrimPrefix(s.baseURL, "http://"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
 	_ = conn.(*net.TCPConn).SetReadBuffer(1 << 10)
-	body := chat(`,"stream":true,"max_tokens":100000`)
-	fmt.Fprintf(conn, "POST %s HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer %s\r\nContent-Length: %d\r\n\r\n%s", chatPath, testKey, len(body), body)
+	body := chatBody(`,"stream":true,"max_tokens":100000`)
+	fmt.Fprintf(conn, "POST %s HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer %s\r\nContent-Length: %d\r\n\r\n%s", chatPath, testAPIKey, len(body), body)
 	for deadline := time.Now().Add(20 * time.Second); ; time.Sleep(10 * time.Millisecond) {
-		runs := d.engine.Runs()
+		runs := s.engine.Runs()
 		if len(runs) == 1 && runs[0].Done {
 			if runs[0].Finish != "cancelled" {
 				t.Fatalf("run %+v", runs[0])
--- a/internal/entry/eventid.go
+++ b/internal/entry/eventid.go
@@ -12,25 +12,25 @@
 	"guavapier/internal/run"
 )
 
-// signatureBytes is how much of an event id's signature is kept.
-const signatureBytes = 16
+// signatureLength is how much of an event id's signature is kept.
+const signatureLength = 16
 
 // eventID names the first n tokens of a run's answer: "run.n.signature". The
 // signature binds the run to its team, so that the id alone lets the team, and
 // nobody else, go on in the run at any instance.
-func (c *Callers) eventID(team record.Team, run record.RunID, n int) string {
-	return string(run) + "." + strconv.Itoa(n) + "." + signRun(c.Sessions.Keys[c.Sessions.Current], team, run)
+func (a *API) eventID(team record.Team, run record.RunID, n int) string {
+	return string(run) + "." + strconv.Itoa(n) + "." + runSignature(a.SessionKeys.Keys[a.SessionKeys.Current], team, run)
 }
 
-func signRun(key []byte, team record.Team, run record.RunID) string {
+func runSignature(key []byte, team record.Team, run record.RunID) string {
 	mac := hmac.New(sha256.New, key)
 	mac.Write([]byte("event\x00" + string(team) + "\x00" + string(run)))
-	return hex.EncodeToString(mac.Sum(nil)[:signatureBytes])
+	return hex.EncodeToString(mac.Sum(nil)[:signatureLength])
 }
 
-// lastEvent reads the position in an earlier answer out of the Last-Event-ID.
-func (c *Callers) lastEvent(r *http.Request) (run.Position, *refusal) {
-	text := r.Header.Get(HeaderLast)
+// parseLastEventID reads the position in an earlier answer out of the Last-Event-ID.
+func (a *API) parseLastEventID(r *http.Request) (run.Position, *requestError) {
+	text := r.Header.Get(HeaderLastEventID)
 	if text == "" {
 		return run.Position{}, nil
 	}
@@ -38,18 +38,18 @@
 	if len(parts) == 3 {
 		n, err := strconv.Atoi(parts[1])
 		id := record.RunID(parts[0])
-		if err == nil && n > 0 && c.signed(teamOf(r).Name, id, parts[2]) {
+		if err == nil && n > 0 && a.isRunSignature(authenticatedTeam(r).Name, id, parts[2]) {
 			return run.Position{Run: id, Tokens: n}, nil
 		}
 	}
-	return run.Position{}, badRequest("invalid_last_event_id", "%s must be the id of an event of an earlier answer to this team.", HeaderLast)
+	return run.Position{}, badRequest("invalid_last_event_id", "%s must be the id of an event of an earlier answer to this team.", HeaderLastEventID)
 }
 
-// signed checks a signature with every key that sessions are still accepted
+// isRunSignature checks a signature with every key that sessions are still accepted
 // with.
-func (c *Callers) signed(team record.Team, id record.RunID, signature string) bool {
-	for _, key := range c.Sessions.Keys {
-		if hmac.Equal([]byte(signature), []byte(signRun(key, team, id))) {
+func (a *API) isRunSignature(team record.Team, id record.RunID, signature string) bool {
+	for _, key := range a.SessionKeys.Keys {
+		if hmac.Equal([]byte(signature), []byte(runSignature(key, team, id))) {
 			return true
 		}
 	}
--- a/internal/entry/problem.go
+++ b/internal/entry/problem.go
@@ -72,23 +72,23 @@
 	_, _ = w.Write(data)
 }
 
-// invalid is a request that can never run as it stands.
-func invalid(code, message string) problem {
+// invalidRequest is a request that can never run as it stands.
+func invalidRequest(code, message string) problem {
 	return problem{Type: typeInvalid, Code: code, Message: message, Outcome: record.OutcomeNotRun}
 }
 
-// fromFailure returns the status and body for a failed run.
-func fromFailure(err error) (int, problem) {
-	var f *run.Failure
-	if !errors.As(err, &f) {
+// problemFromError returns the status and body for a failed run.
+func problemFromError(err error) (int, problem) {
+	var failure *run.Failure
+	if !errors.As(err, &failure) {
 		return http.StatusInternalServerError, problem{Type: typeServer, Code: string(run.CodeInternal), Message: err.Error(), Outcome: record.OutcomeUnknown}
 	}
 	p := problem{
-		Type: typeServer, Code: string(f.Code), Message: f.Message, Outcome: f.Outcome,
-		RetryAfter: int(math.Ceil(f.RetryAfter.Seconds())),
+		Type: typeServer, Code: string(failure.Code), Message: failure.Message, Outcome: failure.Outcome,
+		RetryAfter: int(math.Ceil(failure.RetryAfter.Seconds())),
 	}
 	status := http.StatusServiceUnavailable
-	switch f.Code {
+	switch failure.Code {
 	case run.CodeBudgetExhausted, run.CodeNoBudget:
 		status, p.Type = http.StatusPaymentRequired, typeQuota
 	case run.Code(decide.CodeUnknownModel):
@@ -109,7 +109,7 @@
 	return status, p
 }
 
-func bearer(r *http.Request) string {
+func bearerToken(r *http.Request) string {
 	key, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !ok {
 		return ""
--- a/internal/entry/request.go
+++ b/internal/entry/request.go
@@ -17,95 +17,95 @@
 	"guavapier/internal/run"
 )
 
-// maxKeyBytes bounds an Idempotency-Key; claims keep it for their window.
-const maxKeyBytes = 255
+// maxIdempotencyKeyBytes bounds an Idempotency-Key; claims keep it for their window.
+const maxIdempotencyKeyBytes = 255
 
-// refusal is a request's final answer by its form alone.
-type refusal struct {
+// requestError is a request's final answer by its form alone.
+type requestError struct {
 	status int
 	problem
 }
 
-func badRequest(code, format string, args ...any) *refusal {
-	return &refusal{status: http.StatusBadRequest, problem: invalid(code, fmt.Sprintf(format, args...))}
+func badRequest(code, format string, args ...any) *requestError {
+	return &requestError{status: http.StatusBadRequest, problem: invalidRequest(code, fmt.Sprintf(format, args...))}
 }
 
-func (f *refusal) write(w http.ResponseWriter) { writeProblem(w, f.status, f.problem) }
+func (e *requestError) write(w http.ResponseWriter) { writeProblem(w, e.status, e.problem) }
 
 // readBody reads a bounded body within the limit of time.
-func (c *Callers) readBody(w http.ResponseWriter, r *http.Request) ([]byte, *refusal) {
-	control := http.NewResponseController(w)
-	_ = control.SetReadDeadline(time.Now().Add(c.Limits.Read))
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, c.Limits.BodyBytes))
+func (a *API) readBody(w http.ResponseWriter, r *http.Request) ([]byte, *requestError) {
+	controller := http.NewResponseController(w)
+	_ = controller.SetReadDeadline(time.Now().Add(a.Limits.BodyReadTimeout))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, a.Limits.MaxBodyBytes))
 	// The server watches the connection for the caller's leaving from here on.
-	_ = control.SetReadDeadline(time.Time{})
+	_ = controller.SetReadDeadline(time.Time{})
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
 		text := fmt.Sprintf("The body is larger than %d bytes.", tooLarge.Limit)
-		return nil, &refusal{status: http.StatusRequestEntityTooLarge, problem: invalid("body_too_large", text)}
+		return nil, &requestError{status: http.StatusRequestEntityTooLarge, problem: invalidRequest("body_too_large", text)}
 	case err != nil:
 		return nil, badRequest("body_unreadable", "The body did not arrive whole in time.")
 	}
 	return body, nil
 }
 
-// common reads what all requests have in common: session, key, priority.
-func (c *Callers) common(r *http.Request, body []byte) (run.Request, *refusal) {
-	team := teamOf(r)
-	q := run.Request{
-		Team: team, Digest: digest(r, body), First: r.Header.Get(HeaderFirst) == "true",
+// parseCommon reads what all requests have in common: session, key, priority.
+func (a *API) parseCommon(r *http.Request, body []byte) (run.Request, *requestError) {
+	team := authenticatedTeam(r)
+	req := run.Request{
+		Team: team, Digest: requestDigest(r, body), First: r.Header.Get(HeaderFirstAttempt) == "true",
 	}
-	id, refused := c.session(r, team.Name)
-	if refused != nil {
-		return q, refused
+	id, reqErr := a.verifySession(r, team.Name)
+	if reqErr != nil {
+		return req, reqErr
 	}
-	q.Session = id
-	if q.Priority, refused = priorityOf(r, team); refused != nil {
-		return q, refused
+	req.Session = id
+	if req.Priority, reqErr = parsePriority(r, team); reqErr != nil {
+		return req, reqErr
 	}
-	key := r.Header.Get(HeaderKey)
-	if !validKey(key) {
-		return q, badRequest("invalid_idempotency_key", "%s must be at most %d visible ASCII characters.", HeaderKey, maxKeyBytes)
+	key := r.Header.Get(HeaderIdempotencyKey)
+	if !isValidIdempotencyKey(key) {
+		return req, badRequest("invalid_idempotency_key", "%s must be at most %d visible ASCII characters.", HeaderIdempotencyKey, maxIdempotencyKeyBytes)
 	}
-	q.Keyed = key != ""
-	if !q.Keyed {
+	req.Keyed = key != ""
+	if !req.Keyed {
 		// No retry can name this request again, so the key needs no memory.
-		key, q.First = string(record.NewRunID()), true
+		key, req.First = string(record.NewRunID()), true
 	}
-	q.Key = record.RequestKey{Team: team.Name, Session: q.Session.ID, Key: key}
-	return q, nil
+	req.Key = record.RequestKey{Team: team.Name, Session: req.Session.ID, Key: key}
+	return req, nil
 }
 
-// classes are the decisions' names of the settings' priority classes.
-var classes = map[string]decide.Priority{
+// priorityByName are the decisions' names of the settings' priority classes.
+var priorityByName = map[string]decide.Priority{
 	config.PriorityBatch:       decide.PriorityBatch,
 	config.PriorityInteractive: decide.PriorityInteractive,
 	config.PriorityCall:        decide.PriorityCall,
 }
 
-// priorityOf returns the class that a request names, or its team's default. A
+// parsePriority returns the class that a request names, or its team's default. A
 // class above what the team may name is lowered, not refused: the fleet's
 // operators may change the bound while callers go on as before.
-func priorityOf(r *http.Request, team config.Team) (decide.Priority, *refusal) {
+func parsePriority(r *http.Request, team config.Team) (decide.Priority, *requestError) {
 	text := r.Header.Get(HeaderPriority)
 	if text == "" {
-		return classes[team.Priority], nil
+		return priorityByName[team.Priority], nil
 	}
 	p, err := strconv.Atoi(text)
 	if err != nil || p < int(decide.PriorityBatch) || p > int(decide.PriorityCall) {
 		return 0, badRequest("invalid_priority", "%s must be between %d and %d.", HeaderPriority, decide.PriorityBatch, decide.PriorityCall)
 	}
-	return min(decide.Priority(p), classes[team.MaxPriority]), nil
+	return min(decide.Priority(p), priorityByName[team.MaxPriority]), nil
 }
 
-func validKey(key string) bool {
+func isValidIdempotencyKey(key string) bool {
 	visible := func(c rune) bool { return c > ' ' && c <= '~' }
-	return len(key) <= maxKeyBytes && strings.IndexFunc(key, func(c rune) bool { return !visible(c) }) < 0
+	return len(key) <= maxIdempotencyKeyBytes && strings.IndexFunc(key, func(c rune) bool { return !visible(c) }) < 0
 }
 
-// digest tells requests under one key apart: by method, path, query and body.
-func digest(r *http.Request, body []byte) uint64 {
+// requestDigest tells requests under one key apart: by method, path, query and body.
+func requestDigest(r *http.Request, body []byte) uint64 {
 	h := xxhash.New()
 	for _, part := range []string{r.Method, r.URL.EscapedPath(), r.URL.RawQuery} {
 		_, _ = h.WriteString(part)
--- a/internal/entry/service.go
+++ b/internal/entry/service.go
@@ -12,21 +12,21 @@
 	"guavapier/internal/run"
 )
 
-func (c *Callers) handleService(w http.ResponseWriter, r *http.Request) {
-	body, refused := c.readBody(w, r)
-	if refused != nil {
-		refused.write(w)
+func (a *API) handleService(w http.ResponseWriter, r *http.Request) {
+	body, reqErr := a.readBody(w, r)
+	if reqErr != nil {
+		reqErr.write(w)
 		return
 	}
-	call, refused := c.callOf(r, body)
-	if refused != nil {
-		refused.write(w)
+	call, reqErr := a.parseServiceCall(r, body)
+	if reqErr != nil {
+		reqErr.write(w)
 		return
 	}
-	answer, err := c.Runner.Call(r.Context(), call)
-	c.writeWithin(w)
+	answer, err := a.Runner.Call(r.Context(), call)
+	a.setWriteDeadline(w)
 	if err != nil {
-		status, p := fromFailure(err)
+		status, p := problemFromError(err)
 		writeProblem(w, status, p)
 		return
 	}
@@ -36,30 +36,30 @@
 	_, _ = w.Write(answer.Body)
 }
 
-// callOf reads a service call whole; nothing has run before it returns.
-func (c *Callers) callOf(r *http.Request, body []byte) (run.Call, *refusal) {
-	common, refused := c.common(r, body)
-	if refused != nil {
-		return run.Call{}, refused
+// parseServiceCall reads a service call whole; nothing has run before it returns.
+func (a *API) parseServiceCall(r *http.Request, body []byte) (run.Call, *requestError) {
+	common, reqErr := a.parseCommon(r, body)
+	if reqErr != nil {
+		return run.Call{}, reqErr
 	}
-	common.Wait = c.Limits.ServiceAnswer
+	common.Wait = a.Limits.ServiceAnswerTimeout
 	common.Priority = decide.PriorityCall
 	call := run.Call{
 		Request: common, Service: chi.URLParam(r, "service"), Method: r.Method, Query: r.URL.RawQuery,
 		ContentType: r.Header.Get("Content-Type"), Body: body,
 	}
 	call.Path = strings.TrimPrefix(r.URL.EscapedPath(), "/v1/services/"+call.Service)
-	if !plainPath(r.URL.Path) {
+	if !isCanonicalPath(r.URL.Path) {
 		return call, badRequest("malformed_path", "The path must not have empty or dot segments.")
 	}
-	if !common.Keyed && !c.Runner.Repeatable(call.Service, call.Method, call.Path) {
-		return call, badRequest("idempotency_key_missing", "A call that may not be repeated needs an %s.", HeaderKey)
+	if !common.Keyed && !a.Runner.Repeatable(call.Service, call.Method, call.Path) {
+		return call, badRequest("idempotency_key_missing", "A call that may not be repeated needs an %s.", HeaderIdempotencyKey)
 	}
 	return call, nil
 }
 
-// plainPath says whether a path is in its simplest form. In another one it
+// isCanonicalPath says whether a path is in its simplest form. In another one it
 // might mean another call to the service than to the rules.
-func plainPath(decoded string) bool {
+func isCanonicalPath(decoded string) bool {
 	return path.Clean(decoded) == strings.TrimSuffix(decoded, "/")
 }
--- a/internal/entry/stream.go
+++ b/internal/entry/stream.go
@@ -11,55 +11,55 @@
 
 // chatStream puts a run's tokens into events, numbered by id.
 type chatStream struct {
-	*events
-	id      func(run record.RunID, n int) string
+	*eventWriter
+	eventID func(run record.RunID, n int) string
 	model   string
 	created int64
 }
 
-func (s *chatStream) chunk(run record.RunID, choices ...chatChoice) chatCompletion {
+func (s *chatStream) newChunk(run record.RunID, choices ...chatChoice) chatCompletion {
 	if choices == nil {
 		choices = []chatChoice{}
 	}
 	return chatCompletion{ID: run, Object: "chat.completion.chunk", Created: s.created, Model: s.model, Choices: choices}
 }
 
-func (s *chatStream) token(run record.RunID, t endpoint.Token) error {
+func (s *chatStream) sendToken(run record.RunID, t endpoint.Token) error {
 	delta := &chatDelta{Content: t.Text}
 	if t.Index == 0 {
 		delta.Role = "assistant"
 	}
-	return s.send(s.id(run, t.Index+1), s.chunk(run, chatChoice{Delta: delta}))
+	return s.send(s.eventID(run, t.Index+1), s.newChunk(run, chatChoice{Delta: delta}))
 }
 
-// whole writes the closing of a whole answer.
-func (s *chatStream) whole(result run.ChatResult, withUsage bool) {
-	_ = s.send("", s.chunk(result.Run, chatChoice{Delta: &chatDelta{}, FinishReason: &result.Finish}))
+// finish writes the closing of a whole answer.
+func (s *chatStream) finish(result run.ChatResult, withUsage bool) {
+	_ = s.send("", s.newChunk(result.Run, chatChoice{Delta: &chatDelta{}, FinishReason: &result.Finish}))
 	if withUsage {
-		usage := s.chunk(result.Run)
-		usage.Usage = usageOf(result.Usage)
+		usage := s.newChunk(result.Run)
+		usage.Usage = newChatUsage(result.Usage)
 		_ = s.send("", usage)
 	}
-	s.closing()
+	s.sendDone()
 }
 
-// streamChat streams an answer. A failure after the first event goes out as an
+// serveStreamedChat streams an answer. A failure after the first event goes out as an
 // event of its own, and the stream ends without its closing event, so that the
 // caller knows that the answer is partial.
-func (c *Callers) streamChat(w http.ResponseWriter, r *http.Request, chat run.Chat, withUsage bool) {
-	id := func(run record.RunID, n int) string { return c.eventID(chat.Team.Name, run, n) }
-	s := &chatStream{events: c.newEvents(w), id: id, model: chat.Model, created: time.Now().Unix()}
+func (a *API) serveStreamedChat(w http.ResponseWriter, r *http.Request, chat run.Chat, withUsage bool) {
+	eventID := func(run record.RunID, n int) string { return a.eventID(chat.Team.Name, run, n) }
+	s := &chatStream{eventWriter: a.newEventWriter(w), eventID: eventID, model: chat.Model, created: time.Now().Unix()}
 	defer s.end()
-	result, err := c.Runner.Chat(r.Context(), chat, s.token)
+	result, err := a.Runner.Chat(r.Context(), chat, s.sendToken)
 	if err == nil {
-		s.whole(result, withUsage)
+		s.finish(result, withUsage)
 		return
 	}
-	status, p := fromFailure(err)
-	if !s.endUnbegun() {
+	status, p := problemFromError(err)
+	if !s.endIfNotStarted() {
 		_ = s.send("", p.body())
 		return
 	}
-	c.writeWithin(w)
+	a.setWriteDeadline(w)
 	writeProblem(w, status, p)
 }
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -198,15 +198,15 @@
 
 func (s *Server) callersHandler() http.Handler {
 	limits := s.settings.Limits
-	c := &entry.Callers{
-		Zone: record.Zone(s.settings.Instance.Zone), Config: s.config, Sessions: s.secrets.Sessions, Runner: s.runner,
-		Ends: session.Ends{Log: s.publisher, Partitions: s.partitions},
+	c := &entry.API{
+		Zone: record.Zone(s.settings.Instance.Zone), Config: s.config, SessionKeys: s.secrets.Sessions, Runner: s.runner,
+		SessionRegistry: session.Ends{Log: s.publisher, Partitions: s.partitions},
 		Limits: entry.Limits{
-			BodyBytes: limits.BodyBytes, AnswerBytes: int(limits.AnswerBytes), MaxTokens: limits.MaxTokens,
-			BytesPerToken: limits.PromptBytesPerToken, Read: readWithin, Write: writeWithin, Heartbeat: callerHeartbeat,
-			FirstToken: limits.FirstToken.D(), ServiceAnswer: limits.ServiceAnswer.D(),
+			MaxBodyBytes: limits.BodyBytes, MaxAnswerBytes: int(limits.AnswerBytes), MaxTokens: limits.MaxTokens,
+			MinPromptBytesPerToken: limits.PromptBytesPerToken, BodyReadTimeout: readWithin, WriteTimeout: writeWithin, HeartbeatInterval: callerHeartbeat,
+			FirstTokenTimeout: limits.FirstToken.D(), ServiceAnswerTimeout: limits.ServiceAnswer.D(),
 		},
-		Ready: func() bool { return !s.draining.Load() && s.members.Seen() && s.current() },
+		IsReady: func() bool { return !s.draining.Load() && s.members.Seen() && s.current() },
 	}
 	return s.metrics.Measure(metrics.CallersHTTP, s.countInFlight(c.Handler()))
 }
