--- a/internal/entry/chat.go
+++ b/internal/entry/chat.go
@@ -29,7 +29,8 @@
 	a.serveBufferedChat(w, r, chat)
 }
 
-// parseChatRequest reads a chat request whole; nothing has run before it returns.
+// parseChatRequest validates the body and the headers of a chat request. If it
+// returns an error, nothing has run.
 func (a *API) parseChatRequest(r *http.Request, body []byte) (run.Chat, *chatRequest, *requestError) {
 	req, reqErr := a.parseChatBody(body)
 	if reqErr != nil {
@@ -51,11 +52,14 @@
 	return chat, req, reqErr
 }
 
+// answerMessage is the message of an answer that is sent whole.
 type answerMessage struct {
 	Role    string `json:"role"`
 	Content string `json:"content"`
 }
 
+// chatChoice is the single choice of an answer: Message if it is sent whole,
+// Delta in a chunk of a stream.
 type chatChoice struct {
 	Index        int            `json:"index"`
 	Message      *answerMessage `json:"message,omitempty"`
@@ -63,11 +67,13 @@
 	FinishReason *string        `json:"finish_reason"`
 }
 
+// chatDelta is the part of an answer's message that one chunk adds.
 type chatDelta struct {
 	Role    string `json:"role,omitempty"`
 	Content string `json:"content,omitempty"`
 }
 
+// chatUsage holds the number of tokens that a request used.
 type chatUsage struct {
 	Prompt     int64        `json:"prompt_tokens"`
 	Completion int64        `json:"completion_tokens"`
@@ -79,6 +85,7 @@
 	Cached int64 `json:"cached_tokens"`
 }
 
+// chatCompletion is the body of an answer, or the data of one event of a stream.
 type chatCompletion struct {
 	ID      record.RunID `json:"id"`
 	Object  string       `json:"object"`
@@ -94,10 +101,12 @@
 	}
 }
 
-// errAnswerTooLarge says that an answer is larger than may be buffered.
+// errAnswerTooLarge stops a run whose answer exceeds Limits.MaxAnswerBytes.
 var errAnswerTooLarge = errors.New("entry: answer too large")
 
-// serveBufferedChat buffers the answer: the caller gets it whole or not at all.
+// serveBufferedChat runs a chat request and sends the answer once it is
+// complete, so that a failure in the middle can still be answered with an error
+// status.
 func (a *API) serveBufferedChat(w http.ResponseWriter, r *http.Request, chat run.Chat) {
 	var text strings.Builder
 	tooLarge := false
@@ -128,8 +137,8 @@
 	})
 }
 
-// setWriteDeadline bounds the next write, so that a caller who takes nothing does
-// not hold the connection for ever.
+// setWriteDeadline bounds the next write to the caller. Without it a caller that
+// doesn't read would block the handler forever.
 func (a *API) setWriteDeadline(w http.ResponseWriter) {
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(a.Limits.WriteTimeout))
 }
--- a/internal/entry/chatbody.go
+++ b/internal/entry/chatbody.go
@@ -8,10 +8,11 @@
 	"slices"
 )
 
+// defaultMaxTokens bounds the answer of a request without max_tokens.
 const defaultMaxTokens = 256
 
-// chatRequest is what the router itself needs of a chat request. All other
-// fields go to the engine as they are.
+// chatRequest holds the fields of a chat request's body that this service reads
+// or validates. All other fields are passed to the engine unchanged.
 type chatRequest struct {
 	Model               string         `json:"model"`
 	Messages            []inputMessage `json:"messages"`
@@ -20,16 +21,19 @@
 	N                   *int           `json:"n"`
 	Stream              bool           `json:"stream"`
 	StreamOptions       streamOptions  `json:"stream_options"`
-	// These are checked for their types only.
+	// The following fields are decoded only to validate their types.
 	Temperature      *float64 `json:"temperature"`
 	TopP             *float64 `json:"top_p"`
 	PresencePenalty  *float64 `json:"presence_penalty"`
 	FrequencyPenalty *float64 `json:"frequency_penalty"`
 	User             string   `json:"user"`
 
-	// messages and params are the raw fields for the engine.
-	messages  json.RawMessage
-	params    map[string]json.RawMessage
+	// messages and params are passed to the engine as the caller sent them: the
+	// field messages, and every field that isn't one of routerFields.
+	messages json.RawMessage
+	params   map[string]json.RawMessage
+	// maxTokens is the bound on the answer: max_completion_tokens, max_tokens or the
+	// default.
 	maxTokens int
 }
 
@@ -37,21 +41,27 @@
 	IncludeUsage bool `json:"include_usage"`
 }
 
+// inputMessage is one message of a prompt. Content is a string, a list of parts
+// or null, and isn't decoded further.
 type inputMessage struct {
 	Role    string          `json:"role"`
 	Content json.RawMessage `json:"content"`
 }
 
-// routerFields are set by the router on every order to an engine.
+// routerFields are the fields that this service sets itself in each request to
+// an engine, so they aren't passed on with the caller's other fields. prior is the
+// part of the answer that another engine generated before the run resumed at this
+// one.
 var routerFields = []string{"model", "messages", "max_tokens", "max_completion_tokens", "n", "stream", "stream_options", "prior"}
 
-// decodedFields are those that chatRequest decodes.
+// decodedFields are the fields that chatRequest decodes.
 var decodedFields = append([]string{"temperature", "top_p", "presence_penalty", "frequency_penalty", "user"}, routerFields...)
 
-// parseChatBody reads and checks the body of a chat request. Unknown fields are
-// passed on; a known field of the wrong type is an error that names it. What is
-// checked is what is passed on, also where a field stands twice or in other
-// letters.
+// parseChatBody decodes and validates the body of a chat request. Unknown fields
+// are passed on; a known field of the wrong type is an error that names it. The
+// body is split into fields first, by exact name and with the last of duplicate
+// fields, so that the values validated are the ones that the engine receives:
+// encoding/json alone would match names regardless of case.
 func (a *API) parseChatBody(body []byte) (*chatRequest, *requestError) {
 	var params map[string]json.RawMessage
 	if err := json.Unmarshal(body, &params); err != nil || params == nil {
@@ -66,6 +76,7 @@
 	return req, a.checkChat(req)
 }
 
+// decodeFields decodes the decodedFields among params into req.
 func decodeFields(params map[string]json.RawMessage, req *chatRequest) *requestError {
 	fields := map[string]json.RawMessage{}
 	for _, name := range decodedFields {
@@ -87,6 +98,7 @@
 	return nil
 }
 
+// checkChat validates the decoded fields and sets req.maxTokens.
 func (a *API) checkChat(req *chatRequest) *requestError {
 	req.maxTokens = min(defaultMaxTokens, a.Limits.MaxTokens)
 	for _, maxTokens := range []*int{req.MaxTokens, req.MaxCompletionTokens} {
@@ -115,16 +127,20 @@
 	return nil
 }
 
+// isValidContent reports whether a message's content is a string, a list, null or
+// absent.
 func isValidContent(content json.RawMessage) bool {
 	content = bytes.TrimSpace(content)
 	return len(content) == 0 || content[0] == '"' || content[0] == '[' || string(content) == "null"
 }
 
-// maxPromptTokens is the worst case of a prompt's tokens. Byte-level tokenizers
-// make at most one token of a byte, in practice one of two to four. What an
-// engine counts above the bound is not billed, so a BytesPerToken that is too
-// large costs the operator, one that is too small reserves too much. The JSON
-// around each message stands for the chat template's tokens.
+// maxPromptTokens returns an upper bound on the number of tokens of a prompt, which
+// is reserved from the budget. A byte-level tokenizer yields at most one token per
+// byte; in practice it yields one per two to four bytes. Tokens that an engine
+// counts beyond the bound are not billed: a MinPromptBytesPerToken that is too
+// large costs the operator, one that is too small reserves more than needed. The
+// JSON syntax around each message is included in messages and accounts for the
+// tokens of the chat template.
 func (a *API) maxPromptTokens(messages []byte) int {
 	return len(messages)/a.Limits.MinPromptBytesPerToken + 1
 }
--- a/internal/entry/door_test.go
+++ b/internal/entry/door_test.go
@@ -34,7 +34,7 @@
 	testSigningKey = "0123456789abcdef"
 )
 
-// unlimitedAccounts is Accounts without a limit.
+// unlimitedAccounts implements run.Accounts with a budget that never runs out.
 type unlimitedAccounts struct{}
 
 func (unlimitedAccounts) Reserve(_ context.Context, _ record.RequestKey, run record.RunID, _ record.BudgetID, tokens int64) (ledger.Reservation, error) {
@@ -45,8 +45,8 @@
 	return nil
 }
 
-// singleRunClaims is Claims for one key: the first request owns the run, later ones
-// join it.
+// singleRunClaims implements claim.Claims for a single key: the first request starts a
+// run, and later ones join it.
 type singleRunClaims struct {
 	mu     sync.Mutex
 	ticket claim.Ticket
@@ -80,20 +80,23 @@
 	}
 }
 
+// endpointURLs implements run.Endpoints by a table of URLs.
 type endpointURLs map[string]string
 
 func (u endpointURLs) URL(name string) (string, bool) { url, ok := u[name]; return url, ok }
 
-// testServer is a callers' interface before one stand-in engine.
+// testServer serves an API whose only endpoint is a stand-in engine.
 type testServer struct {
 	baseURL      string
 	engine       *standin.Engine
-	engineServer *httptest.Server // The engine's server.
+	engineServer *httptest.Server // Serves engine.
 	sessionKeys  session.Keyring
 	limits       *Limits
 	api          *API
 }
 
+// newTestServer starts an API for the team dala and the model small. Its sockets have
+// small send buffers, so that a caller that doesn't read blocks writes soon.
 func newTestServer(t *testing.T) *testServer {
 	t.Helper()
 	f := fold.NewConfig()
@@ -149,6 +152,7 @@
 	return s
 }
 
+// testResponse is a response that was read whole, or the error of the request.
 type testResponse struct {
 	status int
 	header http.Header
@@ -156,7 +160,8 @@
 	err    error
 }
 
-// request makes a request; header is pairs.
+// request sends a request with the team's API key. header holds names and values in turn
+// and may replace the key.
 func (s *testServer) request(method, path, body string, header ...string) testResponse {
 	req, err := http.NewRequest(method, s.baseURL+path, strings.NewReader(body))
 	if err != nil {
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -1,6 +1,7 @@
-// Package entry is the callers' HTTP interface: chat completions in the usual
-// shape, plain services and sessions. Every refusal is JSON with the outcome,
-// a code, a sentence and, where it helps, when to come back.
+// Package entry serves the HTTP API for callers: chat completions in the usual
+// format, calls to plain services, and sessions. Every error response is JSON
+// with a code, a message, the outcome of the request (whether it ran) and,
+// where a retry can succeed, the number of seconds after which to retry.
 package entry
 
 import (
@@ -18,49 +19,72 @@
 	"guavapier/internal/session"
 )
 
-// The headers of the callers' interface.
+// Request headers of the API.
 const (
-	HeaderSession        = "X-Session"
+	// HeaderSession carries the token of a session.
+	HeaderSession = "X-Session"
+	// HeaderIdempotencyKey carries a key that the caller chose. Requests of a
+	// team with the same key in the same session are attempts at one request.
 	HeaderIdempotencyKey = "Idempotency-Key"
-	// HeaderFirstAttempt is the caller's promise that this is its first attempt.
+	// HeaderFirstAttempt, if "true", is the caller's promise that it has never
+	// sent this request before.
 	HeaderFirstAttempt = "X-First-Attempt"
-	HeaderPriority     = "X-Priority"
-	// HeaderLastEventID names the last event that the caller has; see eventID.
+	// HeaderPriority carries a priority class as a number; see parsePriority.
+	HeaderPriority = "X-Priority"
+	// HeaderLastEventID carries the ID of the last event that the caller received
+	// of an answer that it wants to resume; see eventID.
 	HeaderLastEventID = "Last-Event-ID"
 )
 
-// Limits bound what callers may send and how long they wait.
+// Limits bounds the size of requests and answers and the time they take.
 type Limits struct {
+	// MaxBodyBytes bounds the body of a request.
 	MaxBodyBytes int64
-	// MaxAnswerBytes bounds an answer that is buffered whole.
+	// MaxAnswerBytes bounds the text of a chat answer that isn't streamed.
 	MaxAnswerBytes int
-	MaxTokens      int
-	// MinPromptBytesPerToken is the least number of prompt bytes that one token stands
-	// for. The prompt's worst case is reserved by it; see promptBound.
+	// MaxTokens bounds the max_tokens of a chat request.
+	MaxTokens int
+	// MinPromptBytesPerToken is the smallest number of prompt bytes assumed per
+	// token. It determines how many tokens are reserved for a prompt; see
+	// maxPromptTokens.
 	MinPromptBytesPerToken int
-	FirstTokenTimeout      time.Duration
-	ServiceAnswerTimeout   time.Duration
-	// BodyReadTimeout bounds the arrival of a body, WriteTimeout each write to a caller: one that
-	// takes nothing for so long counts as gone.
+	// FirstTokenTimeout bounds the wait for the first token of a chat answer.
+	FirstTokenTimeout time.Duration
+	// ServiceAnswerTimeout bounds the wait for the answer of a plain service.
+	ServiceAnswerTimeout time.Duration
+	// BodyReadTimeout bounds the time in which a request's body must arrive.
+	// WriteTimeout bounds each write to a caller; if the caller reads nothing for
+	// this long, the write fails as if the caller had disconnected.
 	BodyReadTimeout, WriteTimeout time.Duration
-	// HeartbeatInterval is the time between two comments on a stream without tokens.
+	// HeartbeatInterval is the time between two comments that are sent on a
+	// stream while no event is.
 	HeartbeatInterval time.Duration
 }
 
-// Appender appends records to the log; see platform.Publisher.
+// Appender appends records to a stream of the log in one batch and returns its
+// offset; see logstore.Publisher. After an error the records may still be on
+// the log.
 type Appender interface {
 	Append(ctx context.Context, stream record.Stream, records ...record.Record) (uint64, error)
 }
 
-// API serves the callers' interface.
+// API serves the callers' HTTP API on one instance. Its fields must be set
+// before Handler is called.
 type API struct {
-	Zone            record.Zone
-	Config          *replica.Replica[*fold.Config]
-	SessionKeys     session.Keyring
+	// Zone is the availability zone of this instance, recorded as the home zone of
+	// the sessions that it opens.
+	Zone record.Zone
+	// Config holds the API keys and the settings of the teams.
+	Config *replica.Replica[*fold.Config]
+	// SessionKeys signs and verifies session tokens and event IDs.
+	SessionKeys session.Keyring
+	// SessionRegistry lists open sessions and records which have ended.
 	SessionRegistry session.Ends
-	Runner          *run.Runner
-	Limits          Limits
-	// IsReady says whether the instance takes new requests.
+	// Runner executes chat completions and service calls.
+	Runner *run.Runner
+	Limits Limits
+	// IsReady reports whether this instance can take new requests; /readyz answers
+	// accordingly.
 	IsReady func() bool
 }
 
@@ -70,15 +94,16 @@
 	maxHeaderBytes    = 32 << 10
 )
 
-// NewServer returns a server for callers. It has no time limit on whole
-// requests, since a stream may last; the handlers bound each read and write.
+// NewServer returns an HTTP server for callers. It sets no timeout on whole
+// requests, since a streamed answer may take arbitrarily long; the handlers set a
+// deadline for reading the body and for each write.
 func NewServer(h http.Handler) *http.Server {
 	return &http.Server{
 		Handler: h, ReadHeaderTimeout: headerReadTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
 	}
 }
 
-// Handler returns the callers' routes.
+// Handler returns the HTTP routes of the API.
 func (a *API) Handler() http.Handler {
 	r := chi.NewRouter()
 	r.NotFound(handleNotFound)
@@ -117,9 +142,11 @@
 	w.WriteHeader(http.StatusOK)
 }
 
+// teamContextKey is the context key of the team that authenticate found.
 type teamContextKey struct{}
 
-// authenticate finds the team of the request's bearer key.
+// authenticate looks up the team of the request's API key, a bearer token, and
+// stores it in the request's context. Without a valid key it answers 401.
 func (a *API) authenticate(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		var team config.Team
@@ -136,6 +163,7 @@
 	})
 }
 
+// authenticatedTeam returns the team that authenticate stored.
 func authenticatedTeam(r *http.Request) config.Team {
 	team, _ := r.Context().Value(teamContextKey{}).(config.Team)
 	return team
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -18,11 +18,13 @@
 
 const chatPath = "/v1/chat/completions"
 
-// chatBody returns a chat body with more fields.
+// chatBody returns the body of a chat request with fields appended to its JSON object.
 func chatBody(fields string) string {
 	return `{"model":"small","messages":[{"role":"user","content":"hello"}],"max_tokens":5` + fields + `}`
 }
 
+// Invalid requests are refused with their own code and the outcome not_run, and reach no
+// engine. Null and unknown fields are valid.
 func TestMalformedInputGetsItsOwnClearAnswer(t *testing.T) {
 	s := newTestServer(t)
 	_, otherTeamToken, err := s.sessionKeys.Open("another", "hall-a")
@@ -94,10 +96,10 @@
 			got := s.request(c.method, c.path, c.body, c.header...)
 			var body problemBody
 			if err := json.Unmarshal([]byte(got.body), &body); err != nil || got.err != nil {
-				t.Fatalf("%v, %v: %q", err, got.err, got.body)
+				t.Fatalf("unmarshal: %v, request: %v, body %q", err, got.err, got.body)
 			}
 			if got.status != c.status || body.Error.Code != c.code || body.Error.Outcome != "not_run" || body.Error.Message == "" {
-				t.Fatalf("status %d, %+v", got.status, body.Error)
+				t.Fatalf("got status %d and error %+v", got.status, body.Error)
 			}
 			if got.header.Get("Content-Length") != strconv.Itoa(len(got.body)) {
 				t.Fatalf("Content-Length %q for %d bytes", got.header.Get("Content-Length"), len(got.body))
@@ -105,10 +107,10 @@
 		})
 	}
 	if runs := s.engine.Runs(); len(runs) != 0 {
-		t.Fatalf("refused input ran: %+v", runs)
+		t.Fatalf("invalid requests reached the engine: %+v", runs)
 	}
 	if got := s.request(post, chatPath, chatBody(""), "X-Large", strings.Repeat("x", 2*maxHeaderBytes)); got.status != http.StatusRequestHeaderFieldsTooLarge {
-		t.Fatalf("large head: %d %v", got.status, got.err)
+		t.Fatalf("header larger than maxHeaderBytes: status %d, error %v", got.status, got.err)
 	}
 	for name, fields := range map[string]string{
 		"null fields":    `,"temperature":null,"n":null,"stream":null,"stream_options":null,"max_completion_tokens":null`,
@@ -116,7 +118,7 @@
 		"content list":   `,"messages":[{"role":"user","content":[{"type":"text","text":"x"}]},{"role":"assistant","content":null}]`,
 	} {
 		if got := s.request(post, chatPath, chatBody(fields)); got.status != http.StatusOK {
-			t.Errorf("%s: %d %s", name, got.status, got.body)
+			t.Errorf("%s: got status %d: %s", name, got.status, got.body)
 		}
 	}
 }
@@ -127,6 +129,7 @@
 	data string
 }
 
+// parseEvents returns the events of a stream and the number of its comments.
 func parseEvents(body string) (out []sseEvent, comments int) {
 	var e sseEvent
 	scanner := bufio.NewScanner(strings.NewReader(body))
@@ -148,13 +151,15 @@
 	return out, comments
 }
 
+// A stream that breaks after any event can be resumed with that event's ID, and the rest
+// has no token twice and none missing.
 func TestStreamIsNumberedAndGoesOnFromTheLastEvent(t *testing.T) {
 	s := newTestServer(t)
 	body := chatBody(`,"stream":true,"stream_options":{"include_usage":true}`)
 	whole, _ := parseEvents(s.request(http.MethodPost, chatPath, body, HeaderIdempotencyKey, "k").body)
 	const tokens = 5
 	if len(whole) != tokens+3 || whole[len(whole)-1].data != "[DONE]" {
-		t.Fatalf("events %+v", whole)
+		t.Fatalf("got events %+v, want 5 tokens, the finish reason, the usage and [DONE]", whole)
 	}
 	var runID string
 	for i, e := range whole[:len(whole)-1] {
@@ -172,11 +177,13 @@
 	for n := 1; n <= tokens; n++ {
 		remaining, _ := parseEvents(s.request(http.MethodPost, chatPath, body, HeaderIdempotencyKey, "k", HeaderLastEventID, whole[n-1].id).body)
 		if len(remaining) != len(whole)-n || remaining[0].id != whole[n].id || remaining[len(remaining)-1].data != "[DONE]" {
-			t.Fatalf("after event %d: %+v", n, remaining)
+			t.Fatalf("resumed after event %d: got %+v", n, remaining)
 		}
 	}
 }
 
+// The engine dies in the middle of a streamed answer. The caller must be able to tell the
+// partial answer from a complete one.
 func TestFailureAfterTheFirstEventEndsWithoutClosing(t *testing.T) {
 	s := newTestServer(t)
 	time.AfterFunc(100*time.Millisecond, func() {
@@ -186,18 +193,20 @@
 	got := s.request(http.MethodPost, chatPath, chatBody(`,"stream":true,"max_tokens":1000`), HeaderIdempotencyKey, "k")
 	events, _ := parseEvents(got.body)
 	if got.status != http.StatusOK || len(events) < 2 {
-		t.Fatalf("status %d, %d events", got.status, len(events))
+		t.Fatalf("got status %d and %d events, want 200 and at least 2", got.status, len(events))
 	}
 	last := events[len(events)-1]
 	var body problemBody
 	if err := json.Unmarshal([]byte(last.data), &body); err != nil || body.Error.Outcome != "unknown" || last.id != "" {
-		t.Fatalf("last event %+v: %v", last, err)
+		t.Fatalf("last event: got %+v (%v), want an error with outcome unknown", last, err)
 	}
 	if strings.Contains(got.body, "[DONE]") {
 		t.Fatal("a partial answer has a closing event")
 	}
 }
 
+// The engine hangs before the first token; without heartbeats, middleboxes might close the
+// connection as idle.
 func TestCommentsComeWhileThereAreNoTokens(t *testing.T) {
 	s := newTestServer(t)
 	s.engine.SetFaults(standin.EngineFaults{Hang: true})
@@ -205,34 +214,37 @@
 	got := s.request(http.MethodPost, chatPath, chatBody(`,"stream":true`))
 	events, comments := parseEvents(got.body)
 	if comments == 0 || len(events) != 7 || events[6].data != "[DONE]" {
-		t.Fatalf("%d comments, events %+v", comments, events)
+		t.Fatalf("got %d comments and events %+v, want at least one comment and 7 events", comments, events)
 	}
 }
 
+// An answer that isn't streamed has a Content-Length, also if it is larger than net/http's
+// buffer, and is refused above MaxAnswerBytes.
 func TestWholeAnswerIsBufferedBoundedAndHasItsLength(t *testing.T) {
 	s := newTestServer(t)
 	got := s.request(http.MethodPost, chatPath, chatBody(""))
 	var whole chatCompletion
 	if err := json.Unmarshal([]byte(got.body), &whole); err != nil || got.status != http.StatusOK {
-		t.Fatalf("%d %v %q", got.status, err, got.body)
+		t.Fatalf("status %d, error %v, body %q", got.status, err, got.body)
 	}
 	if whole.Choices[0].Message.Content != "w0 w1 w2 w3 w4 " || whole.Usage.Completion != 5 || got.header.Get("Content-Length") != strconv.Itoa(len(got.body)) {
-		t.Fatalf("%+v, length %q", whole, got.header.Get("Content-Length"))
+		t.Fatalf("got %+v with Content-Length %q", whole, got.header.Get("Content-Length"))
 	}
 	// Above a few kilobytes net/http would not set the length by itself.
 	s = newTestServer(t)
 	got = s.request(http.MethodPost, chatPath, chatBody(`,"max_tokens":600`))
 	if got.status != http.StatusOK || got.header.Get("Content-Length") != strconv.Itoa(len(got.body)) {
-		t.Fatalf("%d, length %q for %d bytes", got.status, got.header.Get("Content-Length"), len(got.body))
+		t.Fatalf("status %d, Content-Length %q for %d bytes", got.status, got.header.Get("Content-Length"), len(got.body))
 	}
 	s = newTestServer(t)
 	got = s.request(http.MethodPost, chatPath, chatBody(`,"max_tokens":1000`))
 	if got.status != http.StatusBadGateway || !strings.Contains(got.body, "answer_too_large") {
-		t.Fatalf("%d %q", got.status, got.body)
+		t.Fatalf("answer larger than MaxAnswerBytes: status %d, body %q", got.status, got.body)
 	}
 }
 
-// TestCallerWhoTakesNothingDoesNotHoldTheRun opens a stream and never reads it.
+// A caller opens a stream and never reads it. The write deadline must end the request and
+// cancel the run; otherwise both would last forever.
 func TestCallerWhoTakesNothingDoesNotHoldTheRun(t *testing.T) {
 	s := newTestServer(t)
 	s.limits.WriteTimeout = 200 * time.Millisecond
@@ -248,12 +260,12 @@
 		runs := s.engine.Runs()
 		if len(runs) == 1 && runs[0].Done {
 			if runs[0].Finish != "cancelled" {
-				t.Fatalf("run %+v", runs[0])
+				t.Fatalf("run was not cancelled: %+v", runs[0])
 			}
 			return
 		}
 		if time.Now().After(deadline) {
-			t.Fatalf("the run goes on: %+v", runs)
+			t.Fatalf("the run did not end within 20 s: %+v", runs)
 		}
 	}
 }
--- a/internal/entry/events.go
+++ b/internal/entry/events.go
@@ -7,23 +7,27 @@
 	"time"
 )
 
-// eventWriter writes server-sent events to one caller, and comments while there are
-// none. Nothing is written before the first event or comment, so a refusal
-// that comes soon can still have its status.
+// eventWriter writes a stream of server-sent events to one caller, with comments as
+// heartbeats while there are no events. The status line is sent with the first event
+// or comment, so a request that fails before can still be answered with an error
+// status.
 type eventWriter struct {
 	control           *http.ResponseController
 	writeTimeout      time.Duration
 	heartbeatInterval time.Duration
 
-	// mu guards the writer and everything below.
+	// mu guards the fields below, and writes to w.
 	mu      sync.Mutex
 	w       http.ResponseWriter
 	timer   *time.Timer
 	started bool
 	ended   bool
-	err     error // The first write that failed.
+	err     error // Of the first write that failed.
 }
 
+// newEventWriter returns a writer that starts to send heartbeats after one
+// HeartbeatInterval. The caller must call end, or endIfNotStarted with the result
+// true, before its handler returns.
 func (a *API) newEventWriter(w http.ResponseWriter) *eventWriter {
 	e := &eventWriter{w: w, control: http.NewResponseController(w), writeTimeout: a.Limits.WriteTimeout, heartbeatInterval: a.Limits.HeartbeatInterval}
 	e.mu.Lock()
@@ -32,7 +36,7 @@
 	return e
 }
 
-// send writes one event; id may be empty.
+// send writes one event with v as JSON. An empty id writes an event without ID.
 func (e *eventWriter) send(id string, v any) error {
 	data, err := json.Marshal(v)
 	if err != nil {
@@ -44,12 +48,16 @@
 	return e.write(id + "data: " + string(data) + "\n\n")
 }
 
-// sendDone writes the closing event.
+// sendDone writes the event that marks a complete answer.
 func (e *eventWriter) sendDone() { _ = e.write("data: [DONE]\n\n") }
 
-// sendHeartbeat keeps the connection from looking silent.
+// sendHeartbeat writes a comment, so that middleboxes and the caller don't take the
+// connection for idle.
 func (e *eventWriter) sendHeartbeat() { _ = e.write(": ping\n\n") }
 
+// write sends text, preceded by the response header on the first call, and restarts
+// the heartbeat interval. After end it does nothing; after a failed write it returns
+// that write's error.
 func (e *eventWriter) write(text string) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -70,7 +78,7 @@
 	return e.err
 }
 
-// end stops the comments; nothing is written from then on.
+// end stops the heartbeats. Later writes have no effect.
 func (e *eventWriter) end() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -79,8 +87,8 @@
 	_ = e.control.SetWriteDeadline(time.Time{})
 }
 
-// endIfNotStarted ends the events if nothing was written, and says whether it did:
-// then the status is still free.
+// endIfNotStarted ends the stream if nothing was written yet, and reports whether it
+// did; if so, the response can still be given any status.
 func (e *eventWriter) endIfNotStarted() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/entry/problem.go
+++ b/internal/entry/problem.go
@@ -13,7 +13,7 @@
 	"guavapier/internal/run"
 )
 
-// The error types that clients of the chat completions interface know.
+// Error types known to clients of the chat completions API.
 const (
 	typeInvalid        = "invalid_request_error"
 	typeAuthentication = "authentication_error"
@@ -22,16 +22,19 @@
 	typeRateLimit      = "rate_limit_error"
 )
 
-// problem is the body of every refusal.
+// problem describes an error response. Code and Outcome tell programs why the
+// request failed and whether it ran; Message is for people.
 type problem struct {
 	Type    string
 	Code    string
 	Message string
 	Outcome record.Outcome
-	// RetryAfter in seconds; 0 where coming back does not help.
+	// RetryAfter is in seconds; 0 if a retry can't be expected to succeed.
 	RetryAfter int
 }
 
+// problemBody is the JSON form of a problem. It has the fields that clients of the
+// chat completions API expect, with outcome and retry_after in addition.
 type problemBody struct {
 	Error problemError `json:"error"`
 }
@@ -45,12 +48,14 @@
 	RetryAfter int     `json:"retry_after,omitempty"`
 }
 
+// body returns the JSON form of p.
 func (p problem) body() problemBody {
 	return problemBody{Error: problemError{
 		Message: p.Message, Type: p.Type, Code: p.Code, Outcome: p.Outcome.String(), RetryAfter: p.RetryAfter,
 	}}
 }
 
+// writeProblem sends p as the response, with a Retry-After header if p has one.
 func writeProblem(w http.ResponseWriter, status int, p problem) {
 	if p.RetryAfter > 0 {
 		w.Header().Set("Retry-After", strconv.Itoa(p.RetryAfter))
@@ -58,8 +63,8 @@
 	writeJSON(w, status, p.body())
 }
 
-// writeJSON writes a whole answer with its length, so that the caller can tell
-// it from a part.
+// writeJSON sends v as the whole response. Content-Length is set, so that a caller can
+// detect a truncated response.
 func writeJSON(w http.ResponseWriter, status int, v any) {
 	data, err := json.Marshal(v)
 	if err != nil {
@@ -72,12 +77,13 @@
 	_, _ = w.Write(data)
 }
 
-// invalidRequest is a request that can never run as it stands.
+// invalidRequest returns the problem of a request that fails validation and didn't run.
 func invalidRequest(code, message string) problem {
 	return problem{Type: typeInvalid, Code: code, Message: message, Outcome: record.OutcomeNotRun}
 }
 
-// problemFromError returns the status and body for a failed run.
+// problemFromError returns the status and the body for an error of Runner. An error that
+// is not a run.Failure is answered with 500 and the outcome unknown.
 func problemFromError(err error) (int, problem) {
 	var failure *run.Failure
 	if !errors.As(err, &failure) {
@@ -109,6 +115,7 @@
 	return status, p
 }
 
+// bearerToken returns the token of the Authorization header, empty if there is none.
 func bearerToken(r *http.Request) string {
 	key, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !ok {
--- a/internal/entry/request.go
+++ b/internal/entry/request.go
@@ -17,27 +17,30 @@
 	"guavapier/internal/run"
 )
 
-// maxIdempotencyKeyBytes bounds an Idempotency-Key; claims keep it for their window.
+// maxIdempotencyKeyBytes bounds an Idempotency-Key; claims store the key for as long as
+// they are kept.
 const maxIdempotencyKeyBytes = 255
 
-// requestError is a request's final answer by its form alone.
+// requestError is the response to a request that fails validation.
 type requestError struct {
 	status int
 	problem
 }
 
+// badRequest returns a response with status 400; format and args make its message.
 func badRequest(code, format string, args ...any) *requestError {
 	return &requestError{status: http.StatusBadRequest, problem: invalidRequest(code, fmt.Sprintf(format, args...))}
 }
 
 func (e *requestError) write(w http.ResponseWriter) { writeProblem(w, e.status, e.problem) }
 
-// readBody reads a bounded body within the limit of time.
+// readBody reads the request's body, bounded by MaxBodyBytes and BodyReadTimeout.
 func (a *API) readBody(w http.ResponseWriter, r *http.Request) ([]byte, *requestError) {
 	controller := http.NewResponseController(w)
 	_ = controller.SetReadDeadline(time.Now().Add(a.Limits.BodyReadTimeout))
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, a.Limits.MaxBodyBytes))
-	// The server watches the connection for the caller's leaving from here on.
+	// net/http reads the connection from here on to notice if the caller disconnects; a read
+	// deadline would end that.
 	_ = controller.SetReadDeadline(time.Time{})
 	var tooLarge *http.MaxBytesError
 	switch {
@@ -50,7 +53,8 @@
 	return body, nil
 }
 
-// parseCommon reads what all requests have in common: session, key, priority.
+// parseCommon parses what chat requests and service calls have in common: session,
+// idempotency key and priority.
 func (a *API) parseCommon(r *http.Request, body []byte) (run.Request, *requestError) {
 	team := authenticatedTeam(r)
 	req := run.Request{
@@ -70,23 +74,23 @@
 	}
 	req.Keyed = key != ""
 	if !req.Keyed {
-		// No retry can name this request again, so the key needs no memory.
+		// No retry can refer to this request, so a key made up here never has to be remembered.
 		key, req.First = string(record.NewRunID()), true
 	}
 	req.Key = record.RequestKey{Team: team.Name, Session: req.Session.ID, Key: key}
 	return req, nil
 }
 
-// priorityByName are the decisions' names of the settings' priority classes.
+// priorityByName maps the priority classes of the settings to those of the decider.
 var priorityByName = map[string]decide.Priority{
 	config.PriorityBatch:       decide.PriorityBatch,
 	config.PriorityInteractive: decide.PriorityInteractive,
 	config.PriorityCall:        decide.PriorityCall,
 }
 
-// parsePriority returns the class that a request names, or its team's default. A
-// class above what the team may name is lowered, not refused: the fleet's
-// operators may change the bound while callers go on as before.
+// parsePriority returns the priority class that the request asks for, or the default of
+// its team. A class above the team's maximum is lowered to it and not refused, so that
+// the fleet's operators can lower the maximum without breaking callers.
 func parsePriority(r *http.Request, team config.Team) (decide.Priority, *requestError) {
 	text := r.Header.Get(HeaderPriority)
 	if text == "" {
@@ -99,12 +103,15 @@
 	return min(decide.Priority(p), priorityByName[team.MaxPriority]), nil
 }
 
+// isValidIdempotencyKey reports whether key is short enough and consists of visible ASCII
+// characters. An empty key is valid: the header may be absent.
 func isValidIdempotencyKey(key string) bool {
 	visible := func(c rune) bool { return c > ' ' && c <= '~' }
 	return len(key) <= maxIdempotencyKeyBytes && strings.IndexFunc(key, func(c rune) bool { return !visible(c) }) < 0
 }
 
-// requestDigest tells requests under one key apart: by method, path, query and body.
+// requestDigest returns a hash of the request's method, path, query and body, by which
+// two different requests with the same idempotency key are told apart.
 func requestDigest(r *http.Request, body []byte) uint64 {
 	h := xxhash.New()
 	for _, part := range []string{r.Method, r.URL.EscapedPath(), r.URL.RawQuery} {
--- a/internal/entry/service.go
+++ b/internal/entry/service.go
@@ -12,6 +12,8 @@
 	"guavapier/internal/run"
 )
 
+// handleService runs a call to a plain service and returns the service's answer with its
+// status, content type and body.
 func (a *API) handleService(w http.ResponseWriter, r *http.Request) {
 	body, reqErr := a.readBody(w, r)
 	if reqErr != nil {
@@ -36,7 +38,8 @@
 	_, _ = w.Write(answer.Body)
 }
 
-// parseServiceCall reads a service call whole; nothing has run before it returns.
+// parseServiceCall validates a call to a plain service. If it returns an error, nothing
+// has run. Calls that may not be repeated must have an idempotency key.
 func (a *API) parseServiceCall(r *http.Request, body []byte) (run.Call, *requestError) {
 	common, reqErr := a.parseCommon(r, body)
 	if reqErr != nil {
@@ -58,8 +61,9 @@
 	return call, nil
 }
 
-// isCanonicalPath says whether a path is in its simplest form. In another one it
-// might mean another call to the service than to the rules.
+// isCanonicalPath reports whether a decoded path has no empty and no dot segments. With
+// such segments the service might resolve the path to another call than the one that the
+// rules on repeatable calls were applied to.
 func isCanonicalPath(decoded string) bool {
 	return path.Clean(decoded) == strings.TrimSuffix(decoded, "/")
 }
--- a/internal/entry/session.go
+++ b/internal/entry/session.go
@@ -12,14 +12,16 @@
 )
 
 const (
-	// sessionListTimeout bounds how long opening a session waits to be listed.
+	// sessionListTimeout bounds how long opening a session waits for its entry on the list of
+	// open sessions.
 	sessionListTimeout = 500 * time.Millisecond
-	// sessionEndTimeout bounds ending a session while the log is slow.
+	// sessionEndTimeout bounds how long ending a session waits for the log.
 	sessionEndTimeout = 5 * time.Second
-	// sessionEndRetryAfter is when to come back, in seconds, while it is away.
+	// sessionEndRetryAfter is the Retry-After, in seconds, if the log doesn't confirm the end.
 	sessionEndRetryAfter = 5
 )
 
+// sessionBody describes a session. Token is present only in the response that opens it.
 type sessionBody struct {
 	ID    string `json:"id"`
 	Token string `json:"token,omitempty"`
@@ -37,8 +39,9 @@
 	writeJSON(w, http.StatusCreated, sessionBody{ID: string(id.ID), Token: token, Home: string(id.Home)})
 }
 
-// addToSessionList puts a session on its team's list. The session is valid without it, so a
-// slow or absent log costs the caller listPatience at most and the row.
+// addToSessionList adds a session to its team's list of open sessions. The session is
+// valid without it: if the log is slow or unavailable, the response is delayed by at most
+// sessionListTimeout and the session isn't listed.
 func (a *API) addToSessionList(ctx context.Context, id session.Identity) {
 	ctx, cancel := context.WithTimeout(ctx, sessionListTimeout)
 	defer cancel()
@@ -58,14 +61,15 @@
 	writeJSON(w, http.StatusOK, list)
 }
 
-// handleGetSession says whether a session was ended. A session that was never
-// opened is not told from an open one: identities are self-contained.
+// handleGetSession reports whether a session was ended. A session that was never opened is
+// reported as not ended: tokens are self-contained, so open sessions aren't recorded
+// reliably.
 func (a *API) handleGetSession(w http.ResponseWriter, r *http.Request) {
 	id := record.SessionID(chi.URLParam(r, "id"))
 	writeJSON(w, http.StatusOK, sessionBody{ID: string(id), Ended: a.SessionRegistry.Ended(authenticatedTeam(r).Name, id)})
 }
 
-// handleEndSession ends one of the team's own sessions.
+// handleEndSession ends a session of the caller's team.
 func (a *API) handleEndSession(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithTimeout(r.Context(), sessionEndTimeout)
 	defer cancel()
@@ -79,12 +83,14 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// verifySession returns the identity of a request's session token, if it has one.
+// verifySession returns the identity in the request's session token. Without a token, the
+// identity names only the team.
 func (a *API) verifySession(r *http.Request, team record.Team) (session.Identity, *requestError) {
 	token := r.Header.Get(HeaderSession)
 	if token == "" {
-		// Without a session there is no home zone: the claim's shard must not
-		// depend on the instance that a retry reaches.
+		// Without a session there is no home zone. The zone of this instance can't be used: it
+		// selects the shard of the claim, and a retry that reaches another instance must find
+		// the same shard.
 		return session.Identity{Team: team}, nil
 	}
 	id, err := a.SessionKeys.Verify(token)
@@ -97,9 +103,9 @@
 	return id, nil
 }
 
-// sessionEndedProblem refuses a request of an ended session. An earlier attempt under
-// the same key may have run before the end, so only a first attempt, and one
-// without a key, is certain not to have run.
+// sessionEndedProblem returns the problem of a request in an ended session. An earlier
+// attempt with the same idempotency key may have run before the session ended, so the
+// outcome is certain only for a first attempt and for a request without a key.
 func sessionEndedProblem(r *http.Request) problem {
 	p := invalidRequest("session_ended", "The session was ended by its owner.")
 	if r.Header.Get(HeaderIdempotencyKey) != "" && r.Header.Get(HeaderFirstAttempt) != "true" {
--- a/internal/entry/stream.go
+++ b/internal/entry/stream.go
@@ -9,7 +9,8 @@
 	"guavapier/internal/run"
 )
 
-// chatStream puts a run's tokens into events, numbered by id.
+// chatStream writes the tokens of a run as events in the chat completions format. The ID
+// of a token's event comes from eventID and contains the number of tokens sent so far.
 type chatStream struct {
 	*eventWriter
 	eventID func(run record.RunID, n int) string
@@ -17,6 +18,7 @@
 	created int64
 }
 
+// newChunk returns the data of one event. Without choices it has an empty list.
 func (s *chatStream) newChunk(run record.RunID, choices ...chatChoice) chatCompletion {
 	if choices == nil {
 		choices = []chatChoice{}
@@ -24,6 +26,7 @@
 	return chatCompletion{ID: run, Object: "chat.completion.chunk", Created: s.created, Model: s.model, Choices: choices}
 }
 
+// sendToken sends one token; it is a run.Sink.
 func (s *chatStream) sendToken(run record.RunID, t endpoint.Token) error {
 	delta := &chatDelta{Content: t.Text}
 	if t.Index == 0 {
@@ -32,7 +35,8 @@
 	return s.send(s.eventID(run, t.Index+1), s.newChunk(run, chatChoice{Delta: delta}))
 }
 
-// finish writes the closing of a whole answer.
+// finish sends the end of a complete answer: the finish reason, the usage if the caller
+// asked for it, and the closing event.
 func (s *chatStream) finish(result run.ChatResult, withUsage bool) {
 	_ = s.send("", s.newChunk(result.Run, chatChoice{Delta: &chatDelta{}, FinishReason: &result.Finish}))
 	if withUsage {
@@ -43,9 +47,9 @@
 	s.sendDone()
 }
 
-// serveStreamedChat streams an answer. A failure after the first event goes out as an
-// event of its own, and the stream ends without its closing event, so that the
-// caller knows that the answer is partial.
+// serveStreamedChat runs a chat request and streams the answer. If the run fails after the
+// first event, the error is sent as an event and the stream ends without the closing event,
+// by which the caller recognizes a partial answer.
 func (a *API) serveStreamedChat(w http.ResponseWriter, r *http.Request, chat run.Chat, withUsage bool) {
 	eventID := func(run record.RunID, n int) string { return a.eventID(chat.Team.Name, run, n) }
 	s := &chatStream{eventWriter: a.newEventWriter(w), eventID: eventID, model: chat.Model, created: time.Now().Unix()}
