--- a/internal/callers/callers.go
+++ b/internal/callers/callers.go
@@ -20,18 +20,18 @@
 	*net.TCPListener
 	meter *linkload.Meter
 
-	mu        sync.Mutex
-	idleLimit time.Duration
-	open      map[*conn]struct{}
-	draining  bool
-	queued    time.Time // Since when a drain takes connections from the queue.
-	closed    bool      // No more connections are taken.
+	mu              sync.Mutex
+	idleTimeout     time.Duration
+	conns           map[*conn]struct{}
+	draining        bool
+	queueDrainStart time.Time // Since when a drain takes connections from the queue.
+	closed          bool      // No more connections are taken.
 }
 
 // New wraps a listener; idleLimit is how long a kept connection may idle. meter counts
 // the connections' bytes; nil for no count.
-func New(listener *net.TCPListener, idleLimit time.Duration, meter *linkload.Meter) *Connections {
-	return &Connections{TCPListener: listener, meter: meter, idleLimit: idleLimit, open: map[*conn]struct{}{}}
+func New(listener *net.TCPListener, idleTimeout time.Duration, meter *linkload.Meter) *Connections {
+	return &Connections{TCPListener: listener, meter: meter, idleTimeout: idleTimeout, conns: map[*conn]struct{}{}}
 }
 
 // Accept implements net.Listener.
@@ -43,10 +43,10 @@
 	if err != nil {
 		return nil, err
 	}
-	c := newConn(accepted, cs.meter, cs.forget)
+	c := newConn(accepted, cs.meter, cs.remove)
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
-	cs.open[c] = struct{}{}
+	cs.conns[c] = struct{}{}
 	return c, nil
 }
 
@@ -58,17 +58,17 @@
 	return cs.TCPListener.Close()
 }
 
-func (cs *Connections) forget(c *conn) {
+func (cs *Connections) remove(c *conn) {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
-	delete(cs.open, c)
+	delete(cs.conns, c)
 }
 
-// Open returns how many connections are open.
-func (cs *Connections) Open() int {
+// Len returns how many connections are open.
+func (cs *Connections) Len() int {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
-	return len(cs.open)
+	return len(cs.conns)
 }
 
 // ConnState is the server's hook.
@@ -76,41 +76,41 @@
 	if secured, ok := c.(*tls.Conn); ok {
 		c = secured.NetConn()
 	}
-	ours, ok := c.(*conn)
+	callerConn, ok := c.(*conn)
 	if !ok {
 		return
 	}
 	switch s {
 	case http.StateActive:
-		ours.setBusy()
+		callerConn.setActive()
 	case http.StateIdle:
-		ours.setIdle(time.Now())
+		callerConn.setIdle(time.Now())
 	}
 }
 
-// SetIdleLimit changes how long a kept connection may idle.
-func (cs *Connections) SetIdleLimit(limit time.Duration) {
+// SetIdleTimeout changes how long a kept connection may idle.
+func (cs *Connections) SetIdleTimeout(timeout time.Duration) {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
-	cs.idleLimit = limit
+	cs.idleTimeout = timeout
 }
 
-// Sweep ends the connections that have idled longer than the limit. net/http's
+// CloseIdle ends the connections that have idled longer than the limit. net/http's
 // own limit is fixed when a server starts.
-func (cs *Connections) Sweep() {
-	open, limit := cs.snapshot()
+func (cs *Connections) CloseIdle() {
+	conns, timeout := cs.snapshot()
 	now := time.Now()
-	for _, c := range open {
-		c.endIdle(now, limit)
+	for _, c := range conns {
+		c.expireIfIdle(now, timeout)
 	}
 }
 
 func (cs *Connections) snapshot() ([]*conn, time.Duration) {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
-	open := make([]*conn, 0, len(cs.open))
-	for c := range cs.open {
-		open = append(open, c)
+	conns := make([]*conn, 0, len(cs.conns))
+	for c := range cs.conns {
+		conns = append(conns, c)
 	}
-	return open, cs.idleLimit
+	return conns, cs.idleTimeout
 }
--- a/internal/callers/callers_test.go
+++ b/internal/callers/callers_test.go
@@ -16,10 +16,10 @@
 	"guavapier/internal/callers"
 )
 
-const limit = 20 * time.Millisecond
+const idleTimeout = 20 * time.Millisecond
 
-// served is a server over Connections that notes which requests it handled.
-type served struct {
+// testServer is a server over Connections that notes which requests it handled.
+type testServer struct {
 	conns  *callers.Connections
 	server *http.Server
 
@@ -30,26 +30,26 @@
 	handled map[string]bool
 }
 
-func serve(t *testing.T) *served {
+func startServer(t *testing.T) *testServer {
 	t.Helper()
 	listener, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &served{conns: callers.New(listener, limit, nil), handled: map[string]bool{}}
+	s := &testServer{conns: callers.New(listener, idleTimeout, nil), handled: map[string]bool{}}
 	s.server = &http.Server{Handler: s, ConnState: s.conns.ConnState}
-	ended := make(chan error, 1)
-	go func() { ended <- s.server.Serve(s.conns) }()
+	serveErr := make(chan error, 1)
+	go func() { serveErr <- s.server.Serve(s.conns) }()
 	t.Cleanup(func() {
 		_ = s.server.Close()
-		if err := <-ended; !errors.Is(err, http.ErrServerClosed) {
+		if err := <-serveErr; !errors.Is(err, http.ErrServerClosed) {
 			t.Error(err)
 		}
 	})
 	return s
 }
 
-func (s *served) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *testServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	s.handled[r.URL.Path] = true
 	s.mu.Unlock()
@@ -59,38 +59,38 @@
 	_, _ = io.WriteString(w, r.URL.Path)
 }
 
-func (s *served) hasHandled(path string) bool {
+func (s *testServer) hasHandled(path string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.handled[path]
 }
 
-// caller is one connection that sends one request after another.
-type caller struct {
+// client is one connection that sends one request after another.
+type client struct {
 	net.Conn
-	answers *bufio.Reader
+	responses *bufio.Reader
 }
 
-func (s *served) dial(t *testing.T) *caller {
+func (s *testServer) dial(t *testing.T) *client {
 	t.Helper()
 	c, err := net.Dial("tcp", s.conns.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = c.Close() })
-	return &caller{Conn: c, answers: bufio.NewReader(c)}
+	return &client{Conn: c, responses: bufio.NewReader(c)}
 }
 
-// errLeave says that the answer, whole, asks the caller to leave.
-var errLeave = errors.New("asked to leave")
+// errConnectionClose says that the answer, whole, asks the caller to leave.
+var errConnectionClose = errors.New("asked to leave")
 
-// ask sends a request and reads its answer.
-func (c *caller) ask(path string) error {
+// get sends a request and reads its answer.
+func (c *client) get(path string) error {
 	_ = c.SetDeadline(time.Now().Add(10 * time.Second))
 	if _, err := fmt.Fprintf(c, "GET %s HTTP/1.1\r\nHost: h\r\n\r\n", path); err != nil {
 		return err
 	}
-	resp, err := http.ReadResponse(c.answers, nil)
+	resp, err := http.ReadResponse(c.responses, nil)
 	if err != nil {
 		return err
 	}
@@ -99,7 +99,7 @@
 		return err
 	}
 	if resp.Close {
-		return errLeave
+		return errConnectionClose
 	}
 	return nil
 }
@@ -108,21 +108,21 @@
 // connections: one that was read is answered, one that was not read may be sent
 // again elsewhere.
 func TestARequestThatCrossesTheIdleLimitIsAnsweredOrNotRead(t *testing.T) {
-	const together, rounds = 50, 20
-	s := serve(t)
-	var crossed, answered sync.Map
+	const concurrency, rounds = 50, 20
+	s := startServer(t)
+	var notAnswered, answered sync.Map
 	for round := range rounds {
-		var asking sync.WaitGroup
-		for n := range together {
+		var clients sync.WaitGroup
+		for n := range concurrency {
 			c := s.dial(t)
-			if err := c.ask("/first"); err != nil {
+			if err := c.get("/first"); err != nil {
 				t.Fatal(err)
 			}
-			asking.Go(func() {
+			clients.Go(func() {
 				path := fmt.Sprintf("/%d/%d", round, n)
-				time.Sleep(limit + time.Duration(n-together/2)*400*time.Microsecond)
-				if err := c.ask(path); err != nil {
-					crossed.Store(path, err)
+				time.Sleep(idleTimeout + time.Duration(n-concurrency/2)*400*time.Microsecond)
+				if err := c.get(path); err != nil {
+					notAnswered.Store(path, err)
 					return
 				}
 				answered.Store(path, true)
@@ -130,36 +130,36 @@
 		}
 		for range 20 {
 			time.Sleep(2 * time.Millisecond)
-			s.conns.Sweep()
+			s.conns.CloseIdle()
 		}
-		asking.Wait()
+		clients.Wait()
 	}
-	ends := map[bool]int{}
-	answered.Range(func(any, any) bool { ends[true]++; return true })
-	crossed.Range(func(path, err any) bool {
-		ends[false]++
+	counts := map[bool]int{}
+	answered.Range(func(any, any) bool { counts[true]++; return true })
+	notAnswered.Range(func(path, err any) bool {
+		counts[false]++
 		if s.hasHandled(path.(string)) {
 			t.Errorf("%s was read and not answered: %v", path, err)
 		}
 		return true
 	})
-	t.Logf("%d answered, %d closed unread", ends[true], ends[false])
+	t.Logf("%d answered, %d closed unread", counts[true], counts[false])
 }
 
 // What has idled longer than the limit is closed, and no longer counted.
 func TestAConnectionThatIsEndedIsForgotten(t *testing.T) {
-	s := serve(t)
+	s := startServer(t)
 	c := s.dial(t)
-	if err := c.ask("/first"); err != nil {
+	if err := c.get("/first"); err != nil {
 		t.Fatal(err)
 	}
-	for end := time.Now().Add(10 * time.Second); s.conns.Open() > 0; time.Sleep(limit) {
+	for end := time.Now().Add(10 * time.Second); s.conns.Len() > 0; time.Sleep(idleTimeout) {
 		if time.Now().After(end) {
 			t.Fatal("the connection stays")
 		}
-		s.conns.Sweep()
+		s.conns.CloseIdle()
 	}
-	if err := c.ask("/second"); err == nil {
+	if err := c.get("/second"); err == nil {
 		t.Error("an answer on a connection that has ended")
 	}
 }
@@ -167,19 +167,19 @@
 // Callers ask again and again, on kept and on new connections, while a drain takes
 // the connections from them: what was read is answered, and the drain ends soon.
 func TestWhatIsReadInADrainIsAnswered(t *testing.T) {
-	const together, rounds = 20, 20
+	const concurrency, rounds = 20, 20
 	var answered, unread atomic.Int64
 	for range rounds {
-		s := serve(t)
-		var asking sync.WaitGroup
-		for n := range together {
-			asking.Go(func() {
+		s := startServer(t)
+		var clients sync.WaitGroup
+		for n := range concurrency {
+			clients.Go(func() {
 				for turn := 0; ; turn++ {
 					c, err := net.Dial("tcp", s.conns.Addr().String())
 					if err != nil {
 						return // No more connections are taken.
 					}
-					answered.Add(s.askUntilCut(t, c, fmt.Sprintf("/%d/%d", n, turn), &unread))
+					answered.Add(s.getUntilClosed(t, c, fmt.Sprintf("/%d/%d", n, turn), &unread))
 				}
 			})
 		}
@@ -187,24 +187,24 @@
 		s.draining.Store(true)
 		ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 		if err := s.conns.Drain(ctx); err != nil {
-			t.Errorf("%d open: %v", s.conns.Open(), err)
+			t.Errorf("%d open: %v", s.conns.Len(), err)
 		}
 		cancel()
-		asking.Wait()
+		clients.Wait()
 	}
 	t.Logf("%d answered, %d closed unread", answered.Load(), unread.Load())
 }
 
-// askUntilCut asks on one connection until it ends, and returns how often it was
+// getUntilClosed asks on one connection until it ends, and returns how often it was
 // answered. A request that was handled must have been.
-func (s *served) askUntilCut(t *testing.T, conn net.Conn, name string, unread *atomic.Int64) int64 {
+func (s *testServer) getUntilClosed(t *testing.T, conn net.Conn, name string, unread *atomic.Int64) int64 {
 	defer conn.Close()
-	c := &caller{Conn: conn, answers: bufio.NewReader(conn)}
+	c := &client{Conn: conn, responses: bufio.NewReader(conn)}
 	for turn := int64(0); ; turn++ {
 		path := fmt.Sprintf("%s/%d", name, turn)
-		err := c.ask(path)
+		err := c.get(path)
 		switch {
-		case errors.Is(err, errLeave):
+		case errors.Is(err, errConnectionClose):
 			return turn + 1
 		case err != nil && s.hasHandled(path):
 			t.Errorf("%s was read and not answered: %v", path, err)
--- a/internal/callers/conn.go
+++ b/internal/callers/conn.go
@@ -11,29 +11,29 @@
 )
 
 const (
-	// askWithin is how long a new connection is left to its first request while the
+	// firstRequestTimeout is how long a new connection is left to its first request while the
 	// others end: its caller has just chosen this instance, and on a full link the
 	// request takes more than a second to come.
-	askWithin = 1500 * time.Millisecond
-	// beginWithin bounds the time from the first byte of a request on a kept
+	firstRequestTimeout = 1500 * time.Millisecond
+	// headerTimeout bounds the time from the first byte of a request on a kept
 	// connection to the end of its head.
-	beginWithin = 10 * time.Second
-	// beginWithinDrain is the same in a drain, on any connection: a caller that has
+	headerTimeout = 10 * time.Second
+	// drainHeaderTimeout is the same in a drain, on any connection: a caller that has
 	// sent a part of a head and stalls must not hold up the others' end.
-	beginWithinDrain = 2 * time.Second
+	drainHeaderTimeout = 2 * time.Second
 )
 
 // phase is what net/http does with a connection.
 type phase int
 
 const (
-	// phaseFresh waits for its first request.
-	phaseFresh phase = iota
+	// phaseNew waits for its first request.
+	phaseNew phase = iota
 	// phaseIdle waits for its next request. net/http tells that it has one only
 	// once the request's whole head was read.
 	phaseIdle
-	// phaseBusy serves a request.
-	phaseBusy
+	// phaseActive serves a request.
+	phaseActive
 )
 
 // conn is a caller's connection. It ends by its read deadline, never by a close
@@ -43,37 +43,37 @@
 	net.Conn // For its other methods: those of tcp alone would write past Write.
 	tcp      *net.TCPConn
 	meter    *linkload.Meter
-	forget   func(*conn)
+	onClose  func(*conn)
 
-	mu    sync.Mutex
-	phase phase
-	since time.Time // When the phase began.
-	// unanswered is when bytes were first read since the last write; zero if none.
-	unanswered time.Time
-	deadline   time.Time // For reads, as net/http set it.
-	ending     bool      // The read deadline stands in the past, to end the connection.
+	mu         sync.Mutex
+	phase      phase
+	phaseStart time.Time // When the phase began.
+	// unansweredSince is when bytes were first read since the last write; zero if none.
+	unansweredSince time.Time
+	readDeadline    time.Time // For reads, as net/http set it.
+	expired         bool      // The read deadline stands in the past, to end the connection.
 }
 
-func newConn(accepted *net.TCPConn, meter *linkload.Meter, forget func(*conn)) *conn {
-	return &conn{Conn: accepted, tcp: accepted, meter: meter, forget: forget, phase: phaseFresh, since: time.Now()}
+func newConn(accepted *net.TCPConn, meter *linkload.Meter, onClose func(*conn)) *conn {
+	return &conn{Conn: accepted, tcp: accepted, meter: meter, onClose: onClose, phase: phaseNew, phaseStart: time.Now()}
 }
 
 // Read implements net.Conn.
 func (c *conn) Read(p []byte) (int, error) {
 	n, err := c.tcp.Read(p)
-	if n == 0 && errors.Is(err, os.ErrDeadlineExceeded) && c.isEnding() {
-		n, err = c.lookAgain(p)
+	if n == 0 && errors.Is(err, os.ErrDeadlineExceeded) && c.isExpired() {
+		n, err = c.readPending(p)
 	}
 	if n > 0 {
 		c.meter.CountReceived(n)
-		c.hasRead()
+		c.onRead()
 	}
 	return n, err
 }
 
-// lookAgain reads what has come although the deadline has expired: the process may
+// readPending reads what has come although the deadline has expired: the process may
 // have had no processor to read it before.
-func (c *conn) lookAgain(p []byte) (int, error) {
+func (c *conn) readPending(p []byte) (int, error) {
 	if !isReadable(c.tcp) {
 		return 0, os.ErrDeadlineExceeded
 	}
@@ -87,7 +87,7 @@
 // caller's next one can't come before.
 func (c *conn) Write(p []byte) (int, error) {
 	c.mu.Lock()
-	c.unanswered = time.Time{}
+	c.unansweredSince = time.Time{}
 	c.mu.Unlock()
 	n, err := c.tcp.Write(p)
 	c.meter.CountSent(n)
@@ -98,8 +98,8 @@
 func (c *conn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.deadline = t
-	if c.ending {
+	c.readDeadline = t
+	if c.expired {
 		return nil
 	}
 	return c.tcp.SetReadDeadline(t)
@@ -112,81 +112,81 @@
 
 // Close implements net.Conn.
 func (c *conn) Close() error {
-	defer c.forget(c)
+	defer c.onClose(c)
 	return c.tcp.Close()
 }
 
-func (c *conn) isEnding() bool {
+func (c *conn) isExpired() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.ending
+	return c.expired
 }
 
-// hasRead notes that a request has begun, or goes on.
-func (c *conn) hasRead() {
+// onRead notes that a request has begun, or goes on.
+func (c *conn) onRead() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.unanswered.IsZero() {
-		c.unanswered = time.Now()
+	if c.unansweredSince.IsZero() {
+		c.unansweredSince = time.Now()
 	}
-	c.stay()
+	c.cancelExpiry()
 }
 
-// stay takes back the decision to end.
-func (c *conn) stay() {
-	if !c.ending {
+// cancelExpiry takes back the decision to end.
+func (c *conn) cancelExpiry() {
+	if !c.expired {
 		return
 	}
-	c.ending = false
-	_ = c.tcp.SetReadDeadline(c.deadline) // On a connection that is closed already the next read fails.
+	c.expired = false
+	_ = c.tcp.SetReadDeadline(c.readDeadline) // On a connection that is closed already the next read fails.
 }
 
-// setBusy notes that net/http has a request.
-func (c *conn) setBusy() {
+// setActive notes that net/http has a request.
+func (c *conn) setActive() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.phase, c.since = phaseBusy, time.Now()
-	c.stay()
+	c.phase, c.phaseStart = phaseActive, time.Now()
+	c.cancelExpiry()
 }
 
 // setIdle notes that net/http has sent an answer to its end.
 func (c *conn) setIdle(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.phase, c.since = phaseIdle, now
+	c.phase, c.phaseStart = phaseIdle, now
 }
 
-// endIdle ends the connection if it has idled longer than limit.
-func (c *conn) endIdle(now time.Time, limit time.Duration) {
+// expireIfIdle ends the connection if it has idled longer than limit.
+func (c *conn) expireIfIdle(now time.Time, timeout time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
-	case c.phase != phaseIdle || c.ending:
-	case c.unanswered.IsZero() && now.Sub(c.since) > limit:
-		c.end()
-	case !c.unanswered.IsZero() && now.Sub(c.unanswered) > beginWithin:
-		c.end() // A request that was begun and never came: there is no whole one to answer.
+	case c.phase != phaseIdle || c.expired:
+	case c.unansweredSince.IsZero() && now.Sub(c.phaseStart) > timeout:
+		c.expire()
+	case !c.unansweredSince.IsZero() && now.Sub(c.unansweredSince) > headerTimeout:
+		c.expire() // A request that was begun and never came: there is no whole one to answer.
 	}
 }
 
-// endUnasked ends the connection if it waits for a request, or for the rest of a
+// expireIfNoRequest ends the connection if it waits for a request, or for the rest of a
 // head that does not come.
-func (c *conn) endUnasked(now time.Time) {
+func (c *conn) expireIfNoRequest(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
-	case c.ending || c.phase == phaseBusy:
-	case !c.unanswered.IsZero():
-		if now.Sub(c.unanswered) > beginWithinDrain {
-			c.end()
+	case c.expired || c.phase == phaseActive:
+	case !c.unansweredSince.IsZero():
+		if now.Sub(c.unansweredSince) > drainHeaderTimeout {
+			c.expire()
 		}
-	case c.phase == phaseIdle, c.phase == phaseFresh && now.Sub(c.since) > askWithin:
-		c.end()
+	case c.phase == phaseIdle, c.phase == phaseNew && now.Sub(c.phaseStart) > firstRequestTimeout:
+		c.expire()
 	}
 }
 
-// end makes the connection's reader give up unless it finds a request.
-func (c *conn) end() {
-	c.ending = true
+// expire makes the connection's reader give up unless it finds a request.
+func (c *conn) expire() {
+	c.expired = true
 	_ = c.tcp.SetReadDeadline(time.Unix(1, 0)) // Of a connection that is closed already nothing is to end.
 }
--- a/internal/callers/drain.go
+++ b/internal/callers/drain.go
@@ -12,12 +12,12 @@
 )
 
 const (
-	// queueFor bounds how long a drain takes the connections that callers had made
+	// acceptQueueTimeout bounds how long a drain takes the connections that callers had made
 	// before it: a listener resets them when it closes.
-	queueFor = 200 * time.Millisecond
-	// drainEvery is the pause between two looks for connections that wait for a
+	acceptQueueTimeout = 200 * time.Millisecond
+	// drainPollInterval is the pause between two looks for connections that wait for a
 	// request.
-	drainEvery = 10 * time.Millisecond
+	drainPollInterval = 10 * time.Millisecond
 )
 
 // Drain takes no more connections, ends those that wait for a request, and waits
@@ -27,10 +27,10 @@
 // the call, closes a kept connection while a head comes in on it, and waits for
 // seconds for a connection on which nothing was asked.
 func (cs *Connections) Drain(ctx context.Context) error {
-	cs.beginDrain()
-	ticker := time.NewTicker(drainEvery)
+	cs.startDrain()
+	ticker := time.NewTicker(drainPollInterval)
 	defer ticker.Stop()
-	for !cs.endUnasked(time.Now()) {
+	for !cs.pollDrain(time.Now()) {
 		select {
 		case <-ctx.Done():
 			return eris.Wrap(ctx.Err(), "callers: connections are still open")
@@ -40,7 +40,7 @@
 	return nil
 }
 
-func (cs *Connections) beginDrain() {
+func (cs *Connections) startDrain() {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
 	cs.draining = true
@@ -53,23 +53,23 @@
 	return cs.draining
 }
 
-// endUnasked ends the connections that wait for a request and says whether none
+// pollDrain ends the connections that wait for a request and says whether none
 // is open any more and none can come.
-func (cs *Connections) endUnasked(now time.Time) bool {
-	open, _ := cs.snapshot()
-	for _, c := range open {
-		c.endUnasked(now)
+func (cs *Connections) pollDrain(now time.Time) bool {
+	conns, _ := cs.snapshot()
+	for _, c := range conns {
+		c.expireIfNoRequest(now)
 	}
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
-	return cs.closed && len(cs.open) == 0
+	return cs.closed && len(cs.conns) == 0
 }
 
 // acceptQueued takes a connection that was made before the listener closes. When
 // there is none, it closes the listener. err is how the regular accept ended.
 func (cs *Connections) acceptQueued(err error) (*net.TCPConn, error) {
-	if errors.Is(err, os.ErrDeadlineExceeded) && cs.takesQueued(time.Now()) && isReadable(cs.TCPListener) {
-		_ = cs.SetDeadline(time.Now().Add(queueFor)) // On a closed listener the accept fails.
+	if errors.Is(err, os.ErrDeadlineExceeded) && cs.mayAcceptQueued(time.Now()) && isReadable(cs.TCPListener) {
+		_ = cs.SetDeadline(time.Now().Add(acceptQueueTimeout)) // On a closed listener the accept fails.
 		if accepted, err := cs.AcceptTCP(); err == nil {
 			return accepted, cs.SetDeadline(time.Now())
 		}
@@ -78,13 +78,13 @@
 	return nil, http.ErrServerClosed
 }
 
-// takesQueued bounds the time for the queue; it counts from the first look, which
+// mayAcceptQueued bounds the time for the queue; it counts from the first look, which
 // may come late.
-func (cs *Connections) takesQueued(now time.Time) bool {
+func (cs *Connections) mayAcceptQueued(now time.Time) bool {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
-	if cs.queued.IsZero() {
-		cs.queued = now
+	if cs.queueDrainStart.IsZero() {
+		cs.queueDrainStart = now
 	}
-	return now.Sub(cs.queued) <= queueFor
+	return now.Sub(cs.queueDrainStart) <= acceptQueueTimeout
 }
--- a/internal/callers/look_test.go
+++ b/internal/callers/look_test.go
@@ -35,7 +35,7 @@
 // connection goes on with the deadline that the server had set.
 func TestBytesThatCameBeforeTheEndAreRead(t *testing.T) {
 	cs := newConnections(t)
-	caller := dial(t, cs)
+	client := dial(t, cs)
 	accepted, err := cs.Accept()
 	if err != nil {
 		t.Fatal(err)
@@ -46,14 +46,14 @@
 	if err := c.SetReadDeadline(time.Now().Add(time.Minute)); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := io.WriteString(caller, "GET"); err != nil {
+	if _, err := io.WriteString(client, "GET"); err != nil {
 		t.Fatal(err)
 	}
 	for !isReadable(c.tcp) {
 		time.Sleep(time.Millisecond)
 	}
-	c.endUnasked(time.Now())
-	if !c.isEnding() {
+	c.expireIfNoRequest(time.Now())
+	if !c.isExpired() {
 		t.Fatal("nothing was read, and the connection stays")
 	}
 	for _, want := range []string{"GET", " /"} {
@@ -62,11 +62,11 @@
 		if err != nil || string(got[:n]) != want {
 			t.Fatalf("%q, %v; want %q", got[:n], err, want)
 		}
-		if c.isEnding() {
+		if c.isExpired() {
 			t.Fatal("the connection ends under a request")
 		}
-		c.endUnasked(time.Now())
-		_, _ = io.WriteString(caller, " /")
+		c.expireIfNoRequest(time.Now())
+		_, _ = io.WriteString(client, " /")
 	}
 }
 
@@ -74,16 +74,16 @@
 // were accepted: they are taken, and only then the listener closes.
 func TestADrainTakesTheConnectionsThatWereMadeBefore(t *testing.T) {
 	cs := newConnections(t)
-	const made = 5
-	for range made {
+	const queuedConns = 5
+	for range queuedConns {
 		dial(t, cs)
 	}
 	for !isReadable(cs.TCPListener) {
 		time.Sleep(time.Millisecond)
 	}
-	cs.beginDrain()
-	time.Sleep(2 * queueFor)
-	for n := range made {
+	cs.startDrain()
+	time.Sleep(2 * acceptQueueTimeout)
+	for n := range queuedConns {
 		c, err := cs.Accept()
 		if err != nil {
 			t.Fatalf("connection %d: %v", n, err)
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -54,7 +54,7 @@
 		g.upstreamPool.CloseExpired()
 		g.updateLinkLoad()
 		g.endpoints.sweep()
-		g.callerConns.Sweep()
+		g.callerConns.CloseIdle()
 		g.retryLimiter.SetInstances(g.budgets.Accounts.Instances())
 	}
 }
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -68,7 +68,7 @@
 	}
 	config := route.Compile(decoded)
 	g.budgets.Accounts.SetPrepaid(prepaidTotals(decoded))
-	g.callerConns.SetIdleLimit(callerIdleTimeout(decoded))
+	g.callerConns.SetIdleTimeout(callerIdleTimeout(decoded))
 	g.config.Store(config)
 	g.log.Info().Int64("state", decoded.Version).Int("routes", len(decoded.Routes)).
 		Int("organisations", len(decoded.Organisations)).Msg("gateway: desired state in force")
