--- a/internal/callers/callers.go
+++ b/internal/callers/callers.go
@@ -1,7 +1,7 @@
-// Package callers owns the connections of callers: which are open, what each of
-// them is doing, and when one of them may end. A connection ends only while
-// nothing was read from it since its last answer: a request that was read is
-// answered.
+// Package callers manages the TCP connections of callers: it accepts them, tracks
+// whether each is serving a request, closes idle ones, and drains them when the
+// process ends. It closes a connection only if nothing was read from it since the
+// last answer, so that every request that was read is answered.
 package callers
 
 import (
@@ -14,27 +14,33 @@
 	"guavapier/internal/linkload"
 )
 
-// Connections are the open connections of callers. As a listener and a hook for
-// states they belong to one http.Server.
+// Connections wraps the listener of one http.Server and tracks the connections that it
+// accepted. It must be the server's listener, and its method ConnState the server's
+// ConnState hook.
 type Connections struct {
 	*net.TCPListener
 	meter *linkload.Meter
 
-	mu              sync.Mutex
-	idleTimeout     time.Duration
-	conns           map[*conn]struct{}
-	draining        bool
-	queueDrainStart time.Time // Since when a drain takes connections from the queue.
-	closed          bool      // No more connections are taken.
+	mu          sync.Mutex
+	idleTimeout time.Duration
+	conns       map[*conn]struct{}
+	draining    bool
+	// queueDrainStart is when a drain first tried to accept connections that were already
+	// in the listener's queue; zero before.
+	queueDrainStart time.Time
+	// closed reports that the listener is closed: no more connections can be accepted.
+	closed bool
 }
 
-// New wraps a listener; idleLimit is how long a kept connection may idle. meter counts
-// the connections' bytes; nil for no count.
+// New wraps a listener. idleTimeout is how long a connection may wait for its next request
+// before CloseIdle closes it. meter counts the bytes of all connections; if nil, they
+// aren't counted.
 func New(listener *net.TCPListener, idleTimeout time.Duration, meter *linkload.Meter) *Connections {
 	return &Connections{TCPListener: listener, meter: meter, idleTimeout: idleTimeout, conns: map[*conn]struct{}{}}
 }
 
-// Accept implements net.Listener.
+// Accept implements net.Listener. In a drain it returns the connections that are still in
+// the listener's queue, then http.ErrServerClosed.
 func (cs *Connections) Accept() (net.Conn, error) {
 	accepted, err := cs.AcceptTCP()
 	if err != nil && cs.isDraining() {
@@ -58,20 +64,22 @@
 	return cs.TCPListener.Close()
 }
 
+// remove stops tracking a closed connection.
 func (cs *Connections) remove(c *conn) {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
 	delete(cs.conns, c)
 }
 
-// Len returns how many connections are open.
+// Len returns the number of open connections.
 func (cs *Connections) Len() int {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
 	return len(cs.conns)
 }
 
-// ConnState is the server's hook.
+// ConnState records whether a connection is active or idle. It is the ConnState hook of the
+// http.Server that uses these Connections, with or without TLS.
 func (cs *Connections) ConnState(c net.Conn, s http.ConnState) {
 	if secured, ok := c.(*tls.Conn); ok {
 		c = secured.NetConn()
@@ -88,15 +96,16 @@
 	}
 }
 
-// SetIdleTimeout changes how long a kept connection may idle.
+// SetIdleTimeout changes how long a connection may wait for its next request.
 func (cs *Connections) SetIdleTimeout(timeout time.Duration) {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
 	cs.idleTimeout = timeout
 }
 
-// CloseIdle ends the connections that have idled longer than the limit. net/http's
-// own limit is fixed when a server starts.
+// CloseIdle closes the connections that have waited longer than the idle timeout for their
+// next request; it has to be called periodically. It is used instead of
+// http.Server.IdleTimeout, which can't be changed after the server has started.
 func (cs *Connections) CloseIdle() {
 	conns, timeout := cs.snapshot()
 	now := time.Now()
@@ -105,6 +114,7 @@
 	}
 }
 
+// snapshot returns the open connections and the idle timeout.
 func (cs *Connections) snapshot() ([]*conn, time.Duration) {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
--- a/internal/callers/callers_test.go
+++ b/internal/callers/callers_test.go
@@ -18,12 +18,12 @@
 
 const idleTimeout = 20 * time.Millisecond
 
-// testServer is a server over Connections that notes which requests it handled.
+// testServer is an HTTP server on Connections that records which requests it handled.
 type testServer struct {
 	conns  *callers.Connections
 	server *http.Server
 
-	// draining asks callers to leave.
+	// If draining is set, responses have the header "Connection: close".
 	draining atomic.Bool
 
 	mu      sync.Mutex
@@ -59,13 +59,14 @@
 	_, _ = io.WriteString(w, r.URL.Path)
 }
 
+// hasHandled reports whether the handler was called for path.
 func (s *testServer) hasHandled(path string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.handled[path]
 }
 
-// client is one connection that sends one request after another.
+// client sends requests on one connection, one after the other.
 type client struct {
 	net.Conn
 	responses *bufio.Reader
@@ -81,10 +82,11 @@
 	return &client{Conn: c, responses: bufio.NewReader(c)}
 }
 
-// errConnectionClose says that the answer, whole, asks the caller to leave.
-var errConnectionClose = errors.New("asked to leave")
+// errConnectionClose is returned for a complete response with "Connection: close".
+var errConnectionClose = errors.New("response with Connection: close")
 
-// get sends a request and reads its answer.
+// get sends a request and reads the response. Any error but errConnectionClose means that no
+// complete response arrived.
 func (c *client) get(path string) error {
 	_ = c.SetDeadline(time.Now().Add(10 * time.Second))
 	if _, err := fmt.Fprintf(c, "GET %s HTTP/1.1\r\nHost: h\r\n\r\n", path); err != nil {
@@ -104,9 +106,8 @@
 	return nil
 }
 
-// Requests come at the very moment at which the idle limit ends their
-// connections: one that was read is answered, one that was not read may be sent
-// again elsewhere.
+// Requests arrive just as the idle timeout ends their connections. Each must be answered or
+// left unread, so that the caller can safely send it again; none may be read and dropped.
 func TestARequestThatCrossesTheIdleLimitIsAnsweredOrNotRead(t *testing.T) {
 	const concurrency, rounds = 50, 20
 	s := startServer(t)
@@ -146,7 +147,7 @@
 	t.Logf("%d answered, %d closed unread", counts[true], counts[false])
 }
 
-// What has idled longer than the limit is closed, and no longer counted.
+// A connection that has idled longer than the timeout is closed and no longer counted.
 func TestAConnectionThatIsEndedIsForgotten(t *testing.T) {
 	s := startServer(t)
 	c := s.dial(t)
@@ -155,17 +156,17 @@
 	}
 	for end := time.Now().Add(10 * time.Second); s.conns.Len() > 0; time.Sleep(idleTimeout) {
 		if time.Now().After(end) {
-			t.Fatal("the connection stays")
+			t.Fatal("the connection is still open after 10 s")
 		}
 		s.conns.CloseIdle()
 	}
 	if err := c.get("/second"); err == nil {
-		t.Error("an answer on a connection that has ended")
+		t.Error("request was answered on a closed connection")
 	}
 }
 
-// Callers ask again and again, on kept and on new connections, while a drain takes
-// the connections from them: what was read is answered, and the drain ends soon.
+// Callers send requests on existing and on new connections without pause while a drain runs.
+// Each request that was read must be answered, and the drain must end within 10 s.
 func TestWhatIsReadInADrainIsAnswered(t *testing.T) {
 	const concurrency, rounds = 20, 20
 	var answered, unread atomic.Int64
@@ -177,7 +178,7 @@
 				for turn := 0; ; turn++ {
 					c, err := net.Dial("tcp", s.conns.Addr().String())
 					if err != nil {
-						return // No more connections are taken.
+						return // The listener is closed.
 					}
 					answered.Add(s.getUntilClosed(t, c, fmt.Sprintf("/%d/%d", n, turn), &unread))
 				}
@@ -187,7 +188,7 @@
 		s.draining.Store(true)
 		ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 		if err := s.conns.Drain(ctx); err != nil {
-			t.Errorf("%d open: %v", s.conns.Len(), err)
+			t.Errorf("%d connections still open: %v", s.conns.Len(), err)
 		}
 		cancel()
 		clients.Wait()
@@ -195,8 +196,9 @@
 	t.Logf("%d answered, %d closed unread", answered.Load(), unread.Load())
 }
 
-// getUntilClosed asks on one connection until it ends, and returns how often it was
-// answered. A request that was handled must have been.
+// getUntilClosed sends requests on conn until it is closed, and returns how many were answered.
+// It fails the test if a request was handled and not answered, and counts in unread those that
+// were not handled.
 func (s *testServer) getUntilClosed(t *testing.T, conn net.Conn, name string, unread *atomic.Int64) int64 {
 	defer conn.Close()
 	c := &client{Conn: conn, responses: bufio.NewReader(conn)}
--- a/internal/callers/conn.go
+++ b/internal/callers/conn.go
@@ -11,54 +11,61 @@
 )
 
 const (
-	// firstRequestTimeout is how long a new connection is left to its first request while the
-	// others end: its caller has just chosen this instance, and on a full link the
-	// request takes more than a second to come.
+	// firstRequestTimeout is how long a drain waits for the first request of a new connection.
+	// Its caller has just chosen this instance, and on a congested link the request takes more
+	// than a second to arrive.
 	firstRequestTimeout = 1500 * time.Millisecond
-	// headerTimeout bounds the time from the first byte of a request on a kept
-	// connection to the end of its head.
+	// headerTimeout bounds the time from the first byte of a request on an idle connection to
+	// the end of its header.
 	headerTimeout = 10 * time.Second
-	// drainHeaderTimeout is the same in a drain, on any connection: a caller that has
-	// sent a part of a head and stalls must not hold up the others' end.
+	// drainHeaderTimeout is the same bound in a drain, for idle and for new connections: a
+	// caller that stalls in the middle of a header must not delay the drain.
 	drainHeaderTimeout = 2 * time.Second
 )
 
-// phase is what net/http does with a connection.
+// phase is the state of a connection as net/http reports it.
 type phase int
 
 const (
-	// phaseNew waits for its first request.
+	// phaseNew: no request was received yet.
 	phaseNew phase = iota
-	// phaseIdle waits for its next request. net/http tells that it has one only
-	// once the request's whole head was read.
+	// phaseIdle: the last request was answered and the next one isn't known yet. net/http
+	// reports a request only once it has read the whole header; until then, unansweredSince
+	// shows that one is arriving.
 	phaseIdle
-	// phaseActive serves a request.
+	// phaseActive: a request is being served.
 	phaseActive
 )
 
-// conn is a caller's connection. It ends by its read deadline, never by a close
-// from outside: the reader that finds it expired has read nothing, and one that
-// was faster takes the deadline back.
+// conn is a caller's connection. To end it, its read deadline is set to the past instead of
+// closing it. If the server's next read then fails with a timeout, nothing was read and
+// net/http closes the connection. If data arrived first, the read returns it and restores
+// the deadline. So no request is read and then dropped.
 type conn struct {
-	net.Conn // For its other methods: those of tcp alone would write past Write.
+	net.Conn // For the remaining methods. Embedding tcp would add its ReadFrom, which bypasses Write.
 	tcp      *net.TCPConn
 	meter    *linkload.Meter
-	onClose  func(*conn)
+	// onClose is called by Close.
+	onClose func(*conn)
 
 	mu         sync.Mutex
 	phase      phase
-	phaseStart time.Time // When the phase began.
-	// unansweredSince is when bytes were first read since the last write; zero if none.
+	phaseStart time.Time // When phase last changed.
+	// unansweredSince is when data was first read after the last write to the caller, which
+	// is usually the start of a request; zero if nothing was read since.
 	unansweredSince time.Time
-	readDeadline    time.Time // For reads, as net/http set it.
-	expired         bool      // The read deadline stands in the past, to end the connection.
+	// readDeadline is the deadline that net/http set. The one in force differs while expired
+	// is true.
+	readDeadline time.Time
+	// expired reports that the read deadline was set to the past to end the connection.
+	expired bool
 }
 
 func newConn(accepted *net.TCPConn, meter *linkload.Meter, onClose func(*conn)) *conn {
 	return &conn{Conn: accepted, tcp: accepted, meter: meter, onClose: onClose, phase: phaseNew, phaseStart: time.Now()}
 }
 
-// Read implements net.Conn.
+// Read implements net.Conn. Data that has arrived takes precedence over an expiry.
 func (c *conn) Read(p []byte) (int, error) {
 	n, err := c.tcp.Read(p)
 	if n == 0 && errors.Is(err, os.ErrDeadlineExceeded) && c.isExpired() {
@@ -71,8 +78,8 @@
 	return n, err
 }
 
-// readPending reads what has come although the deadline has expired: the process may
-// have had no processor to read it before.
+// readPending reads data that had arrived before the deadline was set to the past. This
+// happens if the process got no CPU time to read it.
 func (c *conn) readPending(p []byte) (int, error) {
 	if !isReadable(c.tcp) {
 		return 0, os.ErrDeadlineExceeded
@@ -83,8 +90,8 @@
 	return c.tcp.Read(p)
 }
 
-// Write implements net.Conn. A request is over once its answer is out; the
-// caller's next one can't come before.
+// Write implements net.Conn. The first write of an answer marks the request as answered:
+// an HTTP/1.1 caller sends its next request only after the whole answer.
 func (c *conn) Write(p []byte) (int, error) {
 	c.mu.Lock()
 	c.unansweredSince = time.Time{}
@@ -94,7 +101,8 @@
 	return n, err
 }
 
-// SetReadDeadline implements net.Conn.
+// SetReadDeadline implements net.Conn. While the connection is expired, the deadline takes
+// effect only if the expiry is cancelled.
 func (c *conn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -105,7 +113,8 @@
 	return c.tcp.SetReadDeadline(t)
 }
 
-// CloseWrite lets net/http close after a refusal so that the caller sees it.
+// CloseWrite implements the interface by which net/http closes a connection after an error
+// response so that the caller can still read the response.
 func (c *conn) CloseWrite() error {
 	return c.tcp.CloseWrite()
 }
@@ -116,13 +125,14 @@
 	return c.tcp.Close()
 }
 
+// isExpired reports whether the connection was expired and nothing was read since.
 func (c *conn) isExpired() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.expired
 }
 
-// onRead notes that a request has begun, or goes on.
+// onRead records that data was read, and cancels an expiry.
 func (c *conn) onRead() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -132,16 +142,16 @@
 	c.cancelExpiry()
 }
 
-// cancelExpiry takes back the decision to end.
+// cancelExpiry restores the read deadline that net/http set. The caller must hold c.mu.
 func (c *conn) cancelExpiry() {
 	if !c.expired {
 		return
 	}
 	c.expired = false
-	_ = c.tcp.SetReadDeadline(c.readDeadline) // On a connection that is closed already the next read fails.
+	_ = c.tcp.SetReadDeadline(c.readDeadline) // If this fails, the connection is closed, and so the next read fails.
 }
 
-// setActive notes that net/http has a request.
+// setActive records that net/http has read the header of a request, and cancels an expiry.
 func (c *conn) setActive() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -149,14 +159,15 @@
 	c.cancelExpiry()
 }
 
-// setIdle notes that net/http has sent an answer to its end.
+// setIdle records that net/http has written the whole answer.
 func (c *conn) setIdle(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.phase, c.phaseStart = phaseIdle, now
 }
 
-// expireIfIdle ends the connection if it has idled longer than limit.
+// expireIfIdle ends the connection if it has waited longer than timeout for its next request,
+// or longer than headerTimeout for the rest of a header.
 func (c *conn) expireIfIdle(now time.Time, timeout time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -165,12 +176,13 @@
 	case c.unansweredSince.IsZero() && now.Sub(c.phaseStart) > timeout:
 		c.expire()
 	case !c.unansweredSince.IsZero() && now.Sub(c.unansweredSince) > headerTimeout:
-		c.expire() // A request that was begun and never came: there is no whole one to answer.
+		c.expire() // No complete request was read, so none is dropped.
 	}
 }
 
-// expireIfNoRequest ends the connection if it waits for a request, or for the rest of a
-// head that does not come.
+// expireIfNoRequest ends the connection in a drain, unless a request is being served, its
+// header is arriving (up to drainHeaderTimeout), or the connection is new (up to
+// firstRequestTimeout).
 func (c *conn) expireIfNoRequest(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -185,8 +197,9 @@
 	}
 }
 
-// expire makes the connection's reader give up unless it finds a request.
+// expire sets the read deadline to the past, so that the server's pending or next read fails
+// unless data has arrived. The caller must hold c.mu.
 func (c *conn) expire() {
 	c.expired = true
-	_ = c.tcp.SetReadDeadline(time.Unix(1, 0)) // Of a connection that is closed already nothing is to end.
+	_ = c.tcp.SetReadDeadline(time.Unix(1, 0)) // Fails only if the connection is closed already.
 }
--- a/internal/callers/drain.go
+++ b/internal/callers/drain.go
@@ -12,20 +12,20 @@
 )
 
 const (
-	// acceptQueueTimeout bounds how long a drain takes the connections that callers had made
-	// before it: a listener resets them when it closes.
+	// acceptQueueTimeout bounds the time in which a drain accepts the connections that were
+	// already in the listener's queue. Closing the listener would reset them.
 	acceptQueueTimeout = 200 * time.Millisecond
-	// drainPollInterval is the pause between two looks for connections that wait for a
-	// request.
+	// drainPollInterval is the pause between two searches for connections without a request.
 	drainPollInterval = 10 * time.Millisecond
 )
 
-// Drain takes no more connections, ends those that wait for a request, and waits
-// for the others to be answered and closed. It fails if ctx ends before.
+// Drain accepts the connections that are already in the listener's queue, then closes the
+// listener. It ends each connection once it has no request, and returns when all are closed.
+// It returns an error if ctx ends first; connections may then still be open.
 //
-// It stands in for http.Server.Shutdown, which drops a request that is read after
-// the call, closes a kept connection while a head comes in on it, and waits for
-// seconds for a connection on which nothing was asked.
+// It replaces http.Server.Shutdown, which drops a request that is read after the call, closes
+// an idle connection while a header is arriving on it, and waits for several seconds for a
+// new connection without a request.
 func (cs *Connections) Drain(ctx context.Context) error {
 	cs.startDrain()
 	ticker := time.NewTicker(drainPollInterval)
@@ -40,11 +40,12 @@
 	return nil
 }
 
+// startDrain makes Accept fail, so that it continues with acceptQueued.
 func (cs *Connections) startDrain() {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
 	cs.draining = true
-	_ = cs.SetDeadline(time.Now()) // Fails where the listener is closed already.
+	_ = cs.SetDeadline(time.Now()) // Fails only if the listener is closed already.
 }
 
 func (cs *Connections) isDraining() bool {
@@ -53,8 +54,8 @@
 	return cs.draining
 }
 
-// pollDrain ends the connections that wait for a request and says whether none
-// is open any more and none can come.
+// pollDrain ends the connections without a request and reports whether the drain is complete:
+// no connection is open and the listener is closed.
 func (cs *Connections) pollDrain(now time.Time) bool {
 	conns, _ := cs.snapshot()
 	for _, c := range conns {
@@ -65,21 +66,23 @@
 	return cs.closed && len(cs.conns) == 0
 }
 
-// acceptQueued takes a connection that was made before the listener closes. When
-// there is none, it closes the listener. err is how the regular accept ended.
+// acceptQueued accepts a connection from the listener's queue. If the queue is empty or
+// acceptQueueTimeout has passed, it closes the listener and returns http.ErrServerClosed. err
+// is the error of the regular accept; if it isn't a timeout, the listener has failed and the
+// queue isn't read.
 func (cs *Connections) acceptQueued(err error) (*net.TCPConn, error) {
 	if errors.Is(err, os.ErrDeadlineExceeded) && cs.mayAcceptQueued(time.Now()) && isReadable(cs.TCPListener) {
-		_ = cs.SetDeadline(time.Now().Add(acceptQueueTimeout)) // On a closed listener the accept fails.
+		_ = cs.SetDeadline(time.Now().Add(acceptQueueTimeout)) // If this fails, the listener is closed, and so AcceptTCP fails.
 		if accepted, err := cs.AcceptTCP(); err == nil {
 			return accepted, cs.SetDeadline(time.Now())
 		}
 	}
-	_ = cs.Close() // Fails where it is closed already.
+	_ = cs.Close() // Fails only if the listener is closed already.
 	return nil, http.ErrServerClosed
 }
 
-// mayAcceptQueued bounds the time for the queue; it counts from the first look, which
-// may come late.
+// mayAcceptQueued reports whether acceptQueueTimeout has not passed yet. The time starts with
+// the first call and not with the drain: a process without CPU time may get here late.
 func (cs *Connections) mayAcceptQueued(now time.Time) bool {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
--- a/internal/callers/look_test.go
+++ b/internal/callers/look_test.go
@@ -9,6 +9,7 @@
 	"time"
 )
 
+// newConnections returns Connections on a local listener, without an http.Server.
 func newConnections(t *testing.T) *Connections {
 	t.Helper()
 	listener, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -20,6 +21,7 @@
 	return cs
 }
 
+// dial connects to cs; the connection stays in the listener's queue until it is accepted.
 func dial(t *testing.T, cs *Connections) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", cs.Addr().String())
@@ -30,9 +32,9 @@
 	return c
 }
 
-// A request came while the process stood still, and the decision to end its
-// connection was made before anything was read: it is read all the same, and the
-// connection goes on with the deadline that the server had set.
+// A request arrives while the process has no CPU time, and its connection is expired before
+// anything was read. The request must be read all the same, and the connection must continue
+// with the deadline that net/http had set.
 func TestBytesThatCameBeforeTheEndAreRead(t *testing.T) {
 	cs := newConnections(t)
 	client := dial(t, cs)
@@ -54,24 +56,25 @@
 	}
 	c.expireIfNoRequest(time.Now())
 	if !c.isExpired() {
-		t.Fatal("nothing was read, and the connection stays")
+		t.Fatal("connection without a request was not expired")
 	}
 	for _, want := range []string{"GET", " /"} {
 		got := make([]byte, 8)
 		n, err := c.Read(got)
 		if err != nil || string(got[:n]) != want {
-			t.Fatalf("%q, %v; want %q", got[:n], err, want)
+			t.Fatalf("read %q, error %v, want %q", got[:n], err, want)
 		}
 		if c.isExpired() {
-			t.Fatal("the connection ends under a request")
+			t.Fatal("connection is still expired after data was read")
 		}
 		c.expireIfNoRequest(time.Now())
 		_, _ = io.WriteString(client, " /")
 	}
 }
 
-// Callers connected while the process stood still, and a drain began before they
-// were accepted: they are taken, and only then the listener closes.
+// Callers connect while the process has no CPU time, and a drain starts before their
+// connections are accepted. They must be accepted before the listener is closed; closing it
+// first would reset them.
 func TestADrainTakesTheConnectionsThatWereMadeBefore(t *testing.T) {
 	cs := newConnections(t)
 	const queuedConns = 5
@@ -86,14 +89,14 @@
 	for n := range queuedConns {
 		c, err := cs.Accept()
 		if err != nil {
-			t.Fatalf("connection %d: %v", n, err)
+			t.Fatalf("accept of queued connection %d: %v", n, err)
 		}
 		defer c.Close()
 	}
 	if _, err := cs.Accept(); !errors.Is(err, http.ErrServerClosed) {
-		t.Errorf("%v; want the end of the server", err)
+		t.Errorf("got error %v, want http.ErrServerClosed", err)
 	}
 	if !cs.closed {
-		t.Error("the listener stays open")
+		t.Error("listener was not closed")
 	}
 }
--- a/internal/callers/readable.go
+++ b/internal/callers/readable.go
@@ -6,17 +6,17 @@
 	"golang.org/x/sys/unix"
 )
 
-// isReadable says whether a read from a connection, or an accept from a listener,
-// finds something at once. A deadline does not tell: where the process had no
-// processor, it passes although something has come.
+// isReadable reports whether a read from a connection, or an accept on a listener, would
+// succeed at once. An expired deadline doesn't show the contrary: if the process got no CPU
+// time, the deadline passes although data has arrived.
 func isReadable(c syscall.Conn) bool {
 	raw, err := c.SyscallConn()
 	if err != nil {
-		return false // Closed: nothing is to be had.
+		return false // The connection or listener is closed.
 	}
 	ready := 0
 	err = raw.Control(func(fd uintptr) {
-		ready, _ = unix.Poll([]unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}, 0) // -1 when it fails.
+		ready, _ = unix.Poll([]unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}, 0) // ready is -1 on failure.
 	})
 	return err == nil && ready > 0
 }
