--- a/internal/operator/changes.go
+++ b/internal/operator/changes.go
@@ -15,9 +15,9 @@
 )
 
 const (
-	maxByBytes     = 100
-	defaultHistory = 20
-	maxHistory     = 1000
+	maxByBytes          = 100
+	defaultHistoryLimit = 20
+	maxHistoryLimit     = 1000
 )
 
 // ChangeRequest is the body of PUT /settings. ID makes it idempotent: a retry
@@ -28,8 +28,8 @@
 	Ops []record.ChangeOp `json:"ops"`
 }
 
-// handleChange answers 200 only when the fold has applied the change.
-func (i *Interface) handleChange(w http.ResponseWriter, r *http.Request) {
+// handlePutSettings answers 200 only when the fold has applied the change.
+func (a *API) handlePutSettings(w http.ResponseWriter, r *http.Request) {
 	var req ChangeRequest
 	if !readJSON(w, r, &req) {
 		return
@@ -37,28 +37,28 @@
 	if req.ID == "" {
 		req.ID = uuid.NewString()
 	}
-	operator := operatorOf(r)
-	if findings := i.validate(req, operator); len(findings) > 0 {
+	operator := authenticatedOperator(r)
+	if findings := a.validate(req, operator); len(findings) > 0 {
 		writeProblem(w, http.StatusUnprocessableEntity, problem{Code: "invalid_change", Message: "Nothing was changed.", Findings: findings})
 		return
 	}
-	if result, known := i.result(req.ID); known {
+	if result, known := a.changeResult(req.ID); known {
 		writeResult(w, result, req.Ops)
 		return
 	}
-	if err := i.commit(r.Context(), req, operator); err != nil {
-		writeUnknown(w, req.ID, "/changes/"+req.ID, "The log has not confirmed the change in time; it may apply yet. Ask, or retry with the same id.")
+	if err := a.appendChange(r.Context(), req, operator); err != nil {
+		writeOutcomeUnknown(w, req.ID, "/changes/"+req.ID, "The log has not confirmed the change in time; it may apply yet. Ask, or retry with the same id.")
 		return
 	}
-	result, known := i.result(req.ID)
+	result, known := a.changeResult(req.ID)
 	if !known {
-		writeUnknown(w, req.ID, "/changes/"+req.ID, "The change's result is not remembered any more.")
+		writeOutcomeUnknown(w, req.ID, "/changes/"+req.ID, "The change's result is not remembered any more.")
 		return
 	}
 	writeResult(w, result, req.Ops)
 }
 
-func (i *Interface) validate(req ChangeRequest, operator config.Operator) []config.Finding {
+func (a *API) validate(req ChangeRequest, operator config.Operator) []config.Finding {
 	findings := config.Validate(req.Ops, operator.Scope())
 	if !config.ValidName(req.ID) {
 		findings = append(findings, config.Finding{Path: "id", Problem: "is " + strconv.Quote(req.ID) + "; allowed: letters, digits, dots, dashes, underscores; at most 100"})
@@ -69,33 +69,33 @@
 	return findings
 }
 
-// commit returns when the fold has applied the change's record, whatever its
+// appendChange returns when the fold has applied the change's record, whatever its
 // verdict.
-func (i *Interface) commit(ctx context.Context, req ChangeRequest, operator config.Operator) error {
-	ctx, cancel := context.WithTimeout(ctx, i.Patience)
+func (a *API) appendChange(ctx context.Context, req ChangeRequest, operator config.Operator) error {
+	ctx, cancel := context.WithTimeout(ctx, a.ConfirmTimeout)
 	defer cancel()
 	change := record.Change{
-		ID: req.ID, By: by(operator, req.By), UnixMilli: time.Now().UnixMilli(), Ops: req.Ops,
+		ID: req.ID, By: author(operator, req.By), UnixMilli: time.Now().UnixMilli(), Ops: req.Ops,
 		Scope: operator.Scope(), Credential: operator.Credential,
 	}
-	offset, err := i.Log.Append(ctx, record.ConfigStream, change)
+	offset, err := a.Log.Append(ctx, record.ConfigStream, change)
 	if err != nil {
 		return err
 	}
-	return i.Config.Wait(ctx, offset)
+	return a.Config.Wait(ctx, offset)
 }
 
-// by names the operator for the history: the credential's name, which is
+// author names the operator for the history: the credential's name, which is
 // certain, and what the operator says.
-func by(operator config.Operator, note string) string {
+func author(operator config.Operator, note string) string {
 	if note == "" {
 		return operator.Name
 	}
 	return operator.Name + " (" + note + ")"
 }
 
-func (i *Interface) result(id string) (result fold.ChangeResult, known bool) {
-	i.Config.View(func(f *fold.Config) { result, known = f.Result(id) })
+func (a *API) changeResult(id string) (result fold.ChangeResult, known bool) {
+	a.Config.View(func(f *fold.Config) { result, known = f.Result(id) })
 	return result, known
 }
 
@@ -113,22 +113,22 @@
 	}
 }
 
-// handleResult tells what became of a change.
-func (i *Interface) handleResult(w http.ResponseWriter, r *http.Request) {
+// handleGetChange tells what became of a change.
+func (a *API) handleGetChange(w http.ResponseWriter, r *http.Request) {
 	id := chi.URLParam(r, "id")
-	result, known := i.result(id)
-	if !known || !mayReadAll(operatorOf(r), result.Ops) {
-		next := strconv.FormatUint(i.Config.Next(), 10)
+	result, known := a.changeResult(id)
+	if !known || !mayReadPaths(authenticatedOperator(r), result.Ops) {
+		nextOffset := strconv.FormatUint(a.Config.Next(), 10)
 		writeProblem(w, http.StatusNotFound, problem{
 			Code: "no_such_change", ID: id,
-			Message: "Up to offset " + next + " the log has no such change; it may come yet, or be older than what is remembered.",
+			Message: "Up to offset " + nextOffset + " the log has no such change; it may come yet, or be older than what is remembered.",
 		})
 		return
 	}
 	writeJSON(w, http.StatusOK, result)
 }
 
-func mayReadAll(operator config.Operator, ops []record.ChangeOp) bool {
+func mayReadPaths(operator config.Operator, ops []record.ChangeOp) bool {
 	for _, op := range ops {
 		if !operator.MayRead(op.Path) {
 			return false
@@ -137,39 +137,39 @@
 	return true
 }
 
-func (i *Interface) handleSettings(w http.ResponseWriter, r *http.Request) {
+func (a *API) handleGetSettings(w http.ResponseWriter, r *http.Request) {
 	prefix := r.URL.Query().Get("prefix")
-	if !operatorOf(r).MayRead(prefix) {
-		writeForbidden(w, "Your credential sees "+operatorOf(r).Scope()+" only.")
+	if !authenticatedOperator(r).MayRead(prefix) {
+		writeForbidden(w, "Your credential sees "+authenticatedOperator(r).Scope()+" only.")
 		return
 	}
 	var values []fold.Value
-	i.Config.View(func(f *fold.Config) { values = f.List(prefix) })
+	a.Config.View(func(f *fold.Config) { values = f.List(prefix) })
 	writeJSON(w, http.StatusOK, values)
 }
 
 // handleHistory lists the last changes, newest first. An operator of a team
 // sees those that touch nothing but the team's subtree.
-func (i *Interface) handleHistory(w http.ResponseWriter, r *http.Request) {
-	prefix, limit := r.URL.Query().Get("prefix"), defaultHistory
+func (a *API) handleHistory(w http.ResponseWriter, r *http.Request) {
+	prefix, limit := r.URL.Query().Get("prefix"), defaultHistoryLimit
 	if text := r.URL.Query().Get("limit"); text != "" {
 		n, err := strconv.Atoi(text)
-		if err != nil || n < 1 || n > maxHistory {
+		if err != nil || n < 1 || n > maxHistoryLimit {
 			writeProblem(w, http.StatusBadRequest, problem{Code: "malformed_limit", Message: "limit is " + strconv.Quote(text) + "; allowed: 1 to 1000."})
 			return
 		}
 		limit = n
 	}
-	operator := operatorOf(r)
+	operator := authenticatedOperator(r)
 	if !operator.MayRead(prefix) {
 		writeForbidden(w, "Your credential sees "+operator.Scope()+" only.")
 		return
 	}
 	var changes []fold.ChangeResult
-	i.Config.View(func(f *fold.Config) { changes = f.History(prefix, limit) })
+	a.Config.View(func(f *fold.Config) { changes = f.History(prefix, limit) })
 	visible := []fold.ChangeResult{}
 	for _, c := range changes {
-		if mayReadAll(operator, c.Ops) {
+		if mayReadPaths(operator, c.Ops) {
 			visible = append(visible, c)
 		}
 	}
--- a/internal/operator/instances.go
+++ b/internal/operator/instances.go
@@ -13,14 +13,14 @@
 	Next uint64 `json:"next"`
 }
 
-func (i *Interface) handleApplied(w http.ResponseWriter, _ *http.Request) {
-	writeJSON(w, http.StatusOK, AppliedRow{Next: i.Config.Next()})
+func (a *API) handleGetApplied(w http.ResponseWriter, _ *http.Request) {
+	writeJSON(w, http.StatusOK, AppliedRow{Next: a.Config.Next()})
 }
 
-// handleInstances shows the instance list with what each instance has
+// handleListInstances shows the instance list with what each instance has
 // applied. The list lags, and while the platform is away it stands still.
-func (i *Interface) handleInstances(w http.ResponseWriter, _ *http.Request) {
-	rows := i.Instances()
+func (a *API) handleListInstances(w http.ResponseWriter, _ *http.Request) {
+	rows := a.Instances()
 	if rows == nil {
 		rows = []logstore.Instance{}
 	}
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -23,15 +23,15 @@
 	Append(ctx context.Context, stream record.Stream, records ...record.Record) (uint64, error)
 }
 
-// Interface serves the operators' routes of one instance.
-type Interface struct {
-	// Token is the fleet operators' credential from the settings file.
-	Token   string
-	Log     Appender
-	Config  *replica.Replica[*fold.Config]
-	Ledgers []*replica.Replica[*fold.Ledger]
-	State   *state.Registry
-	Metrics *metrics.Registry
+// API serves the operators' routes of one instance.
+type API struct {
+	// FleetToken is the fleet operators' credential from the settings file.
+	FleetToken string
+	Log        Appender
+	Config     *replica.Replica[*fold.Config]
+	Ledgers    []*replica.Replica[*fold.Ledger]
+	State      *state.Registry
+	Metrics    *metrics.Registry
 	// Instances gives the instance list as this instance knows it, with its
 	// own row as it is now.
 	Instances func() []logstore.Instance
@@ -41,9 +41,9 @@
 	// CloseShard closes a claim shard whose holder and witness are gone for
 	// good.
 	CloseShard func(context.Context, record.RightID) (fold.Shard, error)
-	// Patience is how long a change waits for the log before its outcome is
+	// ConfirmTimeout is how long a change waits for the log before its outcome is
 	// called unknown.
-	Patience time.Duration
+	ConfirmTimeout time.Duration
 }
 
 // access says who may use a route.
@@ -67,35 +67,35 @@
 	handler         http.HandlerFunc
 }
 
-func (i *Interface) routes() []route {
+func (a *API) routes() []route {
 	return []route{
-		{http.MethodGet, "/state", accessFleet, i.handleState},
-		{http.MethodGet, "/metrics", accessFleet, i.Metrics.ServeHTTP},
-		{http.MethodGet, "/teams", accessFleet, i.handleTeams},
-		{http.MethodPost, "/topups", accessFleet, i.handleTopUp},
-		{http.MethodPost, "/grants/{id}/close", accessFleet, i.handleCloseGrant},
-		{http.MethodPost, "/shards/{id}/close", accessFleet, i.handleCloseShard},
-		{http.MethodGet, "/budgets/{team}", accessTeam, i.handleBudgets},
-		{http.MethodGet, "/budgets/{team}/{name}", accessTeam, i.handleBudget},
-		{http.MethodPut, "/settings", accessScoped, i.handleChange},
-		{http.MethodGet, "/settings", accessScoped, i.handleSettings},
-		{http.MethodGet, "/history", accessScoped, i.handleHistory},
-		{http.MethodGet, "/changes/{id}", accessScoped, i.handleResult},
-		{http.MethodGet, "/applied", accessScoped, i.handleApplied},
-		{http.MethodGet, "/instances", accessScoped, i.handleInstances},
+		{http.MethodGet, "/state", accessFleet, a.handleGetState},
+		{http.MethodGet, "/metrics", accessFleet, a.Metrics.ServeHTTP},
+		{http.MethodGet, "/teams", accessFleet, a.handleListTeams},
+		{http.MethodPost, "/topups", accessFleet, a.handleTopUp},
+		{http.MethodPost, "/grants/{id}/close", accessFleet, a.handleCloseGrant},
+		{http.MethodPost, "/shards/{id}/close", accessFleet, a.handleCloseShard},
+		{http.MethodGet, "/budgets/{team}", accessTeam, a.handleListBudgets},
+		{http.MethodGet, "/budgets/{team}/{name}", accessTeam, a.handleGetBudget},
+		{http.MethodPut, "/settings", accessScoped, a.handlePutSettings},
+		{http.MethodGet, "/settings", accessScoped, a.handleGetSettings},
+		{http.MethodGet, "/history", accessScoped, a.handleHistory},
+		{http.MethodGet, "/changes/{id}", accessScoped, a.handleGetChange},
+		{http.MethodGet, "/applied", accessScoped, a.handleGetApplied},
+		{http.MethodGet, "/instances", accessScoped, a.handleListInstances},
 	}
 }
 
 // Handler returns the operators' routes.
-func (i *Interface) Handler() http.Handler {
+func (a *API) Handler() http.Handler {
 	r := chi.NewRouter()
-	r.Use(i.authenticate)
-	for _, route := range i.routes() {
+	r.Use(a.authenticate)
+	for _, route := range a.routes() {
 		r.With(authorize(route.access)).Method(route.method, route.pattern, route.handler)
 	}
 	return r
 }
 
-func (i *Interface) handleState(w http.ResponseWriter, _ *http.Request) {
-	writeJSON(w, http.StatusOK, i.State.Dump())
+func (a *API) handleGetState(w http.ResponseWriter, _ *http.Request) {
+	writeJSON(w, http.StatusOK, a.State.Dump())
 }
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -25,25 +25,25 @@
 )
 
 const (
-	fleetToken = "fleet-secret"
-	dalaToken  = "dala:operator"
-	otherToken = "agenda:operator"
-	oldToken   = "dala:expired"
-	oldFleet   = "fleet-expired"
-	shortWait  = 50 * time.Millisecond
+	fleetToken        = "fleet-secret"
+	dalaToken         = "dala:operator"
+	otherToken        = "agenda:operator"
+	expiredToken      = "dala:expired"
+	expiredFleetToken = "fleet-expired"
+	confirmTimeout    = 50 * time.Millisecond
 )
 
 // fakeLog appends to its replicas at once. With down set, an append is not
 // confirmed, and with late set it takes effect all the same.
 type fakeLog struct {
-	config     *replica.Replica[*fold.Config]
-	ledger     *replica.Replica[*fold.Ledger]
-	seq        uint64
-	down, late bool
+	config                  *replica.Replica[*fold.Config]
+	ledger                  *replica.Replica[*fold.Ledger]
+	seq                     uint64
+	unconfirmed, lateEffect bool
 }
 
 func (l *fakeLog) Append(ctx context.Context, stream record.Stream, records ...record.Record) (uint64, error) {
-	if l.down {
+	if l.unconfirmed {
 		<-ctx.Done()
 		return 0, logstore.ErrUnavailable
 	}
@@ -64,13 +64,13 @@
 	} else {
 		err = l.ledger.Apply(entry)
 	}
-	if l.late {
+	if l.lateEffect {
 		return 0, logstore.ErrUnavailable
 	}
 	return entry.Offset, err
 }
 
-func newInterface(t *testing.T) (http.Handler, *fakeLog) {
+func newTestAPI(t *testing.T) (http.Handler, *fakeLog) {
 	t.Helper()
 	log := &fakeLog{
 		config: replica.New(record.ConfigStream, fold.NewConfig()),
@@ -79,13 +79,13 @@
 	past := time.Now().Add(-time.Minute).Format(time.RFC3339)
 	seed := record.Change{ID: "seed", By: "test"}
 	for path, value := range map[string]string{
-		config.OperatorKeyPath("dala", dalaToken):                    "ana",
-		config.OperatorKeyPath("agenda", otherToken):                 "luz",
-		config.OperatorKeyPath("dala", oldToken):                     "old",
-		config.ExpiresPath(config.OperatorKeyPath("dala", oldToken)): past,
-		config.OperatorKeyPath("", oldFleet):                         "old",
-		config.ExpiresPath(config.OperatorKeyPath("", oldFleet)):     past,
-		config.DefaultBudgetPath("dala"):                             "main",
+		config.OperatorKeyPath("dala", dalaToken):                         "ana",
+		config.OperatorKeyPath("agenda", otherToken):                      "luz",
+		config.OperatorKeyPath("dala", expiredToken):                      "old",
+		config.ExpiresPath(config.OperatorKeyPath("dala", expiredToken)):  past,
+		config.OperatorKeyPath("", expiredFleetToken):                     "old",
+		config.ExpiresPath(config.OperatorKeyPath("", expiredFleetToken)): past,
+		config.DefaultBudgetPath("dala"):                                  "main",
 	} {
 		seed.Ops = append(seed.Ops, record.ChangeOp{Path: path, Value: value})
 	}
@@ -95,16 +95,16 @@
 	if _, err := log.Append(t.Context(), record.LedgerStream(0), record.TopUp{Budget: record.BudgetID{Team: "dala", Name: "main"}, ID: "1", Tokens: 5}); err != nil {
 		t.Fatal(err)
 	}
-	i := &operator.Interface{
-		Token: fleetToken, Log: log, Config: log.config, Ledgers: []*replica.Replica[*fold.Ledger]{log.ledger},
-		State: state.New(), Metrics: metrics.New(), Instances: func() []logstore.Instance { return nil }, Patience: shortWait,
+	api := &operator.API{
+		FleetToken: fleetToken, Log: log, Config: log.config, Ledgers: []*replica.Replica[*fold.Ledger]{log.ledger},
+		State: state.New(), Metrics: metrics.New(), Instances: func() []logstore.Instance { return nil }, ConfirmTimeout: confirmTimeout,
 		CloseGrant: func(context.Context, record.RightID) (fold.Grant, error) { return fold.Grant{}, ledger.ErrNoGrant },
 		CloseShard: func(context.Context, record.RightID) (fold.Shard, error) { return fold.Shard{}, claim.ErrNoShard },
 	}
-	return i.Handler(), log
+	return api.Handler(), log
 }
 
-func call(h http.Handler, method, url, token string, body any) *httptest.ResponseRecorder {
+func request(h http.Handler, method, url, token string, body any) *httptest.ResponseRecorder {
 	data, _ := json.Marshal(body)
 	r := httptest.NewRequest(method, url, bytes.NewReader(data))
 	if token != "" {
@@ -115,7 +115,7 @@
 	return w
 }
 
-func change(id string, ops ...record.ChangeOp) operator.ChangeRequest {
+func newChange(id string, ops ...record.ChangeOp) operator.ChangeRequest {
 	return operator.ChangeRequest{ID: id, By: "test", Ops: ops}
 }
 
@@ -124,12 +124,12 @@
 func TestEveryRouteChecksTheCredential(t *testing.T) {
 	lean := record.ChangeOp{Path: "/teams/dala/budgets/main/lean", Value: "0.5"}
 	weight := record.ChangeOp{Path: "/teams/dala/weight", Value: "3"}
-	grant := record.ChangeOp{Path: config.OperatorKeyPath("dala", "dala:more"), Value: "more"}
+	newOperatorKey := record.ChangeOp{Path: config.OperatorKeyPath("dala", "dala:more"), Value: "more"}
 	topUp := operator.TopUpRequest{Team: "dala", Budget: "main", Tokens: 7, ID: "2"}
 	rows := []struct {
-		route, url        string
-		body              any
-		own, other, fleet int
+		route, url                           string
+		body                                 any
+		teamStatus, otherStatus, fleetStatus int
 	}{
 		{"GET /state", "/state", nil, 403, 403, 200},
 		{"GET /metrics", "/metrics", nil, 403, 403, 200},
@@ -139,10 +139,10 @@
 		{"POST /shards/{id}/close", "/shards/s1/close", nil, 403, 403, 404},
 		{"GET /budgets/{team}", "/budgets/dala", nil, 200, 403, 200},
 		{"GET /budgets/{team}/{name}", "/budgets/dala/main", nil, 200, 403, 200},
-		{"PUT /settings", "/settings", change("c1", lean), 200, 422, 200},
-		{"PUT /settings", "/settings", change("c2", weight), 422, 422, 200},
-		{"PUT /settings", "/settings", change("c3", grant), 422, 422, 200},
-		{"PUT /settings", "/settings", change("c4", record.ChangeOp{Path: "/fleet/services/rig/repeatable", Value: "GET /calendar"}), 422, 422, 200},
+		{"PUT /settings", "/settings", newChange("c1", lean), 200, 422, 200},
+		{"PUT /settings", "/settings", newChange("c2", weight), 422, 422, 200},
+		{"PUT /settings", "/settings", newChange("c3", newOperatorKey), 422, 422, 200},
+		{"PUT /settings", "/settings", newChange("c4", record.ChangeOp{Path: "/fleet/services/rig/repeatable", Value: "GET /calendar"}), 422, 422, 200},
 		{"GET /settings", "/settings?prefix=/teams/dala", nil, 200, 403, 200},
 		{"GET /settings", "/settings", nil, 403, 403, 200},
 		{"GET /history", "/history?prefix=/teams/dala", nil, 200, 403, 200},
@@ -151,21 +151,21 @@
 		{"GET /applied", "/applied", nil, 200, 200, 200},
 		{"GET /instances", "/instances", nil, 200, 200, 200},
 	}
-	h, _ := newInterface(t)
+	h, _ := newTestAPI(t)
 	covered := map[string]bool{}
 	for _, row := range rows {
 		covered[row.route] = true
 		method, _, _ := strings.Cut(row.route, " ")
-		for who, want := range map[string]int{"": 401, "forged": 401, "dala:forged": 401, oldToken: 401, oldFleet: 401, otherToken: row.other} {
-			if got := call(h, method, row.url, who, row.body); got.Code != want {
+		for who, want := range map[string]int{"": 401, "forged": 401, "dala:forged": 401, expiredToken: 401, expiredFleetToken: 401, otherToken: row.otherStatus} {
+			if got := request(h, method, row.url, who, row.body); got.Code != want {
 				t.Errorf("%s as %q: %d, want %d: %s", row.route, who, got.Code, want, got.Body)
 			}
 		}
-		if got := call(h, method, row.url, dalaToken, row.body); got.Code != row.own {
-			t.Errorf("%s %s as the team's own: %d, want %d: %s", method, row.url, got.Code, row.own, got.Body)
+		if got := request(h, method, row.url, dalaToken, row.body); got.Code != row.teamStatus {
+			t.Errorf("%s %s as the team's own: %d, want %d: %s", method, row.url, got.Code, row.teamStatus, got.Body)
 		}
-		if got := call(h, method, row.url, fleetToken, row.body); got.Code != row.fleet {
-			t.Errorf("%s as fleet: %d, want %d: %s", row.route, got.Code, row.fleet, got.Body)
+		if got := request(h, method, row.url, fleetToken, row.body); got.Code != row.fleetStatus {
+			t.Errorf("%s as fleet: %d, want %d: %s", row.route, got.Code, row.fleetStatus, got.Body)
 		}
 	}
 	err := chi.Walk(h.(chi.Routes), func(method, route string, _ http.Handler, _ ...func(http.Handler) http.Handler) error {
@@ -189,35 +189,35 @@
 }
 
 func TestLoserIsToldWhoWonAndARetryAppliesOnce(t *testing.T) {
-	h, log := newInterface(t)
+	h, log := newTestAPI(t)
 	const path = "/teams/dala/budgets/main/lean"
-	first := change("first", record.ChangeOp{Path: path, Value: "0.1"})
-	won := decode[fold.ChangeResult](t, call(h, http.MethodPut, "/settings", dalaToken, first))
-	lost := call(h, http.MethodPut, "/settings", fleetToken, change("second", record.ChangeOp{Path: path, Value: "0.9"}))
+	first := newChange("first", record.ChangeOp{Path: path, Value: "0.1"})
+	accepted := decode[fold.ChangeResult](t, request(h, http.MethodPut, "/settings", dalaToken, first))
+	lost := request(h, http.MethodPut, "/settings", fleetToken, newChange("second", record.ChangeOp{Path: path, Value: "0.9"}))
 	if lost.Code != http.StatusConflict {
 		t.Fatalf("loser got %d: %s", lost.Code, lost.Body)
 	}
-	stood := decode[operator.Problem](t, lost).Error.Result.Lost[0]
-	if stood.Value != "0.1" || stood.Change != "first" || !strings.Contains(stood.By, "team dala: ana") {
-		t.Errorf("loser is told %+v", stood)
+	winner := decode[operator.Problem](t, lost).Error.Result.Lost[0]
+	if winner.Value != "0.1" || winner.Change != "first" || !strings.Contains(winner.By, "team dala: ana") {
+		t.Errorf("loser is told %+v", winner)
 	}
 	appended := log.seq
-	if again := decode[fold.ChangeResult](t, call(h, http.MethodPut, "/settings", dalaToken, first)); again.Offset != won.Offset || !again.Accepted {
-		t.Errorf("retry: %+v, first: %+v", again, won)
+	if again := decode[fold.ChangeResult](t, request(h, http.MethodPut, "/settings", dalaToken, first)); again.Offset != accepted.Offset || !again.Accepted {
+		t.Errorf("retry: %+v, first: %+v", again, accepted)
 	}
 	if log.seq != appended {
 		t.Error("a retry with a known result was appended again")
 	}
-	reused := call(h, http.MethodPut, "/settings", dalaToken, change("first", record.ChangeOp{Path: path, Value: "0.2"}))
+	reused := request(h, http.MethodPut, "/settings", dalaToken, newChange("first", record.ChangeOp{Path: path, Value: "0.2"}))
 	if reused.Code != http.StatusUnprocessableEntity {
 		t.Errorf("another change under the same id got %d: %s", reused.Code, reused.Body)
 	}
 }
 
 func TestAllFindingsOfAChangeAreReported(t *testing.T) {
-	h, log := newInterface(t)
+	h, log := newTestAPI(t)
 	appended := log.seq
-	got := call(h, http.MethodPut, "/settings", dalaToken, change("bad id",
+	got := request(h, http.MethodPut, "/settings", dalaToken, newChange("bad id",
 		record.ChangeOp{Path: "/teams/dala/budgets/main/lean", Value: "2"},
 		record.ChangeOp{Path: "/teams/dala/colour", Value: "green"},
 		record.ChangeOp{Path: "/teams/agenda/default_budget", Value: "main"},
@@ -236,23 +236,23 @@
 // An append that is not confirmed is never called accepted nor refused, and
 // asking later tells the truth.
 func TestUnknownOutcomeCanBeAskedFor(t *testing.T) {
-	h, log := newInterface(t)
+	h, log := newTestAPI(t)
 	op := record.ChangeOp{Path: "/teams/dala/budgets/main/lean", Value: "0.3"}
-	log.down = true
-	down := call(h, http.MethodPut, "/settings", dalaToken, change("c-down", op))
-	p := decode[operator.Problem](t, down).Error
-	if down.Code != http.StatusServiceUnavailable || p.Code != "outcome_unknown" || p.ID != "c-down" {
-		t.Fatalf("%d %+v", down.Code, p)
+	log.unconfirmed = true
+	unconfirmed := request(h, http.MethodPut, "/settings", dalaToken, newChange("c-down", op))
+	p := decode[operator.Problem](t, unconfirmed).Error
+	if unconfirmed.Code != http.StatusServiceUnavailable || p.Code != "outcome_unknown" || p.ID != "c-down" {
+		t.Fatalf("%d %+v", unconfirmed.Code, p)
 	}
-	if got := call(h, http.MethodGet, p.Ask, dalaToken, nil); got.Code != http.StatusNotFound {
+	if got := request(h, http.MethodGet, p.StatusPath, dalaToken, nil); got.Code != http.StatusNotFound {
 		t.Errorf("a change that is not on the log: %d", got.Code)
 	}
-	log.down, log.late = false, true
-	late := call(h, http.MethodPut, "/settings", dalaToken, change("c-late", op))
+	log.unconfirmed, log.lateEffect = false, true
+	late := request(h, http.MethodPut, "/settings", dalaToken, newChange("c-late", op))
 	if late.Code != http.StatusServiceUnavailable {
 		t.Fatalf("answer lost: %d", late.Code)
 	}
-	got := call(h, http.MethodGet, "/changes/c-late", dalaToken, nil)
+	got := request(h, http.MethodGet, "/changes/c-late", dalaToken, nil)
 	if result := decode[fold.ChangeResult](t, got); !result.Accepted {
 		t.Errorf("%+v", result)
 	}
--- a/internal/operator/problem.go
+++ b/internal/operator/problem.go
@@ -8,9 +8,9 @@
 	"guavapier/internal/fold"
 )
 
-// maxBody bounds a request's body: a change of config.MaxChangeBytes with its
+// maxBodyBytes bounds a request's body: a change of config.MaxChangeBytes with its
 // JSON around it.
-const maxBody = 4 * config.MaxChangeBytes
+const maxBodyBytes = 4 * config.MaxChangeBytes
 
 // problem says why a request was refused.
 type problem struct {
@@ -21,8 +21,8 @@
 	// Result is the fold's verdict on a refused change, with who won.
 	Result *fold.ChangeResult `json:"result,omitempty"`
 	// ID and Ask say how to learn an unknown outcome.
-	ID  string `json:"id,omitempty"`
-	Ask string `json:"ask,omitempty"`
+	ID         string `json:"id,omitempty"`
+	StatusPath string `json:"ask,omitempty"`
 }
 
 // Problem is the body of every refusal.
@@ -42,7 +42,7 @@
 
 // readJSON reads a bounded body without unknown fields, or answers 400.
 func readJSON(w http.ResponseWriter, r *http.Request, out any) bool {
-	dec := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody))
+	dec := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(out); err != nil {
 		writeProblem(w, http.StatusBadRequest, problem{Code: "malformed_body", Message: err.Error()})
@@ -51,9 +51,9 @@
 	return true
 }
 
-// writeUnknown answers for an append that was not confirmed in time: it may
+// writeOutcomeUnknown answers for an append that was not confirmed in time: it may
 // take effect yet.
-func writeUnknown(w http.ResponseWriter, id, ask, message string) {
+func writeOutcomeUnknown(w http.ResponseWriter, id, statusPath, message string) {
 	w.Header().Set("Retry-After", "1")
-	writeProblem(w, http.StatusServiceUnavailable, problem{Code: "outcome_unknown", Message: message, ID: id, Ask: ask})
+	writeProblem(w, http.StatusServiceUnavailable, problem{Code: "outcome_unknown", Message: message, ID: id, StatusPath: statusPath})
 }
--- a/internal/server/operators.go
+++ b/internal/server/operators.go
@@ -19,9 +19,9 @@
 const changePatience = 5 * time.Second
 
 func (s *Server) operatorsHandler() http.Handler {
-	o := &operator.Interface{
-		Token: s.secrets.Operator, Log: s.publisher, Config: s.config, Ledgers: s.partitions,
-		State: s.tables, Metrics: s.metrics, Instances: s.instances, Patience: changePatience,
+	o := &operator.API{
+		FleetToken: s.secrets.Operator, Log: s.publisher, Config: s.config, Ledgers: s.partitions,
+		State: s.tables, Metrics: s.metrics, Instances: s.instances, ConfirmTimeout: changePatience,
 		CloseGrant: s.budgets.ForceClose, CloseShard: s.holder.ForceClose,
 	}
 	return s.metrics.Measure(metrics.OperatorsHTTP, o.Handler())
--- a/internal/server/operators_test.go
+++ b/internal/server/operators_test.go
@@ -112,7 +112,7 @@
 // Nothing of the operators' interface answers on the callers' address.
 func TestCallersAddressHasNoOperatorsRoute(t *testing.T) {
 	srv := startServer(t)
-	routes := (&operator.Interface{Metrics: metrics.New()}).Handler().(chi.Routes)
+	routes := (&operator.API{Metrics: metrics.New()}).Handler().(chi.Routes)
 	walked := 0
 	err := chi.Walk(routes, func(method, route string, _ http.Handler, _ ...func(http.Handler) http.Handler) error {
 		walked++
