--- a/internal/operator/access.go
+++ b/internal/operator/access.go
@@ -16,12 +16,15 @@
 	"guavapier/internal/record"
 )
 
-// fleetOperatorName is the name of whoever uses the token of the settings file.
+// fleetOperatorName is the name under which the history shows changes made with the token
+// of the settings file.
 const fleetOperatorName = "fleet"
 
+// operatorContextKey is the context key of the operator that authenticate found.
 type operatorContextKey struct{}
 
-// authenticate finds the operator of the request's bearer token.
+// authenticate looks up the operator of the request's bearer token and stores it in the
+// request's context. Without a valid token it answers 401.
 func (a *API) authenticate(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		operator, err := a.identify(r)
@@ -36,6 +39,8 @@
 	})
 }
 
+// identify returns the operator of the request's bearer token. Errors: config.ErrForged,
+// also if there is no token, and config.ErrExpired.
 func (a *API) identify(r *http.Request) (config.Operator, error) {
 	token, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !ok || token == "" {
@@ -50,24 +55,26 @@
 	return operator, err
 }
 
-// secretsEqual compares digests, so that the time taken tells nothing about the
-// secret, its length included. An empty secret is never the same.
+// secretsEqual reports whether got is the secret want. It compares digests, so that the
+// time taken reveals nothing about the secret, not even its length. An empty want equals
+// nothing.
 func secretsEqual(got, want string) bool {
 	g, w := sha256.Sum256([]byte(got)), sha256.Sum256([]byte(want))
 	return want != "" && subtle.ConstantTimeCompare(g[:], w[:]) == 1
 }
 
+// authenticatedOperator returns the operator that authenticate stored.
 func authenticatedOperator(r *http.Request) config.Operator {
 	operator, ok := r.Context().Value(operatorContextKey{}).(config.Operator)
 	if !ok {
-		// No credential was checked: an operator of a team without a name,
-		// which may do nothing.
+		// No credential was checked. The operator of a team that doesn't exist has no
+		// permissions.
 		return config.Operator{Team: "-"}
 	}
 	return operator
 }
 
-// authorize refuses operators that a route is not for.
+// authorize returns a middleware that answers 403 to operators without the required access.
 func authorize(required access) func(http.Handler) http.Handler {
 	return func(next http.Handler) http.Handler {
 		return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -83,6 +90,7 @@
 	}
 }
 
+// writeForbidden answers 403 to an operator whose scope doesn't permit the request.
 func writeForbidden(w http.ResponseWriter, message string) {
 	writeProblem(w, http.StatusForbidden, problem{Code: "out_of_scope", Message: message})
 }
--- a/internal/operator/budgets.go
+++ b/internal/operator/budgets.go
@@ -17,11 +17,12 @@
 	"guavapier/internal/replica"
 )
 
-// maxTopUpTokens bounds one top-up, so that no sum of a budget's overflows.
+// maxTopUpTokens bounds one top-up, so that the sums of a budget don't overflow an int64.
 const maxTopUpTokens = 1_000_000_000_000_000
 
-// TopUpRequest is the body of POST /topups. ID makes it idempotent: a retry
-// with the same ID counts once.
+// TopUpRequest is the body of POST /topups. ID makes the request idempotent: it takes
+// effect once, however often it is retried with the same ID. If ID is empty, the server
+// chooses one. Tokens are added to the budget; By is a note on who asks.
 type TopUpRequest struct {
 	Team   record.Team `json:"team"`
 	Budget string      `json:"budget"`
@@ -30,6 +31,7 @@
 	By     string      `json:"by"`
 }
 
+// validate returns all problems of the request, none if it is valid.
 func (t TopUpRequest) validate() []config.Finding {
 	var out []config.Finding
 	add := func(path, problem string) { out = append(out, config.Finding{Path: path, Problem: problem}) }
@@ -51,6 +53,8 @@
 	return out
 }
 
+// handleTopUp adds tokens to a budget. It answers 200 with the budget only after this
+// instance has applied the top-up.
 func (a *API) handleTopUp(w http.ResponseWriter, r *http.Request) {
 	var req TopUpRequest
 	if !readJSON(w, r, &req) {
@@ -72,7 +76,8 @@
 	a.writeBudget(w, budget)
 }
 
-// appendTopUp returns when the fold has applied the record.
+// appendTopUp appends t to the log and waits until this instance has applied it. After an
+// error the top-up may still take effect.
 func (a *API) appendTopUp(ctx context.Context, t record.TopUp) error {
 	ctx, cancel := context.WithTimeout(ctx, a.ConfirmTimeout)
 	defer cancel()
@@ -84,6 +89,7 @@
 	return part.Wait(ctx, offset)
 }
 
+// ledgerPartition returns the replica of the ledger partition that holds the team's budgets.
 func (a *API) ledgerPartition(team record.Team) *replica.Replica[*fold.Ledger] {
 	return a.Ledgers[record.TeamPartition(team, len(a.Ledgers))]
 }
@@ -92,6 +98,7 @@
 	a.writeBudget(w, record.BudgetID{Team: record.Team(chi.URLParam(r, "team")), Name: chi.URLParam(r, "name")})
 }
 
+// writeBudget answers with the budget, or 404 if it doesn't exist.
 func (a *API) writeBudget(w http.ResponseWriter, id record.BudgetID) {
 	var row fold.Budget
 	known := false
@@ -103,6 +110,7 @@
 	writeJSON(w, http.StatusOK, row)
 }
 
+// handleListBudgets lists the budgets of a team, sorted by name.
 func (a *API) handleListBudgets(w http.ResponseWriter, r *http.Request) {
 	team := record.Team(chi.URLParam(r, "team"))
 	rows := []fold.Budget{}
@@ -117,13 +125,14 @@
 	writeJSON(w, http.StatusOK, rows)
 }
 
-// TeamRow is one team of GET /teams.
+// TeamRow is one row of the answer to GET /teams. Values is the number of the team's
+// settings.
 type TeamRow struct {
 	Team   record.Team `json:"team"`
 	Values int         `json:"values"`
 }
 
-// handleListTeams lists the teams that have settings.
+// handleListTeams lists the teams that have settings, sorted by name.
 func (a *API) handleListTeams(w http.ResponseWriter, _ *http.Request) {
 	counts := map[record.Team]int{}
 	a.Config.View(func(f *fold.Config) {
--- a/internal/operator/changes.go
+++ b/internal/operator/changes.go
@@ -15,20 +15,23 @@
 )
 
 const (
+	// maxByBytes bounds the note in a request's field by.
 	maxByBytes          = 100
 	defaultHistoryLimit = 20
 	maxHistoryLimit     = 1000
 )
 
-// ChangeRequest is the body of PUT /settings. ID makes it idempotent: a retry
-// with the same ID applies once. By is a note on who asks.
+// ChangeRequest is the body of PUT /settings. ID makes the request idempotent: the change
+// is applied once, however often it is retried with the same ID. If ID is empty, the
+// server chooses one. By is a note on who asks.
 type ChangeRequest struct {
 	ID  string            `json:"id"`
 	By  string            `json:"by"`
 	Ops []record.ChangeOp `json:"ops"`
 }
 
-// handlePutSettings answers 200 only when the fold has applied the change.
+// handlePutSettings changes settings. It answers 200 only after this instance has applied
+// the change. A change whose result is known already isn't appended to the log again.
 func (a *API) handlePutSettings(w http.ResponseWriter, r *http.Request) {
 	var req ChangeRequest
 	if !readJSON(w, r, &req) {
@@ -58,6 +61,7 @@
 	writeResult(w, result, req.Ops)
 }
 
+// validate returns all problems of the request, none if it is valid.
 func (a *API) validate(req ChangeRequest, operator config.Operator) []config.Finding {
 	findings := config.Validate(req.Ops, operator.Scope())
 	if !config.ValidName(req.ID) {
@@ -69,8 +73,9 @@
 	return findings
 }
 
-// appendChange returns when the fold has applied the change's record, whatever its
-// verdict.
+// appendChange appends the change to the log and waits until this instance has applied its
+// record, whether the change was accepted or not. After an error the change may still take
+// effect.
 func (a *API) appendChange(ctx context.Context, req ChangeRequest, operator config.Operator) error {
 	ctx, cancel := context.WithTimeout(ctx, a.ConfirmTimeout)
 	defer cancel()
@@ -85,8 +90,8 @@
 	return a.Config.Wait(ctx, offset)
 }
 
-// author names the operator for the history: the credential's name, which is
-// certain, and what the operator says.
+// author returns the text by which the history names the operator: the name of the
+// credential, which is verified, and the operator's note, which is not.
 func author(operator config.Operator, note string) string {
 	if note == "" {
 		return operator.Name
@@ -94,12 +99,15 @@
 	return operator.Name + " (" + note + ")"
 }
 
+// changeResult returns the result of the change with the given ID, if this instance has
+// applied it and still stores the result.
 func (a *API) changeResult(id string) (result fold.ChangeResult, known bool) {
 	a.Config.View(func(f *fold.Config) { result, known = f.Result(id) })
 	return result, known
 }
 
-// writeResult answers with the fold's verdict on the change that ops belong to.
+// writeResult answers with the result of a change. ops are those of the request: if they
+// differ from the ones that were applied under its ID, the ID was used for another change.
 func writeResult(w http.ResponseWriter, result fold.ChangeResult, ops []record.ChangeOp) {
 	switch {
 	case result.Digest != fold.ChangeDigest(ops):
@@ -113,7 +121,8 @@
 	}
 }
 
-// handleGetChange tells what became of a change.
+// handleGetChange returns the result of a change. A change that touches paths outside the
+// operator's scope is reported as not found.
 func (a *API) handleGetChange(w http.ResponseWriter, r *http.Request) {
 	id := chi.URLParam(r, "id")
 	result, known := a.changeResult(id)
@@ -128,6 +137,7 @@
 	writeJSON(w, http.StatusOK, result)
 }
 
+// mayReadPaths reports whether the operator may read the paths of all ops.
 func mayReadPaths(operator config.Operator, ops []record.ChangeOp) bool {
 	for _, op := range ops {
 		if !operator.MayRead(op.Path) {
@@ -137,6 +147,7 @@
 	return true
 }
 
+// handleGetSettings lists the settings under the prefix in the query.
 func (a *API) handleGetSettings(w http.ResponseWriter, r *http.Request) {
 	prefix := r.URL.Query().Get("prefix")
 	if !authenticatedOperator(r).MayRead(prefix) {
@@ -148,8 +159,8 @@
 	writeJSON(w, http.StatusOK, values)
 }
 
-// handleHistory lists the last changes, newest first. An operator of a team
-// sees those that touch nothing but the team's subtree.
+// handleHistory lists the latest changes, newest first. Changes that touch paths outside the
+// operator's scope are left out, so the answer may have fewer than limit changes.
 func (a *API) handleHistory(w http.ResponseWriter, r *http.Request) {
 	prefix, limit := r.URL.Query().Get("prefix"), defaultHistoryLimit
 	if text := r.URL.Query().Get("limit"); text != "" {
--- a/internal/operator/close.go
+++ b/internal/operator/close.go
@@ -12,20 +12,21 @@
 	"guavapier/internal/record"
 )
 
-// handleCloseGrant closes a grant whose holder is gone for good; its risk is
-// told at ledger.Ledger.ForceClose.
+// handleCloseGrant closes a grant whose holder is permanently lost. For the risk of doing so
+// see ledger.Ledger.ForceClose.
 func (a *API) handleCloseGrant(w http.ResponseWriter, r *http.Request) {
 	forceClose(w, r, a, a.CloseGrant, ledger.ErrNoGrant, "grant")
 }
 
-// handleCloseShard closes a claim shard whose holder and witness are both gone
-// for good; its risk is told at claim.Holder.ForceClose.
+// handleCloseShard closes a claim shard whose holder and witness are both permanently lost.
+// For the risk of doing so see claim.Holder.ForceClose.
 func (a *API) handleCloseShard(w http.ResponseWriter, r *http.Request) {
 	forceClose(w, r, a, a.CloseShard, claim.ErrNoShard, "shard")
 }
 
-// forceClose closes the right that the route names. kind names it to people;
-// missing is the error for one that is not open.
+// forceClose closes the right whose ID is in the path by calling closeRight, and answers with
+// the closed row. errNotOpen is the error that closeRight returns if no such right is open;
+// kind is the right's name in messages and codes.
 func forceClose[Row any](w http.ResponseWriter, r *http.Request, a *API,
 	closeRight func(context.Context, record.RightID) (Row, error), errNotOpen error, kind string,
 ) {
--- a/internal/operator/instances.go
+++ b/internal/operator/instances.go
@@ -6,10 +6,10 @@
 	"guavapier/internal/logstore"
 )
 
-// AppliedRow is the answer to GET /applied.
+// AppliedRow is the body of the answer to GET /applied.
 type AppliedRow struct {
-	// Next is the offset after the last entry of the configuration stream
-	// that this instance has applied: a change at a lower offset is in force.
+	// Next is the offset after the last entry of the configuration stream that this instance
+	// has applied: every change at a lower offset is in effect here.
 	Next uint64 `json:"next"`
 }
 
@@ -17,8 +17,8 @@
 	writeJSON(w, http.StatusOK, AppliedRow{Next: a.Config.Next()})
 }
 
-// handleListInstances shows the instance list with what each instance has
-// applied. The list lags, and while the platform is away it stands still.
+// handleListInstances lists the instances with the offsets that each has applied. The list
+// is updated with a delay, and not at all while the platform is unavailable.
 func (a *API) handleListInstances(w http.ResponseWriter, _ *http.Request) {
 	rows := a.Instances()
 	if rows == nil {
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -1,6 +1,6 @@
-// Package operator is the operators' HTTP interface: settings under paths,
-// top-ups, budgets, the state dump and the metrics. It has an address of its
-// own, which callers must not reach, and every route asks for a credential.
+// Package operator serves the HTTP API for operators: settings, top-ups, budgets,
+// forced closes, the state dump and the metrics. It has an address of its own, which
+// callers must not be able to reach, and every route requires a credential.
 package operator
 
 import (
@@ -18,49 +18,58 @@
 	"guavapier/internal/state"
 )
 
-// Appender appends records to the log; see logstore.Publisher.
+// Appender appends records to a stream of the log in one batch and returns the offset
+// of the batch; see logstore.Publisher. After an error the records may still be on the
+// log.
 type Appender interface {
 	Append(ctx context.Context, stream record.Stream, records ...record.Record) (uint64, error)
 }
 
-// API serves the operators' routes of one instance.
+// API serves the operators' HTTP API on one instance. Its fields must be set before
+// Handler is called.
 type API struct {
-	// FleetToken is the fleet operators' credential from the settings file.
+	// FleetToken is the token of the settings file, which authenticates fleet operators.
 	FleetToken string
-	Log        Appender
-	Config     *replica.Replica[*fold.Config]
-	Ledgers    []*replica.Replica[*fold.Ledger]
-	State      *state.Registry
-	Metrics    *metrics.Registry
-	// Instances gives the instance list as this instance knows it, with its
-	// own row as it is now.
+	// Log takes changes and top-ups.
+	Log Appender
+	// Config holds the settings and the operators' keys.
+	Config *replica.Replica[*fold.Config]
+	// Ledgers holds the budgets, one replica for each ledger partition.
+	Ledgers []*replica.Replica[*fold.Ledger]
+	// State holds the tables of the state dump.
+	State *state.Registry
+	// Metrics serves GET /metrics.
+	Metrics *metrics.Registry
+	// Instances returns the list of instances as this instance knows it, with its own
+	// row up to date.
 	Instances func() []logstore.Instance
-	// CloseGrant closes the grant of a holder that is gone for good; its risk
-	// is told at ledger.Ledger.ForceClose.
+	// CloseGrant closes the grant of a holder that is permanently lost. It returns
+	// ledger.ErrNoGrant if the grant isn't open. For the risk of closing it see
+	// ledger.Ledger.ForceClose.
 	CloseGrant func(context.Context, record.RightID) (fold.Grant, error)
-	// CloseShard closes a claim shard whose holder and witness are gone for
-	// good.
+	// CloseShard closes a claim shard whose holder and witness are permanently lost. It
+	// returns claim.ErrNoShard if the shard isn't open. For the risk of closing it see
+	// claim.Holder.ForceClose.
 	CloseShard func(context.Context, record.RightID) (fold.Shard, error)
-	// ConfirmTimeout is how long a change waits for the log before its outcome is
-	// called unknown.
+	// ConfirmTimeout is how long a request waits for the log to confirm a record. After it,
+	// the answer is that the outcome is unknown.
 	ConfirmTimeout time.Duration
 }
 
-// access says who may use a route.
+// access is the set of operators that may use a route.
 type access int
 
 const (
-	// accessFleet is for fleet operators only.
+	// accessFleet admits fleet operators only.
 	accessFleet access = iota
-	// accessTeam is for fleet operators and for the operators of the team in
-	// the path.
+	// accessTeam admits fleet operators and the operators of the team in the path.
 	accessTeam
-	// accessScoped is for every operator; the handler shows and changes only
-	// what the operator's scope holds.
+	// accessScoped admits every operator; the handler shows and changes only what is in
+	// the operator's scope.
 	accessScoped
 )
 
-// route is one route; there is none without an access.
+// route is an HTTP route. Each has an access; the zero value is the strictest.
 type route struct {
 	method, pattern string
 	access          access
@@ -86,7 +95,8 @@
 	}
 }
 
-// Handler returns the operators' routes.
+// Handler returns the HTTP routes of the API. Each authenticates the operator and checks
+// the route's access.
 func (a *API) Handler() http.Handler {
 	r := chi.NewRouter()
 	r.Use(a.authenticate)
@@ -96,6 +106,7 @@
 	return r
 }
 
+// handleGetState returns all tables of the state dump.
 func (a *API) handleGetState(w http.ResponseWriter, _ *http.Request) {
 	writeJSON(w, http.StatusOK, a.State.Dump())
 }
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -33,8 +33,9 @@
 	confirmTimeout    = 50 * time.Millisecond
 )
 
-// fakeLog appends to its replicas at once. With down set, an append is not
-// confirmed, and with late set it takes effect all the same.
+// fakeLog applies each append to its replicas at once. If unconfirmed is set, an append
+// blocks until its context ends and has no effect. If lateEffect is set, an append takes
+// effect but returns an error.
 type fakeLog struct {
 	config                  *replica.Replica[*fold.Config]
 	ledger                  *replica.Replica[*fold.Ledger]
@@ -70,6 +71,8 @@
 	return entry.Offset, err
 }
 
+// newTestAPI returns an API with a key for an operator of each of the teams dala and agenda,
+// an expired key of dala, an expired fleet key, and a budget of dala.
 func newTestAPI(t *testing.T) (http.Handler, *fakeLog) {
 	t.Helper()
 	log := &fakeLog{
@@ -104,6 +107,8 @@
 	return api.Handler(), log
 }
 
+// request sends a request with a bearer token and body as JSON. An empty token sends no
+// Authorization header.
 func request(h http.Handler, method, url, token string, body any) *httptest.ResponseRecorder {
 	data, _ := json.Marshal(body)
 	r := httptest.NewRequest(method, url, bytes.NewReader(data))
@@ -115,14 +120,16 @@
 	return w
 }
 
+// newChange returns the body of a settings change.
 func newChange(id string, ops ...record.ChangeOp) operator.ChangeRequest {
 	return operator.ChangeRequest{ID: id, By: "test", Ops: ops}
 }
 
-// Each row is a request about team dala, and the status that its own operator,
-// another team's and a fleet operator get. A route without a row fails.
+// Each row is a request about the team dala, with the status that the team's own operator,
+// another team's operator and a fleet operator get. Invalid and expired tokens always get
+// 401. A route without a row fails the test.
 func TestEveryRouteChecksTheCredential(t *testing.T) {
-	lean := record.ChangeOp{Path: "/teams/dala/budgets/main/lean", Value: "0.5"}
+	conservatism := record.ChangeOp{Path: "/teams/dala/budgets/main/lean", Value: "0.5"}
 	weight := record.ChangeOp{Path: "/teams/dala/weight", Value: "3"}
 	newOperatorKey := record.ChangeOp{Path: config.OperatorKeyPath("dala", "dala:more"), Value: "more"}
 	topUp := operator.TopUpRequest{Team: "dala", Budget: "main", Tokens: 7, ID: "2"}
@@ -139,7 +146,7 @@
 		{"POST /shards/{id}/close", "/shards/s1/close", nil, 403, 403, 404},
 		{"GET /budgets/{team}", "/budgets/dala", nil, 200, 403, 200},
 		{"GET /budgets/{team}/{name}", "/budgets/dala/main", nil, 200, 403, 200},
-		{"PUT /settings", "/settings", newChange("c1", lean), 200, 422, 200},
+		{"PUT /settings", "/settings", newChange("c1", conservatism), 200, 422, 200},
 		{"PUT /settings", "/settings", newChange("c2", weight), 422, 422, 200},
 		{"PUT /settings", "/settings", newChange("c3", newOperatorKey), 422, 422, 200},
 		{"PUT /settings", "/settings", newChange("c4", record.ChangeOp{Path: "/fleet/services/rig/repeatable", Value: "GET /calendar"}), 422, 422, 200},
@@ -158,19 +165,19 @@
 		method, _, _ := strings.Cut(row.route, " ")
 		for who, want := range map[string]int{"": 401, "forged": 401, "dala:forged": 401, expiredToken: 401, expiredFleetToken: 401, otherToken: row.otherStatus} {
 			if got := request(h, method, row.url, who, row.body); got.Code != want {
-				t.Errorf("%s as %q: %d, want %d: %s", row.route, who, got.Code, want, got.Body)
+				t.Errorf("%s with token %q: got status %d, want %d: %s", row.route, who, got.Code, want, got.Body)
 			}
 		}
 		if got := request(h, method, row.url, dalaToken, row.body); got.Code != row.teamStatus {
-			t.Errorf("%s %s as the team's own: %d, want %d: %s", method, row.url, got.Code, row.teamStatus, got.Body)
+			t.Errorf("%s %s as operator of the team: got status %d, want %d: %s", method, row.url, got.Code, row.teamStatus, got.Body)
 		}
 		if got := request(h, method, row.url, fleetToken, row.body); got.Code != row.fleetStatus {
-			t.Errorf("%s as fleet: %d, want %d: %s", row.route, got.Code, row.fleetStatus, got.Body)
+			t.Errorf("%s as fleet operator: got status %d, want %d: %s", row.route, got.Code, row.fleetStatus, got.Body)
 		}
 	}
 	err := chi.Walk(h.(chi.Routes), func(method, route string, _ http.Handler, _ ...func(http.Handler) http.Handler) error {
 		if !covered[method+" "+route] {
-			t.Errorf("%s %s has no row here", method, route)
+			t.Errorf("route %s %s has no row in this test", method, route)
 		}
 		return nil
 	})
@@ -179,15 +186,19 @@
 	}
 }
 
+// decode unmarshals a JSON response.
 func decode[T any](t *testing.T, w *httptest.ResponseRecorder) T {
 	t.Helper()
 	var out T
 	if err := json.Unmarshal(w.Body.Bytes(), &out); err != nil {
-		t.Fatalf("%v: %s", err, w.Body)
+		t.Fatalf("unmarshal response: %v: %s", err, w.Body)
 	}
 	return out
 }
 
+// Of two conflicting changes the second is refused with the one that came first. A retry
+// under the same ID returns the first result without another append, and reuse of the ID
+// for another change is refused.
 func TestLoserIsToldWhoWonAndARetryAppliesOnce(t *testing.T) {
 	h, log := newTestAPI(t)
 	const path = "/teams/dala/budgets/main/lean"
@@ -195,25 +206,27 @@
 	accepted := decode[fold.ChangeResult](t, request(h, http.MethodPut, "/settings", dalaToken, first))
 	lost := request(h, http.MethodPut, "/settings", fleetToken, newChange("second", record.ChangeOp{Path: path, Value: "0.9"}))
 	if lost.Code != http.StatusConflict {
-		t.Fatalf("loser got %d: %s", lost.Code, lost.Body)
+		t.Fatalf("second change: got status %d, want 409: %s", lost.Code, lost.Body)
 	}
 	winner := decode[operator.Problem](t, lost).Error.Result.Lost[0]
 	if winner.Value != "0.1" || winner.Change != "first" || !strings.Contains(winner.By, "team dala: ana") {
-		t.Errorf("loser is told %+v", winner)
+		t.Errorf("second change was refused with %+v, want the first change", winner)
 	}
 	appended := log.seq
 	if again := decode[fold.ChangeResult](t, request(h, http.MethodPut, "/settings", dalaToken, first)); again.Offset != accepted.Offset || !again.Accepted {
-		t.Errorf("retry: %+v, first: %+v", again, accepted)
+		t.Errorf("retry returned %+v, first request %+v", again, accepted)
 	}
 	if log.seq != appended {
 		t.Error("a retry with a known result was appended again")
 	}
 	reused := request(h, http.MethodPut, "/settings", dalaToken, newChange("first", record.ChangeOp{Path: path, Value: "0.2"}))
 	if reused.Code != http.StatusUnprocessableEntity {
-		t.Errorf("another change under the same id got %d: %s", reused.Code, reused.Body)
+		t.Errorf("another change under the same ID: got status %d, want 422: %s", reused.Code, reused.Body)
 	}
 }
 
+// An invalid change isn't appended to the log, and the answer lists all of its problems, so
+// that the operator needn't correct them one by one.
 func TestAllFindingsOfAChangeAreReported(t *testing.T) {
 	h, log := newTestAPI(t)
 	appended := log.seq
@@ -226,15 +239,15 @@
 	))
 	const want = 5 // Range, unknown path, other team's path, path twice, id.
 	if findings := decode[operator.Problem](t, got).Error.Findings; got.Code != http.StatusUnprocessableEntity || len(findings) != want {
-		t.Errorf("%d: %d findings, want %d: %+v", got.Code, len(findings), want, findings)
+		t.Errorf("got status %d and %d findings, want 422 and %d: %+v", got.Code, len(findings), want, findings)
 	}
 	if log.seq != appended {
-		t.Error("a wrong change was appended")
+		t.Error("an invalid change was appended")
 	}
 }
 
-// An append that is not confirmed is never called accepted nor refused, and
-// asking later tells the truth.
+// A change that the log doesn't confirm must be reported neither as accepted nor as refused,
+// since it may still take effect; its outcome can be looked up later.
 func TestUnknownOutcomeCanBeAskedFor(t *testing.T) {
 	h, log := newTestAPI(t)
 	op := record.ChangeOp{Path: "/teams/dala/budgets/main/lean", Value: "0.3"}
@@ -242,18 +255,18 @@
 	unconfirmed := request(h, http.MethodPut, "/settings", dalaToken, newChange("c-down", op))
 	p := decode[operator.Problem](t, unconfirmed).Error
 	if unconfirmed.Code != http.StatusServiceUnavailable || p.Code != "outcome_unknown" || p.ID != "c-down" {
-		t.Fatalf("%d %+v", unconfirmed.Code, p)
+		t.Fatalf("unconfirmed change: got status %d and error %+v", unconfirmed.Code, p)
 	}
 	if got := request(h, http.MethodGet, p.StatusPath, dalaToken, nil); got.Code != http.StatusNotFound {
-		t.Errorf("a change that is not on the log: %d", got.Code)
+		t.Errorf("lookup of a change that is not on the log: got status %d, want 404", got.Code)
 	}
 	log.unconfirmed, log.lateEffect = false, true
 	late := request(h, http.MethodPut, "/settings", dalaToken, newChange("c-late", op))
 	if late.Code != http.StatusServiceUnavailable {
-		t.Fatalf("answer lost: %d", late.Code)
+		t.Fatalf("change that took effect unconfirmed: got status %d, want 503", late.Code)
 	}
 	got := request(h, http.MethodGet, "/changes/c-late", dalaToken, nil)
 	if result := decode[fold.ChangeResult](t, got); !result.Accepted {
-		t.Errorf("%+v", result)
+		t.Errorf("lookup returned %+v, want accepted", result)
 	}
 }
--- a/internal/operator/problem.go
+++ b/internal/operator/problem.go
@@ -8,24 +8,25 @@
 	"guavapier/internal/fold"
 )
 
-// maxBodyBytes bounds a request's body: a change of config.MaxChangeBytes with its
-// JSON around it.
+// maxBodyBytes bounds a request's body. It leaves room for a change of config.MaxChangeBytes
+// and the JSON syntax around it.
 const maxBodyBytes = 4 * config.MaxChangeBytes
 
-// problem says why a request was refused.
+// problem describes an error response. Code is for programs, Message for people.
 type problem struct {
 	Code    string `json:"code"`
 	Message string `json:"message"`
-	// Findings is all that is wrong with a change.
+	// Findings lists everything that is invalid in a change or a top-up.
 	Findings []config.Finding `json:"findings,omitempty"`
-	// Result is the fold's verdict on a refused change, with who won.
+	// Result is the result of a change that was not accepted, with the changes that came first.
 	Result *fold.ChangeResult `json:"result,omitempty"`
-	// ID and Ask say how to learn an unknown outcome.
+	// ID and StatusPath tell how to look up an unknown outcome: ID is that of the change, top-up
+	// or right, StatusPath the path of this API to read.
 	ID         string `json:"id,omitempty"`
 	StatusPath string `json:"ask,omitempty"`
 }
 
-// Problem is the body of every refusal.
+// Problem is the JSON body of every error response.
 type Problem struct {
 	Error problem `json:"error"`
 }
@@ -40,7 +41,8 @@
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-// readJSON reads a bounded body without unknown fields, or answers 400.
+// readJSON decodes the request's body into out and reports whether it could. Otherwise,
+// also if the body is too large or has unknown fields, it has answered 400.
 func readJSON(w http.ResponseWriter, r *http.Request, out any) bool {
 	dec := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	dec.DisallowUnknownFields()
@@ -51,8 +53,8 @@
 	return true
 }
 
-// writeOutcomeUnknown answers for an append that was not confirmed in time: it may
-// take effect yet.
+// writeOutcomeUnknown answers 503 for a record that the log didn't confirm within
+// ConfirmTimeout and that may still take effect. The outcome can be looked up at statusPath.
 func writeOutcomeUnknown(w http.ResponseWriter, id, statusPath, message string) {
 	w.Header().Set("Retry-After", "1")
 	writeProblem(w, http.StatusServiceUnavailable, problem{Code: "outcome_unknown", Message: message, ID: id, StatusPath: statusPath})
