--- a/internal/callers/callers.go
+++ b/internal/callers/callers.go
@@ -1,7 +1,7 @@
-// Package callers owns the connections of callers: which are open, what each of
-// them is doing, and when one of them may end. A connection ends only while
-// nothing was read from it since its last answer: a request that was read is
-// answered.
+// Package callers manages the TCP connections of callers: it accepts them, tracks
+// whether each is serving a request, closes idle ones, and drains them when the
+// process ends. It closes a connection only if nothing was read from it since the
+// last answer, so that every request that was read is answered.
 package callers
 
 import (
@@ -14,27 +14,33 @@
 	"guavapier/internal/linkload"
 )
 
-// Connections are the open connections of callers. As a listener and a hook for
-// states they belong to one http.Server.
+// Connections wraps the listener of one http.Server and tracks the connections that it
+// accepted. It must be the server's listener, and its method ConnState the server's
+// ConnState hook.
 type Connections struct {
 	*net.TCPListener
 	meter *linkload.Meter
 
-	mu        sync.Mutex
-	idleLimit time.Duration
-	open      map[*conn]struct{}
-	draining  bool
-	queued    time.Time // Since when a drain takes connections from the queue.
-	closed    bool      // No more connections are taken.
+	mu          sync.Mutex
+	idleTimeout time.Duration
+	conns       map[*conn]struct{}
+	draining    bool
+	// queueDrainStart is when a drain first tried to accept connections that were already
+	// in the listener's queue; zero before.
+	queueDrainStart time.Time
+	// closed reports that the listener is closed: no more connections can be accepted.
+	closed bool
 }
 
-// New wraps a listener; idleLimit is how long a kept connection may idle. meter counts
-// the connections' bytes; nil for no count.
-func New(listener *net.TCPListener, idleLimit time.Duration, meter *linkload.Meter) *Connections {
-	return &Connections{TCPListener: listener, meter: meter, idleLimit: idleLimit, open: map[*conn]struct{}{}}
+// New wraps a listener. idleTimeout is how long a connection may wait for its next request
+// before CloseIdle closes it. meter counts the bytes of all connections; if nil, they
+// aren't counted.
+func New(listener *net.TCPListener, idleTimeout time.Duration, meter *linkload.Meter) *Connections {
+	return &Connections{TCPListener: listener, meter: meter, idleTimeout: idleTimeout, conns: map[*conn]struct{}{}}
 }
 
-// Accept implements net.Listener.
+// Accept implements net.Listener. In a drain it returns the connections that are still in
+// the listener's queue, then http.ErrServerClosed.
 func (cs *Connections) Accept() (net.Conn, error) {
 	accepted, err := cs.AcceptTCP()
 	if err != nil && cs.isDraining() {
@@ -43,10 +49,10 @@
 	if err != nil {
 		return nil, err
 	}
-	c := newConn(accepted, cs.meter, cs.forget)
+	c := newConn(accepted, cs.meter, cs.remove)
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
-	cs.open[c] = struct{}{}
+	cs.conns[c] = struct{}{}
 	return c, nil
 }
 
@@ -58,59 +64,63 @@
 	return cs.TCPListener.Close()
 }
 
-func (cs *Connections) forget(c *conn) {
+// remove stops tracking a closed connection.
+func (cs *Connections) remove(c *conn) {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
-	delete(cs.open, c)
+	delete(cs.conns, c)
 }
 
-// Open returns how many connections are open.
-func (cs *Connections) Open() int {
+// Len returns the number of open connections.
+func (cs *Connections) Len() int {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
-	return len(cs.open)
+	return len(cs.conns)
 }
 
-// ConnState is the server's hook.
+// ConnState records whether a connection is active or idle. It is the ConnState hook of the
+// http.Server that uses these Connections, with or without TLS.
 func (cs *Connections) ConnState(c net.Conn, s http.ConnState) {
 	if secured, ok := c.(*tls.Conn); ok {
 		c = secured.NetConn()
 	}
-	ours, ok := c.(*conn)
+	callerConn, ok := c.(*conn)
 	if !ok {
 		return
 	}
 	switch s {
 	case http.StateActive:
-		ours.setBusy()
+		callerConn.setActive()
 	case http.StateIdle:
-		ours.setIdle(time.Now())
+		callerConn.setIdle(time.Now())
 	}
 }
 
-// SetIdleLimit changes how long a kept connection may idle.
-func (cs *Connections) SetIdleLimit(limit time.Duration) {
+// SetIdleTimeout changes how long a connection may wait for its next request.
+func (cs *Connections) SetIdleTimeout(timeout time.Duration) {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
-	cs.idleLimit = limit
+	cs.idleTimeout = timeout
 }
 
-// Sweep ends the connections that have idled longer than the limit. net/http's
-// own limit is fixed when a server starts.
-func (cs *Connections) Sweep() {
-	open, limit := cs.snapshot()
+// CloseIdle closes the connections that have waited longer than the idle timeout for their
+// next request; it has to be called periodically. It is used instead of
+// http.Server.IdleTimeout, which can't be changed after the server has started.
+func (cs *Connections) CloseIdle() {
+	conns, timeout := cs.snapshot()
 	now := time.Now()
-	for _, c := range open {
-		c.endIdle(now, limit)
+	for _, c := range conns {
+		c.expireIfIdle(now, timeout)
 	}
 }
 
+// snapshot returns the open connections and the idle timeout.
 func (cs *Connections) snapshot() ([]*conn, time.Duration) {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
-	open := make([]*conn, 0, len(cs.open))
-	for c := range cs.open {
-		open = append(open, c)
+	conns := make([]*conn, 0, len(cs.conns))
+	for c := range cs.conns {
+		conns = append(conns, c)
 	}
-	return open, cs.idleLimit
+	return conns, cs.idleTimeout
 }
--- a/internal/operator/access.go
+++ b/internal/operator/access.go
@@ -16,64 +16,71 @@
 	"guavapier/internal/record"
 )
 
-// fileOperator is the name of whoever uses the token of the settings file.
-const fileOperator = "fleet"
+// fleetOperatorName is the name under which the history shows changes made with the token
+// of the settings file.
+const fleetOperatorName = "fleet"
 
-type operatorKey struct{}
+// operatorContextKey is the context key of the operator that authenticate found.
+type operatorContextKey struct{}
 
-// authenticate finds the operator of the request's bearer token.
-func (i *Interface) authenticate(next http.Handler) http.Handler {
+// authenticate looks up the operator of the request's bearer token and stores it in the
+// request's context. Without a valid token it answers 401.
+func (a *API) authenticate(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		operator, err := i.operator(r)
+		operator, err := a.identify(r)
 		switch {
 		case eris.Is(err, config.ErrExpired):
 			writeProblem(w, http.StatusUnauthorized, problem{Code: "expired_operator_token", Message: "The operator token has expired; a fleet operator can set a later time or a new token."})
 		case err != nil:
 			writeProblem(w, http.StatusUnauthorized, problem{Code: "invalid_operator_token", Message: "The operator token is missing or not valid."})
 		default:
-			next.ServeHTTP(w, r.WithContext(context.WithValue(r.Context(), operatorKey{}, operator)))
+			next.ServeHTTP(w, r.WithContext(context.WithValue(r.Context(), operatorContextKey{}, operator)))
 		}
 	})
 }
 
-func (i *Interface) operator(r *http.Request) (config.Operator, error) {
+// identify returns the operator of the request's bearer token. Errors: config.ErrForged,
+// also if there is no token, and config.ErrExpired.
+func (a *API) identify(r *http.Request) (config.Operator, error) {
 	token, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !ok || token == "" {
 		return config.Operator{}, config.ErrForged
 	}
-	if sameSecret(token, i.Token) {
-		return config.Operator{Name: fileOperator}, nil
+	if secretsEqual(token, a.FleetToken) {
+		return config.Operator{Name: fleetOperatorName}, nil
 	}
 	var operator config.Operator
 	var err error
-	i.Config.View(func(f *fold.Config) { operator, err = config.AuthenticateOperator(f, token, time.Now()) })
+	a.Config.View(func(f *fold.Config) { operator, err = config.AuthenticateOperator(f, token, time.Now()) })
 	return operator, err
 }
 
-// sameSecret compares digests, so that the time taken tells nothing about the
-// secret, its length included. An empty secret is never the same.
-func sameSecret(got, want string) bool {
+// secretsEqual reports whether got is the secret want. It compares digests, so that the
+// time taken reveals nothing about the secret, not even its length. An empty want equals
+// nothing.
+func secretsEqual(got, want string) bool {
 	g, w := sha256.Sum256([]byte(got)), sha256.Sum256([]byte(want))
 	return want != "" && subtle.ConstantTimeCompare(g[:], w[:]) == 1
 }
 
-func operatorOf(r *http.Request) config.Operator {
-	operator, ok := r.Context().Value(operatorKey{}).(config.Operator)
+// authenticatedOperator returns the operator that authenticate stored.
+func authenticatedOperator(r *http.Request) config.Operator {
+	operator, ok := r.Context().Value(operatorContextKey{}).(config.Operator)
 	if !ok {
-		// No credential was checked: an operator of a team without a name,
-		// which may do nothing.
+		// No credential was checked. The operator of a team that doesn't exist has no
+		// permissions.
 		return config.Operator{Team: "-"}
 	}
 	return operator
 }
 
-// authorize refuses operators that a route is not for.
-func authorize(a access) func(http.Handler) http.Handler {
+// authorize returns a middleware that answers 403 to operators without the required access.
+func authorize(required access) func(http.Handler) http.Handler {
 	return func(next http.Handler) http.Handler {
 		return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			operator := operatorOf(r)
-			allowed := operator.Fleet() || a == accessScoped ||
-				a == accessTeam && record.Team(chi.URLParam(r, "team")) == operator.Team
+			operator := authenticatedOperator(r)
+			allowed := operator.Fleet() || required == accessScoped ||
+				required == accessTeam && record.Team(chi.URLParam(r, "team")) == operator.Team
 			if !allowed {
 				writeForbidden(w, "This is for fleet operators, or for the operators of that team.")
 				return
@@ -83,6 +90,7 @@
 	}
 }
 
+// writeForbidden answers 403 to an operator whose scope doesn't permit the request.
 func writeForbidden(w http.ResponseWriter, message string) {
 	writeProblem(w, http.StatusForbidden, problem{Code: "out_of_scope", Message: message})
 }
