--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -19,19 +19,19 @@
 	// ServiceName is the name under which instances serve their entries.
 	ServiceName = "relay.Service"
 
-	// ringEntries and ringBytes bound the recent entries kept of one stream.
-	ringEntries = 256
-	ringBytes   = 512 << 10
-	// replyBytes bounds one answer; see peer.MaxMessageBytes.
-	replyBytes = 1 << 20
-	// probeEvery is how often a platform that failed is tried again.
-	probeEvery = time.Second
-	// relayPoll is the pause after a look at peers that brought nothing.
-	relayPoll = 300 * time.Millisecond
-	// askPeers is how many peers are asked in one read.
-	askPeers = 2
-	// askTimeout bounds asking one peer, and a peer's read of the platform.
-	askTimeout = time.Second
+	// maxRingEntries and ringBytes bound the recent entries kept of one stream.
+	maxRingEntries = 256
+	maxRingBytes   = 512 << 10
+	// maxReplyBytes bounds one answer; see peer.MaxMessageBytes.
+	maxReplyBytes = 1 << 20
+	// platformProbeInterval is how often a platform that failed is tried again.
+	platformProbeInterval = time.Second
+	// emptyReadPause is the pause after a look at peers that brought nothing.
+	emptyReadPause = 300 * time.Millisecond
+	// maxPeersPerRead is how many peers are asked in one read.
+	maxPeersPerRead = 2
+	// peerReadTimeout bounds asking one peer, and a peer's read of the platform.
+	peerReadTimeout = time.Second
 )
 
 // Peers gives the live instances, nearest first; see package membership.
@@ -47,10 +47,10 @@
 	caller   peer.Caller
 	peers    Peers
 
-	mu     sync.Mutex // Guards all below.
-	rings  map[record.Stream]*ring
-	failed time.Time // Last failure of the platform; zero while it answers.
-	turn   int
+	mu          sync.Mutex // Guards all below.
+	rings       map[record.Stream]*ring
+	lastFailure time.Time // Last failure of the platform; zero while it answers.
+	readCount   int
 }
 
 var _ logstore.Log = (*Log)(nil)
@@ -68,57 +68,57 @@
 // Read implements logstore.Log. While the platform fails, peers are asked
 // first and the platform is tried again each probeEvery.
 func (l *Log) Read(ctx context.Context, stream record.Stream, from uint64, wait time.Duration) (logstore.Page, error) {
-	try, away := l.plan(time.Now())
-	if away {
+	tryPlatform, unavailable := l.planRead(time.Now())
+	if unavailable {
 		wait = 0
 	}
 	err := logstore.ErrUnavailable
-	if try {
+	if tryPlatform {
 		var page logstore.Page
 		page, err = l.platform.Read(ctx, stream, from, wait)
-		l.note(stream, from, page, err)
+		l.recordPlatformRead(stream, from, page, err)
 		if !errors.Is(err, logstore.ErrUnavailable) {
 			return page, err
 		}
 	}
-	if page, ok := l.askPeers(ctx, stream, from); ok {
+	if page, ok := l.readFromPeers(ctx, stream, from); ok {
 		return page, nil
 	}
-	pause(ctx, relayPoll)
+	sleep(ctx, emptyReadPause)
 	return logstore.Page{}, eris.Wrap(err, "relay: nothing new from peers")
 }
 
-// plan decides whether a read tries the platform. Load: a platform out of
+// planRead decides whether a read tries the platform. Load: a platform out of
 // reach, many streams. Harm prevented: each stream waiting out the platform's
 // timeout before it asks a peer that has the entry. Limit: one try each
 // probeEvery, so that its return is seen soon.
-func (l *Log) plan(now time.Time) (try, away bool) {
+func (l *Log) planRead(now time.Time) (tryPlatform, unavailable bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.failed.IsZero() {
+	if l.lastFailure.IsZero() {
 		return true, false
 	}
-	if now.Sub(l.failed) < probeEvery {
+	if now.Sub(l.lastFailure) < platformProbeInterval {
 		return false, true
 	}
-	l.failed = now // The other streams wait for this try.
+	l.lastFailure = now // The other streams wait for this try.
 	return true, true
 }
 
-func (l *Log) note(stream record.Stream, from uint64, page logstore.Page, err error) {
+func (l *Log) recordPlatformRead(stream record.Stream, from uint64, page logstore.Page, err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
 	case errors.Is(err, logstore.ErrUnavailable):
-		l.failed = time.Now()
+		l.lastFailure = time.Now()
 	case err == nil:
-		l.failed = time.Time{}
-		l.ring(stream).add(from, page.Entries)
+		l.lastFailure = time.Time{}
+		l.ringFor(stream).add(from, page.Entries)
 	}
 }
 
-// ring is called with the lock held.
-func (l *Log) ring(stream record.Stream) *ring {
+// ringFor is called with the lock held.
+func (l *Log) ringFor(stream record.Stream) *ring {
 	r, ok := l.rings[stream]
 	if !ok {
 		r = &ring{}
@@ -127,43 +127,43 @@
 	return r
 }
 
-func (l *Log) askPeers(ctx context.Context, stream record.Stream, from uint64) (logstore.Page, bool) {
-	for _, id := range l.choose() {
-		ask, cancel := context.WithTimeout(ctx, askTimeout)
+func (l *Log) readFromPeers(ctx context.Context, stream record.Stream, from uint64) (logstore.Page, bool) {
+	for _, id := range l.selectPeers() {
+		callCtx, cancel := context.WithTimeout(ctx, peerReadTimeout)
 		var reply ReadReply
-		err := l.caller.Call(ask, id, ServiceName+".Read", ReadArgs{Stream: stream, From: from}, &reply)
+		err := l.caller.Call(callCtx, id, ServiceName+".Read", ReadArgs{Stream: stream, From: from}, &reply)
 		cancel()
 		if err != nil || len(reply.Entries) == 0 || reply.Entries[0].Offset < from {
 			continue
 		}
 		l.mu.Lock()
-		l.ring(stream).add(from, reply.Entries)
+		l.ringFor(stream).add(from, reply.Entries)
 		l.mu.Unlock()
 		return logstore.Page{Entries: reply.Entries, Next: reply.Entries[len(reply.Entries)-1].Offset + 1}, true
 	}
 	return logstore.Page{}, false
 }
 
-// choose returns the peers to ask, others with each read.
-func (l *Log) choose() []record.InstanceID {
+// selectPeers returns the peers to ask, others with each read.
+func (l *Log) selectPeers() []record.InstanceID {
 	var ids []record.InstanceID
-	for _, in := range l.peers.Live() {
-		if in.ID != l.self {
-			ids = append(ids, in.ID)
+	for _, instance := range l.peers.Live() {
+		if instance.ID != l.self {
+			ids = append(ids, instance.ID)
 		}
 	}
 	l.mu.Lock()
-	l.turn++
-	turn := l.turn
+	l.readCount++
+	first := l.readCount
 	l.mu.Unlock()
-	out := make([]record.InstanceID, 0, askPeers)
-	for i := range min(askPeers, len(ids)) {
-		out = append(out, ids[(turn+i)%len(ids)])
+	selected := make([]record.InstanceID, 0, maxPeersPerRead)
+	for i := range min(maxPeersPerRead, len(ids)) {
+		selected = append(selected, ids[(first+i)%len(ids)])
 	}
-	return out
+	return selected
 }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-time.After(d):
 	case <-ctx.Done():
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -14,36 +14,36 @@
 	"guavapier/internal/relay"
 )
 
-// memory is a platform log that can be out of reach for one instance.
-type memory struct {
-	entries []logstore.Entry
-	down    map[record.InstanceID]bool
+// memoryLog is a platform log that can be out of reach for one instance.
+type memoryLog struct {
+	entries     []logstore.Entry
+	unreachable map[record.InstanceID]bool
 }
 
-type view struct {
-	m  *memory
-	id record.InstanceID
+type instanceLog struct {
+	shared *memoryLog
+	id     record.InstanceID
 }
 
-func (v view) Append(_ context.Context, _ record.Stream, data []byte) (uint64, error) {
-	offset := uint64(len(v.m.entries))
-	v.m.entries = append(v.m.entries, logstore.Entry{Offset: offset, Data: data})
+func (v instanceLog) Append(_ context.Context, _ record.Stream, data []byte) (uint64, error) {
+	offset := uint64(len(v.shared.entries))
+	v.shared.entries = append(v.shared.entries, logstore.Entry{Offset: offset, Data: data})
 	return offset, nil
 }
 
-func (v view) Read(_ context.Context, _ record.Stream, from uint64, _ time.Duration) (logstore.Page, error) {
-	if v.m.down[v.id] {
+func (v instanceLog) Read(_ context.Context, _ record.Stream, from uint64, _ time.Duration) (logstore.Page, error) {
+	if v.shared.unreachable[v.id] {
 		return logstore.Page{}, logstore.ErrUnavailable
 	}
-	from = min(from, uint64(len(v.m.entries)))
-	page := slices.Clone(v.m.entries[from:])
+	from = min(from, uint64(len(v.shared.entries)))
+	page := slices.Clone(v.shared.entries[from:])
 	return logstore.Page{Entries: page, Next: from + uint64(len(page))}, nil
 }
 
-// links calls services directly.
-type links map[record.InstanceID]*relay.Service
+// directPeers calls services directly.
+type directPeers map[record.InstanceID]*relay.Service
 
-func (l links) Call(_ context.Context, to record.InstanceID, _ string, args, reply any) error {
+func (l directPeers) Call(_ context.Context, to record.InstanceID, _ string, args, reply any) error {
 	s, ok := l[to]
 	if !ok {
 		return peer.ErrUnreachable
@@ -51,24 +51,24 @@
 	return s.Read(args.(relay.ReadArgs), reply.(*relay.ReadReply))
 }
 
-func (l links) Live() []logstore.Instance {
+func (l directPeers) Live() []logstore.Instance {
 	return []logstore.Instance{{ID: "a"}, {ID: "b"}, {ID: "gone"}}
 }
 
-// fleet is two instances over one memory; a cannot reach it.
-func fleet() (*memory, links, map[record.InstanceID]*relay.Log) {
-	m := &memory{down: map[record.InstanceID]bool{"a": true}}
-	l := links{}
+// newFleet is two instances over one memory; a cannot reach it.
+func newFleet() (*memoryLog, directPeers, map[record.InstanceID]*relay.Log) {
+	m := &memoryLog{unreachable: map[record.InstanceID]bool{"a": true}}
+	l := directPeers{}
 	logs := map[record.InstanceID]*relay.Log{}
 	for _, id := range []record.InstanceID{"a", "b"} {
-		logs[id] = relay.New(view{m, id}, id, l, l)
+		logs[id] = relay.New(instanceLog{m, id}, id, l, l)
 		l[id] = relay.NewService(logs[id])
 	}
 	return m, l, logs
 }
 
-// readTo reads from an offset until want entries are there, in bounded steps.
-func readTo(t *testing.T, log *relay.Log, from, want int) []logstore.Entry {
+// readEntries reads from an offset until want entries are there, in bounded steps.
+func readEntries(t *testing.T, log *relay.Log, from, want int) []logstore.Entry {
 	t.Helper()
 	var got []logstore.Entry
 	for range 20 {
@@ -85,7 +85,7 @@
 	return nil
 }
 
-func fill(t *testing.T, log *relay.Log, n int) {
+func appendEntries(t *testing.T, log *relay.Log, n int) {
 	t.Helper()
 	for i := range n {
 		if _, err := log.Append(context.Background(), "config", []byte{byte(i), byte(i >> 8)}); err != nil {
@@ -98,12 +98,12 @@
 // once, through its peer: those in the ring and those before it.
 func TestReadsFallBackToPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		m, _, logs := fleet()
-		fill(t, logs["b"], 600)
-		readTo(t, logs["b"], 0, 600)
-		fill(t, logs["b"], 3)
-		readTo(t, logs["b"], 600, 3)
-		for n, e := range readTo(t, logs["a"], 0, 603) {
+		m, _, logs := newFleet()
+		appendEntries(t, logs["b"], 600)
+		readEntries(t, logs["b"], 0, 600)
+		appendEntries(t, logs["b"], 3)
+		readEntries(t, logs["b"], 600, 3)
+		for n, e := range readEntries(t, logs["a"], 0, 603) {
 			if e.Offset != uint64(n) || !slices.Equal(e.Data, m.entries[n].Data) {
 				t.Fatalf("entry %d: offset %d", n, e.Offset)
 			}
@@ -114,13 +114,13 @@
 // The platform is read again when it is back, without any peer.
 func TestReadsGoBackToThePlatform(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		m, l, logs := fleet()
-		fill(t, logs["b"], 5)
-		readTo(t, logs["b"], 0, 5)
-		readTo(t, logs["a"], 0, 5)
+		m, l, logs := newFleet()
+		appendEntries(t, logs["b"], 5)
+		readEntries(t, logs["b"], 0, 5)
+		readEntries(t, logs["a"], 0, 5)
 		delete(l, "b")
-		fill(t, logs["b"], 5)
-		m.down["a"] = false
-		readTo(t, logs["a"], 5, 5)
+		appendEntries(t, logs["b"], 5)
+		m.unreachable["a"] = false
+		readEntries(t, logs["a"], 5, 5)
 	})
 }
--- a/internal/relay/ring.go
+++ b/internal/relay/ring.go
@@ -5,27 +5,27 @@
 // ring keeps the recent entries of one stream without a gap: all entries with
 // offsets from first up to, not including, next.
 type ring struct {
-	first, next uint64
-	entries     []logstore.Entry
-	bytes       int
+	firstOffset, nextOffset uint64
+	entries                 []logstore.Entry
+	bytes                   int
 }
 
 // add takes in entries that were read from an offset on.
 func (r *ring) add(from uint64, entries []logstore.Entry) {
-	if from > r.next || len(r.entries) == 0 {
-		*r = ring{first: from, next: from}
+	if from > r.nextOffset || len(r.entries) == 0 {
+		*r = ring{firstOffset: from, nextOffset: from}
 	}
 	for _, e := range entries {
-		if e.Offset < r.next {
+		if e.Offset < r.nextOffset {
 			continue
 		}
 		r.entries = append(r.entries, e)
 		r.bytes += len(e.Data)
-		r.next = e.Offset + 1
+		r.nextOffset = e.Offset + 1
 	}
-	for len(r.entries) > ringEntries || r.bytes > ringBytes {
+	for len(r.entries) > maxRingEntries || r.bytes > maxRingBytes {
 		r.bytes -= len(r.entries[0].Data)
-		r.first = r.entries[0].Offset + 1
+		r.firstOffset = r.entries[0].Offset + 1
 		r.entries = r.entries[1:]
 	}
 }
@@ -33,7 +33,7 @@
 // read returns the entries from an offset on, and whether the ring reaches
 // back that far.
 func (r *ring) read(from uint64) ([]logstore.Entry, bool) {
-	if from < r.first || from > r.next {
+	if from < r.firstOffset || from > r.nextOffset {
 		return nil, false
 	}
 	for n, e := range r.entries {
@@ -44,12 +44,12 @@
 	return nil, true
 }
 
-// bound cuts entries to what one answer may have, one at least.
-func bound(entries []logstore.Entry) []logstore.Entry {
+// limitReply cuts entries to what one answer may have, one at least.
+func limitReply(entries []logstore.Entry) []logstore.Entry {
 	size := 0
 	for n, e := range entries {
 		size += len(e.Data)
-		if n > 0 && size > replyBytes {
+		if n > 0 && size > maxReplyBytes {
 			return entries[:n]
 		}
 	}
--- a/internal/relay/service.go
+++ b/internal/relay/service.go
@@ -27,17 +27,17 @@
 // platform, while that answers here.
 func (s *Service) Read(args ReadArgs, reply *ReadReply) error {
 	s.log.mu.Lock()
-	entries, ok := s.log.ring(args.Stream).read(args.From)
-	up := s.log.failed.IsZero()
+	entries, covered := s.log.ringFor(args.Stream).read(args.From)
+	platformReachable := s.log.lastFailure.IsZero()
 	s.log.mu.Unlock()
-	if !ok && up {
-		ctx, cancel := context.WithTimeout(context.Background(), askTimeout)
+	if !covered && platformReachable {
+		ctx, cancel := context.WithTimeout(context.Background(), peerReadTimeout)
 		defer cancel()
 		page, err := s.log.platform.Read(ctx, args.Stream, args.From, 0)
 		if err == nil {
 			entries = page.Entries
 		}
 	}
-	reply.Entries = bound(entries)
+	reply.Entries = limitReply(entries)
 	return nil
 }
