--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -77,7 +77,7 @@
 }
 
 func loadSecrets(s settings.Settings) (server.Secrets, error) {
-	secrets := server.Secrets{Sessions: session.Keyring{Current: s.Sessions.CurrentKey, Keys: map[string][]byte{}}}
+	secrets := server.Secrets{Sessions: session.Keyring{CurrentKeyID: s.Sessions.CurrentKey, Keys: map[string][]byte{}}}
 	for id, file := range s.Sessions.KeyFiles {
 		key, err := readSecret(file)
 		if err != nil {
--- a/internal/cli/standalone.go
+++ b/internal/cli/standalone.go
@@ -47,7 +47,7 @@
 	s.Platform.URL = url
 	s.Log = settings.Log{Level: "info", Format: "console"}
 	secrets := server.Secrets{
-		Sessions: session.Keyring{Current: "k1", Keys: map[string][]byte{"k1": []byte("standalone-only")}},
+		Sessions: session.Keyring{CurrentKeyID: "k1", Keys: map[string][]byte{"k1": []byte("standalone-only")}},
 		Operator: sampleOperator,
 	}
 	log, err := logging.New(s.Log, o.err)
--- a/internal/entry/door_test.go
+++ b/internal/entry/door_test.go
@@ -117,7 +117,7 @@
 		Limits:  run.Limits{Endpoints: 2, Resumes: 1, Progress: 10 * time.Second, Linger: time.Minute, Control: 2 * time.Second},
 		Leaving: func(string) {}, OnError: func(err error) { t.Error(err) },
 	}
-	d.keys = session.Keyring{Current: "k1", Keys: map[string][]byte{"k1": []byte(testSecret)}}
+	d.keys = session.Keyring{CurrentKeyID: "k1", Keys: map[string][]byte{"k1": []byte(testSecret)}}
 	callers := &Callers{
 		Zone: "hall-a", Config: replica.New(record.ConfigStream, f), Sessions: d.keys, Runner: runner,
 		Limits: Limits{
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -57,7 +57,7 @@
 	Zone     record.Zone
 	Config   *replica.Replica[*fold.Config]
 	Sessions session.Keyring
-	Ends     session.Ends
+	Ends     session.Registry
 	Runner   *run.Runner
 	Limits   Limits
 	// Ready says whether the instance takes new requests.
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -25,7 +25,7 @@
 
 func TestMalformedInputGetsItsOwnClearAnswer(t *testing.T) {
 	d := newDoor(t)
-	_, foreign, err := d.keys.Open("another", "hall-a")
+	_, foreign, err := d.keys.Issue("another", "hall-a")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/entry/eventid.go
+++ b/internal/entry/eventid.go
@@ -19,7 +19,7 @@
 // signature binds the run to its team, so that the id alone lets the team, and
 // nobody else, go on in the run at any instance.
 func (c *Callers) eventID(team record.Team, run record.RunID, n int) string {
-	return string(run) + "." + strconv.Itoa(n) + "." + signRun(c.Sessions.Keys[c.Sessions.Current], team, run)
+	return string(run) + "." + strconv.Itoa(n) + "." + signRun(c.Sessions.Keys[c.Sessions.CurrentKeyID], team, run)
 }
 
 func signRun(key []byte, team record.Team, run record.RunID) string {
--- a/internal/entry/session.go
+++ b/internal/entry/session.go
@@ -28,7 +28,7 @@
 }
 
 func (c *Callers) handleOpenSession(w http.ResponseWriter, r *http.Request) {
-	id, token, err := c.Sessions.Open(teamOf(r).Name, c.Zone)
+	id, token, err := c.Sessions.Issue(teamOf(r).Name, c.Zone)
 	if err != nil {
 		writeProblem(w, http.StatusInternalServerError, problem{Type: typeServer, Code: "no_signing_key", Message: err.Error(), Outcome: record.OutcomeNotRun})
 		return
@@ -42,7 +42,7 @@
 func (c *Callers) list(ctx context.Context, id session.Identity) {
 	ctx, cancel := context.WithTimeout(ctx, listPatience)
 	defer cancel()
-	_ = c.Ends.List(ctx, id, time.Now())
+	_ = c.Ends.RecordOpened(ctx, id, time.Now())
 }
 
 type sessionList struct {
@@ -52,7 +52,7 @@
 // handleSessions lists the team's open sessions, oldest first.
 func (c *Callers) handleSessions(w http.ResponseWriter, r *http.Request) {
 	list := sessionList{Sessions: []sessionBody{}}
-	for _, row := range c.Ends.Listed(teamOf(r).Name) {
+	for _, row := range c.Ends.OpenSessions(teamOf(r).Name) {
 		list.Sessions = append(list.Sessions, sessionBody{ID: string(row.Session), Home: string(row.Zone)})
 	}
 	writeJSON(w, http.StatusOK, list)
@@ -62,7 +62,7 @@
 // opened is not told from an open one: identities are self-contained.
 func (c *Callers) handleSession(w http.ResponseWriter, r *http.Request) {
 	id := record.SessionID(chi.URLParam(r, "id"))
-	writeJSON(w, http.StatusOK, sessionBody{ID: string(id), Ended: c.Ends.Ended(teamOf(r).Name, id)})
+	writeJSON(w, http.StatusOK, sessionBody{ID: string(id), Ended: c.Ends.IsEnded(teamOf(r).Name, id)})
 }
 
 // handleEndSession ends one of the team's own sessions.
@@ -91,7 +91,7 @@
 	if err != nil || id.Team != team {
 		return id, &refusal{status: http.StatusForbidden, problem: invalid("invalid_session", "The session is not valid for this team.")}
 	}
-	if c.Ends.Ended(team, id.ID) {
+	if c.Ends.IsEnded(team, id.ID) {
 		return id, &refusal{status: http.StatusForbidden, problem: sessionEnded(r)}
 	}
 	return id, nil
--- a/internal/server/operators_test.go
+++ b/internal/server/operators_test.go
@@ -33,7 +33,7 @@
 	s.Instance = settings.Instance{Name: "a1", Zone: "hall-a", Callers: anyPort, Operators: anyPort, Peers: anyPort}
 	s.Platform.URL = p.URL
 	secrets := server.Secrets{
-		Sessions: session.Keyring{Current: "k1", Keys: map[string][]byte{"k1": []byte("key")}}, Operator: operatorToken,
+		Sessions: session.Keyring{CurrentKeyID: "k1", Keys: map[string][]byte{"k1": []byte("key")}}, Operator: operatorToken,
 	}
 	srv, err := server.New(s, secrets, zerolog.Nop())
 	if err != nil {
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -200,7 +200,7 @@
 	limits := s.settings.Limits
 	c := &entry.Callers{
 		Zone: record.Zone(s.settings.Instance.Zone), Config: s.config, Sessions: s.secrets.Sessions, Runner: s.runner,
-		Ends: session.Ends{Log: s.publisher, Partitions: s.partitions},
+		Ends: session.Registry{Log: s.publisher, Partitions: s.partitions},
 		Limits: entry.Limits{
 			BodyBytes: limits.BodyBytes, AnswerBytes: int(limits.AnswerBytes), MaxTokens: limits.MaxTokens,
 			BytesPerToken: limits.PromptBytesPerToken, Read: readWithin, Write: writeWithin, Heartbeat: callerHeartbeat,
--- a/internal/session/session.go
+++ b/internal/session/session.go
@@ -38,29 +38,29 @@
 // Keyring holds the signing keys by key id. Old keys stay until their last
 // session has ended; new sessions are signed with Current.
 type Keyring struct {
-	Current string
-	Keys    map[string][]byte
+	CurrentKeyID string
+	Keys         map[string][]byte
 }
 
-// Open makes a new identity and its token.
-func (k Keyring) Open(team record.Team, home record.Zone) (Identity, string, error) {
-	key, ok := k.Keys[k.Current]
+// Issue makes a new identity and its token.
+func (k Keyring) Issue(team record.Team, home record.Zone) (Identity, string, error) {
+	key, ok := k.Keys[k.CurrentKeyID]
 	if !ok {
-		return Identity{}, "", eris.Wrapf(ErrUnknownKey, "session: current key %q", k.Current)
+		return Identity{}, "", eris.Wrapf(ErrUnknownKey, "session: current key %q", k.CurrentKeyID)
 	}
-	id := Identity{ID: record.SessionID(uuid.NewString()), Team: team, Home: home, KeyID: k.Current}
-	body := strings.Join([]string{tokenPrefix, enc(string(id.ID)), enc(string(team)), enc(string(home)), enc(id.KeyID)}, separator)
+	id := Identity{ID: record.SessionID(uuid.NewString()), Team: team, Home: home, KeyID: k.CurrentKeyID}
+	body := strings.Join([]string{tokenPrefix, encodeField(string(id.ID)), encodeField(string(team)), encodeField(string(home)), encodeField(id.KeyID)}, separator)
 	return id, body + separator + sign(key, body), nil
 }
 
 // Verify checks a token and returns its identity.
 func (k Keyring) Verify(token string) (Identity, error) {
-	cut := strings.LastIndex(token, separator)
-	if cut < 0 {
+	macSeparator := strings.LastIndex(token, separator)
+	if macSeparator < 0 {
 		return Identity{}, ErrMalformed
 	}
-	body, mac := token[:cut], token[cut+1:]
-	id, err := parse(body)
+	body, mac := token[:macSeparator], token[macSeparator+1:]
+	id, err := parseBody(body)
 	if err != nil {
 		return Identity{}, err
 	}
@@ -74,7 +74,7 @@
 	return id, nil
 }
 
-func parse(body string) (Identity, error) {
+func parseBody(body string) (Identity, error) {
 	parts := strings.Split(body, separator)
 	if len(parts) != 5 || parts[0] != tokenPrefix {
 		return Identity{}, ErrMalformed
@@ -95,7 +95,7 @@
 	}, nil
 }
 
-func enc(s string) string { return base64.RawURLEncoding.EncodeToString([]byte(s)) }
+func encodeField(s string) string { return base64.RawURLEncoding.EncodeToString([]byte(s)) }
 
 func sign(key []byte, body string) string {
 	mac := hmac.New(sha256.New, key)
--- a/internal/session/session_test.go
+++ b/internal/session/session_test.go
@@ -14,8 +14,8 @@
 	"guavapier/internal/session"
 )
 
-func ring(current string, ids ...string) session.Keyring {
-	k := session.Keyring{Current: current, Keys: map[string][]byte{}}
+func newKeyring(current string, ids ...string) session.Keyring {
+	k := session.Keyring{CurrentKeyID: current, Keys: map[string][]byte{}}
 	for _, id := range ids {
 		k.Keys[id] = []byte("secret of " + id)
 	}
@@ -27,8 +27,8 @@
 	rapid.Check(t, func(t *rapid.T) {
 		team := record.Team(rapid.StringMatching(`[a-z.:/é]{1,12}`).Draw(t, "team"))
 		zone := record.Zone(rapid.String().Draw(t, "zone"))
-		keys := ring("k1", "k1", "k2")
-		id, token, err := keys.Open(team, zone)
+		keys := newKeyring("k1", "k1", "k2")
+		id, token, err := keys.Issue(team, zone)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -36,23 +36,23 @@
 			t.Fatalf("opened %+v, verified %+v: %v", id, got, err)
 		}
 		forged := []byte(token)
-		at := rapid.IntRange(0, len(forged)-1).Draw(t, "at")
-		with := rapid.Byte().Draw(t, "with")
+		position := rapid.IntRange(0, len(forged)-1).Draw(t, "at")
+		value := rapid.Byte().Draw(t, "with")
 		switch rapid.IntRange(0, 2).Draw(t, "how") {
 		case 0:
-			forged[at] = with
+			forged[position] = value
 		case 1:
-			forged = forged[:at]
+			forged = forged[:position]
 		case 2:
-			forged = append(forged, with)
+			forged = append(forged, value)
 		}
 		if got, err := keys.Verify(string(forged)); err == nil && string(forged) != token {
 			t.Fatalf("forged %q verified as %+v", forged, got)
 		}
-		if _, err := ring("k1", "k2").Verify(token); !errors.Is(err, session.ErrUnknownKey) {
+		if _, err := newKeyring("k1", "k2").Verify(token); !errors.Is(err, session.ErrUnknownKey) {
 			t.Fatalf("signed with a key that is not accepted: %v", err)
 		}
-		other := ring("k1", "k1")
+		other := newKeyring("k1", "k1")
 		other.Keys["k1"] = []byte("another secret")
 		if _, err := other.Verify(token); !errors.Is(err, session.ErrForged) {
 			t.Fatalf("signed with another secret: %v", err)
@@ -62,23 +62,23 @@
 
 // A rotation signs new sessions with the new key and keeps the old ones.
 func TestRotationKeepsSessions(t *testing.T) {
-	_, token, err := ring("k1", "k1").Open("dala", "hall-a")
+	_, token, err := newKeyring("k1", "k1").Issue("dala", "hall-a")
 	if err != nil {
 		t.Fatal(err)
 	}
-	rotated := ring("k2", "k1", "k2")
+	rotated := newKeyring("k2", "k1", "k2")
 	if _, err := rotated.Verify(token); err != nil {
 		t.Fatal(err)
 	}
-	if id, _, err := rotated.Open("dala", "hall-a"); err != nil || id.KeyID != "k2" {
+	if id, _, err := rotated.Issue("dala", "hall-a"); err != nil || id.KeyID != "k2" {
 		t.Fatalf("new session under key %q: %v", id.KeyID, err)
 	}
 }
 
 // memoryLog applies what is appended to one replica.
 type memoryLog struct {
-	part *replica.Replica[*fold.Ledger]
-	seq  uint64
+	partition *replica.Replica[*fold.Ledger]
+	seq       uint64
 }
 
 func (m *memoryLog) Append(_ context.Context, _ record.Stream, records ...record.Record) (uint64, error) {
@@ -93,22 +93,22 @@
 	if err != nil {
 		return 0, err
 	}
-	offset := m.part.Next()
-	return offset, m.part.Apply(logstore.Entry{Offset: offset, Data: data})
+	offset := m.partition.Next()
+	return offset, m.partition.Apply(logstore.Entry{Offset: offset, Data: data})
 }
 
 func TestOnlyItsTeamEndsASession(t *testing.T) {
-	part := replica.New(record.LedgerStream(0), fold.NewLedger())
-	ends := session.Ends{Log: &memoryLog{part: part}, Partitions: []*replica.Replica[*fold.Ledger]{part}}
+	partition := replica.New(record.LedgerStream(0), fold.NewLedger())
+	registry := session.Registry{Log: &memoryLog{partition: partition}, Partitions: []*replica.Replica[*fold.Ledger]{partition}}
 	for _, team := range []record.Team{"other", "dala", "dala"} {
-		if err := ends.End(context.Background(), team, "s1"); err != nil {
+		if err := registry.End(context.Background(), team, "s1"); err != nil {
 			t.Fatal(err)
 		}
-		if got := ends.Ended("dala", "s1"); got != (team == "dala") {
+		if got := registry.IsEnded("dala", "s1"); got != (team == "dala") {
 			t.Fatalf("after the end by %s: ended %v", team, got)
 		}
 	}
-	if ends.Ended("dala", "s2") {
+	if registry.IsEnded("dala", "s2") {
 		t.Fatal("another session ended as well")
 	}
 }
