--- a/internal/entry/chat.go
+++ b/internal/entry/chat.go
@@ -39,14 +39,14 @@
 	if refused != nil {
 		return run.Chat{}, nil, refused
 	}
-	common.Wait = c.Limits.FirstToken
+	common.MaxWait = c.Limits.FirstToken
 	have, refused := c.lastEvent(r)
 	if refused == nil && have.Run != "" && !req.Stream {
 		refused = badRequest("last_event_id_without_stream", "%s is for streamed answers.", HeaderLast)
 	}
 	chat := run.Chat{
 		Request: common, Model: req.Model, Messages: req.messages, Params: req.params,
-		PromptTokens: c.promptBound(req.messages), MaxTokens: req.maxTokens, Have: have,
+		PromptTokens: c.promptBound(req.messages), MaxTokens: req.maxTokens, ResumeFrom: have,
 	}
 	return chat, req, refused
 }
@@ -123,7 +123,7 @@
 	}
 	writeJSON(w, http.StatusOK, chatCompletion{
 		ID: result.Run, Object: "chat.completion", Created: time.Now().Unix(), Model: chat.Model,
-		Choices: []chatChoice{{Message: &chatMessage{Role: "assistant", Content: text.String()}, FinishReason: &result.Finish}},
+		Choices: []chatChoice{{Message: &chatMessage{Role: "assistant", Content: text.String()}, FinishReason: &result.FinishReason}},
 		Usage:   usageOf(result.Usage),
 	})
 }
--- a/internal/entry/door_test.go
+++ b/internal/entry/door_test.go
@@ -112,10 +112,10 @@
 	opts := endpoint.Options{Connect: time.Second, Silence: 500 * time.Millisecond, Control: time.Second, AnswerBytes: 1 << 16}
 	var counts endpoint.Counts
 	runner := &run.Runner{
-		Claims: &oneRun{}, Accounts: free{}, Placer: dispatcher, Endpoints: urls{"e1": engine.URL},
+		Claims: &oneRun{}, Budgets: free{}, Placer: dispatcher, Endpoints: urls{"e1": engine.URL},
 		Engines: endpoint.NewHTTPEngines(opts, &counts), Services: endpoint.NewHTTPServices(opts, &counts),
-		Limits:  run.Limits{Endpoints: 2, Resumes: 1, Progress: 10 * time.Second, Linger: time.Minute, Control: 2 * time.Second},
-		Leaving: func(string) {}, OnError: func(err error) { t.Error(err) },
+		Limits:            run.Limits{MaxEndpoints: 2, MaxResumes: 1, ProgressTimeout: 10 * time.Second, LingerTimeout: time.Minute, ControlTimeout: 2 * time.Second},
+		OnEndpointLeaving: func(string) {}, OnError: func(err error) { t.Error(err) },
 	}
 	d.keys = session.Keyring{CurrentKeyID: "k1", Keys: map[string][]byte{"k1": []byte(testSecret)}}
 	callers := &Callers{
--- a/internal/entry/eventid.go
+++ b/internal/entry/eventid.go
@@ -29,20 +29,20 @@
 }
 
 // lastEvent reads the position in an earlier answer out of the Last-Event-ID.
-func (c *Callers) lastEvent(r *http.Request) (run.Position, *refusal) {
+func (c *Callers) lastEvent(r *http.Request) (run.ResumePosition, *refusal) {
 	text := r.Header.Get(HeaderLast)
 	if text == "" {
-		return run.Position{}, nil
+		return run.ResumePosition{}, nil
 	}
 	parts := strings.Split(text, ".")
 	if len(parts) == 3 {
 		n, err := strconv.Atoi(parts[1])
 		id := record.RunID(parts[0])
 		if err == nil && n > 0 && c.signed(teamOf(r).Name, id, parts[2]) {
-			return run.Position{Run: id, Tokens: n}, nil
+			return run.ResumePosition{Run: id, Tokens: n}, nil
 		}
 	}
-	return run.Position{}, badRequest("invalid_last_event_id", "%s must be the id of an event of an earlier answer to this team.", HeaderLast)
+	return run.ResumePosition{}, badRequest("invalid_last_event_id", "%s must be the id of an event of an earlier answer to this team.", HeaderLast)
 }
 
 // signed checks a signature with every key that sessions are still accepted
--- a/internal/entry/request.go
+++ b/internal/entry/request.go
@@ -54,7 +54,7 @@
 func (c *Callers) common(r *http.Request, body []byte) (run.Request, *refusal) {
 	team := teamOf(r)
 	q := run.Request{
-		Team: team, Digest: digest(r, body), First: r.Header.Get(HeaderFirst) == "true",
+		Team: team, Digest: digest(r, body), FirstAttempt: r.Header.Get(HeaderFirst) == "true",
 	}
 	id, refused := c.session(r, team.Name)
 	if refused != nil {
@@ -68,10 +68,10 @@
 	if !validKey(key) {
 		return q, badRequest("invalid_idempotency_key", "%s must be at most %d visible ASCII characters.", HeaderKey, maxKeyBytes)
 	}
-	q.Keyed = key != ""
-	if !q.Keyed {
+	q.HasCallerKey = key != ""
+	if !q.HasCallerKey {
 		// No retry can name this request again, so the key needs no memory.
-		key, q.First = string(record.NewRunID()), true
+		key, q.FirstAttempt = string(record.NewRunID()), true
 	}
 	q.Key = record.RequestKey{Team: team.Name, Session: q.Session.ID, Key: key}
 	return q, nil
--- a/internal/entry/service.go
+++ b/internal/entry/service.go
@@ -42,7 +42,7 @@
 	if refused != nil {
 		return run.Call{}, refused
 	}
-	common.Wait = c.Limits.ServiceAnswer
+	common.MaxWait = c.Limits.ServiceAnswer
 	common.Priority = decide.PriorityCall
 	call := run.Call{
 		Request: common, Service: chi.URLParam(r, "service"), Method: r.Method, Query: r.URL.RawQuery,
@@ -52,7 +52,7 @@
 	if !plainPath(r.URL.Path) {
 		return call, badRequest("malformed_path", "The path must not have empty or dot segments.")
 	}
-	if !common.Keyed && !c.Runner.Repeatable(call.Service, call.Method, call.Path) {
+	if !common.HasCallerKey && !c.Runner.Repeatable(call.Service, call.Method, call.Path) {
 		return call, badRequest("idempotency_key_missing", "A call that may not be repeated needs an %s.", HeaderKey)
 	}
 	return call, nil
--- a/internal/entry/stream.go
+++ b/internal/entry/stream.go
@@ -34,7 +34,7 @@
 
 // whole writes the closing of a whole answer.
 func (s *chatStream) whole(result run.ChatResult, withUsage bool) {
-	_ = s.send("", s.chunk(result.Run, chatChoice{Delta: &chatDelta{}, FinishReason: &result.Finish}))
+	_ = s.send("", s.chunk(result.Run, chatChoice{Delta: &chatDelta{}, FinishReason: &result.FinishReason}))
 	if withUsage {
 		usage := s.chunk(result.Run)
 		usage.Usage = usageOf(result.Usage)
--- a/internal/run/chat.go
+++ b/internal/run/chat.go
@@ -11,50 +11,50 @@
 
 // Chat runs a chat completion, or joins the run that an earlier attempt has
 // begun. The error is a *Failure.
-func (r *Runner) Chat(ctx context.Context, c Chat, sink Sink) (ChatResult, error) {
-	if c.Have.Run != "" {
-		return r.continueChat(ctx, c, sink)
+func (r *Runner) Chat(ctx context.Context, c Chat, sink TokenSink) (ChatResult, error) {
+	if c.ResumeFrom.Run != "" {
+		return r.resumeChat(ctx, c, sink)
 	}
-	ticket, err := r.Claims.Begin(ctx, c.claim(true))
+	ticket, err := r.Claims.Begin(ctx, c.claimRequest(true))
 	if err != nil {
-		return ChatResult{}, unclaimed(err)
+		return ChatResult{}, claimFailure(err)
 	}
 	if ticket.Join {
-		return r.joinChat(ctx, c, ticket, sink, r.byClaim(c))
+		return r.joinChat(ctx, c, ticket, sink, r.locateByClaim(c))
 	}
-	result, err := r.ownChat(ctx, c, ticket.Run, &follower{order: c.order(ticket.Run), sink: sink})
-	return result, c.doubted(ticket, err)
+	result, err := r.executeChat(ctx, c, ticket.Run, &joinedRun{order: c.newOrder(ticket.Run), sink: sink})
+	return result, c.retractNotRun(ticket, err)
 }
 
-// ownChat carries a run that this call has claimed, after what it has read of
+// executeChat carries a run that this call has claimed, after what it has read of
 // the run while it was another's. It returns when the run has its final
 // outcome, which may be after the caller has left.
-func (r *Runner) ownChat(ctx context.Context, c Chat, run record.RunID, read *follower) (ChatResult, error) {
-	p := r.attend(ctx, c.Request, read.sink)
-	defer p.stop()
-	worst := int64(c.PromptTokens + c.MaxTokens)
-	reserved, err := r.Accounts.Reserve(p.work, c.Key, run, c.Team.Budget, worst)
+func (r *Runner) executeChat(ctx context.Context, c Chat, run record.RunID, joined *joinedRun) (ChatResult, error) {
+	binding := r.bindCaller(ctx, c.Request, joined.sink)
+	defer binding.stop()
+	worstCaseTokens := int64(c.PromptTokens + c.MaxTokens)
+	reserved, err := r.Budgets.Reserve(binding.workCtx, c.Key, run, c.Team.Budget, worstCaseTokens)
 	if err != nil {
-		return ChatResult{}, r.end(ctx, c.Key, p.explain(err), read.taken, nil)
+		return ChatResult{}, r.endRun(ctx, c.Key, binding.withCause(err), joined.takenOver, nil)
 	}
-	g := newGeneration(c, run, p)
-	g.goOn(read)
-	err = p.explain(r.generate(p.work, g))
-	r.settleLater(ctx, g, reserved, err)
-	return g.result, r.end(ctx, c.Key, err, g.started, nil)
+	g := newGeneration(c, run, binding)
+	g.continueFrom(joined)
+	err = binding.withCause(r.generate(binding.workCtx, g))
+	r.settleInBackground(ctx, g, reserved, err)
+	return g.result, r.endRun(ctx, c.Key, err, g.mayHaveRun, nil)
 }
 
-// end tells the claim how the run ended and returns its failure, if any.
+// endRun tells the claim how the run ended and returns its failure, if any.
 // started says whether anything may have run; answer is kept for retries.
-func (r *Runner) end(ctx context.Context, key record.RequestKey, err error, started bool, answer *claim.Answer) error {
+func (r *Runner) endRun(ctx context.Context, key record.RequestKey, err error, mayHaveRun bool, answer *claim.Answer) error {
 	ctx = context.WithoutCancel(ctx)
 	if err == nil {
 		r.Claims.End(ctx, key, claim.End{Outcome: record.OutcomeAnswered, Answer: answer})
 		return nil
 	}
-	f := failure(err, started)
+	f := newFailure(err, mayHaveRun)
 	outcome := f.Outcome
-	if !started {
+	if !mayHaveRun {
 		outcome = record.OutcomeNotRun // Of this claim's run; the caller may be told less.
 	}
 	r.Claims.End(ctx, key, claim.End{Outcome: outcome})
@@ -63,49 +63,49 @@
 
 // generation is the state of one chat run while its endpoints generate.
 type generation struct {
-	chat   Chat
-	caller *presence
-	order  endpoint.Order
-	text   tokenText
-	result ChatResult
-	avoid  []string
-	// base is where the last order went, started says that an order may have run.
-	base    string
-	started bool
-	// began lists the attempts that may be running; wholeAt is the endpoint that
+	chat     Chat
+	binding  *callerBinding
+	order    endpoint.Order
+	text     answerText
+	result   ChatResult
+	excluded []string
+	// lastBase is where the last order went, started says that an order may have run.
+	lastBase   string
+	mayHaveRun bool
+	// openAttempts lists the attempts that may be running; wholeAt is the endpoint that
 	// brought the answer to its end.
-	began   []attempt
-	wholeAt string
-	moved   time.Time // When the last token came.
+	openAttempts   []attempt
+	completingBase string
+	lastTokenTime  time.Time // When the last token came.
 }
 
-func newGeneration(c Chat, run record.RunID, p *presence) *generation {
-	return &generation{chat: c, caller: p, order: c.order(run), result: ChatResult{Run: run}}
+func newGeneration(c Chat, run record.RunID, b *callerBinding) *generation {
+	return &generation{chat: c, binding: b, order: c.newOrder(run), result: ChatResult{Run: run}}
 }
 
-// goOn continues after the part of the answer that was read from its earlier
+// continueFrom continues after the part of the answer that was read from its earlier
 // runner's endpoints.
-func (g *generation) goOn(read *follower) {
-	g.started = read.taken
-	if read.order.From == 0 {
+func (g *generation) continueFrom(joined *joinedRun) {
+	g.mayHaveRun = joined.takenOver
+	if joined.order.From == 0 {
 		return
 	}
-	g.order.From, g.order.Attempt = read.order.From, read.order.Attempt
-	g.text.add(endpoint.Token{Text: read.text.String()})
-	g.moved = time.Now()
-	g.caller.late.Stop()
+	g.order.From, g.order.Attempt = joined.order.From, joined.order.Attempt
+	g.text.add(endpoint.Token{Text: joined.text.String()})
+	g.lastTokenTime = time.Now()
+	g.binding.firstTokenTimer.Stop()
 }
 
-// take passes a token on and moves the order's offset past it.
-func (g *generation) take(t endpoint.Token) {
+// deliver passes a token on and moves the order's offset past it.
+func (g *generation) deliver(t endpoint.Token) {
 	g.order.From = t.Index + 1
-	g.moved = time.Now()
+	g.lastTokenTime = time.Now()
 	g.text.add(t)
-	g.caller.take(g.order.Run, t)
+	g.binding.deliver(g.order.Run, t)
 }
 
-// finish sets the closing of the whole answer.
-func (g *generation) finish(u endpoint.Usage, reason string) {
+// setResult sets the closing of the whole answer.
+func (g *generation) setResult(u endpoint.Usage, reason string) {
 	g.result.Usage = endpoint.Usage{Prompt: u.Prompt, Cached: u.Cached, Completion: int64(g.order.From)}
-	g.result.Finish = reason
+	g.result.FinishReason = reason
 }
--- a/internal/run/chat_test.go
+++ b/internal/run/chat_test.go
@@ -17,47 +17,47 @@
 // TestEveryFaultEndsInOneWholeAnswerAndOneBill brings one fault at a time over
 // a run that is placed at e1.
 func TestEveryFaultEndsInOneWholeAnswerAndOneBill(t *testing.T) {
-	const at = testTokens / 2
+	const faultAt = testTokens / 2
 	for name, c := range map[string]struct {
-		before standin.EngineFaults
-		during func(b *bench) // Called after token at.
-		moved  bool           // The run must go on at e2.
+		faults       standin.EngineFaults
+		midStream    func(b *testBench) // Called after token at.
+		wantFailover bool               // The run must go on at e2.
 	}{
 		"no fault":              {},
-		"cut, again and again":  {before: standin.EngineFaults{CutAfter: 7}},
-		"dead in mid-stream":    {during: func(b *bench) { b.kill(0) }, moved: true},
-		"dead from the start":   {before: standin.EngineFaults{}, moved: true, during: nil},
-		"silent in mid-stream":  {during: func(b *bench) { b.engines[0].SetFaults(standin.EngineFaults{Silent: true}) }, moved: true},
-		"hanging in mid-stream": {during: func(b *bench) { b.engines[0].SetFaults(standin.EngineFaults{Hang: true}) }, moved: true},
-		"leaving":               {before: standin.EngineFaults{Leaving: true}, moved: true},
-		"leaving in mid-stream": {during: func(b *bench) { b.engines[0].SetFaults(standin.EngineFaults{Leaving: true}) }},
-		"refusing":              {before: standin.EngineFaults{Refuse: true}, moved: true},
-		"masked":                {before: standin.EngineFaults{Masked: true}, moved: true},
-		"late head":             {before: standin.EngineFaults{AnswerDelayMs: int(testSilence/time.Millisecond) * 3}, moved: true},
+		"cut, again and again":  {faults: standin.EngineFaults{CutAfter: 7}},
+		"dead in mid-stream":    {midStream: func(b *testBench) { b.kill(0) }, wantFailover: true},
+		"dead from the start":   {faults: standin.EngineFaults{}, wantFailover: true, midStream: nil},
+		"silent in mid-stream":  {midStream: func(b *testBench) { b.engines[0].SetFaults(standin.EngineFaults{Silent: true}) }, wantFailover: true},
+		"hanging in mid-stream": {midStream: func(b *testBench) { b.engines[0].SetFaults(standin.EngineFaults{Hang: true}) }, wantFailover: true},
+		"leaving":               {faults: standin.EngineFaults{Leaving: true}, wantFailover: true},
+		"leaving in mid-stream": {midStream: func(b *testBench) { b.engines[0].SetFaults(standin.EngineFaults{Leaving: true}) }},
+		"refusing":              {faults: standin.EngineFaults{Refuse: true}, wantFailover: true},
+		"masked":                {faults: standin.EngineFaults{Masked: true}, wantFailover: true},
+		"late head":             {faults: standin.EngineFaults{AnswerDelayMs: int(testSilence/time.Millisecond) * 3}, wantFailover: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newBench(t)
-			b.engines[0].SetFaults(c.before)
+			b := newTestBench(t)
+			b.engines[0].SetFaults(c.faults)
 			if name == "dead from the start" {
 				b.kill(0)
 			}
-			got := b.ask(t.Context(), chatOf("k", true), func(i int) {
-				if i == at && c.during != nil {
-					c.during(b)
+			got := b.chat(t.Context(), newChat("k", true), func(i int) {
+				if i == faultAt && c.midStream != nil {
+					c.midStream(b)
 				}
 			})
-			if got.err != nil || got.text != textOf(0, testTokens) || got.result.Usage.Completion != testTokens {
+			if got.err != nil || got.text != answerTextOf(0, testTokens) || got.result.Usage.Completion != testTokens {
 				t.Fatalf("text %q, usage %+v, error %v", got.text, got.result.Usage, got.err)
 			}
 			generated := b.checkBill(got.result.Run)
-			if moved := generated[1] > 0; moved != c.moved {
+			if moved := generated[1] > 0; moved != c.wantFailover {
 				t.Fatalf("generated %v", generated)
 			}
-			if c.during != nil && c.moved && generated[1] >= testTokens {
+			if c.midStream != nil && c.wantFailover && generated[1] >= testTokens {
 				t.Fatalf("generated anew: %v", generated)
 			}
-			if c.before.Leaving && (len(b.left) != 1 || b.left[0] != "e1" || generated[0] != 0) {
-				t.Fatalf("leaving told of %v, generated %v", b.left, generated)
+			if c.faults.Leaving && (len(b.leaving) != 1 || b.leaving[0] != "e1" || generated[0] != 0) {
+				t.Fatalf("leaving told of %v, generated %v", b.leaving, generated)
 			}
 		})
 	}
@@ -65,26 +65,26 @@
 
 // checkBill wants one bill for a whole answer and returns what each engine
 // generated for it.
-func (b *bench) checkBill(run record.RunID) []int {
+func (b *testBench) checkBill(run record.RunID) []int {
 	b.t.Helper()
-	if bills := b.billed(run); len(bills) != 1 || bills[0] != promptTokens+testTokens {
+	if bills := b.billsOf(run); len(bills) != 1 || bills[0] != promptTokens+testTokens {
 		b.t.Fatalf("bills %v", bills)
 	}
-	return b.generated(run)
+	return b.generatedTokens(run)
 }
 
 // TestBegunAnswerOutlivesEveryEndpoint has no endpoint for a while: e2 refuses,
 // and e1, which has the run, is silent. The run comes back to e1.
 func TestBegunAnswerOutlivesEveryEndpoint(t *testing.T) {
-	b := newBench(t)
+	b := newTestBench(t)
 	b.engines[1].SetFaults(standin.EngineFaults{Refuse: true})
-	got := b.ask(t.Context(), chatOf("k", true), func(i int) {
+	got := b.chat(t.Context(), newChat("k", true), func(i int) {
 		if i == testTokens/2 {
 			b.engines[0].SetFaults(standin.EngineFaults{Silent: true})
 			time.AfterFunc(5*testSilence, func() { b.engines[0].SetFaults(standin.EngineFaults{}) })
 		}
 	})
-	if got.err != nil || got.text != textOf(0, testTokens) {
+	if got.err != nil || got.text != answerTextOf(0, testTokens) {
 		t.Fatalf("text %q, error %v", got.text, got.err)
 	}
 	if generated := b.checkBill(got.result.Run); generated[0] != testTokens || generated[1] != 0 {
@@ -93,15 +93,15 @@
 }
 
 func TestCrossedAnswersAreDroppedAndReadAgain(t *testing.T) {
-	b := newBench(t)
+	b := newTestBench(t)
 	b.engines[0].SetFaults(standin.EngineFaults{Crossed: 1})
 	var wait sync.WaitGroup
 	for _, n := range []int{10, 20} {
 		wait.Go(func() {
-			c := chatOf("k"+string(rune('0'+n/10)), true)
+			c := newChat("k"+string(rune('0'+n/10)), true)
 			c.MaxTokens = n
-			got := b.ask(t.Context(), c, nil)
-			if got.err != nil || got.text != textOf(0, n) {
+			got := b.chat(t.Context(), c, nil)
+			if got.err != nil || got.text != answerTextOf(0, n) {
 				t.Errorf("%d tokens: text %q, error %v", n, got.text, got.err)
 			}
 		})
@@ -113,16 +113,16 @@
 }
 
 func TestNoTokenInTimeIsAnsweredAtOnceAndCancelled(t *testing.T) {
-	b := newBench(t)
+	b := newTestBench(t)
 	b.engines[0].SetFaults(standin.EngineFaults{Hang: true})
-	c := chatOf("k", true)
-	c.Wait = testSilence
-	got := b.ask(t.Context(), c, nil)
+	c := newChat("k", true)
+	c.MaxWait = testSilence
+	got := b.chat(t.Context(), c, nil)
 	f := failureOf(t, got.err)
 	if f.Code != CodeNoAnswerInTime || f.Outcome != record.OutcomeUnknown || f.RetryAfter == 0 {
 		t.Fatalf("failure %+v", f)
 	}
-	if bills := b.billed(got.result.Run); len(bills) != 1 || bills[0] != promptTokens {
+	if bills := b.billsOf(got.result.Run); len(bills) != 1 || bills[0] != promptTokens {
 		t.Fatalf("bills %v", bills)
 	}
 	if runs := b.engines[0].Runs(); len(runs) != 1 || !runs[0].Done {
@@ -131,36 +131,36 @@
 }
 
 func TestWhatAllEndpointsRefuseHasNotRunAndCostsNothing(t *testing.T) {
-	b := newBench(t)
+	b := newTestBench(t)
 	for _, e := range b.engines {
 		e.SetFaults(standin.EngineFaults{Refuse: true})
 	}
-	got := b.ask(t.Context(), chatOf("k", true), nil)
+	got := b.chat(t.Context(), newChat("k", true), nil)
 	if f := failureOf(t, got.err); f.Outcome != record.OutcomeNotRun || f.RetryAfter == 0 {
 		t.Fatalf("failure %+v", f)
 	}
-	if bills := b.billed(got.result.Run); len(bills) != 1 || bills[0] != 0 {
+	if bills := b.billsOf(got.result.Run); len(bills) != 1 || bills[0] != 0 {
 		t.Fatalf("bills %v", bills)
 	}
 	for _, e := range b.engines {
 		e.SetFaults(standin.EngineFaults{})
 	}
-	if again := b.ask(t.Context(), chatOf("k", true), nil); again.err != nil || again.text != textOf(0, testTokens) {
+	if again := b.chat(t.Context(), newChat("k", true), nil); again.err != nil || again.text != answerTextOf(0, testTokens) {
 		t.Fatalf("the retry got %q, %v", again.text, again.err)
 	}
 }
 
 func TestCallerWhoLeaves(t *testing.T) {
 	for _, keyed := range []bool{false, true} {
-		b := newBench(t)
+		b := newTestBench(t)
 		ctx, leave := context.WithCancel(t.Context())
-		got := b.ask(ctx, chatOf("k", keyed), func(i int) {
+		got := b.chat(ctx, newChat("k", keyed), func(i int) {
 			if i == 5 {
 				leave()
 			}
 		})
-		bills := b.billed(got.result.Run)
-		done := b.generated(got.result.Run)[0]
+		bills := b.billsOf(got.result.Run)
+		done := b.generatedTokens(got.result.Run)[0]
 		if len(bills) != 1 || bills[0] != promptTokens+int64(done) {
 			t.Fatalf("keyed %v: bills %v, %d tokens generated", keyed, bills, done)
 		}
@@ -170,33 +170,33 @@
 		if !keyed {
 			continue
 		}
-		c := chatOf("k", true)
-		c.Have = Position{Run: got.result.Run, Tokens: 6}
-		if rest := b.ask(t.Context(), c, nil); rest.err != nil || rest.text != textOf(6, testTokens) {
+		c := newChat("k", true)
+		c.ResumeFrom = ResumePosition{Run: got.result.Run, Tokens: 6}
+		if rest := b.chat(t.Context(), c, nil); rest.err != nil || rest.text != answerTextOf(6, testTokens) {
 			t.Fatalf("the retry got %q, %v", rest.text, rest.err)
 		}
-		if again := b.billed(got.result.Run); len(again) != 1 {
+		if again := b.billsOf(got.result.Run); len(again) != 1 {
 			t.Fatalf("bills after the retry %v", again)
 		}
 	}
 }
 
 func TestJoinFollowsTheRunToAnotherEndpoint(t *testing.T) {
-	b := newBench(t)
-	joined := make(chan told, 1)
-	owner := b.ask(t.Context(), chatOf("k", true), func(i int) {
+	b := newTestBench(t)
+	joined := make(chan callerResult, 1)
+	owner := b.chat(t.Context(), newChat("k", true), func(i int) {
 		if i == 3 {
-			go func() { joined <- b.ask(context.Background(), chatOf("k", true), nil) }()
+			go func() { joined <- b.chat(context.Background(), newChat("k", true), nil) }()
 		}
 		if i == testTokens/2 {
 			b.kill(0)
 		}
 	})
 	got := <-joined
-	if owner.err != nil || got.err != nil || got.text != textOf(0, testTokens) || got.result.Run != owner.result.Run {
+	if owner.err != nil || got.err != nil || got.text != answerTextOf(0, testTokens) || got.result.Run != owner.result.Run {
 		t.Fatalf("owner %v; joined %q, %v", owner.err, got.text, got.err)
 	}
-	if bills := b.billed(owner.result.Run); len(bills) != 1 {
+	if bills := b.billsOf(owner.result.Run); len(bills) != 1 {
 		t.Fatalf("bills %v", bills)
 	}
 }
@@ -204,55 +204,55 @@
 // TestRunWhoseClaimIsLostGoesOnByItsID forgets the claims, as the death of
 // their holder does.
 func TestRunWhoseClaimIsLostGoesOnByItsID(t *testing.T) {
-	b := newBench(t)
-	owner := b.ask(t.Context(), chatOf("k", true), nil)
-	b.Claims = &table{rows: map[record.RequestKey]*row{}}
+	b := newTestBench(t)
+	owner := b.chat(t.Context(), newChat("k", true), nil)
+	b.Claims = &memoryClaims{rows: map[record.RequestKey]*claimRow{}}
 	for _, keyed := range []bool{true, false} {
-		c := chatOf("k", keyed)
-		c.Have = Position{Run: owner.result.Run, Tokens: 7}
-		got := b.ask(t.Context(), c, nil)
-		if got.err != nil || got.text != textOf(7, testTokens) || got.result.Run != owner.result.Run {
+		c := newChat("k", keyed)
+		c.ResumeFrom = ResumePosition{Run: owner.result.Run, Tokens: 7}
+		got := b.chat(t.Context(), c, nil)
+		if got.err != nil || got.text != answerTextOf(7, testTokens) || got.result.Run != owner.result.Run {
 			t.Fatalf("keyed %v: %q, %v", keyed, got.text, got.err)
 		}
 	}
-	if bills := b.billed(owner.result.Run); len(bills) != 1 {
+	if bills := b.billsOf(owner.result.Run); len(bills) != 1 {
 		t.Fatalf("bills %v", bills)
 	}
 }
 
 func TestJoinWhereNothingIsLeftToJoin(t *testing.T) {
-	b := newBench(t)
-	owner := b.ask(t.Context(), chatOf("k", true), nil)
-	c := chatOf("k", true)
-	c.Have = Position{Run: "another", Tokens: 3}
+	b := newTestBench(t)
+	owner := b.chat(t.Context(), newChat("k", true), nil)
+	c := newChat("k", true)
+	c.ResumeFrom = ResumePosition{Run: "another", Tokens: 3}
 	for _, key := range []string{"k", "new"} {
 		c.Key.Key = key
-		if f := failureOf(t, b.ask(t.Context(), c, nil).err); f.Code != CodeRunGone || f.Outcome != record.OutcomeUnknown {
+		if f := failureOf(t, b.chat(t.Context(), c, nil).err); f.Code != CodeRunGone || f.Outcome != record.OutcomeUnknown {
 			t.Fatalf("key %s: %+v", key, f)
 		}
 	}
 	b.kill(0)
-	if f := failureOf(t, b.ask(t.Context(), chatOf("k", true), nil).err); f.Code != CodeAnswerGone || f.Outcome != record.OutcomeUnknown {
+	if f := failureOf(t, b.chat(t.Context(), newChat("k", true), nil).err); f.Code != CodeAnswerGone || f.Outcome != record.OutcomeUnknown {
 		t.Fatalf("answer gone: %+v, owner %v", f, owner.err)
 	}
 }
 
-// endless ignores max_tokens.
-type endless struct{ endpoint.Engines }
+// unboundedEngines ignores max_tokens.
+type unboundedEngines struct{ endpoint.Engines }
 
-func (e endless) Start(ctx context.Context, base string, o endpoint.Order) (endpoint.Stream, error) {
+func (e unboundedEngines) Start(ctx context.Context, base string, o endpoint.Order) (endpoint.Stream, error) {
 	o.MaxTokens *= 100
 	return e.Engines.Start(ctx, base, o)
 }
 
 func TestOutputPastTheMaximumIsCutAndNotBilled(t *testing.T) {
-	b := newBench(t)
-	b.Engines = endless{b.Engines}
-	got := b.ask(t.Context(), chatOf("k", true), nil)
-	if got.err != nil || got.text != textOf(0, testTokens) || got.result.Finish != finishLength {
-		t.Fatalf("text %q, finish %q, error %v", got.text, got.result.Finish, got.err)
+	b := newTestBench(t)
+	b.Engines = unboundedEngines{b.Engines}
+	got := b.chat(t.Context(), newChat("k", true), nil)
+	if got.err != nil || got.text != answerTextOf(0, testTokens) || got.result.FinishReason != finishReasonLength {
+		t.Fatalf("text %q, finish %q, error %v", got.text, got.result.FinishReason, got.err)
 	}
-	if bills := b.billed(got.result.Run); len(bills) != 1 || bills[0] != promptTokens+testTokens {
+	if bills := b.billsOf(got.result.Run); len(bills) != 1 || bills[0] != promptTokens+testTokens {
 		t.Fatalf("bills %v", bills)
 	}
 	if runs := b.engines[0].Runs(); !runs[0].Done {
@@ -286,11 +286,11 @@
 		"lost, only a like segment": {standin.ServiceFaults{Lose: 1}, get, "/statusx", record.OutcomeUnknown, [2]int{1, 0}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newBench(t)
-			b.Repeats = repeats(rules)
+			b := newTestBench(t)
+			b.RepeatRules = repeatRules(rules)
 			b.services[0].SetFaults(c.faults)
-			call := Call{Request: chatOf("k", true).Request, Service: "rig", Method: c.method, Path: c.path}
-			call.Wait = 400 * time.Millisecond
+			call := Call{Request: newChat("k", true).Request, Service: "rig", Method: c.method, Path: c.path}
+			call.MaxWait = 400 * time.Millisecond
 			for range 2 { // The second time is a retry, with the same outcome.
 				_, err := b.Call(t.Context(), call)
 				outcome := record.OutcomeAnswered
@@ -309,6 +309,8 @@
 	}
 }
 
-type repeats []config.RepeatRule
+type repeatRules []config.RepeatRule
 
-func (r repeats) Repeatable(_, method, path string) bool { return config.AnyRepeats(r, method, path) }
+func (r repeatRules) Repeatable(_, method, path string) bool {
+	return config.AnyRepeats(r, method, path)
+}
--- a/internal/run/failure.go
+++ b/internal/run/failure.go
@@ -18,18 +18,18 @@
 
 // The failure codes, besides those of package decide.
 const (
-	CodeBudgetExhausted Code = "budget_exhausted"
-	CodeBudgetStranded  Code = "budget_out_of_reach"
-	CodeNoBudget        Code = "no_budget"
-	CodeKeyReused       Code = "idempotency_key_reused"
-	CodeClaimNotCounted Code = "claim_not_counted"
-	CodeOutcomeUnknown  Code = "outcome_unknown"
-	CodeEndpointFailed  Code = "endpoint_failed"
-	CodeEndpointRefused Code = "endpoint_refused"
-	CodeRejected        Code = "rejected_by_endpoint"
-	CodeNoAnswerInTime  Code = "no_answer_in_time"
-	CodeRunGone         Code = "run_gone"
-	CodeAnswerGone      Code = "answer_gone"
+	CodeBudgetExhausted   Code = "budget_exhausted"
+	CodeBudgetUnreachable Code = "budget_out_of_reach"
+	CodeNoBudget          Code = "no_budget"
+	CodeKeyReused         Code = "idempotency_key_reused"
+	CodeClaimNotCounted   Code = "claim_not_counted"
+	CodeOutcomeUnknown    Code = "outcome_unknown"
+	CodeEndpointFailed    Code = "endpoint_failed"
+	CodeEndpointRefused   Code = "endpoint_refused"
+	CodeRejected          Code = "rejected_by_endpoint"
+	CodeNoAnswerInTime    Code = "no_answer_in_time"
+	CodeRunGone           Code = "run_gone"
+	CodeAnswerGone        Code = "answer_gone"
 	// CodeAnswerNotKept goes with the outcome answered.
 	CodeAnswerNotKept Code = "answer_not_kept"
 	CodeAbandoned     Code = "abandoned"
@@ -47,50 +47,50 @@
 // Error implements error.
 func (f *Failure) Error() string { return "run: " + string(f.Code) + ": " + f.Message }
 
-const comeBack = 2 * time.Second
+const defaultRetryAfter = 2 * time.Second
 
-// unclaimed returns the failure for a request that got no claim. An earlier
+// claimFailure returns the failure for a request that got no claim. An earlier
 // attempt under its key may have run, so "not run" takes the word of the
 // claim's holder; every other error leaves it open.
-func unclaimed(err error) *Failure {
-	known := errors.Is(err, claim.ErrNotCounted) || errors.Is(err, claim.ErrKeyReused)
-	return failure(err, !known)
+func claimFailure(err error) *Failure {
+	notRun := errors.Is(err, claim.ErrNotCounted) || errors.Is(err, claim.ErrKeyReused)
+	return newFailure(err, !notRun)
 }
 
-// doubted takes back a "not run" that this instance cannot know: the claim's
+// retractNotRun takes back a "not run" that this instance cannot know: the claim's
 // holder was out of reach, so an earlier attempt may have run elsewhere. The
 // caller's promise of a first attempt makes it true.
-func (q Request) doubted(ticket claim.Ticket, err error) error {
+func (q Request) retractNotRun(ticket claim.Ticket, err error) error {
 	var f *Failure
-	if ticket.Uncounted && !q.First && errors.As(err, &f) && f.Outcome == record.OutcomeNotRun {
+	if ticket.Uncounted && !q.FirstAttempt && errors.As(err, &f) && f.Outcome == record.OutcomeNotRun {
 		f.Outcome = record.OutcomeUnknown
 	}
 	return err
 }
 
-// failure returns the final outcome for an error; started says whether
+// newFailure returns the final outcome for an error; started says whether
 // anything may have run.
-func failure(err error, started bool) *Failure {
-	f := describe(err)
+func newFailure(err error, mayHaveRun bool) *Failure {
+	f := classify(err)
 	f.Outcome = record.OutcomeNotRun
-	if started || errors.Is(err, claim.ErrUnknown) || errors.Is(err, errRunGone) {
+	if mayHaveRun || errors.Is(err, claim.ErrUnknown) || errors.Is(err, errRunGone) {
 		f.Outcome = record.OutcomeUnknown
 	}
-	if started && f.Code == CodeEndpointRefused {
+	if mayHaveRun && f.Code == CodeEndpointRefused {
 		f.Code, f.Message = CodeEndpointFailed, "The endpoint failed; the request may have run."
 	}
 	return f
 }
 
-// describe finds an error's code, message and when to come back. The first
+// classify finds an error's code, message and when to come back. The first
 // match is the reason that ended the request.
-func describe(err error) *Failure {
+func classify(err error) *Failure {
 	var refusal *dispatch.Refusal
 	var stranded *ledger.Stranded
 	switch {
-	case errors.Is(err, errLate):
-		return &Failure{Code: CodeNoAnswerInTime, Message: "No answer came in time.", RetryAfter: comeBack}
-	case errors.Is(err, errLeft), errors.Is(err, context.Canceled):
+	case errors.Is(err, errNoAnswerInTime):
+		return &Failure{Code: CodeNoAnswerInTime, Message: "No answer came in time.", RetryAfter: defaultRetryAfter}
+	case errors.Is(err, errCallerLeft), errors.Is(err, context.Canceled):
 		return &Failure{Code: CodeAbandoned, Message: "The caller left."}
 	case errors.Is(err, errRunGone):
 		return &Failure{Code: CodeRunGone, Message: "The run that the Last-Event-ID names cannot be continued."}
@@ -103,19 +103,19 @@
 	case errors.Is(err, ledger.ErrExhausted):
 		return &Failure{Code: CodeBudgetExhausted, Message: "The prepaid budget has no tokens left for this request."}
 	case errors.As(err, &stranded):
-		return &Failure{Code: CodeBudgetStranded, Message: "The budget cannot be reached from here now: " + stranded.Reason + ".", RetryAfter: stranded.RetryAfter}
+		return &Failure{Code: CodeBudgetUnreachable, Message: "The budget cannot be reached from here now: " + stranded.Reason + ".", RetryAfter: stranded.RetryAfter}
 	case errors.Is(err, ledger.ErrNoBudget):
 		return &Failure{Code: CodeNoBudget, Message: "The team has no such budget."}
 	case errors.Is(err, claim.ErrKeyReused):
 		return &Failure{Code: CodeKeyReused, Message: "The Idempotency-Key was used with another body."}
 	case errors.Is(err, claim.ErrNotCounted):
-		return &Failure{Code: CodeClaimNotCounted, Message: "The request could not be claimed.", RetryAfter: comeBack}
+		return &Failure{Code: CodeClaimNotCounted, Message: "The request could not be claimed.", RetryAfter: defaultRetryAfter}
 	case errors.Is(err, claim.ErrUnknown):
 		return &Failure{Code: CodeOutcomeUnknown, Message: "An earlier attempt may have run."}
 	case errors.Is(err, endpoint.ErrRejected):
 		return &Failure{Code: CodeRejected, Message: "The endpoint does not accept the request as it stands."}
 	case errors.Is(err, endpoint.ErrRefused):
-		return &Failure{Code: CodeEndpointRefused, Message: "The endpoints refused the request.", RetryAfter: comeBack}
+		return &Failure{Code: CodeEndpointRefused, Message: "The endpoints refused the request.", RetryAfter: defaultRetryAfter}
 	case errors.Is(err, endpoint.ErrLost), errors.Is(err, endpoint.ErrSilent), errors.Is(err, endpoint.ErrMismatch), errors.Is(err, errStalled):
 		return &Failure{Code: CodeEndpointFailed, Message: "The endpoint failed; the request may have run."}
 	}
--- a/internal/run/join.go
+++ b/internal/run/join.go
@@ -20,45 +20,45 @@
 	errAnswerGone = eris.New("run: the answer is gone")
 )
 
-// joinPause is how long a joining caller waits before it asks again where the
+// locateInterval is how long a joining caller waits before it asks again where the
 // run is: while it is queued, or on its way to another endpoint.
-const joinPause = 100 * time.Millisecond
+const locateInterval = 100 * time.Millisecond
 
-// strayAfter is how long a joined run may bring nothing before its joiner asks
+// searchInterval is how long a joined run may bring nothing before its joiner asks
 // whether anybody has it. A queued run has no endpoint either, and each such
 // question goes to every engine: 2 s is well over the usual wait for a slot and
 // well under the callers' waits.
-const strayAfter = 2 * time.Second
+const searchInterval = 2 * time.Second
 
-// follower reads a run that another request owns.
-type follower struct {
+// joinedRun reads a run that another request owns.
+type joinedRun struct {
 	order  endpoint.Order
-	sink   Sink
+	sink   TokenSink
 	result ChatResult
 	// text is what was read, from the caller's offset on.
-	text tokenText
-	// taken says that the run was taken over: its earlier runner may have run it.
-	taken bool
-	// left marks an error of the caller's own connection.
-	left bool
+	text answerText
+	// takenOver says that the run was takenOver over: its earlier runner may have run it.
+	takenOver bool
+	// callerLeft marks an error of the caller's own connection.
+	callerLeft bool
 }
 
-// locate says where a run is now. A ticket without Join says that the run ended
+// locator says where a run is now. A ticket without Join says that the run ended
 // without having run, so that the request may begin anew.
-type locate func(ctx context.Context) (claim.Ticket, error)
+type locator func(ctx context.Context) (claim.Ticket, error)
 
-// byClaim locates the run that a request's key stands for.
-func (r *Runner) byClaim(c Chat) locate {
-	return func(ctx context.Context) (claim.Ticket, error) { return r.Claims.Begin(ctx, c.claim(true)) }
+// locateByClaim locates the run that a request's key stands for.
+func (r *Runner) locateByClaim(c Chat) locator {
+	return func(ctx context.Context) (claim.Ticket, error) { return r.Claims.Begin(ctx, c.claimRequest(true)) }
 }
 
-// byRun locates a run at the engines, whatever became of its claim.
-func (r *Runner) byRun(run record.RunID) locate {
+// locateByRun locates a run at the engines, whatever became of its claim.
+func (r *Runner) locateByRun(run record.RunID) locator {
 	return func(ctx context.Context) (claim.Ticket, error) {
-		if r.Finder == nil {
+		if r.RunFinder == nil {
 			return claim.Ticket{}, errRunGone
 		}
-		name, ok := r.Finder.Find(ctx, run)
+		name, ok := r.RunFinder.Find(ctx, run)
 		if !ok {
 			return claim.Ticket{}, errRunGone
 		}
@@ -66,87 +66,87 @@
 	}
 }
 
-// continueChat goes on in a run that the caller has a part of. Its claim may
+// resumeChat goes on in a run that the caller has a part of. Its claim may
 // have died with its instance; then the engines know the run. Parts of two runs
 // never make one answer.
-func (r *Runner) continueChat(ctx context.Context, c Chat, sink Sink) (ChatResult, error) {
-	where := r.byRun(c.Have.Run)
-	if c.Keyed {
-		ticket, err := r.Claims.Begin(ctx, c.claim(true))
+func (r *Runner) resumeChat(ctx context.Context, c Chat, sink TokenSink) (ChatResult, error) {
+	locate := r.locateByRun(c.ResumeFrom.Run)
+	if c.HasCallerKey {
+		ticket, err := r.Claims.Begin(ctx, c.claimRequest(true))
 		switch {
 		case errors.Is(err, claim.ErrKeyReused):
-			return ChatResult{}, failure(err, true)
-		case err == nil && ticket.Join && ticket.Run == c.Have.Run:
-			return r.joinChat(ctx, c, ticket, sink, r.byClaim(c))
+			return ChatResult{}, newFailure(err, true)
+		case err == nil && ticket.Join && ticket.Run == c.ResumeFrom.Run:
+			return r.joinChat(ctx, c, ticket, sink, r.locateByClaim(c))
 		case err == nil && !ticket.Join:
 			r.Claims.End(ctx, c.Key, claim.End{Outcome: record.OutcomeNotRun})
 		}
 	}
-	ticket, err := where(ctx)
+	ticket, err := locate(ctx)
 	if err != nil {
-		return ChatResult{}, failure(err, true)
+		return ChatResult{}, newFailure(err, true)
 	}
-	return r.joinChat(ctx, c, ticket, sink, where)
+	return r.joinChat(ctx, c, ticket, sink, locate)
 }
 
 // joinChat streams a run that an earlier attempt began, from its endpoint,
 // wherever that attempt's instance is and whether it still lives. It neither
 // reserves nor bills: the run's owner or its witness does.
-func (r *Runner) joinChat(ctx context.Context, c Chat, ticket claim.Ticket, sink Sink, where locate) (ChatResult, error) {
-	f := &follower{order: c.order(ticket.Run), sink: sink, result: ChatResult{Run: ticket.Run}}
-	f.order.ResumeOnly, f.order.From = true, c.Have.Tokens
-	return r.joinRun(ctx, c, ticket, f, where)
+func (r *Runner) joinChat(ctx context.Context, c Chat, ticket claim.Ticket, sink TokenSink, locate locator) (ChatResult, error) {
+	j := &joinedRun{order: c.newOrder(ticket.Run), sink: sink, result: ChatResult{Run: ticket.Run}}
+	j.order.ResumeOnly, j.order.From = true, c.ResumeFrom.Tokens
+	return r.followRun(ctx, c, ticket, j, locate)
 }
 
-// joinRun follows the run from endpoint to endpoint to its end, or takes it over.
-func (r *Runner) joinRun(ctx context.Context, c Chat, ticket claim.Ticket, f *follower, where locate) (ChatResult, error) {
-	patience, asked := time.Now().Add(c.Wait), time.Now()
+// followRun follows the run from endpoint to endpoint to its end, or takes it over.
+func (r *Runner) followRun(ctx context.Context, c Chat, ticket claim.Ticket, j *joinedRun, locate locator) (ChatResult, error) {
+	deadline, lastSearch := time.Now().Add(c.MaxWait), time.Now()
 	for {
-		before := f.order.From
-		err := r.follow(ctx, ticket, f)
+		before := j.order.From
+		err := r.streamJoined(ctx, ticket, j)
 		if err == nil {
-			return f.result, nil
+			return j.result, nil
 		}
-		if f.left || ctx.Err() != nil {
-			return f.result, failure(errors.Join(errLeft, err), true)
+		if j.callerLeft || ctx.Err() != nil {
+			return j.result, newFailure(errors.Join(errCallerLeft, err), true)
 		}
 		if ticket.Outcome == record.OutcomeUnknown {
-			return f.result, failure(claim.ErrUnknown, true)
+			return j.result, newFailure(claim.ErrUnknown, true)
 		}
-		if f.order.From > before {
-			patience, asked = time.Now().Add(c.Wait), time.Now()
+		if j.order.From > before {
+			deadline, lastSearch = time.Now().Add(c.MaxWait), time.Now()
 		}
-		if time.Now().After(patience) {
-			return f.result, failure(errors.Join(errLate, err), true)
+		if time.Now().After(deadline) {
+			return j.result, newFailure(errors.Join(errNoAnswerInTime, err), true)
 		}
-		last := err
-		if ticket, err = r.again(ctx, c, f.order, where); err != nil {
-			return f.result, failure(err, true)
+		followErr := err
+		if ticket, err = r.relocate(ctx, c, j.order, locate); err != nil {
+			return j.result, newFailure(err, true)
 		}
-		if ticket.RunnerGone || ticket.Outcome == record.OutcomeAnswered || time.Since(asked) > strayAfter {
-			asked = time.Now()
-			if ticket, err = r.seek(ctx, c, ticket, f, last); err != nil {
-				return f.result, failure(err, true)
+		if ticket.RunnerGone || ticket.Outcome == record.OutcomeAnswered || time.Since(lastSearch) > searchInterval {
+			lastSearch = time.Now()
+			if ticket, err = r.searchOrTakeOver(ctx, c, ticket, j, followErr); err != nil {
+				return j.result, newFailure(err, true)
 			}
 		}
 		if !ticket.Join {
-			f.taken = ticket.Run == f.order.Run
-			result, err := r.ownChat(ctx, c, ticket.Run, f)
-			return result, c.doubted(ticket, err)
+			j.takenOver = ticket.Run == j.order.Run
+			result, err := r.executeChat(ctx, c, ticket.Run, j)
+			return result, c.retractNotRun(ticket, err)
 		}
 	}
 }
 
-// seek finds the endpoint that has a run: its runner is gone, it has its answer,
+// searchOrTakeOver finds the endpoint that has a run: its runner is gone, it has its answer,
 // or it has brought nothing for long. Where none has it, a run without an
 // outcome is taken over, unless its runner still knows it. Load: an instance and an endpoint that die in
 // the same seconds, and placements that never reached the holder. Harm
 // prevented: callers who wait out their whole time for a run that nobody has.
 // Limit: only a joiner that has read the answer from its start can go on with
 // it elsewhere; a caller who came with a part of it is told that the run is gone.
-func (r *Runner) seek(ctx context.Context, c Chat, ticket claim.Ticket, f *follower, last error) (claim.Ticket, error) {
-	if r.Finder != nil && !errors.Is(last, endpoint.ErrCancelled) {
-		if name, ok := r.Finder.Find(ctx, ticket.Run); ok {
+func (r *Runner) searchOrTakeOver(ctx context.Context, c Chat, ticket claim.Ticket, j *joinedRun, followErr error) (claim.Ticket, error) {
+	if r.RunFinder != nil && !errors.Is(followErr, endpoint.ErrCancelled) {
+		if name, ok := r.RunFinder.Find(ctx, ticket.Run); ok {
 			ticket.Endpoint = name
 			return ticket, nil
 		}
@@ -156,33 +156,33 @@
 		return ticket, errAnswerGone
 	case ticket.Outcome != 0:
 		return ticket, claim.ErrUnknown
-	case c.Have.Tokens > 0 && ticket.RunnerGone:
+	case c.ResumeFrom.Tokens > 0 && ticket.RunnerGone:
 		return ticket, errRunGone
-	case c.Have.Tokens > 0:
+	case c.ResumeFrom.Tokens > 0:
 		return ticket, nil
 	}
-	again := c.claim(true)
-	again.Lost = ticket.Run
-	taken, err := r.Claims.Begin(ctx, again)
-	if err == nil && taken.Run != ticket.Run && f.order.From > 0 {
-		if !taken.Join {
+	request := c.claimRequest(true)
+	request.Lost = ticket.Run
+	newTicket, err := r.Claims.Begin(ctx, request)
+	if err == nil && newTicket.Run != ticket.Run && j.order.From > 0 {
+		if !newTicket.Join {
 			r.Claims.End(ctx, c.Key, claim.End{Outcome: record.OutcomeNotRun})
 		}
-		return taken, errRunGone
+		return newTicket, errRunGone
 	}
-	return taken, err
+	return newTicket, err
 }
 
-// again asks again where the run is, after a pause.
-func (r *Runner) again(ctx context.Context, c Chat, order endpoint.Order, where locate) (claim.Ticket, error) {
-	timer := time.NewTimer(joinPause)
+// relocate asks relocate where the run is, after a pause.
+func (r *Runner) relocate(ctx context.Context, c Chat, order endpoint.Order, locate locator) (claim.Ticket, error) {
+	timer := time.NewTimer(locateInterval)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
 	case <-ctx.Done():
-		return claim.Ticket{}, errors.Join(errLeft, ctx.Err())
+		return claim.Ticket{}, errors.Join(errCallerLeft, ctx.Err())
 	}
-	ticket, err := where(ctx)
+	ticket, err := locate(ctx)
 	if err != nil {
 		return ticket, err
 	}
@@ -198,36 +198,36 @@
 // errNotPlaced says that the run has no endpoint yet.
 var errNotPlaced = eris.New("run: not placed yet")
 
-// follow reads the run over one connection.
-func (r *Runner) follow(ctx context.Context, t claim.Ticket, f *follower) error {
+// streamJoined reads the run over one connection.
+func (r *Runner) streamJoined(ctx context.Context, t claim.Ticket, j *joinedRun) error {
 	base, ok := r.Endpoints.URL(t.Endpoint)
 	if !ok {
 		return errNotPlaced
 	}
 	ctx, progress := r.watchProgress(ctx, true)
 	defer progress.stop()
-	f.order.Attempt++
-	stream, err := r.Engines.Start(ctx, base, f.order)
+	j.order.Attempt++
+	stream, err := r.Engines.Start(ctx, base, j.order)
 	if err != nil {
-		return progress.explain(err)
+		return progress.withCause(err)
 	}
 	defer stream.Close()
 	for {
 		token, err := stream.Next()
 		if endpoint.Whole(err) {
 			u := stream.Usage()
-			f.result.Usage = endpoint.Usage{Prompt: u.Prompt, Cached: u.Cached, Completion: u.Answer()}
-			f.result.Finish = stream.Finish()
+			j.result.Usage = endpoint.Usage{Prompt: u.Prompt, Cached: u.Cached, Completion: u.Answer()}
+			j.result.FinishReason = stream.Finish()
 			return nil
 		}
 		if err != nil {
-			return progress.explain(err)
+			return progress.withCause(err)
 		}
-		progress.token()
-		f.order.From = token.Index + 1
-		f.text.add(token)
-		if err := f.sink(f.order.Run, token); err != nil {
-			f.left = true
+		progress.onToken()
+		j.order.From = token.Index + 1
+		j.text.add(token)
+		if err := j.sink(j.order.Run, token); err != nil {
+			j.callerLeft = true
 			return err
 		}
 	}
--- a/internal/run/meter.go
+++ b/internal/run/meter.go
@@ -12,27 +12,29 @@
 	"guavapier/internal/endpoint"
 )
 
-// meter measures one placement for the decisions.
-type meter struct {
+// attemptMeter measures one placement for the decisions.
+type attemptMeter struct {
 	placement *dispatch.Placement
-	began     time.Time
+	startTime time.Time
 	result    decide.Result
 }
 
-func newMeter(p *dispatch.Placement) *meter { return &meter{placement: p, began: time.Now()} }
+func newAttemptMeter(p *dispatch.Placement) *attemptMeter {
+	return &attemptMeter{placement: p, startTime: time.Now()}
+}
 
-func (m *meter) token() {
+func (m *attemptMeter) onToken() {
 	if m.result.Tokens == 0 {
-		m.result.FirstToken = time.Since(m.began)
+		m.result.FirstToken = time.Since(m.startTime)
 		m.placement.ObserveFirstToken(m.result.FirstToken)
 	}
 	m.result.Tokens++
 }
 
-// done ends the placement. ctx is the run's: an attempt that failed because it
+// finish ends the placement. ctx is the run's: an attempt that failed because it
 // ended says nothing about the endpoint.
-func (m *meter) done(ctx context.Context, err error) {
-	m.result.Total = time.Since(m.began)
+func (m *attemptMeter) finish(ctx context.Context, err error) {
+	m.result.Total = time.Since(m.startTime)
 	m.result.Failed = err != nil
 	m.result.Abandoned = err != nil && ctx.Err() != nil
 	m.result.Stalled = errors.Is(err, endpoint.ErrSilent) || errors.Is(err, errStalled)
@@ -42,34 +44,34 @@
 // errStalled says that an endpoint's connection lives but brings no token.
 var errStalled = eris.New("run: no token within the progress limit")
 
-// progress gives up an answer that has begun and stands still.
-type progress struct {
-	ctx    context.Context
-	cancel context.CancelCauseFunc
-	limit  time.Duration
-	timer  *time.Timer
+// progressWatch gives up an answer that has begun and stands still.
+type progressWatch struct {
+	ctx     context.Context
+	cancel  context.CancelCauseFunc
+	timeout time.Duration
+	timer   *time.Timer
 }
 
 // watchProgress watches from the first token on, or at once for an answer that
 // has begun on another connection.
-func (r *Runner) watchProgress(ctx context.Context, begun bool) (context.Context, *progress) {
+func (r *Runner) watchProgress(ctx context.Context, hasTokens bool) (context.Context, *progressWatch) {
 	ctx, cancel := context.WithCancelCause(ctx)
-	p := &progress{ctx: ctx, cancel: cancel, limit: r.Limits.Progress}
-	p.timer = time.AfterFunc(p.limit, func() { cancel(errStalled) })
-	if !begun {
+	p := &progressWatch{ctx: ctx, cancel: cancel, timeout: r.Limits.ProgressTimeout}
+	p.timer = time.AfterFunc(p.timeout, func() { cancel(errStalled) })
+	if !hasTokens {
 		p.timer.Stop()
 	}
 	return ctx, p
 }
 
-func (p *progress) token() { p.timer.Reset(p.limit) }
+func (p *progressWatch) onToken() { p.timer.Reset(p.timeout) }
 
-func (p *progress) stop() {
+func (p *progressWatch) stop() {
 	p.timer.Stop()
 	p.cancel(context.Canceled)
 }
 
-func (p *progress) explain(err error) error {
+func (p *progressWatch) withCause(err error) error {
 	if errors.Is(context.Cause(p.ctx), errStalled) {
 		return errors.Join(errStalled, err)
 	}
--- a/internal/run/outcome_test.go
+++ b/internal/run/outcome_test.go
@@ -10,14 +10,14 @@
 	"guavapier/internal/standin"
 )
 
-// distant is Claims whose holder is out of reach.
-type distant struct {
+// unreachableHolder is Claims whose holder is out of reach.
+type unreachableHolder struct {
 	claim.Claims
 	err error // Of Begin; nil for an uncounted ticket.
 }
 
 // Begin implements claim.Claims.
-func (d distant) Begin(context.Context, claim.Request) (claim.Ticket, error) {
+func (d unreachableHolder) Begin(context.Context, claim.Request) (claim.Ticket, error) {
 	return claim.Ticket{Run: record.NewRunID(), Runner: "a1", Uncounted: true}, d.err
 }
 
@@ -37,14 +37,14 @@
 		"any other error":          {err: errors.New("surprise"), want: record.OutcomeUnknown},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newBench(t)
-			b.Claims = distant{Claims: b.Claims, err: c.err}
+			b := newTestBench(t)
+			b.Claims = unreachableHolder{Claims: b.Claims, err: c.err}
 			for _, e := range b.engines {
 				e.SetFaults(standin.EngineFaults{Refuse: true})
 			}
-			chat := chatOf("k", true)
-			chat.First = c.first
-			got := b.ask(t.Context(), chat, nil)
+			chat := newChat("k", true)
+			chat.FirstAttempt = c.first
+			got := b.chat(t.Context(), chat, nil)
 			if f := failureOf(t, got.err); f.Outcome != c.want {
 				t.Errorf("chat: %+v", f)
 			}
--- a/internal/run/presence.go
+++ b/internal/run/presence.go
@@ -14,77 +14,77 @@
 
 // The causes that end a run's work early.
 var (
-	errLeft = eris.New("run: the caller left")
-	errLate = eris.New("run: no token within the caller's wait")
+	errCallerLeft     = eris.New("run: the caller left")
+	errNoAnswerInTime = eris.New("run: no token within the caller's wait")
 )
 
-// presence ties a run's work to its caller. The work ends at once when the
+// callerBinding ties a run's work to its caller. The work ends at once when the
 // caller of a request without an Idempotency-Key leaves, since no retry can
 // name the run. With a key it lingers, so that the retry finds the run.
-type presence struct {
-	// work is the context of the run's work.
-	work   context.Context
-	cancel context.CancelCauseFunc
-	sink   Sink
-	late   *time.Timer
-	leave  func() // Marks the caller as gone.
-	gone   bool
+type callerBinding struct {
+	// workCtx is the context of the run's workCtx.
+	workCtx         context.Context
+	cancel          context.CancelCauseFunc
+	sink            TokenSink
+	firstTokenTimer *time.Timer
+	markLeft        func() // Marks the caller as gone.
+	callerLeft      bool
 }
 
-// attend begins a run's work for a caller.
-func (r *Runner) attend(ctx context.Context, q Request, sink Sink) *presence {
-	here, leave := context.WithCancel(ctx)
-	work, cancel := context.WithCancelCause(context.WithoutCancel(ctx))
-	linger := time.Duration(0)
-	if q.Keyed {
-		linger = r.Limits.Linger
+// bindCaller begins a run's work for a caller.
+func (r *Runner) bindCaller(ctx context.Context, q Request, sink TokenSink) *callerBinding {
+	callerCtx, markLeft := context.WithCancel(ctx)
+	workCtx, cancel := context.WithCancelCause(context.WithoutCancel(ctx))
+	lingerTimeout := time.Duration(0)
+	if q.HasCallerKey {
+		lingerTimeout = r.Limits.LingerTimeout
 	}
-	context.AfterFunc(here, func() {
-		timer := time.NewTimer(linger)
+	context.AfterFunc(callerCtx, func() {
+		timer := time.NewTimer(lingerTimeout)
 		defer timer.Stop()
 		select {
 		case <-timer.C:
-			cancel(errLeft)
-		case <-work.Done():
+			cancel(errCallerLeft)
+		case <-workCtx.Done():
 		}
 	})
-	late := time.AfterFunc(q.Wait, func() { cancel(errLate) })
-	return &presence{work: work, cancel: cancel, sink: sink, late: late, leave: leave}
+	firstTokenTimer := time.AfterFunc(q.MaxWait, func() { cancel(errNoAnswerInTime) })
+	return &callerBinding{workCtx: workCtx, cancel: cancel, sink: sink, firstTokenTimer: firstTokenTimer, markLeft: markLeft}
 }
 
-// take passes a token to the caller unless it has left.
-func (p *presence) take(run record.RunID, t endpoint.Token) {
-	p.late.Stop()
-	if p.gone {
+// deliver passes a token to the caller unless it has left.
+func (b *callerBinding) deliver(run record.RunID, t endpoint.Token) {
+	b.firstTokenTimer.Stop()
+	if b.callerLeft {
 		return
 	}
-	if err := p.sink(run, t); err != nil {
-		p.gone = true
-		p.leave()
+	if err := b.sink(run, t); err != nil {
+		b.callerLeft = true
+		b.markLeft()
 	}
 }
 
-func (p *presence) stop() {
-	p.late.Stop()
-	p.cancel(context.Canceled)
-	p.leave()
+func (b *callerBinding) stop() {
+	b.firstTokenTimer.Stop()
+	b.cancel(context.Canceled)
+	b.markLeft()
 }
 
-// explain returns err, with the cause that ended the work if one did.
-func (p *presence) explain(err error) error {
+// withCause returns err, with the cause that ended the work if one did.
+func (b *callerBinding) withCause(err error) error {
 	if err == nil {
 		return nil
 	}
-	if cause := context.Cause(p.work); cause != nil {
+	if cause := context.Cause(b.workCtx); cause != nil {
 		return errors.Join(cause, err)
 	}
 	return err
 }
 
-// tokenText collects the text of an answer.
-type tokenText struct{ text strings.Builder }
+// answerText collects the text of an answer.
+type answerText struct{ text strings.Builder }
 
-func (t *tokenText) add(token endpoint.Token) { t.text.WriteString(token.Text) }
+func (t *answerText) add(token endpoint.Token) { t.text.WriteString(token.Text) }
 
 // String returns the text so far without a copy.
-func (t *tokenText) String() string { return t.text.String() }
+func (t *answerText) String() string { return t.text.String() }
--- a/internal/run/run.go
+++ b/internal/run/run.go
@@ -19,8 +19,8 @@
 	"guavapier/internal/session"
 )
 
-// Accounts is what a run needs of package ledger.
-type Accounts interface {
+// Budgets is what a run needs of package ledger.
+type Budgets interface {
 	Reserve(ctx context.Context, key record.RequestKey, run record.RunID, budget record.BudgetID, tokens int64) (ledger.Reservation, error)
 	Settle(ctx context.Context, budget record.BudgetID, r ledger.Reservation, used int64) error
 }
@@ -31,13 +31,13 @@
 	Submit(ctx context.Context, r decide.Request) (*dispatch.Placement, error)
 }
 
-// Endpoints finds an endpoint's base URL by its name.
-type Endpoints interface {
+// EndpointDirectory finds an endpoint's base URL by its name.
+type EndpointDirectory interface {
 	URL(name string) (string, bool)
 }
 
-// Finder finds the engine that has a run, by the run alone.
-type Finder interface {
+// RunFinder finds the engine that has a run, by the run alone.
+type RunFinder interface {
 	Find(ctx context.Context, run record.RunID) (endpoint string, ok bool)
 }
 
@@ -49,19 +49,19 @@
 // Runner is safe for concurrent use.
 type Runner struct {
 	Claims    claim.Claims
-	Accounts  Accounts
+	Budgets   Budgets
 	Placer    Placer
-	Endpoints Endpoints
+	Endpoints EndpointDirectory
 	Engines   endpoint.Engines
 	Services  endpoint.Services
-	// Finder finds runs whose claim is lost; nil where none can be found.
-	Finder Finder
-	// Repeats is nil where no call may be repeated.
-	Repeats RepeatRules
+	// RunFinder finds runs whose claim is lost; nil where none can be found.
+	RunFinder RunFinder
+	// RepeatRules is nil where no call may be repeated.
+	RepeatRules RepeatRules
 	// Limits bound the runs.
 	Limits Limits
-	// Leaving takes an endpoint's own word that it is leaving.
-	Leaving func(endpoint string)
+	// OnEndpointLeaving takes an endpoint's own word that it is leaving.
+	OnEndpointLeaving func(endpoint string)
 	// OnError takes errors that no caller waits for.
 	OnError func(error)
 
@@ -70,20 +70,20 @@
 
 // Limits bound what one run may take.
 type Limits struct {
-	// Endpoints bounds at how many endpoints one run is tried.
-	Endpoints int
-	// Resumes bounds the new connections to one endpoint, one after the other,
+	// MaxEndpoints bounds at how many endpoints one run is tried.
+	MaxEndpoints int
+	// MaxResumes bounds the new connections to one endpoint, one after the other,
 	// that bring no token.
-	Resumes int
-	// Progress is how long a begun answer may go without a token, heartbeats or
+	MaxResumes int
+	// ProgressTimeout is how long a begun answer may go without a token, heartbeats or
 	// not, before its endpoint is given up.
-	Progress time.Duration
-	// Linger is how long the run of a caller who gave an Idempotency-Key goes
+	ProgressTimeout time.Duration
+	// LingerTimeout is how long the run of a caller who gave an Idempotency-Key goes
 	// on after the caller's connection is lost. It must be longer than the
 	// longest answer takes, since a retry may be reading that answer.
-	Linger time.Duration
-	// Control bounds the work that is done for a run after its end.
-	Control time.Duration
+	LingerTimeout time.Duration
+	// ControlTimeout bounds the work that is done for a run after its end.
+	ControlTimeout time.Duration
 }
 
 // Close waits for the work that is done after the runs' end.
@@ -92,24 +92,24 @@
 // Request is what chat requests and service calls have in common.
 type Request struct {
 	Key record.RequestKey
-	// Keyed says that the caller gave the key, so that a retry can name it.
-	Keyed    bool
-	Digest   uint64
-	Team     config.Team
-	Session  session.Identity
-	First    bool
-	Priority decide.Priority
-	// Wait is how long the caller waits for the first token or the answer.
-	Wait time.Duration
+	// HasCallerKey says that the caller gave the key, so that a retry can name it.
+	HasCallerKey bool
+	Digest       uint64
+	Team         config.Team
+	Session      session.Identity
+	FirstAttempt bool
+	Priority     decide.Priority
+	// MaxWait is how long the caller waits for the first token or the answer.
+	MaxWait time.Duration
 }
 
-func (q Request) claim(repeatable bool) claim.Request {
-	return claim.Request{Key: q.Key, Digest: q.Digest, Home: q.Session.Home, Repeatable: repeatable, First: q.First, Minted: !q.Keyed}
+func (q Request) claimRequest(repeatable bool) claim.Request {
+	return claim.Request{Key: q.Key, Digest: q.Digest, Home: q.Session.Home, Repeatable: repeatable, First: q.FirstAttempt, Minted: !q.HasCallerKey}
 }
 
-// Position is where in a run's answer a caller is. It must come from the entry's
+// ResumePosition is where in a run's answer a caller is. It must come from the entry's
 // own signed word, since it gives access to the run.
-type Position struct {
+type ResumePosition struct {
 	Run record.RunID // Empty for a caller who has nothing yet.
 	// Tokens is how many tokens of the answer the caller has.
 	Tokens int
@@ -125,22 +125,22 @@
 	// PromptTokens is the worst case of the prompt, MaxTokens of the answer.
 	PromptTokens int
 	MaxTokens    int
-	// Have is what the caller says it has already.
-	Have Position
+	// ResumeFrom is what the caller says it has already.
+	ResumeFrom ResumePosition
 }
 
-func (c Chat) order(run record.RunID) endpoint.Order {
+func (c Chat) newOrder(run record.RunID) endpoint.Order {
 	return endpoint.Order{
 		Run: run, Priority: int(c.Priority), Model: c.Model, Messages: c.Messages, Params: c.Params, MaxTokens: c.MaxTokens,
 	}
 }
 
-// Sink takes the tokens of a run, in order, each once.
-type Sink func(record.RunID, endpoint.Token) error
+// TokenSink takes the tokens of a run, in order, each once.
+type TokenSink func(record.RunID, endpoint.Token) error
 
 // ChatResult is a whole answer's closing.
 type ChatResult struct {
-	Run    record.RunID
-	Usage  endpoint.Usage
-	Finish string
+	Run          record.RunID
+	Usage        endpoint.Usage
+	FinishReason string
 }
--- a/internal/run/run_test.go
+++ b/internal/run/run_test.go
@@ -30,44 +30,44 @@
 	testWait    = 5 * time.Second
 )
 
-// books is Accounts that only writes down.
-type books struct {
+// recordingBudgets is Accounts that only writes down.
+type recordingBudgets struct {
 	mu    sync.Mutex
 	bills map[record.RunID][]int64
 }
 
-func (b *books) Reserve(_ context.Context, key record.RequestKey, run record.RunID, _ record.BudgetID, tokens int64) (ledger.Reservation, error) {
+func (b *recordingBudgets) Reserve(_ context.Context, key record.RequestKey, run record.RunID, _ record.BudgetID, tokens int64) (ledger.Reservation, error) {
 	return ledger.Reservation{Key: key, Run: run, Tokens: tokens}, nil
 }
 
-func (b *books) Settle(_ context.Context, _ record.BudgetID, r ledger.Reservation, used int64) error {
+func (b *recordingBudgets) Settle(_ context.Context, _ record.BudgetID, r ledger.Reservation, used int64) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.bills[r.Run] = append(b.bills[r.Run], used)
 	return nil
 }
 
-// bench is a runner in front of stand-ins on loopback, with the real clients
+// testBench is a runner in front of stand-ins on loopback, with the real clients
 // and the real dispatcher.
-type bench struct {
+type testBench struct {
 	*Runner
-	t        *testing.T
-	engines  []*standin.Engine
-	services []*standin.Service
-	servers  []*httptest.Server
-	urls     map[string]string
-	counts   endpoint.Counts
-	books    *books
+	t                *testing.T
+	engines          []*standin.Engine
+	services         []*standin.Service
+	servers          []*httptest.Server
+	urls             map[string]string
+	counts           endpoint.Counts
+	recordingBudgets *recordingBudgets
 	// mu guards left, the endpoints that were told to be leaving.
-	mu   sync.Mutex
-	left []string
+	mu      sync.Mutex
+	leaving []string
 }
 
 // URL implements Endpoints.
-func (b *bench) URL(name string) (string, bool) { url, ok := b.urls[name]; return url, ok }
+func (b *testBench) URL(name string) (string, bool) { url, ok := b.urls[name]; return url, ok }
 
 // Find implements Finder.
-func (b *bench) Find(ctx context.Context, run record.RunID) (string, bool) {
+func (b *testBench) Find(ctx context.Context, run record.RunID) (string, bool) {
 	for _, name := range []string{"e1", "e2"} {
 		if _, err := b.Engines.State(ctx, b.urls[name], run); err == nil {
 			return name, true
@@ -76,11 +76,11 @@
 	return "", false
 }
 
-// newBench starts engines e1, e2 and services s1, s2, the first of each first
+// newTestBench starts engines e1, e2 and services s1, s2, the first of each first
 // in line, since every session is placed there.
-func newBench(t *testing.T) *bench {
+func newTestBench(t *testing.T) *testBench {
 	t.Helper()
-	b := &bench{t: t, urls: map[string]string{}, books: &books{bills: map[record.RunID][]int64{}}}
+	b := &testBench{t: t, urls: map[string]string{}, recordingBudgets: &recordingBudgets{bills: map[record.RunID][]int64{}}}
 	d := dispatch.New()
 	var rows []decide.Endpoint
 	for _, name := range []string{"e1", "e2"} {
@@ -96,14 +96,14 @@
 	d.Update(func(decider *decide.Decider) { decider.SetEndpoints(rows) })
 	opts := endpoint.Options{Connect: time.Second, Silence: testSilence, Control: time.Second, AnswerBytes: 1 << 16}
 	b.Runner = &Runner{
-		Claims: &table{rows: map[record.RequestKey]*row{}}, Accounts: b.books, Placer: d, Endpoints: b,
+		Claims: &memoryClaims{rows: map[record.RequestKey]*claimRow{}}, Budgets: b.recordingBudgets, Placer: d, Endpoints: b,
 		Engines: endpoint.NewHTTPEngines(opts, &b.counts), Services: endpoint.NewHTTPServices(opts, &b.counts),
-		Finder: b,
-		Limits: Limits{Endpoints: 2, Resumes: 1, Progress: 3 * testSilence, Linger: time.Minute, Control: 2 * time.Second},
-		Leaving: func(name string) {
+		RunFinder: b,
+		Limits:    Limits{MaxEndpoints: 2, MaxResumes: 1, ProgressTimeout: 3 * testSilence, LingerTimeout: time.Minute, ControlTimeout: 2 * time.Second},
+		OnEndpointLeaving: func(name string) {
 			b.mu.Lock()
 			defer b.mu.Unlock()
-			b.left = append(b.left, name)
+			b.leaving = append(b.leaving, name)
 		},
 		OnError: func(err error) { t.Error(err) },
 	}
@@ -130,7 +130,7 @@
 	return b
 }
 
-func (b *bench) serve(name string, h http.Handler, row decide.Endpoint) decide.Endpoint {
+func (b *testBench) serve(name string, h http.Handler, row decide.Endpoint) decide.Endpoint {
 	server := httptest.NewServer(h)
 	b.servers = append(b.servers, server)
 	b.urls[name] = server.URL
@@ -142,7 +142,7 @@
 }
 
 // kill ends an endpoint as SIGKILL does.
-func (b *bench) kill(n int) {
+func (b *testBench) kill(n int) {
 	b.servers[n].Listener.Close()
 	b.servers[n].CloseClientConnections()
 }
@@ -156,13 +156,13 @@
 	}
 }
 
-func chatOf(key string, keyed bool) Chat {
-	q := Request{Key: record.RequestKey{Team: "dala", Key: key}, Keyed: keyed, Wait: testWait, Priority: decide.PriorityInteractive}
+func newChat(key string, keyed bool) Chat {
+	q := Request{Key: record.RequestKey{Team: "dala", Key: key}, HasCallerKey: keyed, MaxWait: testWait, Priority: decide.PriorityInteractive}
 	q.Team.Name = "dala"
 	return Chat{Request: q, Model: "small", Messages: []byte(`["hello"]`), PromptTokens: 20, MaxTokens: testTokens}
 }
 
-func textOf(from, to int) string {
+func answerTextOf(from, to int) string {
 	var b strings.Builder
 	for i := from; i < to; i++ {
 		b.WriteString(standin.TokenText(i))
@@ -170,35 +170,35 @@
 	return b.String()
 }
 
-// told is what a caller got. at is called with each token's index.
-type told struct {
+// callerResult is what a caller got. at is called with each token's index.
+type callerResult struct {
 	text   string
 	result ChatResult
 	err    error
 }
 
-func (b *bench) ask(ctx context.Context, c Chat, at func(int)) told {
+func (b *testBench) chat(ctx context.Context, c Chat, onToken func(int)) callerResult {
 	var text strings.Builder
 	result, err := b.Chat(ctx, c, func(_ record.RunID, token endpoint.Token) error {
-		if at != nil {
-			at(token.Index)
+		if onToken != nil {
+			onToken(token.Index)
 		}
 		text.WriteString(token.Text)
 		return ctx.Err()
 	})
-	return told{text: text.String(), result: result, err: err}
+	return callerResult{text: text.String(), result: result, err: err}
 }
 
-// billed waits for the background work and returns the bills of a run.
-func (b *bench) billed(run record.RunID) []int64 {
+// billsOf waits for the background work and returns the bills of a run.
+func (b *testBench) billsOf(run record.RunID) []int64 {
 	b.Close()
-	b.books.mu.Lock()
-	defer b.books.mu.Unlock()
-	return slices.Clone(b.books.bills[run])
+	b.recordingBudgets.mu.Lock()
+	defer b.recordingBudgets.mu.Unlock()
+	return slices.Clone(b.recordingBudgets.bills[run])
 }
 
-// generated returns what each engine generated for a run.
-func (b *bench) generated(run record.RunID) (out []int) {
+// generatedTokens returns what each engine generatedTokens for a run.
+func (b *testBench) generatedTokens(run record.RunID) (out []int) {
 	for _, e := range b.engines {
 		n := 0
 		for _, row := range e.Runs() {
@@ -222,40 +222,40 @@
 	return *f
 }
 
-// table is Claims in one instance's memory.
-type table struct {
+// memoryClaims is Claims in one instance's memory.
+type memoryClaims struct {
 	mu   sync.Mutex
-	rows map[record.RequestKey]*row
+	rows map[record.RequestKey]*claimRow
 }
 
-type row struct {
+type claimRow struct {
 	digest uint64
 	ticket claim.Ticket
 }
 
 // Begin implements claim.Claims.
-func (c *table) Begin(_ context.Context, r claim.Request) (claim.Ticket, error) {
+func (c *memoryClaims) Begin(_ context.Context, r claim.Request) (claim.Ticket, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	known, ok := c.rows[r.Key]
+	existing, ok := c.rows[r.Key]
 	if !ok {
-		c.rows[r.Key] = &row{digest: r.Digest, ticket: claim.Ticket{Run: record.NewRunID(), Runner: "a1"}}
+		c.rows[r.Key] = &claimRow{digest: r.Digest, ticket: claim.Ticket{Run: record.NewRunID(), Runner: "a1"}}
 		return c.rows[r.Key].ticket, nil
 	}
-	if known.digest != r.Digest {
+	if existing.digest != r.Digest {
 		return claim.Ticket{}, claim.ErrKeyReused
 	}
-	if known.ticket.RunnerGone && r.Lost == known.ticket.Run {
-		known.ticket.Runner, known.ticket.RunnerGone, known.ticket.Endpoint = "a1", false, ""
-		return known.ticket, nil
+	if existing.ticket.RunnerGone && r.Lost == existing.ticket.Run {
+		existing.ticket.Runner, existing.ticket.RunnerGone, existing.ticket.Endpoint = "a1", false, ""
+		return existing.ticket, nil
 	}
-	joined := known.ticket
+	joined := existing.ticket
 	joined.Join = true
 	return joined, nil
 }
 
 // Place implements claim.Claims.
-func (c *table) Place(_ context.Context, key record.RequestKey, endpoint string) {
+func (c *memoryClaims) Place(_ context.Context, key record.RequestKey, endpoint string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if known, ok := c.rows[key]; ok {
@@ -264,7 +264,7 @@
 }
 
 // End implements claim.Claims.
-func (c *table) End(_ context.Context, key record.RequestKey, end claim.End) {
+func (c *memoryClaims) End(_ context.Context, key record.RequestKey, end claim.End) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	known, ok := c.rows[key]
--- a/internal/run/service.go
+++ b/internal/run/service.go
@@ -26,7 +26,7 @@
 // callsPath is the path of a plain service below which its calls are.
 const callsPath = "/call"
 
-func (c Call) target() string {
+func (c Call) requestTarget() string {
 	if c.Query == "" {
 		return callsPath + c.Path
 	}
@@ -36,7 +36,7 @@
 // Repeatable says whether a call may run more than once. Without a rule that
 // says so it may not.
 func (r *Runner) Repeatable(service, method, path string) bool {
-	return r.Repeats != nil && r.Repeats.Repeatable(service, method, path)
+	return r.RepeatRules != nil && r.RepeatRules.Repeatable(service, method, path)
 }
 
 // Call runs a service call, or returns the answer of the run that an earlier
@@ -45,27 +45,27 @@
 	repeatable := r.Repeatable(c.Service, c.Method, c.Path)
 	ticket, err := r.beginCall(ctx, c, repeatable)
 	if err != nil {
-		return endpoint.Answer{}, unclaimed(err)
+		return endpoint.Answer{}, claimFailure(err)
 	}
 	if ticket.Join {
-		return joinCall(ticket)
+		return joinedAnswer(ticket)
 	}
-	answer, err := r.ownCall(ctx, c, ticket.Run, repeatable)
-	return answer, c.doubted(ticket, err)
+	answer, err := r.executeCall(ctx, c, ticket.Run, repeatable)
+	return answer, c.retractNotRun(ticket, err)
 }
 
 // beginCall claims the call, or waits for the end of the run that it joins.
 func (r *Runner) beginCall(ctx context.Context, c Call, repeatable bool) (claim.Ticket, error) {
-	ctx, cancel := context.WithTimeout(ctx, c.Wait)
+	ctx, cancel := context.WithTimeout(ctx, c.MaxWait)
 	defer cancel()
-	return claim.BeginOrJoin(ctx, r.Claims, c.claim(repeatable))
+	return claim.BeginOrJoin(ctx, r.Claims, c.claimRequest(repeatable))
 }
 
-// joinCall returns the answer of a call that another attempt has sent, where a
+// joinedAnswer returns the answer of a call that another attempt has sent, where a
 // copy of it is kept.
-func joinCall(t claim.Ticket) (endpoint.Answer, error) {
+func joinedAnswer(t claim.Ticket) (endpoint.Answer, error) {
 	if t.Outcome != record.OutcomeAnswered {
-		return endpoint.Answer{}, failure(claim.ErrUnknown, true)
+		return endpoint.Answer{}, newFailure(claim.ErrUnknown, true)
 	}
 	if t.Answer == nil {
 		return endpoint.Answer{}, &Failure{
@@ -76,71 +76,71 @@
 	return endpoint.Answer{Status: t.Answer.Status, ContentType: t.Answer.ContentType, Body: t.Answer.Body}, nil
 }
 
-// ownCall carries a call that this request has claimed. It goes on without its
+// executeCall carries a call that this request has claimed. It goes on without its
 // caller: a call that is on its way cannot be called back, and a retry is told
 // its outcome.
-func (r *Runner) ownCall(ctx context.Context, c Call, run record.RunID, repeatable bool) (endpoint.Answer, error) {
-	work, stop := context.WithTimeoutCause(context.WithoutCancel(ctx), c.Wait, errLate)
+func (r *Runner) executeCall(ctx context.Context, c Call, run record.RunID, repeatable bool) (endpoint.Answer, error) {
+	workCtx, stop := context.WithTimeoutCause(context.WithoutCancel(ctx), c.MaxWait, errNoAnswerInTime)
 	defer stop()
-	s := &sending{call: c, run: run, repeatable: repeatable, wait: c.Wait}
-	answer, err := r.send(work, s)
-	if err != nil && work.Err() != nil {
-		err = errors.Join(errLate, err)
+	s := &callState{call: c, run: run, repeatable: repeatable, maxWait: c.MaxWait}
+	answer, err := r.sendCall(workCtx, s)
+	if err != nil && workCtx.Err() != nil {
+		err = errors.Join(errNoAnswerInTime, err)
 	}
-	return answer, r.end(ctx, c.Key, err, s.started, &claim.Answer{Status: answer.Status, ContentType: answer.ContentType, Body: answer.Body})
+	return answer, r.endRun(ctx, c.Key, err, s.mayHaveRun, &claim.Answer{Status: answer.Status, ContentType: answer.ContentType, Body: answer.Body})
 }
 
-// sending is the state of one call while endpoints are tried.
-type sending struct {
+// callState is the state of one call while endpoints are tried.
+type callState struct {
 	call       Call
 	run        record.RunID
 	repeatable bool
-	wait       time.Duration
+	maxWait    time.Duration
 	attempt    int
-	avoid      []string
-	started    bool // An endpoint may have run the call.
+	excluded   []string
+	mayHaveRun bool // An endpoint may have run the call.
 }
 
-// send tries one endpoint after the other while nothing has run, or where the
+// sendCall tries one endpoint after the other while nothing has run, or where the
 // call may be repeated.
-func (r *Runner) send(ctx context.Context, s *sending) (endpoint.Answer, error) {
-	deadline := r.Placer.Now() + s.wait
-	var last error
-	for range r.Limits.Endpoints {
-		placement, err := r.Placer.Submit(ctx, s.place(deadline))
+func (r *Runner) sendCall(ctx context.Context, s *callState) (endpoint.Answer, error) {
+	deadline := r.Placer.Now() + s.maxWait
+	var lastErr error
+	for range r.Limits.MaxEndpoints {
+		placement, err := r.Placer.Submit(ctx, s.placementRequest(deadline))
 		if err != nil {
-			return endpoint.Answer{}, errors.Join(last, err)
+			return endpoint.Answer{}, errors.Join(lastErr, err)
 		}
-		meter := newMeter(placement)
-		answer, err := r.sendTo(ctx, s, placement.Endpoint)
-		meter.done(ctx, err)
+		meter := newAttemptMeter(placement)
+		answer, err := r.sendToEndpoint(ctx, s, placement.Endpoint)
+		meter.finish(ctx, err)
 		if err == nil {
 			return answer, nil
 		}
-		last = err
-		r.heed(placement.Endpoint, err)
+		lastErr = err
+		r.reportLeaving(placement.Endpoint, err)
 		if ctx.Err() != nil || errors.Is(err, endpoint.ErrRejected) {
 			break
 		}
 		if !s.repeatable && !errors.Is(err, endpoint.ErrRefused) {
 			break
 		}
-		s.avoid = append(s.avoid, placement.Endpoint)
+		s.excluded = append(s.excluded, placement.Endpoint)
 	}
-	return endpoint.Answer{}, last
+	return endpoint.Answer{}, lastErr
 }
 
-func (s *sending) place(deadline decide.Time) decide.Request {
+func (s *callState) placementRequest(deadline decide.Time) decide.Request {
 	c := s.call
 	return decide.Request{
-		Team: c.Team.Name, Session: c.Session.ID, Service: c.Service, Priority: c.Priority, Deadline: deadline, Avoid: s.avoid,
+		Team: c.Team.Name, Session: c.Session.ID, Service: c.Service, Priority: c.Priority, Deadline: deadline, Avoid: s.excluded,
 		Repeatable: s.repeatable,
 	}
 }
 
-// sendTo sends the call to one endpoint. One that may be repeated is given up
+// sendToEndpoint sends the call to one endpoint. One that may be repeated is given up
 // there in time for another try.
-func (r *Runner) sendTo(ctx context.Context, s *sending, name string) (endpoint.Answer, error) {
+func (r *Runner) sendToEndpoint(ctx context.Context, s *callState, name string) (endpoint.Answer, error) {
 	base, ok := r.Endpoints.URL(name)
 	if !ok {
 		return endpoint.Answer{}, endpoint.ErrRefused
@@ -148,15 +148,15 @@
 	r.Claims.Place(ctx, s.call.Key, name)
 	if s.repeatable && s.attempt == 0 {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithTimeout(ctx, s.wait/2)
+		ctx, cancel = context.WithTimeout(ctx, s.maxWait/2)
 		defer cancel()
 	}
 	s.attempt++
 	answer, err := r.Services.Call(ctx, base, endpoint.Call{
-		Run: s.run, Attempt: s.attempt, Method: s.call.Method, Path: s.call.target(), ContentType: s.call.ContentType, Body: s.call.Body,
+		Run: s.run, Attempt: s.attempt, Method: s.call.Method, Path: s.call.requestTarget(), ContentType: s.call.ContentType, Body: s.call.Body,
 	})
 	if !errors.Is(err, endpoint.ErrRefused) {
-		s.started = true
+		s.mayHaveRun = true
 	}
 	return answer, err
 }
--- a/internal/run/settle.go
+++ b/internal/run/settle.go
@@ -6,10 +6,10 @@
 	"guavapier/internal/ledger"
 )
 
-// settleLater settles a run after its caller has its final answer: neither a
+// settleInBackground settles a run after its caller has its final answer: neither a
 // slow log nor a dead endpoint may hold that back. Until then the reservation
 // stands.
-func (r *Runner) settleLater(ctx context.Context, g *generation, reserved ledger.Reservation, err error) {
+func (r *Runner) settleInBackground(ctx context.Context, g *generation, reserved ledger.Reservation, err error) {
 	ctx = context.WithoutCancel(ctx)
 	r.background.Go(func() { r.settle(ctx, g, reserved, err) })
 }
@@ -20,25 +20,25 @@
 func (r *Runner) settle(ctx context.Context, g *generation, reserved ledger.Reservation, err error) {
 	used := g.result.Usage.Prompt + g.result.Usage.Completion
 	switch {
-	case err != nil && !g.started:
+	case err != nil && !g.mayHaveRun:
 		used = 0
 	case err != nil:
-		used = r.usedWithoutAnswer(ctx, g, reserved)
+		used = r.usageWithoutAnswer(ctx, g, reserved)
 	}
 	used = min(used, reserved.Tokens)
-	if err := r.Accounts.Settle(ctx, g.chat.Team.Budget, reserved, used); err != nil {
+	if err := r.Budgets.Settle(ctx, g.chat.Team.Budget, reserved, used); err != nil {
 		r.OnError(err)
 	}
 }
 
-// usedWithoutAnswer stops the run and asks its endpoint what it came to.
-func (r *Runner) usedWithoutAnswer(ctx context.Context, g *generation, reserved ledger.Reservation) int64 {
-	ctx, stop := context.WithTimeout(ctx, r.Limits.Control)
+// usageWithoutAnswer stops the run and asks its endpoint what it came to.
+func (r *Runner) usageWithoutAnswer(ctx context.Context, g *generation, reserved ledger.Reservation) int64 {
+	ctx, stop := context.WithTimeout(ctx, r.Limits.ControlTimeout)
 	defer stop()
-	if err := r.Engines.Cancel(ctx, g.base, g.order.Run, g.order.Attempt); err != nil {
+	if err := r.Engines.Cancel(ctx, g.lastBase, g.order.Run, g.order.Attempt); err != nil {
 		return reserved.Tokens
 	}
-	state, err := r.Engines.State(ctx, g.base, g.order.Run)
+	state, err := r.Engines.State(ctx, g.lastBase, g.order.Run)
 	if err != nil {
 		return reserved.Tokens
 	}
--- a/internal/run/takeover_test.go
+++ b/internal/run/takeover_test.go
@@ -8,12 +8,12 @@
 	"guavapier/internal/record"
 )
 
-// orphan claims a run for an instance that is gone, which had placed it at an
+// claimForGoneInstance claims a run for an instance that is gone, which had placed it at an
 // endpoint; "" for nowhere.
-func (b *bench) orphan(c Chat, at string) record.RunID {
+func (b *testBench) claimForGoneInstance(c Chat, at string) record.RunID {
 	b.t.Helper()
-	claims := b.Claims.(*table)
-	ticket, err := claims.Begin(context.Background(), c.claim(true))
+	claims := b.Claims.(*memoryClaims)
+	ticket, err := claims.Begin(context.Background(), c.claimRequest(true))
 	if err != nil {
 		b.t.Fatal(err)
 	}
@@ -22,11 +22,11 @@
 	return ticket.Run
 }
 
-// order has a run begun at an endpoint as the gone instance did, and leaves it
+// startOrder has a run begun at an endpoint as the gone instance did, and leaves it
 // to itself once it has brought a token.
-func (b *bench) order(c Chat, run record.RunID, at string) {
+func (b *testBench) startOrder(c Chat, run record.RunID, at string) {
 	b.t.Helper()
-	order := c.order(run)
+	order := c.newOrder(run)
 	order.Attempt = 1
 	stream, err := b.Engines.Start(context.Background(), b.urls[at], order)
 	if err != nil {
@@ -44,30 +44,30 @@
 	for name, c := range map[string]struct {
 		placed string
 		begun  bool
-		kill   func(b *bench, index int)
+		kill   func(b *testBench, index int)
 	}{
 		"before it was placed":     {},
 		"placed, never ordered":    {placed: "e2"},
 		"endpoint left the list":   {placed: "e9"},
-		"endpoint dies meanwhile":  {placed: "e1", begun: true, kill: func(b *bench, i int) { b.killAt(i, testTokens/2, 0) }},
-		"endpoint refuses already": {placed: "e1", begun: true, kill: func(b *bench, i int) { b.killAt(i, 0, 0) }},
+		"endpoint dies meanwhile":  {placed: "e1", begun: true, kill: func(b *testBench, i int) { b.killAt(i, testTokens/2, 0) }},
+		"endpoint refuses already": {placed: "e1", begun: true, kill: func(b *testBench, i int) { b.killAt(i, 0, 0) }},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newBench(t)
-			chat := chatOf("k", true)
-			run := b.orphan(chat, c.placed)
+			b := newTestBench(t)
+			chat := newChat("k", true)
+			run := b.claimForGoneInstance(chat, c.placed)
 			if c.begun {
-				b.order(chat, run, c.placed)
+				b.startOrder(chat, run, c.placed)
 			}
-			got := b.ask(t.Context(), chat, func(i int) {
+			got := b.chat(t.Context(), chat, func(i int) {
 				if c.kill != nil {
 					c.kill(b, i)
 				}
 			})
-			if got.err != nil || got.text != textOf(0, testTokens) || got.result.Run != run {
+			if got.err != nil || got.text != answerTextOf(0, testTokens) || got.result.Run != run {
 				t.Fatalf("%q, run %s of %s, %v", got.text, got.result.Run, run, got.err)
 			}
-			if bills := b.billed(run); len(bills) != 1 || bills[0] != promptTokens+testTokens {
+			if bills := b.billsOf(run); len(bills) != 1 || bills[0] != promptTokens+testTokens {
 				t.Fatalf("bills %v", bills)
 			}
 		})
@@ -75,7 +75,7 @@
 }
 
 // killAt kills an endpoint when the caller is at a token.
-func (b *bench) killAt(index, at, endpoint int) {
+func (b *testBench) killAt(index, at, endpoint int) {
 	if index == at {
 		b.kill(endpoint)
 	}
@@ -85,11 +85,11 @@
 // answer that nobody else has: parts of two runs never make one answer, and the
 // caller learns that instead of waiting.
 func TestPartOfALostRunIsNotContinued(t *testing.T) {
-	b := newBench(t)
-	chat := chatOf("k", true)
-	run := b.orphan(chat, "e1")
-	chat.Have = Position{Run: run, Tokens: 3}
-	f := failureOf(t, b.ask(t.Context(), chat, nil).err)
+	b := newTestBench(t)
+	chat := newChat("k", true)
+	run := b.claimForGoneInstance(chat, "e1")
+	chat.ResumeFrom = ResumePosition{Run: run, Tokens: 3}
+	f := failureOf(t, b.chat(t.Context(), chat, nil).err)
 	if f.Code != CodeRunGone || f.Outcome != record.OutcomeUnknown {
 		t.Fatalf("%+v", f)
 	}
@@ -98,15 +98,15 @@
 // TestCancelledRunOfAGoneInstanceIsTakenOver has an endpoint that still knows
 // the run but will not go on with it.
 func TestCancelledRunOfAGoneInstanceIsTakenOver(t *testing.T) {
-	b := newBench(t)
-	chat := chatOf("k", true)
-	run := b.orphan(chat, "e1")
-	b.order(chat, run, "e1")
+	b := newTestBench(t)
+	chat := newChat("k", true)
+	run := b.claimForGoneInstance(chat, "e1")
+	b.startOrder(chat, run, "e1")
 	if err := b.Engines.Cancel(t.Context(), b.urls["e1"], run, 1); err != nil {
 		t.Fatal(err)
 	}
-	got := b.ask(t.Context(), chat, nil)
-	if got.err != nil || got.text != textOf(0, testTokens) || got.result.Run != run {
+	got := b.chat(t.Context(), chat, nil)
+	if got.err != nil || got.text != answerTextOf(0, testTokens) || got.result.Run != run {
 		t.Fatalf("%q, %v", got.text, got.err)
 	}
 }
@@ -116,17 +116,17 @@
 func TestAnswerIsFoundWhereverItIs(t *testing.T) {
 	for name, at := range map[string]string{"unknown": "", "left the list": "e9", "another": "e2"} {
 		t.Run(name, func(t *testing.T) {
-			b := newBench(t)
-			chat := chatOf("k", true)
-			owner := b.ask(t.Context(), chat, nil)
-			claims := b.Claims.(*table)
+			b := newTestBench(t)
+			chat := newChat("k", true)
+			owner := b.chat(t.Context(), chat, nil)
+			claims := b.Claims.(*memoryClaims)
 			claims.rows[chat.Key].ticket.Endpoint = at
-			got := b.ask(t.Context(), chat, nil)
-			if got.err != nil || got.text != textOf(0, testTokens) || got.result.Run != owner.result.Run {
+			got := b.chat(t.Context(), chat, nil)
+			if got.err != nil || got.text != answerTextOf(0, testTokens) || got.result.Run != owner.result.Run {
 				t.Fatalf("%q, %v", got.text, got.err)
 			}
 			b.kill(0)
-			if f := failureOf(t, b.ask(t.Context(), chat, nil).err); f.Code != CodeAnswerGone || f.Outcome != record.OutcomeUnknown {
+			if f := failureOf(t, b.chat(t.Context(), chat, nil).err); f.Code != CodeAnswerGone || f.Outcome != record.OutcomeUnknown {
 				t.Fatalf("nobody has it: %+v", f)
 			}
 		})
@@ -136,26 +136,26 @@
 // TestLostRunIsNeverSaidNotToHaveRun has a run taken over that no endpoint takes
 // now, or that the budget does not cover: its first runner may have run it.
 func TestLostRunIsNeverSaidNotToHaveRun(t *testing.T) {
-	for name, hinder := range map[string]func(*bench){
-		"no endpoint": func(b *bench) { b.kill(0); b.kill(1) },
-		"no tokens":   func(b *bench) { b.Accounts = emptyBooks{b.books} },
+	for name, fail := range map[string]func(*testBench){
+		"no endpoint": func(b *testBench) { b.kill(0); b.kill(1) },
+		"no tokens":   func(b *testBench) { b.Budgets = exhaustedBudgets{b.recordingBudgets} },
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newBench(t)
-			chat := chatOf("k", true)
-			b.orphan(chat, "")
-			hinder(b)
-			if f := failureOf(t, b.ask(t.Context(), chat, nil).err); f.Outcome != record.OutcomeUnknown {
+			b := newTestBench(t)
+			chat := newChat("k", true)
+			b.claimForGoneInstance(chat, "")
+			fail(b)
+			if f := failureOf(t, b.chat(t.Context(), chat, nil).err); f.Outcome != record.OutcomeUnknown {
 				t.Fatalf("%+v", f)
 			}
 		})
 	}
 }
 
-// emptyBooks has no tokens.
-type emptyBooks struct{ *books }
+// exhaustedBudgets has no tokens.
+type exhaustedBudgets struct{ *recordingBudgets }
 
 // Reserve implements Accounts.
-func (emptyBooks) Reserve(context.Context, record.RequestKey, record.RunID, record.BudgetID, int64) (ledger.Reservation, error) {
+func (exhaustedBudgets) Reserve(context.Context, record.RequestKey, record.RunID, record.BudgetID, int64) (ledger.Reservation, error) {
 	return ledger.Reservation{}, ledger.ErrExhausted
 }
--- a/internal/server/endpoints.go
+++ b/internal/server/endpoints.go
@@ -49,7 +49,7 @@
 
 func runLimits(limits settings.Limits) run.Limits {
 	return run.Limits{
-		Endpoints: runEndpoints, Resumes: runResumes, Progress: limits.Progress.D(), Linger: runLinger, Control: runControl,
+		MaxEndpoints: runEndpoints, MaxResumes: runResumes, ProgressTimeout: limits.Progress.D(), LingerTimeout: runLinger, ControlTimeout: runControl,
 	}
 }
 
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -113,10 +113,10 @@
 		return nil, err
 	}
 	srv.runner = &run.Runner{
-		Claims: srv.claims, Accounts: srv.budgets,
+		Claims: srv.claims, Budgets: srv.budgets,
 		Placer: srv.dispatcher, Endpoints: srv.endpoints,
 		Engines: srv.clients.engines, Services: srv.clients.services,
-		Finder: srv.finder(), Repeats: repeatRules{srv.config}, Limits: runLimits(s.Limits), Leaving: srv.leaving,
+		RunFinder: srv.finder(), RepeatRules: repeatRules{srv.config}, Limits: runLimits(s.Limits), OnEndpointLeaving: srv.leaving,
 		OnError: func(err error) { log.Error().Err(err).Msg("run: background error") },
 	}
 	srv.registerTables()
--- a/internal/server/table.go
+++ b/internal/server/table.go
@@ -116,7 +116,7 @@
 	return t.targets
 }
 
-// URL implements run.Endpoints.
+// URL implements run.EndpointDirectory.
 func (t *endpointTable) URL(name string) (string, bool) {
 	targets := t.Targets()
 	i := slices.IndexFunc(targets, func(e endpoint.Target) bool { return e.Name == name })
