--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -1,5 +1,7 @@
-// Package relay keeps an instance current that is cut off from the platform
-// alone: it reads the log's own entries, by their offsets, from a peer.
+// Package relay reads the platform's log through a peer when this instance
+// cannot reach the platform but can reach other instances. Peers return the
+// log's entries under their original offsets, so a relayed read is
+// indistinguishable from a direct one.
 package relay
 
 import (
@@ -16,31 +18,37 @@
 )
 
 const (
-	// ServiceName is the name under which instances serve their entries.
+	// ServiceName is the net/rpc service name under which an instance serves
+	// log entries to its peers.
 	ServiceName = "relay.Service"
 
-	// maxRingEntries and ringBytes bound the recent entries kept of one stream.
+	// maxRingEntries and maxRingBytes bound the recent entries that are cached
+	// per stream.
 	maxRingEntries = 256
 	maxRingBytes   = 512 << 10
-	// maxReplyBytes bounds one answer; see peer.MaxMessageBytes.
+	// maxReplyBytes bounds the entry data of one reply. It must stay below
+	// peer.MaxMessageBytes.
 	maxReplyBytes = 1 << 20
-	// platformProbeInterval is how often a platform that failed is tried again.
+	// platformProbeInterval is the time between two reads from the platform
+	// while it is unavailable.
 	platformProbeInterval = time.Second
-	// emptyReadPause is the pause after a look at peers that brought nothing.
+	// emptyReadPause delays the return of a read for which no peer had entries,
+	// so that callers that poll do not spin.
 	emptyReadPause = 300 * time.Millisecond
-	// maxPeersPerRead is how many peers are asked in one read.
+	// maxPeersPerRead is the number of peers that one read calls at most.
 	maxPeersPerRead = 2
-	// peerReadTimeout bounds asking one peer, and a peer's read of the platform.
+	// peerReadTimeout bounds the call to one peer, and the platform read that
+	// a peer makes to serve such a call.
 	peerReadTimeout = time.Second
 )
 
-// Peers gives the live instances, nearest first; see package membership.
+// Peers lists the live instances, nearest first; see package membership.
 type Peers interface {
 	Live() []logstore.Instance
 }
 
-// Log is the platform's log with reads that fall back to peers. Appends go to
-// the platform only. It is safe for concurrent use.
+// Log is the platform's log with reads that fall back to peers. Appends always
+// go to the platform. It is safe for concurrent use.
 type Log struct {
 	platform logstore.Log
 	self     record.InstanceID
@@ -49,13 +57,14 @@
 
 	mu          sync.Mutex // Guards all below.
 	rings       map[record.Stream]*ring
-	lastFailure time.Time // Last failure of the platform; zero while it answers.
-	readCount   int
+	lastFailure time.Time // Last failed platform read or probe start; zero while the platform is available.
+	readCount   int       // Reads from peers so far; rotates the choice of peers.
 }
 
 var _ logstore.Log = (*Log)(nil)
 
-// New returns a log over the platform's.
+// New returns a Log that reads from log and falls back to peers. self is
+// excluded from the peers.
 func New(log logstore.Log, self record.InstanceID, caller peer.Caller, peers Peers) *Log {
 	return &Log{platform: log, self: self, caller: caller, peers: peers, rings: map[record.Stream]*ring{}}
 }
@@ -65,8 +74,9 @@
 	return l.platform.Append(ctx, stream, data)
 }
 
-// Read implements logstore.Log. While the platform fails, peers are asked
-// first and the platform is tried again each probeEvery.
+// Read implements logstore.Log. While the platform is unavailable, entries are
+// read from peers, and one read in each platformProbeInterval tries the platform
+// first. The error wraps logstore.ErrUnavailable when neither had an answer.
 func (l *Log) Read(ctx context.Context, stream record.Stream, from uint64, wait time.Duration) (logstore.Page, error) {
 	tryPlatform, unavailable := l.planRead(time.Now())
 	if unavailable {
@@ -85,13 +95,14 @@
 		return page, nil
 	}
 	sleep(ctx, emptyReadPause)
-	return logstore.Page{}, eris.Wrap(err, "relay: nothing new from peers")
+	return logstore.Page{}, eris.Wrap(err, "relay: no peer returned entries at or after the requested offset")
 }
 
-// planRead decides whether a read tries the platform. Load: a platform out of
-// reach, many streams. Harm prevented: each stream waiting out the platform's
-// timeout before it asks a peer that has the entry. Limit: one try each
-// probeEvery, so that its return is seen soon.
+// planRead decides whether a read tries the platform, and reports whether the
+// platform is known to be unavailable. With many streams and an unreachable
+// platform, every stream would wait for the platform's timeout before it called
+// a peer that has the entry. So only one read per platformProbeInterval tries
+// the platform, which still detects its recovery soon.
 func (l *Log) planRead(now time.Time) (tryPlatform, unavailable bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -101,10 +112,12 @@
 	if now.Sub(l.lastFailure) < platformProbeInterval {
 		return false, true
 	}
-	l.lastFailure = now // The other streams wait for this try.
+	l.lastFailure = now // Reads of the other streams skip the platform meanwhile.
 	return true, true
 }
 
+// recordPlatformRead updates the platform's availability after a read from it
+// and caches the entries of a successful one.
 func (l *Log) recordPlatformRead(stream record.Stream, from uint64, page logstore.Page, err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -117,7 +130,8 @@
 	}
 }
 
-// ringFor is called with the lock held.
+// ringFor returns the cache of a stream, creating it if needed. l.mu must be
+// held.
 func (l *Log) ringFor(stream record.Stream) *ring {
 	r, ok := l.rings[stream]
 	if !ok {
@@ -127,6 +141,8 @@
 	return r
 }
 
+// readFromPeers returns the entries from an offset on as the first peer that has
+// any returns them, and false if no selected peer does.
 func (l *Log) readFromPeers(ctx context.Context, stream record.Stream, from uint64) (logstore.Page, bool) {
 	for _, id := range l.selectPeers() {
 		callCtx, cancel := context.WithTimeout(ctx, peerReadTimeout)
@@ -144,7 +160,8 @@
 	return logstore.Page{}, false
 }
 
-// selectPeers returns the peers to ask, others with each read.
+// selectPeers returns the peers to call for one read. Successive reads start at
+// successive peers, so that the load is spread and a dead peer is passed over.
 func (l *Log) selectPeers() []record.InstanceID {
 	var ids []record.InstanceID
 	for _, instance := range l.peers.Live() {
@@ -163,6 +180,7 @@
 	return selected
 }
 
+// sleep waits for d or until ctx is done.
 func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-time.After(d):
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -14,12 +14,14 @@
 	"guavapier/internal/relay"
 )
 
-// memoryLog is a platform log that can be out of reach for one instance.
+// memoryLog is the platform's log in memory, with one stream. Reads fail for the
+// instances in unreachable; appends never fail.
 type memoryLog struct {
 	entries     []logstore.Entry
 	unreachable map[record.InstanceID]bool
 }
 
+// instanceLog is the platform's log as one instance sees it.
 type instanceLog struct {
 	shared *memoryLog
 	id     record.InstanceID
@@ -40,7 +42,8 @@
 	return logstore.Page{Entries: page, Next: from + uint64(len(page))}, nil
 }
 
-// directPeers calls services directly.
+// directPeers is relay.Peers and peer.Caller without a network: it calls the
+// services in this process. The instance "gone" is listed but unreachable.
 type directPeers map[record.InstanceID]*relay.Service
 
 func (l directPeers) Call(_ context.Context, to record.InstanceID, _ string, args, reply any) error {
@@ -55,7 +58,7 @@
 	return []logstore.Instance{{ID: "a"}, {ID: "b"}, {ID: "gone"}}
 }
 
-// newFleet is two instances over one memory; a cannot reach it.
+// newFleet returns instances a and b over one platform log that a cannot read.
 func newFleet() (*memoryLog, directPeers, map[record.InstanceID]*relay.Log) {
 	m := &memoryLog{unreachable: map[record.InstanceID]bool{"a": true}}
 	l := directPeers{}
@@ -67,7 +70,8 @@
 	return m, l, logs
 }
 
-// readEntries reads from an offset until want entries are there, in bounded steps.
+// readEntries reads from an offset until it has want entries. It fails the test
+// after 20 reads, so that a log that returns nothing does not hang it.
 func readEntries(t *testing.T, log *relay.Log, from, want int) []logstore.Entry {
 	t.Helper()
 	var got []logstore.Entry
@@ -81,10 +85,11 @@
 			return got
 		}
 	}
-	t.Fatalf("%d of %d entries", len(got), want)
+	t.Fatalf("read %d of %d entries in 20 reads", len(got), want)
 	return nil
 }
 
+// appendEntries appends n entries, each with its number as data.
 func appendEntries(t *testing.T, log *relay.Log, n int) {
 	t.Helper()
 	for i := range n {
@@ -94,8 +99,9 @@
 	}
 }
 
-// An instance without the platform reads the same entries, in order and each
-// once, through its peer: those in the ring and those before it.
+// An instance that cannot reach the platform reads every entry once and in order
+// through its peer. The first 600 exceed the peer's cache, so the peer has to
+// read the older ones from the platform.
 func TestReadsFallBackToPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m, _, logs := newFleet()
@@ -105,13 +111,14 @@
 		readEntries(t, logs["b"], 600, 3)
 		for n, e := range readEntries(t, logs["a"], 0, 603) {
 			if e.Offset != uint64(n) || !slices.Equal(e.Data, m.entries[n].Data) {
-				t.Fatalf("entry %d: offset %d", n, e.Offset)
+				t.Fatalf("entry %d: got offset %d, or data that differs from the platform's", n, e.Offset)
 			}
 		}
 	})
 }
 
-// The platform is read again when it is back, without any peer.
+// Once the platform is reachable again, reads use it: the only peer has been
+// removed by then.
 func TestReadsGoBackToThePlatform(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m, l, logs := newFleet()
--- a/internal/relay/ring.go
+++ b/internal/relay/ring.go
@@ -2,15 +2,17 @@
 
 import "guavapier/internal/logstore"
 
-// ring keeps the recent entries of one stream without a gap: all entries with
-// offsets from first up to, not including, next.
+// ring caches the most recent entries of one stream. It holds every entry of the
+// stream whose offset is in [firstOffset, nextOffset); its zero value is empty.
 type ring struct {
 	firstOffset, nextOffset uint64
 	entries                 []logstore.Entry
 	bytes                   int
 }
 
-// add takes in entries that were read from an offset on.
+// add appends entries that were read from an offset on and evicts the oldest
+// beyond maxRingEntries and maxRingBytes. Entries that are already held are
+// skipped; a gap to those that are held discards them.
 func (r *ring) add(from uint64, entries []logstore.Entry) {
 	if from > r.nextOffset || len(r.entries) == 0 {
 		*r = ring{firstOffset: from, nextOffset: from}
@@ -30,8 +32,8 @@
 	}
 }
 
-// read returns the entries from an offset on, and whether the ring reaches
-// back that far.
+// read returns the entries from an offset on, and whether the ring covers that
+// offset. At nextOffset it covers it with no entries.
 func (r *ring) read(from uint64) ([]logstore.Entry, bool) {
 	if from < r.firstOffset || from > r.nextOffset {
 		return nil, false
@@ -44,7 +46,8 @@
 	return nil, true
 }
 
-// limitReply cuts entries to what one answer may have, one at least.
+// limitReply truncates entries to maxReplyBytes of data. It keeps the first one
+// whatever its size.
 func limitReply(entries []logstore.Entry) []logstore.Entry {
 	size := 0
 	for n, e := range entries {
--- a/internal/relay/service.go
+++ b/internal/relay/service.go
@@ -7,24 +7,25 @@
 	"guavapier/internal/record"
 )
 
-// ReadArgs ask for a stream's entries from an offset on.
+// ReadArgs requests the entries of a stream from an offset on.
 type ReadArgs struct {
 	Stream record.Stream
 	From   uint64
 }
 
-// ReadReply has the entries in offset order, without a gap; none where the
-// peer has none.
+// ReadReply holds the entries in offset order, without a gap. It is empty if the
+// peer has none at or after the requested offset.
 type ReadReply struct{ Entries []logstore.Entry }
 
-// Service serves an instance's entries over net/rpc, as ServiceName.
+// Service serves log entries to peers over net/rpc, registered as ServiceName.
 type Service struct{ log *Log }
 
-// NewService returns the service of a log.
+// NewService returns a Service that serves the entries of l.
 func NewService(l *Log) *Service { return &Service{log: l} }
 
-// Read is the net/rpc method. What the ring no longer has is read from the
-// platform, while that answers here.
+// Read is the net/rpc method behind a peer's read. It serves cached entries, and
+// reads those that are no longer cached from the platform if this instance can
+// reach it. A failed platform read gives an empty reply, not an error.
 func (s *Service) Read(args ReadArgs, reply *ReadReply) error {
 	s.log.mu.Lock()
 	entries, covered := s.log.ringFor(args.Stream).read(args.From)
