--- a/internal/session/session.go
+++ b/internal/session/session.go
@@ -1,6 +1,7 @@
-// Package session makes and verifies session identities. An identity carries
-// all that is needed to verify it, so any instance can do so without state
-// and no restart, partition or outage can drop a session.
+// Package session issues and verifies signed session tokens, and records which
+// sessions are open or ended. A token carries the whole identity of its session,
+// so any instance that has the signing key verifies it without stored state, and
+// no restart, network partition or log outage invalidates a session.
 package session
 
 import (
@@ -15,34 +16,39 @@
 	"guavapier/internal/record"
 )
 
-// Errors of Verify.
+// Errors of Verify. Issue returns ErrUnknownKey too, wrapped with the key ID.
 var (
 	ErrMalformed  = eris.New("session: malformed token")
 	ErrUnknownKey = eris.New("session: signed with an unknown key")
 	ErrForged     = eris.New("session: signature does not match")
 )
 
+// A token is "gs1.ID.TEAM.HOME.KEYID.MAC". The four identity fields and the MAC
+// (HMAC-SHA256 over everything before the last separator) are in unpadded
+// base64url.
 const (
 	tokenPrefix = "gs1"
 	separator   = "."
 )
 
-// Identity is what a session token says.
+// Identity is the content of a session token.
 type Identity struct {
 	ID    record.SessionID `json:"id"`
 	Team  record.Team      `json:"team"`
-	Home  record.Zone      `json:"home"`
-	KeyID string           `json:"key_id"`
+	Home  record.Zone      `json:"home"`   // Availability zone of the instance that issued the token.
+	KeyID string           `json:"key_id"` // Key that signed the token.
 }
 
-// Keyring holds the signing keys by key id. Old keys stay until their last
-// session has ended; new sessions are signed with Current.
+// Keyring holds the HMAC keys by key ID. Issue signs with CurrentKeyID; Verify
+// accepts every key. When keys are rotated, an old key has to stay until the
+// last session that it signed has ended.
 type Keyring struct {
 	CurrentKeyID string
 	Keys         map[string][]byte
 }
 
-// Issue makes a new identity and its token.
+// Issue returns a new session identity, with a random ID, and its token. The error
+// is ErrUnknownKey if the keyring lacks the current key.
 func (k Keyring) Issue(team record.Team, home record.Zone) (Identity, string, error) {
 	key, ok := k.Keys[k.CurrentKeyID]
 	if !ok {
@@ -53,7 +59,9 @@
 	return id, body + separator + sign(key, body), nil
 }
 
-// Verify checks a token and returns its identity.
+// Verify returns the identity of a token. The error is ErrMalformed for a token
+// that cannot be parsed, ErrUnknownKey if the keyring lacks its key, and
+// ErrForged for a wrong signature.
 func (k Keyring) Verify(token string) (Identity, error) {
 	macSeparator := strings.LastIndex(token, separator)
 	if macSeparator < 0 {
@@ -74,6 +82,8 @@
 	return id, nil
 }
 
+// parseBody decodes the part of a token before the signature. It does not check
+// the signature. The error is ErrMalformed.
 func parseBody(body string) (Identity, error) {
 	parts := strings.Split(body, separator)
 	if len(parts) != 5 || parts[0] != tokenPrefix {
@@ -95,8 +105,10 @@
 	}, nil
 }
 
+// encodeField encodes one identity field, so that it cannot contain the separator.
 func encodeField(s string) string { return base64.RawURLEncoding.EncodeToString([]byte(s)) }
 
+// sign returns the MAC of a token's body, encoded as in the token.
 func sign(key []byte, body string) string {
 	mac := hmac.New(sha256.New, key)
 	mac.Write([]byte(body))
--- a/internal/session/session_test.go
+++ b/internal/session/session_test.go
@@ -14,6 +14,7 @@
 	"guavapier/internal/session"
 )
 
+// newKeyring returns a keyring with a key for each ID.
 func newKeyring(current string, ids ...string) session.Keyring {
 	k := session.Keyring{CurrentKeyID: current, Keys: map[string][]byte{}}
 	for _, id := range ids {
@@ -22,7 +23,8 @@
 	return k
 }
 
-// A token is verified as the identity that was opened, and no other bytes are.
+// A token verifies as the identity that it was issued for, and no altered,
+// shortened or extended token verifies at all.
 func TestOnlyOpenedTokensVerify(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		team := record.Team(rapid.StringMatching(`[a-z.:/é]{1,12}`).Draw(t, "team"))
@@ -33,12 +35,12 @@
 			t.Fatal(err)
 		}
 		if got, err := keys.Verify(token); err != nil || got != id || got.Team != team || got.Home != zone {
-			t.Fatalf("opened %+v, verified %+v: %v", id, got, err)
+			t.Fatalf("issued %+v, verified as %+v: %v", id, got, err)
 		}
 		forged := []byte(token)
-		position := rapid.IntRange(0, len(forged)-1).Draw(t, "at")
-		value := rapid.Byte().Draw(t, "with")
-		switch rapid.IntRange(0, 2).Draw(t, "how") {
+		position := rapid.IntRange(0, len(forged)-1).Draw(t, "position")
+		value := rapid.Byte().Draw(t, "value")
+		switch rapid.IntRange(0, 2).Draw(t, "alteration") {
 		case 0:
 			forged[position] = value
 		case 1:
@@ -47,20 +49,21 @@
 			forged = append(forged, value)
 		}
 		if got, err := keys.Verify(string(forged)); err == nil && string(forged) != token {
-			t.Fatalf("forged %q verified as %+v", forged, got)
+			t.Fatalf("forged token %q verified as %+v", forged, got)
 		}
 		if _, err := newKeyring("k1", "k2").Verify(token); !errors.Is(err, session.ErrUnknownKey) {
-			t.Fatalf("signed with a key that is not accepted: %v", err)
+			t.Fatalf("token signed with a key outside the keyring: got error %v, want ErrUnknownKey", err)
 		}
 		other := newKeyring("k1", "k1")
 		other.Keys["k1"] = []byte("another secret")
 		if _, err := other.Verify(token); !errors.Is(err, session.ErrForged) {
-			t.Fatalf("signed with another secret: %v", err)
+			t.Fatalf("token signed with another secret: got error %v, want ErrForged", err)
 		}
 	})
 }
 
-// A rotation signs new sessions with the new key and keeps the old ones.
+// After a key rotation, sessions under the old key stay valid and new ones are
+// signed with the new key.
 func TestRotationKeepsSessions(t *testing.T) {
 	_, token, err := newKeyring("k1", "k1").Issue("dala", "hall-a")
 	if err != nil {
@@ -71,11 +74,11 @@
 		t.Fatal(err)
 	}
 	if id, _, err := rotated.Issue("dala", "hall-a"); err != nil || id.KeyID != "k2" {
-		t.Fatalf("new session under key %q: %v", id.KeyID, err)
+		t.Fatalf("session issued after the rotation is signed with key %q, want \"k2\"; error %v", id.KeyID, err)
 	}
 }
 
-// memoryLog applies what is appended to one replica.
+// memoryLog is an Appender that applies each batch to one replica at once.
 type memoryLog struct {
 	partition *replica.Replica[*fold.Ledger]
 	seq       uint64
@@ -97,6 +100,8 @@
 	return offset, m.partition.Apply(logstore.Entry{Offset: offset, Data: data})
 }
 
+// A session stays open when another team ends a session with the same ID; the
+// second end by its own team has no effect.
 func TestOnlyItsTeamEndsASession(t *testing.T) {
 	partition := replica.New(record.LedgerStream(0), fold.NewLedger())
 	registry := session.Registry{Log: &memoryLog{partition: partition}, Partitions: []*replica.Replica[*fold.Ledger]{partition}}
@@ -105,10 +110,10 @@
 			t.Fatal(err)
 		}
 		if got := registry.IsEnded("dala", "s1"); got != (team == "dala") {
-			t.Fatalf("after the end by %s: ended %v", team, got)
+			t.Fatalf("after the end by team %s: session of team dala ended = %v", team, got)
 		}
 	}
 	if registry.IsEnded("dala", "s2") {
-		t.Fatal("another session ended as well")
+		t.Fatal("session s2 is ended, but only s1 was")
 	}
 }
