--- a/internal/run/chat.go
+++ b/internal/run/chat.go
@@ -9,8 +9,9 @@
 	"guavapier/internal/record"
 )
 
-// Chat runs a chat completion, or joins the run that an earlier attempt has
-// begun. The error is a *Failure.
+// Chat runs a chat completion, or joins the run that an earlier attempt of the
+// same request started. It passes the answer's tokens to sink and returns after
+// the last one. The error is a *Failure.
 func (r *Runner) Chat(ctx context.Context, c Chat, sink TokenSink) (ChatResult, error) {
 	if c.ResumeFrom.Run != "" {
 		return r.resumeChat(ctx, c, sink)
@@ -26,9 +27,10 @@
 	return result, c.retractNotRun(ticket, err)
 }
 
-// executeChat carries a run that this call has claimed, after what it has read of
-// the run while it was another's. It returns when the run has its final
-// outcome, which may be after the caller has left.
+// executeChat executes a run that this request owns, by a new claim or by
+// takeover. In a takeover it continues after the tokens that joined has read
+// while another instance owned the run. It returns when the run has its final
+// outcome, which may be after the caller has disconnected.
 func (r *Runner) executeChat(ctx context.Context, c Chat, run record.RunID, joined *joinedRun) (ChatResult, error) {
 	binding := r.bindCaller(ctx, c.Request, joined.sink)
 	defer binding.stop()
@@ -44,8 +46,9 @@
 	return g.result, r.endRun(ctx, c.Key, err, g.mayHaveRun, nil)
 }
 
-// endRun tells the claim how the run ended and returns its failure, if any.
-// started says whether anything may have run; answer is kept for retries.
+// endRun reports the run's final outcome to the claim's holder and returns the
+// *Failure for err, or nil. mayHaveRun says that an endpoint may have executed
+// the run. answer is kept for retries; nil for a chat.
 func (r *Runner) endRun(ctx context.Context, key record.RequestKey, err error, mayHaveRun bool, answer *claim.Answer) error {
 	ctx = context.WithoutCancel(ctx)
 	if err == nil {
@@ -55,36 +58,37 @@
 	f := newFailure(err, mayHaveRun)
 	outcome := f.Outcome
 	if !mayHaveRun {
-		outcome = record.OutcomeNotRun // Of this claim's run; the caller may be told less.
+		outcome = record.OutcomeNotRun // The claim's outcome covers this run only, the caller's also earlier attempts.
 	}
 	r.Claims.End(ctx, key, claim.End{Outcome: outcome})
 	return f
 }
 
-// generation is the state of one chat run while its endpoints generate.
+// generation is the state of one chat run while endpoints generate its answer.
 type generation struct {
-	chat     Chat
-	binding  *callerBinding
-	order    endpoint.Order
-	text     answerText
-	result   ChatResult
+	chat    Chat
+	binding *callerBinding
+	order   endpoint.Order
+	text    answerText
+	result  ChatResult
+	// excluded names the endpoints that failed, which are not tried again.
 	excluded []string
-	// lastBase is where the last order went, started says that an order may have run.
-	lastBase   string
-	mayHaveRun bool
-	// openAttempts lists the attempts that may be running; wholeAt is the endpoint that
-	// brought the answer to its end.
-	openAttempts   []attempt
-	completingBase string
-	lastTokenTime  time.Time // When the last token came.
+	lastBase string // Base URL of the last endpoint that may have accepted an order.
+	// mayHaveRun says that an endpoint may have executed an order.
+	mayHaveRun     bool
+	openAttempts   []attempt // Attempts that may still be running.
+	completingBase string    // Base URL of the endpoint that completed the answer.
+	lastTokenTime  time.Time
 }
 
+// newGeneration returns the state of a run that has no tokens yet.
 func newGeneration(c Chat, run record.RunID, b *callerBinding) *generation {
 	return &generation{chat: c, binding: b, order: c.newOrder(run), result: ChatResult{Run: run}}
 }
 
-// continueFrom continues after the part of the answer that was read from its earlier
-// runner's endpoints.
+// continueFrom sets the generation to continue after the tokens that joined has
+// read from the previous runner's endpoints. The caller has its first token
+// then, so the limit on the wait for it is lifted.
 func (g *generation) continueFrom(joined *joinedRun) {
 	g.mayHaveRun = joined.takenOver
 	if joined.order.From == 0 {
@@ -96,7 +100,7 @@
 	g.binding.firstTokenTimer.Stop()
 }
 
-// deliver passes a token on and moves the order's offset past it.
+// deliver passes a token to the caller and advances the order's offset past it.
 func (g *generation) deliver(t endpoint.Token) {
 	g.order.From = t.Index + 1
 	g.lastTokenTime = time.Now()
@@ -104,7 +108,8 @@
 	g.binding.deliver(g.order.Run, t)
 }
 
-// setResult sets the closing of the whole answer.
+// setResult sets the usage and finish reason of the completed answer. Completion
+// counts the tokens of the whole answer, whichever endpoints generated them.
 func (g *generation) setResult(u endpoint.Usage, reason string) {
 	g.result.Usage = endpoint.Usage{Prompt: u.Prompt, Cached: u.Cached, Completion: int64(g.order.From)}
 	g.result.FinishReason = reason
--- a/internal/run/chat_test.go
+++ b/internal/run/chat_test.go
@@ -14,14 +14,15 @@
 	"guavapier/internal/standin"
 )
 
-// TestEveryFaultEndsInOneWholeAnswerAndOneBill brings one fault at a time over
-// a run that is placed at e1.
+// TestEveryFaultEndsInOneWholeAnswerAndOneBill injects one fault at a time into a
+// run that is placed at e1. Whether the run is retried, resumed or moved to e2,
+// the caller must get each token once and the team one bill.
 func TestEveryFaultEndsInOneWholeAnswerAndOneBill(t *testing.T) {
 	const faultAt = testTokens / 2
 	for name, c := range map[string]struct {
 		faults       standin.EngineFaults
-		midStream    func(b *testBench) // Called after token at.
-		wantFailover bool               // The run must go on at e2.
+		midStream    func(b *testBench) // Called at token faultAt.
+		wantFailover bool               // Whether the run has to continue at e2.
 	}{
 		"no fault":              {},
 		"cut, again and again":  {faults: standin.EngineFaults{CutAfter: 7}},
@@ -47,34 +48,35 @@
 				}
 			})
 			if got.err != nil || got.text != answerTextOf(0, testTokens) || got.result.Usage.Completion != testTokens {
-				t.Fatalf("text %q, usage %+v, error %v", got.text, got.result.Usage, got.err)
+				t.Fatalf("text %q, usage %+v, error %v; want the whole answer and its usage", got.text, got.result.Usage, got.err)
 			}
 			generated := b.checkBill(got.result.Run)
 			if moved := generated[1] > 0; moved != c.wantFailover {
-				t.Fatalf("generated %v", generated)
+				t.Fatalf("tokens generated per engine: %v; the answer has to move to e2 exactly if e1 cannot complete it", generated)
 			}
 			if c.midStream != nil && c.wantFailover && generated[1] >= testTokens {
-				t.Fatalf("generated anew: %v", generated)
+				t.Fatalf("tokens generated per engine: %v; e2 generated the answer anew instead of continuing it", generated)
 			}
 			if c.faults.Leaving && (len(b.leaving) != 1 || b.leaving[0] != "e1" || generated[0] != 0) {
-				t.Fatalf("leaving told of %v, generated %v", b.leaving, generated)
+				t.Fatalf("endpoints reported as leaving: %v, want e1 only; tokens generated per engine: %v, want none at e1", b.leaving, generated)
 			}
 		})
 	}
 }
 
-// checkBill wants one bill for a whole answer and returns what each engine
-// generated for it.
+// checkBill fails the test unless the run has exactly one bill, for the whole
+// answer. It returns the number of tokens that each engine generated.
 func (b *testBench) checkBill(run record.RunID) []int {
 	b.t.Helper()
 	if bills := b.billsOf(run); len(bills) != 1 || bills[0] != promptTokens+testTokens {
-		b.t.Fatalf("bills %v", bills)
+		b.t.Fatalf("bills %v, want one for the prompt and the whole answer", bills)
 	}
 	return b.generatedTokens(run)
 }
 
-// TestBegunAnswerOutlivesEveryEndpoint has no endpoint for a while: e2 refuses,
-// and e1, which has the run, is silent. The run comes back to e1.
+// TestBegunAnswerOutlivesEveryEndpoint leaves a partial answer without an endpoint
+// for a while: e2 refuses, and e1, which has the run, is silent. The run has to
+// wait and to continue at e1, although e1 failed before.
 func TestBegunAnswerOutlivesEveryEndpoint(t *testing.T) {
 	b := newTestBench(t)
 	b.engines[1].SetFaults(standin.EngineFaults{Refuse: true})
@@ -85,13 +87,15 @@
 		}
 	})
 	if got.err != nil || got.text != answerTextOf(0, testTokens) {
-		t.Fatalf("text %q, error %v", got.text, got.err)
+		t.Fatalf("text %q, error %v; want the whole answer", got.text, got.err)
 	}
 	if generated := b.checkBill(got.result.Run); generated[0] != testTokens || generated[1] != 0 {
-		t.Fatalf("generated %v", generated)
+		t.Fatalf("tokens generated per engine: %v, want all at e1", generated)
 	}
 }
 
+// TestCrossedAnswersAreDroppedAndReadAgain has e1 swap the answers of two requests.
+// The swap must be detected, and each caller must get its own answer.
 func TestCrossedAnswersAreDroppedAndReadAgain(t *testing.T) {
 	b := newTestBench(t)
 	b.engines[0].SetFaults(standin.EngineFaults{Crossed: 1})
@@ -102,16 +106,18 @@
 			c.MaxTokens = n
 			got := b.chat(t.Context(), c, nil)
 			if got.err != nil || got.text != answerTextOf(0, n) {
-				t.Errorf("%d tokens: text %q, error %v", n, got.text, got.err)
+				t.Errorf("answer of %d tokens: got text %q, error %v", n, got.text, got.err)
 			}
 		})
 	}
 	wait.Wait()
 	if crossed := b.counts.Crossed.Load(); crossed != 2 {
-		t.Fatalf("%d crossed answers counted", crossed)
+		t.Fatalf("%d answers counted as crossed, want 2", crossed)
 	}
 }
 
+// TestNoTokenInTimeIsAnsweredAtOnceAndCancelled has e1 send heartbeats but no token.
+// The request has to fail after MaxWait, and e1 must not go on with it.
 func TestNoTokenInTimeIsAnsweredAtOnceAndCancelled(t *testing.T) {
 	b := newTestBench(t)
 	b.engines[0].SetFaults(standin.EngineFaults{Hang: true})
@@ -120,16 +126,18 @@
 	got := b.chat(t.Context(), c, nil)
 	f := failureOf(t, got.err)
 	if f.Code != CodeNoAnswerInTime || f.Outcome != record.OutcomeUnknown || f.RetryAfter == 0 {
-		t.Fatalf("failure %+v", f)
+		t.Fatalf("got %+v, want no_answer_in_time with the outcome unknown and a retry delay", f)
 	}
 	if bills := b.billsOf(got.result.Run); len(bills) != 1 || bills[0] != promptTokens {
-		t.Fatalf("bills %v", bills)
+		t.Fatalf("bills %v, want one for the prompt", bills)
 	}
 	if runs := b.engines[0].Runs(); len(runs) != 1 || !runs[0].Done {
-		t.Fatalf("run not cancelled: %+v", runs)
+		t.Fatalf("run not cancelled at e1: %+v", runs)
 	}
 }
 
+// TestWhatAllEndpointsRefuseHasNotRunAndCostsNothing also checks that the refused
+// request frees its key, so that a retry runs.
 func TestWhatAllEndpointsRefuseHasNotRunAndCostsNothing(t *testing.T) {
 	b := newTestBench(t)
 	for _, e := range b.engines {
@@ -137,19 +145,22 @@
 	}
 	got := b.chat(t.Context(), newChat("k", true), nil)
 	if f := failureOf(t, got.err); f.Outcome != record.OutcomeNotRun || f.RetryAfter == 0 {
-		t.Fatalf("failure %+v", f)
+		t.Fatalf("got %+v, want the outcome \"not run\" and a retry delay", f)
 	}
 	if bills := b.billsOf(got.result.Run); len(bills) != 1 || bills[0] != 0 {
-		t.Fatalf("bills %v", bills)
+		t.Fatalf("bills %v, want one of 0 tokens", bills)
 	}
 	for _, e := range b.engines {
 		e.SetFaults(standin.EngineFaults{})
 	}
 	if again := b.chat(t.Context(), newChat("k", true), nil); again.err != nil || again.text != answerTextOf(0, testTokens) {
-		t.Fatalf("the retry got %q, %v", again.text, again.err)
+		t.Fatalf("retry after the refusal got text %q, error %v; want the whole answer", again.text, again.err)
 	}
 }
 
+// TestCallerWhoLeaves has the caller disconnect at token 5. Without an
+// Idempotency-Key the run is cancelled and billed for what was generated. With a
+// key it completes, and a retry reads the rest of it without a second bill.
 func TestCallerWhoLeaves(t *testing.T) {
 	for _, keyed := range []bool{false, true} {
 		b := newTestBench(t)
@@ -162,10 +173,10 @@
 		bills := b.billsOf(got.result.Run)
 		done := b.generatedTokens(got.result.Run)[0]
 		if len(bills) != 1 || bills[0] != promptTokens+int64(done) {
-			t.Fatalf("keyed %v: bills %v, %d tokens generated", keyed, bills, done)
+			t.Fatalf("keyed %v: bills %v, want one for the prompt and the %d tokens that were generated", keyed, bills, done)
 		}
 		if whole := done == testTokens; whole != keyed || (got.err == nil) != keyed {
-			t.Fatalf("keyed %v: %d tokens generated, error %v", keyed, done, got.err)
+			t.Fatalf("keyed %v: %d tokens generated, error %v; want the whole answer with a key and an abandoned run without", keyed, done, got.err)
 		}
 		if !keyed {
 			continue
@@ -173,14 +184,16 @@
 		c := newChat("k", true)
 		c.ResumeFrom = ResumePosition{Run: got.result.Run, Tokens: 6}
 		if rest := b.chat(t.Context(), c, nil); rest.err != nil || rest.text != answerTextOf(6, testTokens) {
-			t.Fatalf("the retry got %q, %v", rest.text, rest.err)
+			t.Fatalf("retry from token 6 got text %q, error %v; want the rest of the answer", rest.text, rest.err)
 		}
 		if again := b.billsOf(got.result.Run); len(again) != 1 {
-			t.Fatalf("bills after the retry %v", again)
+			t.Fatalf("bills after the retry: %v, want one", again)
 		}
 	}
 }
 
+// TestJoinFollowsTheRunToAnotherEndpoint kills e1 while a second attempt reads the
+// run there. Both attempts must get the whole answer, and the run one bill.
 func TestJoinFollowsTheRunToAnotherEndpoint(t *testing.T) {
 	b := newTestBench(t)
 	joined := make(chan callerResult, 1)
@@ -194,15 +207,16 @@
 	})
 	got := <-joined
 	if owner.err != nil || got.err != nil || got.text != answerTextOf(0, testTokens) || got.result.Run != owner.result.Run {
-		t.Fatalf("owner %v; joined %q, %v", owner.err, got.text, got.err)
+		t.Fatalf("owner: error %v; joined request: text %q, error %v; want the whole answer of the owner's run", owner.err, got.text, got.err)
 	}
 	if bills := b.billsOf(owner.result.Run); len(bills) != 1 {
-		t.Fatalf("bills %v", bills)
+		t.Fatalf("bills %v, want one", bills)
 	}
 }
 
-// TestRunWhoseClaimIsLostGoesOnByItsID forgets the claims, as the death of
-// their holder does.
+// TestRunWhoseClaimIsLostGoesOnByItsID drops all claims, as the failure of their
+// holder does. A caller that names the run must still get the rest of its answer,
+// from the engine that has it.
 func TestRunWhoseClaimIsLostGoesOnByItsID(t *testing.T) {
 	b := newTestBench(t)
 	owner := b.chat(t.Context(), newChat("k", true), nil)
@@ -212,14 +226,17 @@
 		c.ResumeFrom = ResumePosition{Run: owner.result.Run, Tokens: 7}
 		got := b.chat(t.Context(), c, nil)
 		if got.err != nil || got.text != answerTextOf(7, testTokens) || got.result.Run != owner.result.Run {
-			t.Fatalf("keyed %v: %q, %v", keyed, got.text, got.err)
+			t.Fatalf("keyed %v: text %q, error %v; want the rest of the same run's answer", keyed, got.text, got.err)
 		}
 	}
 	if bills := b.billsOf(owner.result.Run); len(bills) != 1 {
-		t.Fatalf("bills %v", bills)
+		t.Fatalf("bills %v, want one", bills)
 	}
 }
 
+// TestJoinWhereNothingIsLeftToJoin resumes from a run that nobody has, and retries a
+// request whose answer was lost with its engine. Both may have run, so neither
+// may be answered with another run's tokens or with "not run".
 func TestJoinWhereNothingIsLeftToJoin(t *testing.T) {
 	b := newTestBench(t)
 	owner := b.chat(t.Context(), newChat("k", true), nil)
@@ -228,16 +245,16 @@
 	for _, key := range []string{"k", "new"} {
 		c.Key.Key = key
 		if f := failureOf(t, b.chat(t.Context(), c, nil).err); f.Code != CodeRunGone || f.Outcome != record.OutcomeUnknown {
-			t.Fatalf("key %s: %+v", key, f)
+			t.Fatalf("key %s: got %+v, want run_gone with the outcome unknown", key, f)
 		}
 	}
 	b.kill(0)
 	if f := failureOf(t, b.chat(t.Context(), newChat("k", true), nil).err); f.Code != CodeAnswerGone || f.Outcome != record.OutcomeUnknown {
-		t.Fatalf("answer gone: %+v, owner %v", f, owner.err)
+		t.Fatalf("got %+v, want answer_gone with the outcome unknown; error of the owner: %v", f, owner.err)
 	}
 }
 
-// unboundedEngines ignores max_tokens.
+// unboundedEngines has engines generate 100 times the ordered maximum.
 type unboundedEngines struct{ endpoint.Engines }
 
 func (e unboundedEngines) Start(ctx context.Context, base string, o endpoint.Order) (endpoint.Stream, error) {
@@ -250,16 +267,19 @@
 	b.Engines = unboundedEngines{b.Engines}
 	got := b.chat(t.Context(), newChat("k", true), nil)
 	if got.err != nil || got.text != answerTextOf(0, testTokens) || got.result.FinishReason != finishReasonLength {
-		t.Fatalf("text %q, finish %q, error %v", got.text, got.result.FinishReason, got.err)
+		t.Fatalf("text %q, finish reason %q, error %v; want an answer cut at max_tokens", got.text, got.result.FinishReason, got.err)
 	}
 	if bills := b.billsOf(got.result.Run); len(bills) != 1 || bills[0] != promptTokens+testTokens {
-		t.Fatalf("bills %v", bills)
+		t.Fatalf("bills %v, want one for the prompt and max_tokens", bills)
 	}
 	if runs := b.engines[0].Runs(); !runs[0].Done {
-		t.Fatalf("run not cancelled: %+v", runs)
+		t.Fatalf("run not cancelled at e1: %+v", runs)
 	}
 }
 
+// TestServiceCalls injects one fault at a time into s1. A call that may have run is
+// sent to s2 only if a repeat rule allows it; else its outcome is unknown. A retry
+// of the call never runs it again.
 func TestServiceCalls(t *testing.T) {
 	const get, post = http.MethodGet, http.MethodPost
 	rules, err := config.ParseRepeatRules("GET /status")
@@ -267,23 +287,23 @@
 		t.Fatal(err)
 	}
 	for name, c := range map[string]struct {
-		faults  standin.ServiceFaults // Of s1.
+		faults  standin.ServiceFaults // Injected at s1.
 		method  string
 		path    string
 		outcome record.Outcome
 		runs    [2]int
 	}{
-		"no fault":                  {standin.ServiceFaults{}, post, "/setpoint", record.OutcomeAnswered, [2]int{1, 0}},
-		"refused":                   {standin.ServiceFaults{Refuse: true}, post, "/setpoint", record.OutcomeAnswered, [2]int{0, 1}},
-		"leaving":                   {standin.ServiceFaults{Leaving: true}, post, "/setpoint", record.OutcomeAnswered, [2]int{0, 1}},
-		"lost after running":        {standin.ServiceFaults{Lose: 1}, post, "/setpoint", record.OutcomeUnknown, [2]int{1, 0}},
-		"masked":                    {standin.ServiceFaults{Masked: true}, post, "/setpoint", record.OutcomeUnknown, [2]int{1, 0}},
-		"late":                      {standin.ServiceFaults{SlowMs: 2000}, post, "/setpoint", record.OutcomeUnknown, [2]int{1, 0}},
-		"lost, repeatable":          {standin.ServiceFaults{Lose: 1}, get, "/status", record.OutcomeAnswered, [2]int{1, 1}},
-		"late, repeatable":          {standin.ServiceFaults{SlowMs: 2000}, get, "/status/x", record.OutcomeAnswered, [2]int{1, 1}},
-		"lost, other method":        {standin.ServiceFaults{Lose: 1}, post, "/status", record.OutcomeUnknown, [2]int{1, 0}},
-		"lost, path with dots":      {standin.ServiceFaults{Lose: 1}, get, "/status/../setpoint", record.OutcomeUnknown, [2]int{1, 0}},
-		"lost, only a like segment": {standin.ServiceFaults{Lose: 1}, get, "/statusx", record.OutcomeUnknown, [2]int{1, 0}},
+		"no fault":                    {standin.ServiceFaults{}, post, "/setpoint", record.OutcomeAnswered, [2]int{1, 0}},
+		"refused":                     {standin.ServiceFaults{Refuse: true}, post, "/setpoint", record.OutcomeAnswered, [2]int{0, 1}},
+		"leaving":                     {standin.ServiceFaults{Leaving: true}, post, "/setpoint", record.OutcomeAnswered, [2]int{0, 1}},
+		"lost after running":          {standin.ServiceFaults{Lose: 1}, post, "/setpoint", record.OutcomeUnknown, [2]int{1, 0}},
+		"masked":                      {standin.ServiceFaults{Masked: true}, post, "/setpoint", record.OutcomeUnknown, [2]int{1, 0}},
+		"late":                        {standin.ServiceFaults{SlowMs: 2000}, post, "/setpoint", record.OutcomeUnknown, [2]int{1, 0}},
+		"lost, repeatable":            {standin.ServiceFaults{Lose: 1}, get, "/status", record.OutcomeAnswered, [2]int{1, 1}},
+		"late, repeatable":            {standin.ServiceFaults{SlowMs: 2000}, get, "/status/x", record.OutcomeAnswered, [2]int{1, 1}},
+		"lost, other method":          {standin.ServiceFaults{Lose: 1}, post, "/status", record.OutcomeUnknown, [2]int{1, 0}},
+		"lost, path with dots":        {standin.ServiceFaults{Lose: 1}, get, "/status/../setpoint", record.OutcomeUnknown, [2]int{1, 0}},
+		"lost, similar first segment": {standin.ServiceFaults{Lose: 1}, get, "/statusx", record.OutcomeUnknown, [2]int{1, 0}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := newTestBench(t)
@@ -299,16 +319,17 @@
 					outcome = f.Outcome
 				}
 				if outcome != c.outcome {
-					t.Fatalf("outcome %v: %v", outcome, err)
+					t.Fatalf("got outcome %v, error %v", outcome, err)
 				}
 			}
 			if runs := [2]int{b.services[0].Total(), b.services[1].Total()}; runs != c.runs {
-				t.Fatalf("runs %v", runs)
+				t.Fatalf("runs at s1 and s2: %v", runs)
 			}
 		})
 	}
 }
 
+// repeatRules applies the same rules to every service.
 type repeatRules []config.RepeatRule
 
 func (r repeatRules) Repeatable(_, method, path string) bool {
--- a/internal/run/failure.go
+++ b/internal/run/failure.go
@@ -13,10 +13,10 @@
 	"guavapier/internal/record"
 )
 
-// Code names the reason of a failure on the callers' interface.
+// Code identifies the reason of a failure in the callers' API.
 type Code string
 
-// The failure codes, besides those of package decide.
+// The failure codes. A refused placement has a decide.Code instead, as text.
 const (
 	CodeBudgetExhausted   Code = "budget_exhausted"
 	CodeBudgetUnreachable Code = "budget_out_of_reach"
@@ -30,36 +30,41 @@
 	CodeNoAnswerInTime    Code = "no_answer_in_time"
 	CodeRunGone           Code = "run_gone"
 	CodeAnswerGone        Code = "answer_gone"
-	// CodeAnswerNotKept goes with the outcome answered.
+	// CodeAnswerNotKept is for a retry of a call that was answered. Its outcome is
+	// record.OutcomeAnswered.
 	CodeAnswerNotKept Code = "answer_not_kept"
 	CodeAbandoned     Code = "abandoned"
 	CodeInternal      Code = "internal"
 )
 
-// Failure is a request's final outcome where it has no answer.
+// Failure is the final outcome of a request that gets no answer. Code and Message
+// are returned to the caller.
 type Failure struct {
 	Outcome    record.Outcome
 	Code       Code
 	Message    string
-	RetryAfter time.Duration // 0 where coming back does not help.
+	RetryAfter time.Duration // 0 if a retry does not help.
 }
 
 // Error implements error.
 func (f *Failure) Error() string { return "run: " + string(f.Code) + ": " + f.Message }
 
+// defaultRetryAfter is returned where nothing better is known about when a retry
+// can succeed.
 const defaultRetryAfter = 2 * time.Second
 
-// claimFailure returns the failure for a request that got no claim. An earlier
-// attempt under its key may have run, so "not run" takes the word of the
-// claim's holder; every other error leaves it open.
+// claimFailure returns the failure of a request that could not be claimed. An
+// earlier attempt under its key may have run, so the outcome is "not run" only
+// for errors with which the claim's holder rules that out, and unknown otherwise.
 func claimFailure(err error) *Failure {
 	notRun := errors.Is(err, claim.ErrNotCounted) || errors.Is(err, claim.ErrKeyReused)
 	return newFailure(err, !notRun)
 }
 
-// retractNotRun takes back a "not run" that this instance cannot know: the claim's
-// holder was out of reach, so an earlier attempt may have run elsewhere. The
-// caller's promise of a first attempt makes it true.
+// retractNotRun changes the outcome "not run" of a *Failure to unknown if this
+// instance cannot know it: the claim's holder was unreachable, so an earlier
+// attempt may have run elsewhere. If the caller declared this to be its first
+// attempt, "not run" is certain and stays.
 func (q Request) retractNotRun(ticket claim.Ticket, err error) error {
 	var f *Failure
 	if ticket.Uncounted && !q.FirstAttempt && errors.As(err, &f) && f.Outcome == record.OutcomeNotRun {
@@ -68,8 +73,8 @@
 	return err
 }
 
-// newFailure returns the final outcome for an error; started says whether
-// anything may have run.
+// newFailure returns the failure for an error. mayHaveRun says that an endpoint
+// may have executed the request; the outcome is then unknown.
 func newFailure(err error, mayHaveRun bool) *Failure {
 	f := classify(err)
 	f.Outcome = record.OutcomeNotRun
@@ -82,8 +87,9 @@
 	return f
 }
 
-// classify finds an error's code, message and when to come back. The first
-// match is the reason that ended the request.
+// classify returns the code, message and retry delay for an error. Joined errors
+// match several cases; the cases are ordered so that the first match is the
+// reason that ended the request.
 func classify(err error) *Failure {
 	var refusal *dispatch.Refusal
 	var stranded *ledger.Stranded
--- a/internal/run/generate.go
+++ b/internal/run/generate.go
@@ -11,10 +11,10 @@
 	"guavapier/internal/record"
 )
 
-// generate has the answer generated at one endpoint after the other until one
-// brings it to its end. Each goes on from the tokens that the caller has. An
-// endpoint that has brought tokens starts the count of endpoints anew, so that
-// a long answer outlives any number of them.
+// generate tries endpoints in turn until one completes the answer. Each continues
+// after the tokens that the caller has. At most Limits.MaxEndpoints endpoints in
+// a row may fail without a token; every token resets the count, so that a long
+// answer survives any number of failing endpoints.
 func (r *Runner) generate(ctx context.Context, g *generation) error {
 	defer func() { r.cancelSuperseded(ctx, g, g.completingBase) }()
 	deadline := r.Placer.Now() + g.chat.MaxWait
@@ -41,11 +41,11 @@
 	return lastErr
 }
 
-// awaitEndpoint waits where no endpoint takes a begun answer now, and says whether to
-// try again: its caller has a part of it and is worth more patience than a new
-// one. An answer that has not begun gets its final answer at once instead. All
-// endpoints may be tried again then, at most for the caller's wait after the
-// last token.
+// awaitEndpoint waits while no endpoint accepts the rest of a partial answer, and
+// reports whether to try again. A caller that has a part of an answer would lose
+// it by a refusal, so the run waits, up to the caller's MaxWait after the last
+// token, and then tries all endpoints again, also those that failed before. An
+// answer without tokens is refused at once.
 func (r *Runner) awaitEndpoint(ctx context.Context, g *generation, err error) bool {
 	var refusal *dispatch.Refusal
 	if g.order.From == 0 || !errors.As(err, &refusal) {
@@ -66,9 +66,11 @@
 	}
 }
 
-// minPlacementRetryInterval keeps a begun answer from asking in a tight loop.
+// minPlacementRetryInterval bounds how often the rest of a partial answer is
+// submitted for placement, since a refusal may come without a retry delay.
 const minPlacementRetryInterval = 100 * time.Millisecond
 
+// placementRequest returns the request for the generation's next endpoint.
 func (g *generation) placementRequest(deadline decide.Time) decide.Request {
 	c := g.chat
 	return decide.Request{
@@ -78,8 +80,9 @@
 	}
 }
 
-// continuationTimeout is how long a begun answer may wait for its next endpoint; the
-// caller's wait is for the first token only.
+// continuationTimeout is how long a partial answer may wait for its next endpoint,
+// and 0 for an answer without tokens: MaxWait counts from the start of the
+// request only until the first token.
 func (g *generation) continuationTimeout() time.Duration {
 	if g.order.From == 0 {
 		return 0
@@ -87,8 +90,10 @@
 	return g.chat.MaxWait
 }
 
-// generateAt runs the order at one endpoint. A connection that fails is
-// replaced at once by one that resumes the run.
+// generateAt generates the answer at one endpoint. It replaces a failed connection
+// at once by one that resumes the run. It gives up when the endpoint refuses or
+// stalls, or when more than Limits.MaxResumes connections in a row bring no
+// token.
 func (r *Runner) generateAt(ctx context.Context, p *dispatch.Placement, g *generation) (err error) {
 	meter := newAttemptMeter(p)
 	defer func() { meter.finish(ctx, err) }()
@@ -119,15 +124,16 @@
 	return err
 }
 
-// attempt is the last attempt of a run at one endpoint.
+// attempt identifies the last attempt of a run at one endpoint.
 type attempt struct {
-	base   string
+	base   string // The endpoint's base URL.
 	number int
 }
 
-// cancelSuperseded stops the attempts elsewhere than at base, so that nothing is
-// generated for nobody: as soon as base has brought a token, and at the run's
-// end. Until then the run may come back to one of them.
+// cancelSuperseded cancels the open attempts at all endpoints but the one at base,
+// so that they do not generate tokens that nobody reads. It is called once base
+// has delivered a token, and at the end of the run. Before that the run may
+// return to one of them.
 func (r *Runner) cancelSuperseded(ctx context.Context, g *generation, base string) {
 	remaining := g.openAttempts[:0]
 	for _, a := range g.openAttempts {
@@ -140,8 +146,8 @@
 	g.openAttempts = remaining
 }
 
-// streamFrom reads the answer over one connection, from the offset that the
-// caller is at.
+// streamFrom reads the answer over one connection to the endpoint at base,
+// starting after the tokens that the caller has.
 func (r *Runner) streamFrom(ctx context.Context, base string, g *generation, m *attemptMeter) error {
 	ctx, progress := r.watchProgress(ctx, g.order.From > 0)
 	defer progress.stop()
@@ -175,11 +181,12 @@
 	}
 }
 
-// finishReasonLength is the finish reason of an answer at its maximum length.
+// finishReasonLength is the finish reason of an answer that reached max_tokens.
 const finishReasonLength = "length"
 
-// truncate ends an answer whose engine goes on past the maximum. What comes after
-// it was not ordered, so it is neither passed on nor billed.
+// truncate completes an answer whose engine generates more than MaxTokens. The
+// surplus was not ordered, so it is neither delivered nor billed. Without an
+// answer from the engine, the usage is the worst case of the prompt.
 func (r *Runner) truncate(ctx context.Context, base string, g *generation) error {
 	usage := endpoint.Usage{Prompt: int64(g.chat.PromptTokens)}
 	if state, err := r.Engines.State(ctx, base, g.order.Run); err == nil {
@@ -189,18 +196,21 @@
 	return nil
 }
 
-// reportLeaving passes an endpoint's own word on, before anything else is sent there.
+// reportLeaving calls OnEndpointLeaving if err says that the endpoint is shutting
+// down, so that no further request is placed there.
 func (r *Runner) reportLeaving(name string, err error) {
 	if errors.Is(err, endpoint.ErrLeaving) {
 		r.OnEndpointLeaving(name)
 	}
 }
 
+// cancelRetryInterval is the time between two tries to cancel an attempt.
 const cancelRetryInterval = 500 * time.Millisecond
 
-// cancelInBackground stops a run at an endpoint that was given up, so that it doesn't
-// generate for nobody. An endpoint that does not answer is asked again for as
-// long as Limits.Control.
+// cancelInBackground cancels a run's attempts, up to the given one, at an endpoint
+// that was given up, so that it does not generate tokens that nobody reads. An
+// endpoint that does not confirm is tried again until Limits.ControlTimeout has
+// passed.
 func (r *Runner) cancelInBackground(ctx context.Context, base string, run record.RunID, attempt int) {
 	ctx, stop := context.WithTimeout(context.WithoutCancel(ctx), r.Limits.ControlTimeout)
 	r.background.Go(func() {
--- a/internal/run/join.go
+++ b/internal/run/join.go
@@ -13,46 +13,49 @@
 )
 
 var (
-	// errRunGone says that the caller has tokens of a run that is not the one
-	// that its key stands for now.
-	errRunGone = eris.New("run: the run is gone")
-	// errAnswerGone says that a run has ended and its text is kept no longer.
-	errAnswerGone = eris.New("run: the answer is gone")
+	// errRunGone is returned for a caller that has tokens of a run that cannot be
+	// continued: no engine has it, or its key belongs to another run now.
+	errRunGone = eris.New("run: run no longer available for continuation")
+	// errAnswerGone is returned for a run that was answered, but whose text no
+	// engine has any longer.
+	errAnswerGone = eris.New("run: answer no longer available at any engine")
 )
 
-// locateInterval is how long a joining caller waits before it asks again where the
-// run is: while it is queued, or on its way to another endpoint.
+// locateInterval is the time between two lookups of a joined run's endpoint, while
+// the run is queued or moves to another endpoint.
 const locateInterval = 100 * time.Millisecond
 
-// searchInterval is how long a joined run may bring nothing before its joiner asks
-// whether anybody has it. A queued run has no endpoint either, and each such
-// question goes to every engine: 2 s is well over the usual wait for a slot and
-// well under the callers' waits.
+// searchInterval is how long a joined run may go without a token before all
+// engines are searched for it, and the time between two such searches. A queued
+// run has no endpoint either, and each search queries every engine: 2 s is well
+// above the usual wait for a slot and well below the callers' MaxWait.
 const searchInterval = 2 * time.Second
 
-// joinedRun reads a run that another request owns.
+// joinedRun is the state of reading a run that another request owns.
 type joinedRun struct {
 	order  endpoint.Order
 	sink   TokenSink
 	result ChatResult
-	// text is what was read, from the caller's offset on.
+	// text is the answer's text as read so far. It starts at the position that the
+	// caller resumes from.
 	text answerText
-	// takenOver says that the run was takenOver over: its earlier runner may have run it.
+	// takenOver says that this request took the run over. An endpoint may have
+	// executed it for the previous runner.
 	takenOver bool
-	// callerLeft marks an error of the caller's own connection.
+	// callerLeft says that reading ended because the caller's connection failed.
 	callerLeft bool
 }
 
-// locator says where a run is now. A ticket without Join says that the run ended
-// without having run, so that the request may begin anew.
+// locator looks up where a run is now. A ticket without Join means that the joined
+// run ended without being executed, and that the request owns a new run.
 type locator func(ctx context.Context) (claim.Ticket, error)
 
-// locateByClaim locates the run that a request's key stands for.
+// locateByClaim looks up the run of a request's key with the claim's holder.
 func (r *Runner) locateByClaim(c Chat) locator {
 	return func(ctx context.Context) (claim.Ticket, error) { return r.Claims.Begin(ctx, c.claimRequest(true)) }
 }
 
-// locateByRun locates a run at the engines, whatever became of its claim.
+// locateByRun looks up a run by its ID at the engines, without its claim.
 func (r *Runner) locateByRun(run record.RunID) locator {
 	return func(ctx context.Context) (claim.Ticket, error) {
 		if r.RunFinder == nil {
@@ -66,9 +69,10 @@
 	}
 }
 
-// resumeChat goes on in a run that the caller has a part of. Its claim may
-// have died with its instance; then the engines know the run. Parts of two runs
-// never make one answer.
+// resumeChat continues an answer of which the caller has a part. The claim of the
+// run may have been lost with the instance that held it; the run is then looked
+// up at the engines. The caller never gets tokens of another run: parts of two
+// runs do not make one answer.
 func (r *Runner) resumeChat(ctx context.Context, c Chat, sink TokenSink) (ChatResult, error) {
 	locate := r.locateByRun(c.ResumeFrom.Run)
 	if c.HasCallerKey {
@@ -89,16 +93,18 @@
 	return r.joinChat(ctx, c, ticket, sink, locate)
 }
 
-// joinChat streams a run that an earlier attempt began, from its endpoint,
-// wherever that attempt's instance is and whether it still lives. It neither
-// reserves nor bills: the run's owner or its witness does.
+// joinChat streams the answer of a run that an earlier attempt started. It reads
+// from the run's endpoint directly, so it does not depend on the instance that
+// started the run. It neither reserves nor bills tokens: the run's owner does, or
+// the reservation's witness if the owner is gone.
 func (r *Runner) joinChat(ctx context.Context, c Chat, ticket claim.Ticket, sink TokenSink, locate locator) (ChatResult, error) {
 	j := &joinedRun{order: c.newOrder(ticket.Run), sink: sink, result: ChatResult{Run: ticket.Run}}
 	j.order.ResumeOnly, j.order.From = true, c.ResumeFrom.Tokens
 	return r.followRun(ctx, c, ticket, j, locate)
 }
 
-// followRun follows the run from endpoint to endpoint to its end, or takes it over.
+// followRun reads the run to its end, across changes of its endpoint, or takes the
+// run over. It gives up once no token has come for the caller's MaxWait.
 func (r *Runner) followRun(ctx context.Context, c Chat, ticket claim.Ticket, j *joinedRun, locate locator) (ChatResult, error) {
 	deadline, lastSearch := time.Now().Add(c.MaxWait), time.Now()
 	for {
@@ -137,13 +143,19 @@
 	}
 }
 
-// searchOrTakeOver finds the endpoint that has a run: its runner is gone, it has its answer,
-// or it has brought nothing for long. Where none has it, a run without an
-// outcome is taken over, unless its runner still knows it. Load: an instance and an endpoint that die in
-// the same seconds, and placements that never reached the holder. Harm
-// prevented: callers who wait out their whole time for a run that nobody has.
-// Limit: only a joiner that has read the answer from its start can go on with
-// it elsewhere; a caller who came with a part of it is told that the run is gone.
+// searchOrTakeOver searches all engines for a run whose runner is gone, that has
+// been answered, or that has brought no token for searchInterval. If no engine
+// has it and it has no outcome, it claims the run for takeover; the claim's
+// holder refuses that while the runner still knows the run.
+//
+// Runs get lost when an instance and an endpoint fail within seconds of each
+// other, or when the report of a placement never reached the holder. Without
+// this search, callers would wait their whole MaxWait for a run that nobody has.
+// Only a request that has read the answer from its start can continue it at
+// another endpoint; a caller that resumed from a position gets errRunGone.
+//
+// A run that was cancelled at its endpoint is not searched for: the engine still
+// has it, but does not continue it.
 func (r *Runner) searchOrTakeOver(ctx context.Context, c Chat, ticket claim.Ticket, j *joinedRun, followErr error) (claim.Ticket, error) {
 	if r.RunFinder != nil && !errors.Is(followErr, endpoint.ErrCancelled) {
 		if name, ok := r.RunFinder.Find(ctx, ticket.Run); ok {
@@ -173,7 +185,8 @@
 	return newTicket, err
 }
 
-// relocate asks relocate where the run is, after a pause.
+// relocate looks up the run again after locateInterval. The error is errRunGone if
+// the key belongs to another run by then and tokens of this one have been read.
 func (r *Runner) relocate(ctx context.Context, c Chat, order endpoint.Order, locate locator) (claim.Ticket, error) {
 	timer := time.NewTimer(locateInterval)
 	defer timer.Stop()
@@ -195,10 +208,11 @@
 	return ticket, nil
 }
 
-// errNotPlaced says that the run has no endpoint yet.
-var errNotPlaced = eris.New("run: not placed yet")
+// errNotPlaced is returned while the run has no endpoint, or one that is not in
+// the directory.
+var errNotPlaced = eris.New("run: run has no known endpoint")
 
-// streamJoined reads the run over one connection.
+// streamJoined reads the run over one connection to its endpoint.
 func (r *Runner) streamJoined(ctx context.Context, t claim.Ticket, j *joinedRun) error {
 	base, ok := r.Endpoints.URL(t.Endpoint)
 	if !ok {
--- a/internal/run/meter.go
+++ b/internal/run/meter.go
@@ -12,17 +12,20 @@
 	"guavapier/internal/endpoint"
 )
 
-// attemptMeter measures one placement for the decisions.
+// attemptMeter measures one attempt and reports the result to the dispatcher,
+// which uses it for later placements.
 type attemptMeter struct {
 	placement *dispatch.Placement
 	startTime time.Time
 	result    decide.Result
 }
 
+// newAttemptMeter starts measuring an attempt. finish must be called once.
 func newAttemptMeter(p *dispatch.Placement) *attemptMeter {
 	return &attemptMeter{placement: p, startTime: time.Now()}
 }
 
+// onToken counts a token; the first one is reported at once.
 func (m *attemptMeter) onToken() {
 	if m.result.Tokens == 0 {
 		m.result.FirstToken = time.Since(m.startTime)
@@ -31,8 +34,9 @@
 	m.result.Tokens++
 }
 
-// finish ends the placement. ctx is the run's: an attempt that failed because it
-// ended says nothing about the endpoint.
+// finish ends the placement with its result. ctx is the run's context: an attempt
+// that failed because the run was ended is marked as abandoned, since the
+// failure says nothing about the endpoint.
 func (m *attemptMeter) finish(ctx context.Context, err error) {
 	m.result.Total = time.Since(m.startTime)
 	m.result.Failed = err != nil
@@ -41,10 +45,12 @@
 	m.placement.Done(m.result)
 }
 
-// errStalled says that an endpoint's connection lives but brings no token.
-var errStalled = eris.New("run: no token within the progress limit")
+// errStalled is returned for an endpoint whose connection is alive, but brings no
+// token for Limits.ProgressTimeout.
+var errStalled = eris.New("run: no token within the progress timeout")
 
-// progressWatch gives up an answer that has begun and stands still.
+// progressWatch cancels the reading of an answer that has tokens but gets no
+// further ones in time.
 type progressWatch struct {
 	ctx     context.Context
 	cancel  context.CancelCauseFunc
@@ -52,8 +58,10 @@
 	timer   *time.Timer
 }
 
-// watchProgress watches from the first token on, or at once for an answer that
-// has begun on another connection.
+// watchProgress returns a context that is cancelled with errStalled when the
+// answer stalls. The timeout runs from the first token on, or from now if
+// hasTokens says that the answer has tokens from an earlier connection. stop must
+// be called.
 func (r *Runner) watchProgress(ctx context.Context, hasTokens bool) (context.Context, *progressWatch) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	p := &progressWatch{ctx: ctx, cancel: cancel, timeout: r.Limits.ProgressTimeout}
@@ -64,13 +72,16 @@
 	return ctx, p
 }
 
+// onToken restarts the timeout.
 func (p *progressWatch) onToken() { p.timer.Reset(p.timeout) }
 
+// stop ends the watch and cancels its context.
 func (p *progressWatch) stop() {
 	p.timer.Stop()
 	p.cancel(context.Canceled)
 }
 
+// withCause returns err, joined with errStalled if the watch cancelled the reading.
 func (p *progressWatch) withCause(err error) error {
 	if errors.Is(context.Cause(p.ctx), errStalled) {
 		return errors.Join(errStalled, err)
--- a/internal/run/outcome_test.go
+++ b/internal/run/outcome_test.go
@@ -10,10 +10,10 @@
 	"guavapier/internal/standin"
 )
 
-// unreachableHolder is Claims whose holder is out of reach.
+// unreachableHolder is claim.Claims without a reachable holder.
 type unreachableHolder struct {
 	claim.Claims
-	err error // Of Begin; nil for an uncounted ticket.
+	err error // Returned by Begin; if nil, Begin returns an uncounted ticket.
 }
 
 // Begin implements claim.Claims.
@@ -21,8 +21,9 @@
 	return claim.Ticket{Run: record.NewRunID(), Runner: "a1", Uncounted: true}, d.err
 }
 
-// "Not run" speaks of earlier attempts too. Only who knows the claim table, or
-// the caller's promise of a first attempt, makes it true.
+// The outcome "not run" covers earlier attempts too, so it must not be reported
+// while the claim's holder is unreachable, unless the caller declared this to be
+// the first attempt.
 func TestNotRunIsSaidOnlyWhereItIsKnown(t *testing.T) {
 	for name, c := range map[string]struct {
 		err   error
@@ -46,14 +47,14 @@
 			chat.FirstAttempt = c.first
 			got := b.chat(t.Context(), chat, nil)
 			if f := failureOf(t, got.err); f.Outcome != c.want {
-				t.Errorf("chat: %+v", f)
+				t.Errorf("chat: got %+v", f)
 			}
 			for _, s := range b.services {
 				s.SetFaults(standin.ServiceFaults{Refuse: true})
 			}
 			_, err := b.Call(t.Context(), Call{Request: chat.Request, Service: "rig", Method: "POST", Path: "/x"})
 			if f := failureOf(t, err); f.Outcome != c.want {
-				t.Errorf("call: %+v", f)
+				t.Errorf("call: got %+v", f)
 			}
 		})
 	}
--- a/internal/run/run.go
+++ b/internal/run/run.go
@@ -1,6 +1,10 @@
-// Package run carries one request from its claim to its settlement: claim,
-// reserve, place, order at the endpoint, answer, bill. It knows nothing of how
-// the caller is connected.
+// Package run executes requests: it claims a request, reserves tokens from the
+// budget for a chat, has the request placed at an endpoint, sends it there, passes
+// the answer to the caller and settles the reservation. It retries at other
+// endpoints. A run is the execution of one request, shared by all attempts of the
+// caller: a later attempt joins the run of an earlier one, or takes it over if its
+// instance failed. The package is independent of the protocol by which the caller
+// is connected.
 package run
 
 import (
@@ -19,34 +23,37 @@
 	"guavapier/internal/session"
 )
 
-// Budgets is what a run needs of package ledger.
+// Budgets reserves and settles the tokens of runs; see ledger.Ledger.
 type Budgets interface {
 	Reserve(ctx context.Context, key record.RequestKey, run record.RunID, budget record.BudgetID, tokens int64) (ledger.Reservation, error)
 	Settle(ctx context.Context, budget record.BudgetID, r ledger.Reservation, used int64) error
 }
 
-// Placer is what a run needs of package dispatch.
+// Placer chooses the endpoints of runs; see dispatch.Dispatcher.
 type Placer interface {
 	Now() decide.Time
 	Submit(ctx context.Context, r decide.Request) (*dispatch.Placement, error)
 }
 
-// EndpointDirectory finds an endpoint's base URL by its name.
+// EndpointDirectory returns the base URL of an endpoint, and false for an unknown
+// name.
 type EndpointDirectory interface {
 	URL(name string) (string, bool)
 }
 
-// RunFinder finds the engine that has a run, by the run alone.
-type RunFinder interface {
+// Finder searches the engines for a run by its ID. Find returns the name of the
+// endpoint that has it.
+type Finder interface {
 	Find(ctx context.Context, run record.RunID) (endpoint string, ok bool)
 }
 
-// RepeatRules says which calls of a plain service may be repeated.
+// RepeatRules reports which calls of a plain service may run more than once.
 type RepeatRules interface {
 	Repeatable(service, method, path string) bool
 }
 
-// Runner is safe for concurrent use.
+// Runner executes chats and service calls. Its fields must be set before the first
+// one and not be changed later. It is safe for concurrent use.
 type Runner struct {
 	Claims    claim.Claims
 	Budgets   Budgets
@@ -54,91 +61,106 @@
 	Endpoints EndpointDirectory
 	Engines   endpoint.Engines
 	Services  endpoint.Services
-	// RunFinder finds runs whose claim is lost; nil where none can be found.
-	RunFinder RunFinder
-	// RepeatRules is nil where no call may be repeated.
+	// RunFinder finds runs whose claim or endpoint is lost. If it is nil, such runs
+	// are not found.
+	RunFinder Finder
+	// RepeatRules may be nil; then no call may be repeated.
 	RepeatRules RepeatRules
-	// Limits bound the runs.
-	Limits Limits
-	// OnEndpointLeaving takes an endpoint's own word that it is leaving.
+	Limits      Limits
+	// OnEndpointLeaving is called with the name of an endpoint that refused a
+	// request because it is shutting down.
 	OnEndpointLeaving func(endpoint string)
-	// OnError takes errors that no caller waits for.
+	// OnError is called with errors of background work, which no caller waits for.
 	OnError func(error)
 
-	background sync.WaitGroup
+	background sync.WaitGroup // Settlements and cancellations after the runs' ends.
 }
 
-// Limits bound what one run may take.
+// Limits bounds the resources and time that one run may use.
 type Limits struct {
-	// MaxEndpoints bounds at how many endpoints one run is tried.
+	// MaxEndpoints bounds how many endpoints are tried for one run, one after the
+	// other. For a chat, each token starts the count anew.
 	MaxEndpoints int
-	// MaxResumes bounds the new connections to one endpoint, one after the other,
-	// that bring no token.
+	// MaxResumes bounds the new connections to one endpoint after a failed one, as
+	// long as none of them brings a token.
 	MaxResumes int
-	// ProgressTimeout is how long a begun answer may go without a token, heartbeats or
-	// not, before its endpoint is given up.
+	// ProgressTimeout is how long an answer that has tokens may go without a further
+	// one before its endpoint is given up. Heartbeats do not extend it.
 	ProgressTimeout time.Duration
-	// LingerTimeout is how long the run of a caller who gave an Idempotency-Key goes
-	// on after the caller's connection is lost. It must be longer than the
-	// longest answer takes, since a retry may be reading that answer.
+	// LingerTimeout is how long the run of a request with an Idempotency-Key goes on
+	// after the caller's connection is lost. It must be longer than the longest
+	// answer takes, since a retry may be reading that answer.
 	LingerTimeout time.Duration
-	// ControlTimeout bounds the work that is done for a run after its end.
+	// ControlTimeout bounds the calls to endpoints that cancel a run or query its
+	// usage after its end.
 	ControlTimeout time.Duration
 }
 
-// Close waits for the work that is done after the runs' end.
+// Close waits for the settlements and cancellations of runs that have ended.
 func (r *Runner) Close() { r.background.Wait() }
 
-// Request is what chat requests and service calls have in common.
+// Request holds what chats and service calls have in common.
 type Request struct {
+	// Key identifies the request in all its attempts.
 	Key record.RequestKey
-	// HasCallerKey says that the caller gave the key, so that a retry can name it.
+	// HasCallerKey says that the key is the caller's Idempotency-Key, so that a
+	// retry can send it again. Otherwise the key was generated for this attempt.
 	HasCallerKey bool
-	Digest       uint64
-	Team         config.Team
-	Session      session.Identity
+	// Digest is a hash of the request's method, path, query and body, to detect a
+	// key that is used with another request.
+	Digest  uint64
+	Team    config.Team
+	Session session.Identity
+	// FirstAttempt says that no attempt under this key was made before, by the
+	// caller's declaration or because the key was generated.
 	FirstAttempt bool
 	Priority     decide.Priority
-	// MaxWait is how long the caller waits for the first token or the answer.
+	// MaxWait bounds the caller's wait for the first token of a chat, or for the
+	// whole answer of a call. For a chat that has tokens it also bounds the wait
+	// for the next endpoint.
 	MaxWait time.Duration
 }
 
+// claimRequest returns the request to the claim's holder. repeatable says that the
+// run may be executed more than once.
 func (q Request) claimRequest(repeatable bool) claim.Request {
 	return claim.Request{Key: q.Key, Digest: q.Digest, Home: q.Session.Home, Repeatable: repeatable, First: q.FirstAttempt, Minted: !q.HasCallerKey}
 }
 
-// ResumePosition is where in a run's answer a caller is. It must come from the entry's
-// own signed word, since it gives access to the run.
+// ResumePosition is the position in a run's answer up to which a caller has its
+// tokens. It gives access to the run, so it must come from an event ID whose
+// signature has been verified.
 type ResumePosition struct {
-	Run record.RunID // Empty for a caller who has nothing yet.
-	// Tokens is how many tokens of the answer the caller has.
-	Tokens int
+	Run    record.RunID // Empty for a caller that has no part of an answer.
+	Tokens int          // Number of tokens of the answer that the caller has.
 }
 
-// Chat is one chat completion.
+// Chat is a request for one chat completion.
 type Chat struct {
 	Request
 	Model    string
 	Messages json.RawMessage
-	// Params are the caller's further fields, for the engine as they are.
-	Params map[string]json.RawMessage
-	// PromptTokens is the worst case of the prompt, MaxTokens of the answer.
-	PromptTokens int
-	MaxTokens    int
-	// ResumeFrom is what the caller says it has already.
+	// Params holds the further fields of the caller's request body, which are passed
+	// to the engine unchanged.
+	Params       map[string]json.RawMessage
+	PromptTokens int // Upper bound of the prompt's tokens.
+	MaxTokens    int // Upper bound of the answer's tokens.
+	// ResumeFrom is the position after which the caller continues an answer.
 	ResumeFrom ResumePosition
 }
 
+// newOrder returns the order for an engine, from the start of the answer.
 func (c Chat) newOrder(run record.RunID) endpoint.Order {
 	return endpoint.Order{
 		Run: run, Priority: int(c.Priority), Model: c.Model, Messages: c.Messages, Params: c.Params, MaxTokens: c.MaxTokens,
 	}
 }
 
-// TokenSink takes the tokens of a run, in order, each once.
+// TokenSink receives the tokens of a run in order, each once. An error means that
+// the caller's connection failed; it gets no further tokens.
 type TokenSink func(record.RunID, endpoint.Token) error
 
-// ChatResult is a whole answer's closing.
+// ChatResult is the summary of a completed answer.
 type ChatResult struct {
 	Run          record.RunID
 	Usage        endpoint.Usage
--- a/internal/run/run_test.go
+++ b/internal/run/run_test.go
@@ -30,7 +30,7 @@
 	testWait    = 5 * time.Second
 )
 
-// recordingBudgets is Accounts that only writes down.
+// recordingBudgets is Budgets without a limit. It records what each run is billed.
 type recordingBudgets struct {
 	mu    sync.Mutex
 	bills map[record.RunID][]int64
@@ -47,8 +47,8 @@
 	return nil
 }
 
-// testBench is a runner in front of stand-ins on loopback, with the real clients
-// and the real dispatcher.
+// testBench is a Runner with stand-in endpoints on loopback, the real endpoint
+// clients and the real dispatcher.
 type testBench struct {
 	*Runner
 	t                *testing.T
@@ -58,12 +58,12 @@
 	urls             map[string]string
 	counts           endpoint.Counts
 	recordingBudgets *recordingBudgets
-	// mu guards left, the endpoints that were told to be leaving.
+	// mu guards leaving, the names passed to OnEndpointLeaving.
 	mu      sync.Mutex
 	leaving []string
 }
 
-// URL implements Endpoints.
+// URL implements EndpointDirectory.
 func (b *testBench) URL(name string) (string, bool) { url, ok := b.urls[name]; return url, ok }
 
 // Find implements Finder.
@@ -76,8 +76,8 @@
 	return "", false
 }
 
-// newTestBench starts engines e1, e2 and services s1, s2, the first of each first
-// in line, since every session is placed there.
+// newTestBench starts engines e1, e2 and services s1, s2. Every request is placed
+// at e1 or s1 first, because of their weight.
 func newTestBench(t *testing.T) *testBench {
 	t.Helper()
 	b := &testBench{t: t, urls: map[string]string{}, recordingBudgets: &recordingBudgets{bills: map[record.RunID][]int64{}}}
@@ -130,6 +130,7 @@
 	return b
 }
 
+// serve starts an endpoint's server and returns its row for the dispatcher.
 func (b *testBench) serve(name string, h http.Handler, row decide.Endpoint) decide.Endpoint {
 	server := httptest.NewServer(h)
 	b.servers = append(b.servers, server)
@@ -141,27 +142,32 @@
 	return row
 }
 
-// kill ends an endpoint as SIGKILL does.
+// kill ends the endpoint with index n in servers (0 is e1) abruptly: it closes the
+// listener and resets all connections, as SIGKILL does.
 func (b *testBench) kill(n int) {
 	b.servers[n].Listener.Close()
 	b.servers[n].CloseClientConnections()
 }
 
+// eventually waits up to 10 s for a condition.
 func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(10 * time.Second); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("not in time: %s", what)
+			t.Fatalf("not within 10 s: %s", what)
 		}
 	}
 }
 
+// newChat returns a chat of testTokens tokens. keyed says that key is the caller's
+// own.
 func newChat(key string, keyed bool) Chat {
 	q := Request{Key: record.RequestKey{Team: "dala", Key: key}, HasCallerKey: keyed, MaxWait: testWait, Priority: decide.PriorityInteractive}
 	q.Team.Name = "dala"
 	return Chat{Request: q, Model: "small", Messages: []byte(`["hello"]`), PromptTokens: 20, MaxTokens: testTokens}
 }
 
+// answerTextOf returns the stand-in's text of the tokens in [from, to).
 func answerTextOf(from, to int) string {
 	var b strings.Builder
 	for i := from; i < to; i++ {
@@ -170,13 +176,15 @@
 	return b.String()
 }
 
-// callerResult is what a caller got. at is called with each token's index.
+// callerResult is what a caller received.
 type callerResult struct {
 	text   string
 	result ChatResult
 	err    error
 }
 
+// chat runs a chat for a caller and calls onToken, unless nil, with the index of
+// each token. The caller's sink fails once ctx has ended.
 func (b *testBench) chat(ctx context.Context, c Chat, onToken func(int)) callerResult {
 	var text strings.Builder
 	result, err := b.Chat(ctx, c, func(_ record.RunID, token endpoint.Token) error {
@@ -189,7 +197,8 @@
 	return callerResult{text: text.String(), result: result, err: err}
 }
 
-// billsOf waits for the background work and returns the bills of a run.
+// billsOf waits for the runner's background work and returns the bills of a run in
+// tokens.
 func (b *testBench) billsOf(run record.RunID) []int64 {
 	b.Close()
 	b.recordingBudgets.mu.Lock()
@@ -197,7 +206,8 @@
 	return slices.Clone(b.recordingBudgets.bills[run])
 }
 
-// generatedTokens returns what each engine generatedTokens for a run.
+// generatedTokens returns the number of tokens that each engine generated for a
+// run.
 func (b *testBench) generatedTokens(run record.RunID) (out []int) {
 	for _, e := range b.engines {
 		n := 0
@@ -211,23 +221,26 @@
 	return out
 }
 
+// promptTokens is what the stand-in engine reports for the prompt of newChat.
 const promptTokens = int64(len(`["hello"]`)/4 + 1)
 
+// failureOf returns the *Failure that err must be.
 func failureOf(t *testing.T, err error) Failure {
 	t.Helper()
 	var f *Failure
 	if !errors.As(err, &f) {
-		t.Fatalf("no failure: %v", err)
+		t.Fatalf("got error %v, want a *Failure", err)
 	}
 	return *f
 }
 
-// memoryClaims is Claims in one instance's memory.
+// memoryClaims is claim.Claims in memory, as one holder that is always reachable.
 type memoryClaims struct {
 	mu   sync.Mutex
 	rows map[record.RequestKey]*claimRow
 }
 
+// claimRow is one claim and its run.
 type claimRow struct {
 	digest uint64
 	ticket claim.Ticket
--- a/internal/run/service.go
+++ b/internal/run/service.go
@@ -11,21 +11,21 @@
 	"guavapier/internal/record"
 )
 
-// Call is one call of a plain service.
+// Call is a request for one call of a plain service.
 type Call struct {
 	Request
-	Service string
-	Method  string
-	// Path is the call's path below the service, escaped, with a slash in front.
-	Path        string
-	Query       string
+	Service     string
+	Method      string
+	Path        string // Path below the service, escaped, with a leading slash.
+	Query       string // Raw query without the question mark; may be empty.
 	ContentType string
 	Body        []byte
 }
 
-// callsPath is the path of a plain service below which its calls are.
+// callsPath is the path prefix of calls at a plain service's endpoint.
 const callsPath = "/call"
 
+// requestTarget returns the path and query of the call at the endpoint.
 func (c Call) requestTarget() string {
 	if c.Query == "" {
 		return callsPath + c.Path
@@ -33,14 +33,14 @@
 	return callsPath + c.Path + "?" + c.Query
 }
 
-// Repeatable says whether a call may run more than once. Without a rule that
-// says so it may not.
+// Repeatable reports whether a call may run more than once. It may only if a rule
+// allows it.
 func (r *Runner) Repeatable(service, method, path string) bool {
 	return r.RepeatRules != nil && r.RepeatRules.Repeatable(service, method, path)
 }
 
 // Call runs a service call, or returns the answer of the run that an earlier
-// attempt has begun. The error is a *Failure.
+// attempt of the same request started. The error is a *Failure.
 func (r *Runner) Call(ctx context.Context, c Call) (endpoint.Answer, error) {
 	repeatable := r.Repeatable(c.Service, c.Method, c.Path)
 	ticket, err := r.beginCall(ctx, c, repeatable)
@@ -54,15 +54,16 @@
 	return answer, c.retractNotRun(ticket, err)
 }
 
-// beginCall claims the call, or waits for the end of the run that it joins.
+// beginCall claims the call, or joins an earlier attempt's run and waits, up to
+// MaxWait, for its end.
 func (r *Runner) beginCall(ctx context.Context, c Call, repeatable bool) (claim.Ticket, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.MaxWait)
 	defer cancel()
 	return claim.BeginOrJoin(ctx, r.Claims, c.claimRequest(repeatable))
 }
 
-// joinedAnswer returns the answer of a call that another attempt has sent, where a
-// copy of it is kept.
+// joinedAnswer returns the answer of a joined run. It fails with the code
+// CodeAnswerNotKept if the call was answered but no copy of the answer is kept.
 func joinedAnswer(t claim.Ticket) (endpoint.Answer, error) {
 	if t.Outcome != record.OutcomeAnswered {
 		return endpoint.Answer{}, newFailure(claim.ErrUnknown, true)
@@ -76,9 +77,9 @@
 	return endpoint.Answer{Status: t.Answer.Status, ContentType: t.Answer.ContentType, Body: t.Answer.Body}, nil
 }
 
-// executeCall carries a call that this request has claimed. It goes on without its
-// caller: a call that is on its way cannot be called back, and a retry is told
-// its outcome.
+// executeCall executes a call that this request has claimed. It continues when the
+// caller disconnects: a call that was sent cannot be revoked, and a retry gets its
+// outcome.
 func (r *Runner) executeCall(ctx context.Context, c Call, run record.RunID, repeatable bool) (endpoint.Answer, error) {
 	workCtx, stop := context.WithTimeoutCause(context.WithoutCancel(ctx), c.MaxWait, errNoAnswerInTime)
 	defer stop()
@@ -90,19 +91,19 @@
 	return answer, r.endRun(ctx, c.Key, err, s.mayHaveRun, &claim.Answer{Status: answer.Status, ContentType: answer.ContentType, Body: answer.Body})
 }
 
-// callState is the state of one call while endpoints are tried.
+// callState is the state of one call while endpoints are tried for it.
 type callState struct {
 	call       Call
 	run        record.RunID
 	repeatable bool
 	maxWait    time.Duration
-	attempt    int
-	excluded   []string
-	mayHaveRun bool // An endpoint may have run the call.
+	attempt    int      // Number of the last attempt, from 1; 0 before the first.
+	excluded   []string // Names of the endpoints that failed.
+	mayHaveRun bool     // An endpoint may have executed the call.
 }
 
-// sendCall tries one endpoint after the other while nothing has run, or where the
-// call may be repeated.
+// sendCall tries endpoints in turn until one answers. After an endpoint that may
+// have executed the call it tries another one only if the call is repeatable.
 func (r *Runner) sendCall(ctx context.Context, s *callState) (endpoint.Answer, error) {
 	deadline := r.Placer.Now() + s.maxWait
 	var lastErr error
@@ -130,6 +131,7 @@
 	return endpoint.Answer{}, lastErr
 }
 
+// placementRequest returns the request for the call's next endpoint.
 func (s *callState) placementRequest(deadline decide.Time) decide.Request {
 	c := s.call
 	return decide.Request{
@@ -138,8 +140,8 @@
 	}
 }
 
-// sendToEndpoint sends the call to one endpoint. One that may be repeated is given up
-// there in time for another try.
+// sendToEndpoint sends the call to one endpoint. The first attempt of a repeatable
+// call may take half of MaxWait, which leaves time for another endpoint.
 func (r *Runner) sendToEndpoint(ctx context.Context, s *callState, name string) (endpoint.Answer, error) {
 	base, ok := r.Endpoints.URL(name)
 	if !ok {
--- a/internal/run/settle.go
+++ b/internal/run/settle.go
@@ -6,17 +6,17 @@
 	"guavapier/internal/ledger"
 )
 
-// settleInBackground settles a run after its caller has its final answer: neither a
-// slow log nor a dead endpoint may hold that back. Until then the reservation
-// stands.
+// settleInBackground settles a run without delaying the caller's final answer by a
+// slow log or a dead endpoint. The reservation stays in force until then.
 func (r *Runner) settleInBackground(ctx context.Context, g *generation, reserved ledger.Reservation, err error) {
 	ctx = context.WithoutCancel(ctx)
 	r.background.Go(func() { r.settle(ctx, g, reserved, err) })
 }
 
-// settle bills a run once: what it used, what its endpoint says it used where
-// it has no whole answer, or else the whole reservation. The team never pays
-// more than was reserved, and nothing runs free.
+// settle bills a run once. A completed answer is billed by its usage, a run that
+// was never sent costs nothing, and any other run is billed by the usage that
+// its endpoint reports, or by the whole reservation without such a report. The
+// team never pays more than was reserved, and no executed run is free.
 func (r *Runner) settle(ctx context.Context, g *generation, reserved ledger.Reservation, err error) {
 	used := g.result.Usage.Prompt + g.result.Usage.Completion
 	switch {
@@ -31,7 +31,9 @@
 	}
 }
 
-// usageWithoutAnswer stops the run and asks its endpoint what it came to.
+// usageWithoutAnswer cancels the run at its last endpoint and returns the tokens
+// that the endpoint reports for it. It returns the whole reservation if the
+// endpoint does not confirm the cancellation or does not report.
 func (r *Runner) usageWithoutAnswer(ctx context.Context, g *generation, reserved ledger.Reservation) int64 {
 	ctx, stop := context.WithTimeout(ctx, r.Limits.ControlTimeout)
 	defer stop()
--- a/internal/run/takeover_test.go
+++ b/internal/run/takeover_test.go
@@ -8,8 +8,8 @@
 	"guavapier/internal/record"
 )
 
-// claimForGoneInstance claims a run for an instance that is gone, which had placed it at an
-// endpoint; "" for nowhere.
+// claimForGoneInstance claims a run for an instance that has failed since. at is the
+// endpoint where that instance had placed the run; empty if it had not.
 func (b *testBench) claimForGoneInstance(c Chat, at string) record.RunID {
 	b.t.Helper()
 	claims := b.Claims.(*memoryClaims)
@@ -22,8 +22,8 @@
 	return ticket.Run
 }
 
-// startOrder has a run begun at an endpoint as the gone instance did, and leaves it
-// to itself once it has brought a token.
+// startOrder starts a run at an endpoint, as the failed instance did, and closes the
+// connection after the first token.
 func (b *testBench) startOrder(c Chat, run record.RunID, at string) {
 	b.t.Helper()
 	order := c.newOrder(run)
@@ -38,8 +38,9 @@
 	}
 }
 
-// TestRunOfAGoneInstanceIsTakenOver has the instance of a run die, and with it
-// the endpoint, if there was one.
+// TestRunOfAGoneInstanceIsTakenOver has the instance that owned a run fail, and
+// with it the run's endpoint, if it had one. A retry must complete the same run,
+// with one bill.
 func TestRunOfAGoneInstanceIsTakenOver(t *testing.T) {
 	for name, c := range map[string]struct {
 		placed string
@@ -65,25 +66,25 @@
 				}
 			})
 			if got.err != nil || got.text != answerTextOf(0, testTokens) || got.result.Run != run {
-				t.Fatalf("%q, run %s of %s, %v", got.text, got.result.Run, run, got.err)
+				t.Fatalf("text %q, run %s, want run %s; error %v", got.text, got.result.Run, run, got.err)
 			}
 			if bills := b.billsOf(run); len(bills) != 1 || bills[0] != promptTokens+testTokens {
-				t.Fatalf("bills %v", bills)
+				t.Fatalf("bills %v, want one for the prompt and the whole answer", bills)
 			}
 		})
 	}
 }
 
-// killAt kills an endpoint when the caller is at a token.
+// killAt kills an endpoint if index, the caller's current token, is at.
 func (b *testBench) killAt(index, at, endpoint int) {
 	if index == at {
 		b.kill(endpoint)
 	}
 }
 
-// TestPartOfALostRunIsNotContinued has a caller come back with a part of an
-// answer that nobody else has: parts of two runs never make one answer, and the
-// caller learns that instead of waiting.
+// TestPartOfALostRunIsNotContinued has a caller resume an answer that no engine has
+// any longer. A new run could give another answer, and parts of two answers must
+// not be combined: the caller is told so instead of waiting.
 func TestPartOfALostRunIsNotContinued(t *testing.T) {
 	b := newTestBench(t)
 	chat := newChat("k", true)
@@ -91,12 +92,12 @@
 	chat.ResumeFrom = ResumePosition{Run: run, Tokens: 3}
 	f := failureOf(t, b.chat(t.Context(), chat, nil).err)
 	if f.Code != CodeRunGone || f.Outcome != record.OutcomeUnknown {
-		t.Fatalf("%+v", f)
+		t.Fatalf("got %+v, want run_gone with the outcome unknown", f)
 	}
 }
 
-// TestCancelledRunOfAGoneInstanceIsTakenOver has an endpoint that still knows
-// the run but will not go on with it.
+// TestCancelledRunOfAGoneInstanceIsTakenOver has an endpoint that still knows the
+// run, but was told to cancel it and refuses to resume it.
 func TestCancelledRunOfAGoneInstanceIsTakenOver(t *testing.T) {
 	b := newTestBench(t)
 	chat := newChat("k", true)
@@ -107,12 +108,13 @@
 	}
 	got := b.chat(t.Context(), chat, nil)
 	if got.err != nil || got.text != answerTextOf(0, testTokens) || got.result.Run != run {
-		t.Fatalf("%q, %v", got.text, got.err)
+		t.Fatalf("text %q, error %v; want the whole answer of the same run", got.text, got.err)
 	}
 }
 
-// TestAnswerIsFoundWhereverItIs has runs that ended, with their endpoint unknown
-// or wrong at the holder, and with nobody left who has the answer.
+// TestAnswerIsFoundWhereverItIs retries requests whose runs were answered, while the
+// claim's holder has no endpoint for them or a wrong one. Once no engine has the
+// answer, the retry fails.
 func TestAnswerIsFoundWhereverItIs(t *testing.T) {
 	for name, at := range map[string]string{"unknown": "", "left the list": "e9", "another": "e2"} {
 		t.Run(name, func(t *testing.T) {
@@ -123,18 +125,19 @@
 			claims.rows[chat.Key].ticket.Endpoint = at
 			got := b.chat(t.Context(), chat, nil)
 			if got.err != nil || got.text != answerTextOf(0, testTokens) || got.result.Run != owner.result.Run {
-				t.Fatalf("%q, %v", got.text, got.err)
+				t.Fatalf("text %q, error %v; want the whole answer of the same run", got.text, got.err)
 			}
 			b.kill(0)
 			if f := failureOf(t, b.chat(t.Context(), chat, nil).err); f.Code != CodeAnswerGone || f.Outcome != record.OutcomeUnknown {
-				t.Fatalf("nobody has it: %+v", f)
+				t.Fatalf("no engine has the answer: got %+v, want answer_gone with the outcome unknown", f)
 			}
 		})
 	}
 }
 
-// TestLostRunIsNeverSaidNotToHaveRun has a run taken over that no endpoint takes
-// now, or that the budget does not cover: its first runner may have run it.
+// TestLostRunIsNeverSaidNotToHaveRun has a takeover fail, because no endpoint
+// accepts the run or the budget does not cover it. The previous runner may have
+// had the run executed, so the outcome is unknown.
 func TestLostRunIsNeverSaidNotToHaveRun(t *testing.T) {
 	for name, fail := range map[string]func(*testBench){
 		"no endpoint": func(b *testBench) { b.kill(0); b.kill(1) },
@@ -146,16 +149,16 @@
 			b.claimForGoneInstance(chat, "")
 			fail(b)
 			if f := failureOf(t, b.chat(t.Context(), chat, nil).err); f.Outcome != record.OutcomeUnknown {
-				t.Fatalf("%+v", f)
+				t.Fatalf("got %+v, want the outcome unknown", f)
 			}
 		})
 	}
 }
 
-// exhaustedBudgets has no tokens.
+// exhaustedBudgets is Budgets in which no tokens are left.
 type exhaustedBudgets struct{ *recordingBudgets }
 
-// Reserve implements Accounts.
+// Reserve implements Budgets.
 func (exhaustedBudgets) Reserve(context.Context, record.RequestKey, record.RunID, record.BudgetID, int64) (ledger.Reservation, error) {
 	return ledger.Reservation{}, ledger.ErrExhausted
 }
--- a/internal/server/usages.go
+++ b/internal/server/usages.go
@@ -38,7 +38,7 @@
 	return longest.state.Prompt + longest.state.Answer(), true
 }
 
-// Find implements run.RunFinder.
+// Find implements run.Finder.
 func (f runFinder) Find(ctx context.Context, run record.RunID) (name string, ok bool) {
 	longest, ok := longestOf(f.ask(ctx, run))
 	return longest.engine, ok
