--- a/internal/entry/chat.go
+++ b/internal/entry/chat.go
@@ -40,14 +40,14 @@
 	if reqErr != nil {
 		return run.Chat{}, nil, reqErr
 	}
-	common.Wait = a.Limits.FirstTokenTimeout
+	common.MaxWait = a.Limits.FirstTokenTimeout
 	position, reqErr := a.parseLastEventID(r)
 	if reqErr == nil && position.Run != "" && !req.Stream {
 		reqErr = badRequest("last_event_id_without_stream", "%s is for streamed answers.", HeaderLastEventID)
 	}
 	chat := run.Chat{
 		Request: common, Model: req.Model, Messages: req.messages, Params: req.params,
-		PromptTokens: a.maxPromptTokens(req.messages), MaxTokens: req.maxTokens, Have: position,
+		PromptTokens: a.maxPromptTokens(req.messages), MaxTokens: req.maxTokens, ResumeFrom: position,
 	}
 	return chat, req, reqErr
 }
@@ -132,7 +132,7 @@
 	}
 	writeJSON(w, http.StatusOK, chatCompletion{
 		ID: result.Run, Object: "chat.completion", Created: time.Now().Unix(), Model: chat.Model,
-		Choices: []chatChoice{{Message: &answerMessage{Role: "assistant", Content: text.String()}, FinishReason: &result.Finish}},
+		Choices: []chatChoice{{Message: &answerMessage{Role: "assistant", Content: text.String()}, FinishReason: &result.FinishReason}},
 		Usage:   newChatUsage(result.Usage),
 	})
 }
--- a/internal/run/outcome_test.go
+++ b/internal/run/outcome_test.go
@@ -10,19 +10,20 @@
 	"guavapier/internal/standin"
 )
 
-// distant is Claims whose holder is out of reach.
-type distant struct {
+// unreachableHolder is claim.Claims without a reachable holder.
+type unreachableHolder struct {
 	claim.Claims
-	err error // Of Begin; nil for an uncounted ticket.
+	err error // Returned by Begin; if nil, Begin returns an uncounted ticket.
 }
 
 // Begin implements claim.Claims.
-func (d distant) Begin(context.Context, claim.Request) (claim.Ticket, error) {
+func (d unreachableHolder) Begin(context.Context, claim.Request) (claim.Ticket, error) {
 	return claim.Ticket{Run: record.NewRunID(), Runner: "a1", Uncounted: true}, d.err
 }
 
-// "Not run" speaks of earlier attempts too. Only who knows the claim table, or
-// the caller's promise of a first attempt, makes it true.
+// The outcome "not run" covers earlier attempts too, so it must not be reported
+// while the claim's holder is unreachable, unless the caller declared this to be
+// the first attempt.
 func TestNotRunIsSaidOnlyWhereItIsKnown(t *testing.T) {
 	for name, c := range map[string]struct {
 		err   error
@@ -37,23 +38,23 @@
 		"any other error":          {err: errors.New("surprise"), want: record.OutcomeUnknown},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newBench(t)
-			b.Claims = distant{Claims: b.Claims, err: c.err}
+			b := newTestBench(t)
+			b.Claims = unreachableHolder{Claims: b.Claims, err: c.err}
 			for _, e := range b.engines {
 				e.SetFaults(standin.EngineFaults{Refuse: true})
 			}
-			chat := chatOf("k", true)
-			chat.First = c.first
-			got := b.ask(t.Context(), chat, nil)
+			chat := newChat("k", true)
+			chat.FirstAttempt = c.first
+			got := b.chat(t.Context(), chat, nil)
 			if f := failureOf(t, got.err); f.Outcome != c.want {
-				t.Errorf("chat: %+v", f)
+				t.Errorf("chat: got %+v", f)
 			}
 			for _, s := range b.services {
 				s.SetFaults(standin.ServiceFaults{Refuse: true})
 			}
 			_, err := b.Call(t.Context(), Call{Request: chat.Request, Service: "rig", Method: "POST", Path: "/x"})
 			if f := failureOf(t, err); f.Outcome != c.want {
-				t.Errorf("call: %+v", f)
+				t.Errorf("call: got %+v", f)
 			}
 		})
 	}
--- a/internal/run/takeover_test.go
+++ b/internal/run/takeover_test.go
@@ -8,12 +8,12 @@
 	"guavapier/internal/record"
 )
 
-// orphan claims a run for an instance that is gone, which had placed it at an
-// endpoint; "" for nowhere.
-func (b *bench) orphan(c Chat, at string) record.RunID {
+// claimForGoneInstance claims a run for an instance that has failed since. at is the
+// endpoint where that instance had placed the run; empty if it had not.
+func (b *testBench) claimForGoneInstance(c Chat, at string) record.RunID {
 	b.t.Helper()
-	claims := b.Claims.(*table)
-	ticket, err := claims.Begin(context.Background(), c.claim(true))
+	claims := b.Claims.(*memoryClaims)
+	ticket, err := claims.Begin(context.Background(), c.claimRequest(true))
 	if err != nil {
 		b.t.Fatal(err)
 	}
@@ -22,11 +22,11 @@
 	return ticket.Run
 }
 
-// order has a run begun at an endpoint as the gone instance did, and leaves it
-// to itself once it has brought a token.
-func (b *bench) order(c Chat, run record.RunID, at string) {
+// startOrder starts a run at an endpoint, as the failed instance did, and closes the
+// connection after the first token.
+func (b *testBench) startOrder(c Chat, run record.RunID, at string) {
 	b.t.Helper()
-	order := c.order(run)
+	order := c.newOrder(run)
 	order.Attempt = 1
 	stream, err := b.Engines.Start(context.Background(), b.urls[at], order)
 	if err != nil {
@@ -38,124 +38,127 @@
 	}
 }
 
-// TestRunOfAGoneInstanceIsTakenOver has the instance of a run die, and with it
-// the endpoint, if there was one.
+// TestRunOfAGoneInstanceIsTakenOver has the instance that owned a run fail, and
+// with it the run's endpoint, if it had one. A retry must complete the same run,
+// with one bill.
 func TestRunOfAGoneInstanceIsTakenOver(t *testing.T) {
 	for name, c := range map[string]struct {
 		placed string
 		begun  bool
-		kill   func(b *bench, index int)
+		kill   func(b *testBench, index int)
 	}{
 		"before it was placed":     {},
 		"placed, never ordered":    {placed: "e2"},
 		"endpoint left the list":   {placed: "e9"},
-		"endpoint dies meanwhile":  {placed: "e1", begun: true, kill: func(b *bench, i int) { b.killAt(i, testTokens/2, 0) }},
-		"endpoint refuses already": {placed: "e1", begun: true, kill: func(b *bench, i int) { b.killAt(i, 0, 0) }},
+		"endpoint dies meanwhile":  {placed: "e1", begun: true, kill: func(b *testBench, i int) { b.killAt(i, testTokens/2, 0) }},
+		"endpoint refuses already": {placed: "e1", begun: true, kill: func(b *testBench, i int) { b.killAt(i, 0, 0) }},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newBench(t)
-			chat := chatOf("k", true)
-			run := b.orphan(chat, c.placed)
+			b := newTestBench(t)
+			chat := newChat("k", true)
+			run := b.claimForGoneInstance(chat, c.placed)
 			if c.begun {
-				b.order(chat, run, c.placed)
+				b.startOrder(chat, run, c.placed)
 			}
-			got := b.ask(t.Context(), chat, func(i int) {
+			got := b.chat(t.Context(), chat, func(i int) {
 				if c.kill != nil {
 					c.kill(b, i)
 				}
 			})
-			if got.err != nil || got.text != textOf(0, testTokens) || got.result.Run != run {
-				t.Fatalf("%q, run %s of %s, %v", got.text, got.result.Run, run, got.err)
+			if got.err != nil || got.text != answerTextOf(0, testTokens) || got.result.Run != run {
+				t.Fatalf("text %q, run %s, want run %s; error %v", got.text, got.result.Run, run, got.err)
 			}
-			if bills := b.billed(run); len(bills) != 1 || bills[0] != promptTokens+testTokens {
-				t.Fatalf("bills %v", bills)
+			if bills := b.billsOf(run); len(bills) != 1 || bills[0] != promptTokens+testTokens {
+				t.Fatalf("bills %v, want one for the prompt and the whole answer", bills)
 			}
 		})
 	}
 }
 
-// killAt kills an endpoint when the caller is at a token.
-func (b *bench) killAt(index, at, endpoint int) {
+// killAt kills an endpoint if index, the caller's current token, is at.
+func (b *testBench) killAt(index, at, endpoint int) {
 	if index == at {
 		b.kill(endpoint)
 	}
 }
 
-// TestPartOfALostRunIsNotContinued has a caller come back with a part of an
-// answer that nobody else has: parts of two runs never make one answer, and the
-// caller learns that instead of waiting.
+// TestPartOfALostRunIsNotContinued has a caller resume an answer that no engine has
+// any longer. A new run could give another answer, and parts of two answers must
+// not be combined: the caller is told so instead of waiting.
 func TestPartOfALostRunIsNotContinued(t *testing.T) {
-	b := newBench(t)
-	chat := chatOf("k", true)
-	run := b.orphan(chat, "e1")
-	chat.Have = Position{Run: run, Tokens: 3}
-	f := failureOf(t, b.ask(t.Context(), chat, nil).err)
+	b := newTestBench(t)
+	chat := newChat("k", true)
+	run := b.claimForGoneInstance(chat, "e1")
+	chat.ResumeFrom = ResumePosition{Run: run, Tokens: 3}
+	f := failureOf(t, b.chat(t.Context(), chat, nil).err)
 	if f.Code != CodeRunGone || f.Outcome != record.OutcomeUnknown {
-		t.Fatalf("%+v", f)
+		t.Fatalf("got %+v, want run_gone with the outcome unknown", f)
 	}
 }
 
-// TestCancelledRunOfAGoneInstanceIsTakenOver has an endpoint that still knows
-// the run but will not go on with it.
+// TestCancelledRunOfAGoneInstanceIsTakenOver has an endpoint that still knows the
+// run, but was told to cancel it and refuses to resume it.
 func TestCancelledRunOfAGoneInstanceIsTakenOver(t *testing.T) {
-	b := newBench(t)
-	chat := chatOf("k", true)
-	run := b.orphan(chat, "e1")
-	b.order(chat, run, "e1")
+	b := newTestBench(t)
+	chat := newChat("k", true)
+	run := b.claimForGoneInstance(chat, "e1")
+	b.startOrder(chat, run, "e1")
 	if err := b.Engines.Cancel(t.Context(), b.urls["e1"], run, 1); err != nil {
 		t.Fatal(err)
 	}
-	got := b.ask(t.Context(), chat, nil)
-	if got.err != nil || got.text != textOf(0, testTokens) || got.result.Run != run {
-		t.Fatalf("%q, %v", got.text, got.err)
+	got := b.chat(t.Context(), chat, nil)
+	if got.err != nil || got.text != answerTextOf(0, testTokens) || got.result.Run != run {
+		t.Fatalf("text %q, error %v; want the whole answer of the same run", got.text, got.err)
 	}
 }
 
-// TestAnswerIsFoundWhereverItIs has runs that ended, with their endpoint unknown
-// or wrong at the holder, and with nobody left who has the answer.
+// TestAnswerIsFoundWhereverItIs retries requests whose runs were answered, while the
+// claim's holder has no endpoint for them or a wrong one. Once no engine has the
+// answer, the retry fails.
 func TestAnswerIsFoundWhereverItIs(t *testing.T) {
 	for name, at := range map[string]string{"unknown": "", "left the list": "e9", "another": "e2"} {
 		t.Run(name, func(t *testing.T) {
-			b := newBench(t)
-			chat := chatOf("k", true)
-			owner := b.ask(t.Context(), chat, nil)
-			claims := b.Claims.(*table)
+			b := newTestBench(t)
+			chat := newChat("k", true)
+			owner := b.chat(t.Context(), chat, nil)
+			claims := b.Claims.(*memoryClaims)
 			claims.rows[chat.Key].ticket.Endpoint = at
-			got := b.ask(t.Context(), chat, nil)
-			if got.err != nil || got.text != textOf(0, testTokens) || got.result.Run != owner.result.Run {
-				t.Fatalf("%q, %v", got.text, got.err)
+			got := b.chat(t.Context(), chat, nil)
+			if got.err != nil || got.text != answerTextOf(0, testTokens) || got.result.Run != owner.result.Run {
+				t.Fatalf("text %q, error %v; want the whole answer of the same run", got.text, got.err)
 			}
 			b.kill(0)
-			if f := failureOf(t, b.ask(t.Context(), chat, nil).err); f.Code != CodeAnswerGone || f.Outcome != record.OutcomeUnknown {
-				t.Fatalf("nobody has it: %+v", f)
+			if f := failureOf(t, b.chat(t.Context(), chat, nil).err); f.Code != CodeAnswerGone || f.Outcome != record.OutcomeUnknown {
+				t.Fatalf("no engine has the answer: got %+v, want answer_gone with the outcome unknown", f)
 			}
 		})
 	}
 }
 
-// TestLostRunIsNeverSaidNotToHaveRun has a run taken over that no endpoint takes
-// now, or that the budget does not cover: its first runner may have run it.
+// TestLostRunIsNeverSaidNotToHaveRun has a takeover fail, because no endpoint
+// accepts the run or the budget does not cover it. The previous runner may have
+// had the run executed, so the outcome is unknown.
 func TestLostRunIsNeverSaidNotToHaveRun(t *testing.T) {
-	for name, hinder := range map[string]func(*bench){
-		"no endpoint": func(b *bench) { b.kill(0); b.kill(1) },
-		"no tokens":   func(b *bench) { b.Accounts = emptyBooks{b.books} },
+	for name, fail := range map[string]func(*testBench){
+		"no endpoint": func(b *testBench) { b.kill(0); b.kill(1) },
+		"no tokens":   func(b *testBench) { b.Budgets = exhaustedBudgets{b.recordingBudgets} },
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newBench(t)
-			chat := chatOf("k", true)
-			b.orphan(chat, "")
-			hinder(b)
-			if f := failureOf(t, b.ask(t.Context(), chat, nil).err); f.Outcome != record.OutcomeUnknown {
-				t.Fatalf("%+v", f)
+			b := newTestBench(t)
+			chat := newChat("k", true)
+			b.claimForGoneInstance(chat, "")
+			fail(b)
+			if f := failureOf(t, b.chat(t.Context(), chat, nil).err); f.Outcome != record.OutcomeUnknown {
+				t.Fatalf("got %+v, want the outcome unknown", f)
 			}
 		})
 	}
 }
 
-// emptyBooks has no tokens.
-type emptyBooks struct{ *books }
+// exhaustedBudgets is Budgets in which no tokens are left.
+type exhaustedBudgets struct{ *recordingBudgets }
 
-// Reserve implements Accounts.
-func (emptyBooks) Reserve(context.Context, record.RequestKey, record.RunID, record.BudgetID, int64) (ledger.Reservation, error) {
+// Reserve implements Budgets.
+func (exhaustedBudgets) Reserve(context.Context, record.RequestKey, record.RunID, record.BudgetID, int64) (ledger.Reservation, error) {
 	return ledger.Reservation{}, ledger.ErrExhausted
 }
--- a/internal/session/ends.go
+++ b/internal/session/ends.go
@@ -9,58 +9,66 @@
 	"guavapier/internal/replica"
 )
 
-// Appender appends records to the log in one batch; see platform.Publisher.
+// Appender appends records to a stream of the log in one batch and returns the
+// batch's offset; see logstore.Publisher.
 type Appender interface {
 	Append(ctx context.Context, stream record.Stream, records ...record.Record) (uint64, error)
 }
 
-// Ends knows which sessions are listed as open and which their owners have ended. The marks stand in the
-// ledger partition of the team, and every instance that has applied it refuses
-// the session. A mark names the team as well, so no team can end another's
-// session, whatever identity it names.
-type Ends struct {
+// Registry records which sessions are open and which their teams have ended. The
+// records are in the team's ledger partition; every instance that has applied
+// the end of a session refuses the session's requests. The record of an end
+// names the team too and applies to that team's session only, so no team can end
+// another's session, whatever session ID it sends.
+type Registry struct {
 	Log        Appender
 	Partitions []*replica.Replica[*fold.Ledger]
 }
 
-// Ended says whether a session was ended by its owner.
-func (e Ends) Ended(team record.Team, id record.SessionID) bool {
+// IsEnded reports whether the team has ended the session. It reads this
+// instance's replica, which may lag behind the log. A session that was never
+// opened is reported as not ended.
+func (r Registry) IsEnded(team record.Team, id record.SessionID) bool {
 	ended := false
-	e.partition(team).View(func(f *fold.Ledger) { ended = f.SessionEnded(team, id) })
+	r.partitionOf(team).View(func(f *fold.Ledger) { ended = f.SessionEnded(team, id) })
 	return ended
 }
 
-// End ends a session. Ending it again has no effect. After an error it may be
-// ended or not; calling End again settles that.
-func (e Ends) End(ctx context.Context, team record.Team, id record.SessionID) error {
-	if e.Ended(team, id) {
+// End ends a session and returns once this instance has applied the end. Ending
+// a session again has no effect. After an error the session may or may not have
+// been ended; calling End again resolves that.
+func (r Registry) End(ctx context.Context, team record.Team, id record.SessionID) error {
+	if r.IsEnded(team, id) {
 		return nil
 	}
-	part := e.partition(team)
-	offset, err := e.Log.Append(ctx, part.Stream(), record.SessionEnded{Session: id, Team: team})
+	partition := r.partitionOf(team)
+	offset, err := r.Log.Append(ctx, partition.Stream(), record.SessionEnded{Session: id, Team: team})
 	if err != nil {
 		return err
 	}
-	return part.AwaitOffset(ctx, offset)
+	return partition.AwaitOffset(ctx, offset)
 }
 
-// Listed returns the open sessions of a team, oldest first. The list holds what
-// the log took; a session that was opened while it was away is valid and not
-// listed.
-func (e Ends) Listed(team record.Team) []record.SessionOpened {
-	var out []record.SessionOpened
-	e.partition(team).View(func(f *fold.Ledger) { out = f.OpenSessions(team) })
-	return out
+// OpenSessions returns the open sessions of a team, oldest first. It lists only
+// sessions whose opening reached the log: a session that was opened while the
+// log was unavailable is valid but not listed.
+func (r Registry) OpenSessions(team record.Team) []record.SessionOpened {
+	var sessions []record.SessionOpened
+	r.partitionOf(team).View(func(f *fold.Ledger) { sessions = f.OpenSessions(team) })
+	return sessions
 }
 
-// List puts an opened session on the list.
-func (e Ends) List(ctx context.Context, id Identity, openedAt time.Time) error {
-	_, err := e.Log.Append(ctx, e.partition(id.Team).Stream(), record.SessionOpened{
+// RecordOpened appends the opening of a session to the log, so that OpenSessions
+// lists it. The session is valid whether or not this succeeds.
+func (r Registry) RecordOpened(ctx context.Context, id Identity, openedAt time.Time) error {
+	_, err := r.Log.Append(ctx, r.partitionOf(id.Team).Stream(), record.SessionOpened{
 		Session: id.ID, Team: id.Team, Zone: id.Home, KeyID: id.KeyID, UnixMilli: openedAt.UnixMilli(),
 	})
 	return err
 }
 
-func (e Ends) partition(team record.Team) *replica.Replica[*fold.Ledger] {
-	return e.Partitions[record.TeamPartition(team, len(e.Partitions))]
+// partitionOf returns the replica of the ledger partition that holds the team's
+// records.
+func (r Registry) partitionOf(team record.Team) *replica.Replica[*fold.Ledger] {
+	return r.Partitions[record.TeamPartition(team, len(r.Partitions))]
 }
