--- a/internal/claim/bench_test.go
+++ b/internal/claim/bench_test.go
@@ -20,26 +20,26 @@
 	"guavapier/internal/right"
 )
 
-// site is a fleet over real connections on loopback and one log in memory.
-type site struct {
-	entries chan record.Batch
-	parts   []*claim.Replica
-	nodes   []*member
+// benchFleet is a fleet over real connections on loopback and one log in memory.
+type benchFleet struct {
+	entries    chan record.Batch
+	partitions []*claim.Replica
+	instances  []*benchInstance
 }
 
-type member struct {
-	id      record.InstanceID
-	address string
-	site    *site
-	part    *claim.Replica
-	fleet   *claim.Fleet
-	holder  *claim.Holder
+type benchInstance struct {
+	id         record.InstanceID
+	address    string
+	benchFleet *benchFleet
+	partition  *claim.Replica
+	client     *claim.Client
+	holder     *claim.Holder
 }
 
 // Append applies a batch to all replicas in turn.
-func (m *member) Append(_ context.Context, _ record.Stream, records ...record.Record) (uint64, error) {
-	batch := <-m.site.entries
-	defer func() { m.site.entries <- batch }()
+func (m *benchInstance) Append(_ context.Context, _ record.Stream, records ...record.Record) (uint64, error) {
+	batch := <-m.benchFleet.entries
+	defer func() { m.benchFleet.entries <- batch }()
 	batch.Seq++
 	batch.Records = nil
 	envelopes, err := record.EncodeAll(records...)
@@ -51,7 +51,7 @@
 	if err != nil {
 		return 0, err
 	}
-	for _, part := range m.site.parts {
+	for _, part := range m.benchFleet.partitions {
 		if err := part.Apply(logstore.Entry{Offset: batch.Seq, Data: data}); err != nil {
 			return 0, err
 		}
@@ -59,8 +59,8 @@
 	return batch.Seq, nil
 }
 
-func (m *member) PeerAddr(id record.InstanceID) (string, bool) {
-	for _, other := range m.site.nodes {
+func (m *benchInstance) PeerAddr(id record.InstanceID) (string, bool) {
+	for _, other := range m.benchFleet.instances {
 		if other.id == id {
 			return other.address, true
 		}
@@ -68,36 +68,36 @@
 	return "", false
 }
 
-func (m *member) Live() []logstore.Instance {
+func (m *benchInstance) Live() []logstore.Instance {
 	var out []logstore.Instance
-	for _, other := range m.site.nodes {
+	for _, other := range m.benchFleet.instances {
 		out = append(out, logstore.Instance{ID: other.id, Zone: homeZone})
 	}
 	return out
 }
 
-func (m *member) Reachable(record.InstanceID) bool { return true }
-func (m *member) ZoneListed(record.Zone) bool      { return true }
-func (m *member) PlatformUp() bool                 { return true }
+func (m *benchInstance) Reachable(record.InstanceID) bool { return true }
+func (m *benchInstance) ZoneListed(record.Zone) bool      { return true }
+func (m *benchInstance) PlatformUp() bool                 { return true }
 
-func startSite(b *testing.B, size int) *site {
+func startBenchFleet(b *testing.B, size int) *benchFleet {
 	b.Helper()
-	s := &site{entries: make(chan record.Batch, 1)}
+	s := &benchFleet{entries: make(chan record.Batch, 1)}
 	s.entries <- record.Batch{Writer: "log"}
 	ctx, cancel := context.WithCancel(context.Background())
 	b.Cleanup(cancel)
 	for n := range size {
-		m := &member{id: record.InstanceID(fmt.Sprint("i", n)), site: s, part: replica.New(record.LedgerStream(0), fold.NewLedger())}
-		s.parts = append(s.parts, m.part)
-		s.nodes = append(s.nodes, m)
+		m := &benchInstance{id: record.InstanceID(fmt.Sprint("i", n)), benchFleet: s, partition: replica.New(record.LedgerStream(0), fold.NewLedger())}
+		s.partitions = append(s.partitions, m.partition)
+		s.instances = append(s.instances, m)
 	}
-	for _, m := range s.nodes {
+	for _, m := range s.instances {
 		pool := peer.NewPool(m.id, m, peer.Options{})
-		m.holder = claim.NewHolder(claim.Parts{
+		m.holder = claim.NewHolder(claim.Dependencies{
 			Self: logstore.Instance{ID: m.id, Zone: homeZone}, Log: m, Caller: pool, Members: m,
-			Partitions: []*claim.Replica{m.part}, Logger: zerolog.Nop(),
+			Partitions: []*claim.Replica{m.partition}, Logger: zerolog.Nop(),
 		}, claim.Options{})
-		m.fleet = claim.NewFleet(m.holder)
+		m.client = claim.NewClient(m.holder)
 		server := peer.NewServer(m.id)
 		_ = server.Register(claim.ServiceName, claim.NewService(m.holder))
 		_ = server.Register(claim.WitnessServiceName, m.holder.Witness())
@@ -109,23 +109,23 @@
 		go func() { _ = server.Serve(l) }()
 		b.Cleanup(func() { _ = l.Close(); m.holder.Close(); pool.Close(); server.Close() })
 	}
-	for _, m := range s.nodes {
+	for _, m := range s.instances {
 		go m.holder.Run(ctx)
 	}
 	return s
 }
 
-// split returns the holder of the home zone's shard and another instance.
-func (s *site) split(b *testing.B) (holder, other *member) {
+// holderAndOther returns the holder of the home zone's shard and another instance.
+func (s *benchFleet) holderAndOther(b *testing.B) (holder, other *benchInstance) {
 	b.Helper()
 	for range 1000 {
 		var row fold.Shard
 		var ok bool
-		s.parts[0].View(func(f *fold.Ledger) { row, ok = f.ClaimShard(homeZone, 0) })
-		for n, m := range s.nodes {
+		s.partitions[0].View(func(f *fold.Ledger) { row, ok = f.ClaimShard(homeZone, 0) })
+		for n, m := range s.instances {
 			if ok && row.Holder == m.id {
 				time.Sleep(500 * time.Millisecond)
-				return m, s.nodes[(n+1)%len(s.nodes)]
+				return m, s.instances[(n+1)%len(s.instances)]
 			}
 		}
 		time.Sleep(10 * time.Millisecond)
@@ -146,8 +146,8 @@
 		{"remote/witness", true, false},
 	} {
 		b.Run(c.name, func(b *testing.B) {
-			s := startSite(b, 3)
-			m, other := s.split(b)
+			s := startBenchFleet(b, 3)
+			m, other := s.holderAndOther(b)
 			if c.remote {
 				m = other
 			}
@@ -156,17 +156,17 @@
 			for n := range b.N {
 				r := claim.Request{Key: record.RequestKey{Team: "t", Key: fmt.Sprint("k", n)}, Home: homeZone, Repeatable: c.repeatable}
 				began := time.Now()
-				if _, err := m.fleet.Begin(context.Background(), r); err != nil {
+				if _, err := m.client.Begin(context.Background(), r); err != nil {
 					b.Fatal(err)
 				}
 				times = append(times, time.Since(began))
-				m.fleet.End(context.Background(), r.Key, claim.End{Outcome: record.OutcomeAnswered})
+				m.client.End(context.Background(), r.Key, claim.End{Outcome: record.OutcomeAnswered})
 			}
 			b.StopTimer()
 			slices.Sort(times)
 			b.ReportMetric(float64(times[len(times)/2].Microseconds()), "p50-µs")
 			b.ReportMetric(float64(times[len(times)*99/100].Microseconds()), "p99-µs")
-			m.fleet.Close()
+			m.client.Close()
 		})
 	}
 }
@@ -176,7 +176,7 @@
 	for _, size := range []int{1_000, 10_000, 100_000} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			for b.Loop() {
-				before := heap()
+				before := heapBytes()
 				l := fold.NewLedger()
 				shard, _ := record.Encode(record.Shard{Right: "r", Epoch: 1, Holder: "h", Witness: "w"})
 				_ = l.Apply(0, record.Batch{Writer: "w", Seq: 1, Records: []record.Envelope{shard}})
@@ -187,14 +187,14 @@
 					})
 					_ = l.Apply(uint64(n+1), record.Batch{Writer: "w", Seq: uint64(n + 2), Records: []record.Envelope{env}})
 				}
-				b.ReportMetric(float64(heap()-before)/float64(size), "B/claim")
+				b.ReportMetric(float64(heapBytes()-before)/float64(size), "B/claim")
 				runtime.KeepAlive(l)
 			}
 		})
 	}
 }
 
-func heap() int64 {
+func heapBytes() int64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -95,8 +95,8 @@
 	End(ctx context.Context, key record.RequestKey, end End)
 }
 
-// joinPoll is the time between two looks at a joined run.
-const joinPoll = 50 * time.Millisecond
+// joinPollInterval is the time between two looks at a joined run.
+const joinPollInterval = 50 * time.Millisecond
 
 // BeginOrJoin begins a request and waits for the end of a run that it joins:
 // the ticket is its caller's own to run, or has an outcome. Where the joined
@@ -113,7 +113,7 @@
 		// From here on there is an earlier attempt, whatever the caller said.
 		r.First = false
 		select {
-		case <-time.After(joinPoll):
+		case <-time.After(joinPollInterval):
 		case <-ctx.Done():
 			return ticket, ErrUnknown
 		}
--- a/internal/claim/claim_test.go
+++ b/internal/claim/claim_test.go
@@ -18,12 +18,12 @@
 // checker holds the invariants. Runs are counted at the service, as the
 // service would count them.
 type checker struct {
-	mu       sync.Mutex
-	runs     map[string][]int // The attempts that executed, by key.
-	attempts map[string]int   // Attempts that callers made by key.
-	digests  map[record.RunID]uint64
-	bad      []string
-	outcomes map[string]int // How often each outcome came, to see what a test reached.
+	mu         sync.Mutex
+	runs       map[string][]int // The attempts that executed, by key.
+	attempts   map[string]int   // Attempts that callers made by key.
+	digests    map[record.RunID]uint64
+	violations []string
+	outcomes   map[string]int // How often each outcome came, to see what a test reached.
 }
 
 func newChecker() checker {
@@ -31,11 +31,11 @@
 }
 
 func (c *checker) fail(format string, args ...any) {
-	c.bad = append(c.bad, fmt.Sprintf(format, args...))
+	c.violations = append(c.violations, fmt.Sprintf(format, args...))
 }
 
-// took notes a ticket. All tickets of one run are for one body.
-func (c *checker) took(key string, digest uint64, t claim.Ticket) {
+// recordTicket notes a ticket. All tickets of one run are for one body.
+func (c *checker) recordTicket(key string, digest uint64, t claim.Ticket) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if known, ok := c.digests[t.Run]; ok && known != digest {
@@ -44,7 +44,7 @@
 	c.digests[t.Run] = digest
 }
 
-func (c *checker) ran(key string, attempt int) {
+func (c *checker) recordRun(key string, attempt int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.outcomes["ran"]++
@@ -54,8 +54,8 @@
 	}
 }
 
-// refused notes an error. "Not run" speaks of this attempt and all before it.
-func (c *checker) refused(key string, attempt int, err error) {
+// recordError notes an error. "Not run" speaks of this attempt and all before it.
+func (c *checker) recordError(key string, attempt int, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.outcomes[err.Error()]++
@@ -70,19 +70,19 @@
 
 const (
 	opRequest opKind = iota
-	opCut
-	opDeaf
-	opSlow
-	opHeal
-	opOffline
-	opOnline
+	opCutLink
+	opLoseAnswers
+	opDelayCalls
+	opHealLinks
+	opCutPlatform
+	opRestorePlatform
 	opFreeze
-	opThaw
+	opUnfreeze
 	opRestart
-	opLose
+	opLoseAppendAnswer
 	opSuspect
 	opTrust
-	opKinds
+	opKindCount
 )
 
 // op is one step of the adversary.
@@ -101,11 +101,11 @@
 		if rapid.Bool().Draw(t, "request") {
 			return opRequest
 		}
-		return opKind(rapid.IntRange(1, int(opKinds)-1).Draw(t, "kind"))
+		return opKind(rapid.IntRange(1, int(opKindCount)-1).Draw(t, "kind"))
 	})
 	one := rapid.Custom(func(t *rapid.T) op {
 		return op{
-			Kind: kind.Draw(t, "op"), A: rapid.IntRange(0, worldSize-1).Draw(t, "a"), B: rapid.IntRange(0, worldSize-1).Draw(t, "b"),
+			Kind: kind.Draw(t, "op"), A: rapid.IntRange(0, fleetSize-1).Draw(t, "a"), B: rapid.IntRange(0, fleetSize-1).Draw(t, "b"),
 			Key: rapid.IntRange(0, 2).Draw(t, "key"), Digest: rapid.SampledFrom([]uint64{1, 1, 1, 2}).Draw(t, "digest"),
 			End:   rapid.SampledFrom([]record.Outcome{record.OutcomeAnswered, record.OutcomeNotRun, record.OutcomeUnknown}).Draw(t, "end"),
 			Work:  time.Duration(rapid.SampledFrom([]int{1, 500, 5000}).Draw(t, "work")) * time.Millisecond,
@@ -115,161 +115,161 @@
 	return rapid.SliceOfN(one, 5, 40).Draw(t, "ops")
 }
 
-// play runs the steps in a bubble of fake time and returns what was violated.
-func play(t *testing.T, b breakage, mode claim.Mode, ops []op) (bad []string, outcomes map[string]int) {
+// runOps runs the steps in a bubble of fake time and returns what was violated.
+func runOps(t *testing.T, enabled defects, mode claim.Mode, ops []op) (violations []string, outcomes map[string]int) {
 	synctest.Test(t, func(*testing.T) {
-		w := newWorld(b, mode)
+		sim := newSimFleet(enabled, mode)
 		time.Sleep(5 * time.Second)
 		for _, o := range ops {
-			w.do(o, mode)
-			if b.forceClose {
-				w.closeByTimeout()
+			sim.apply(o, mode)
+			if enabled.closeOnSuspicion {
+				sim.closeSuspected()
 			}
 			time.Sleep(o.After)
 		}
-		w.heal()
+		sim.heal()
 		time.Sleep(15 * time.Second)
-		w.stop()
-		bad, outcomes = w.checks.bad, w.checks.outcomes
+		sim.stop()
+		violations, outcomes = sim.checker.violations, sim.checker.outcomes
 	})
-	return bad, outcomes
+	return violations, outcomes
 }
 
-func (w *world) do(o op, mode claim.Mode) {
+func (sim *simFleet) apply(o op, mode claim.Mode) {
 	link := [2]int{o.A, o.B}
 	set := func(m map[[2]int]bool) {
-		w.mu.Lock()
-		defer w.mu.Unlock()
+		sim.mu.Lock()
+		defer sim.mu.Unlock()
 		m[link] = o.A != o.B
 	}
-	flag := func(f *[worldSize]bool, v bool) {
-		w.mu.Lock()
-		defer w.mu.Unlock()
+	flag := func(f *[fleetSize]bool, v bool) {
+		sim.mu.Lock()
+		defer sim.mu.Unlock()
 		f[o.A] = v
 	}
 	switch o.Kind {
 	case opRequest:
-		w.request(w.at(o.A), o)
-	case opCut:
-		set(w.cut)
-	case opDeaf:
-		set(w.deaf)
-	case opSlow:
-		set(w.slow)
-	case opHeal:
-		w.mu.Lock()
-		clear(w.cut)
-		clear(w.deaf)
-		clear(w.slow)
-		w.mu.Unlock()
-	case opOffline:
-		flag(&w.offline, true)
-	case opOnline:
-		flag(&w.offline, false)
+		sim.startCall(sim.at(o.A), o)
+	case opCutLink:
+		set(sim.cutLinks)
+	case opLoseAnswers:
+		set(sim.answerLossLinks)
+	case opDelayCalls:
+		set(sim.slowLinks)
+	case opHealLinks:
+		sim.mu.Lock()
+		clear(sim.cutLinks)
+		clear(sim.answerLossLinks)
+		clear(sim.slowLinks)
+		sim.mu.Unlock()
+	case opCutPlatform:
+		flag(&sim.platformCut, true)
+	case opRestorePlatform:
+		flag(&sim.platformCut, false)
 	case opSuspect:
-		flag(&w.wrongly, true)
+		flag(&sim.suspected, true)
 	case opTrust:
-		flag(&w.wrongly, false)
+		flag(&sim.suspected, false)
 	case opFreeze:
-		w.at(o.A).freeze()
-	case opThaw:
-		w.at(o.A).thaw()
+		sim.at(o.A).freeze()
+	case opUnfreeze:
+		sim.at(o.A).unfreeze()
 	case opRestart:
-		n := w.kill(o.A)
-		w.running.Go(func() { n.holder.Close(); _ = n.log.Close() })
-		w.start(o.A, mode)
-	case opLose:
-		w.mu.Lock()
-		w.lose++
-		w.mu.Unlock()
-	case opKinds:
+		n := sim.kill(o.A)
+		sim.running.Go(func() { n.holder.Close(); _ = n.log.Close() })
+		sim.start(o.A, mode)
+	case opLoseAppendAnswer:
+		sim.mu.Lock()
+		sim.lostAppendAnswers++
+		sim.mu.Unlock()
+	case opKindCount:
 	}
 }
 
-func (w *world) heal() {
-	for slot := range worldSize {
-		for _, kind := range []opKind{opHeal, opOnline, opTrust, opThaw} {
-			w.do(op{Kind: kind, A: slot}, 0)
+func (sim *simFleet) heal() {
+	for slot := range fleetSize {
+		for _, kind := range []opKind{opHealLinks, opRestorePlatform, opTrust, opUnfreeze} {
+			sim.apply(op{Kind: kind, A: slot}, 0)
 		}
 	}
 }
 
-// request is a caller's attempt: it begins, runs and ends a call as package
+// startCall is a caller's attempt: it begins, runs and ends a call as package
 // run does. First is only promised where it is true.
-func (w *world) request(n *node, o op) {
+func (sim *simFleet) startCall(n *simInstance, o op) {
 	key := fmt.Sprint("key-", o.Key)
-	c := &w.checks
+	c := &sim.checker
 	c.mu.Lock()
 	attempt := c.attempts[key]
 	c.attempts[key]++
 	c.mu.Unlock()
 	r := claim.Request{Key: record.RequestKey{Team: "t", Key: key}, Digest: o.Digest, Home: homeZone, First: attempt == 0}
-	if w.broken.noDigest {
+	if sim.activeDefects.ignoreDigest {
 		r.Digest = 0
 	}
-	w.running.Go(func() {
-		ctx, cancel := context.WithTimeout(w.ctx, 10*time.Second)
+	sim.running.Go(func() {
+		ctx, cancel := context.WithTimeout(sim.ctx, 10*time.Second)
 		defer cancel()
 		if !n.alive() {
 			return
 		}
-		ticket, err := n.fleet.Begin(ctx, r)
-		if !n.alive() || w.ctx.Err() != nil {
+		ticket, err := n.client.Begin(ctx, r)
+		if !n.alive() || sim.ctx.Err() != nil {
 			return
 		}
-		if w.broken.neverKnown && errors.Is(err, claim.ErrUnknown) {
+		if sim.activeDefects.unknownAsNotRun && errors.Is(err, claim.ErrUnknown) {
 			err = claim.ErrNotCounted
 		}
 		if err != nil {
-			c.refused(key, attempt, err)
+			c.recordError(key, attempt, err)
 			return
 		}
-		c.took(key, o.Digest, ticket)
-		if ticket.Join && !w.broken.blindRetry {
+		c.recordTicket(key, o.Digest, ticket)
+		if ticket.Join && !sim.activeDefects.rerunJoined {
 			return
 		}
-		w.run(n, r.Key, attempt, o)
+		sim.runCall(n, r.Key, attempt, o)
 	})
 }
 
-func (w *world) run(n *node, key record.RequestKey, attempt int, o op) {
-	n.fleet.Place(w.ctx, key, "e")
-	sleep(w.ctx, o.Work/2)
+func (sim *simFleet) runCall(n *simInstance, key record.RequestKey, attempt int, o op) {
+	n.client.Place(sim.ctx, key, "e")
+	sleep(sim.ctx, o.Work/2)
 	if !n.alive() {
 		return
 	}
 	if o.End != record.OutcomeNotRun {
-		w.checks.ran(key.Key, attempt)
+		sim.checker.recordRun(key.Key, attempt)
 	}
-	sleep(w.ctx, o.Work/2)
+	sleep(sim.ctx, o.Work/2)
 	if !n.alive() {
 		return
 	}
 	end := o.End
-	if w.broken.forgetEnded && end == record.OutcomeUnknown {
+	if sim.activeDefects.unknownFreesKey && end == record.OutcomeUnknown {
 		end = record.OutcomeNotRun
 	}
-	n.fleet.End(w.ctx, key, claim.End{Outcome: end})
+	n.client.End(sim.ctx, key, claim.End{Outcome: end})
 }
 
 // cutOffHolder cuts one instance off from the platform alone, has its shard
 // taken over if it holds one, and sends the same call through both sides.
 func cutOffHolder(a int) []op {
-	b := (a + 1) % worldSize
+	b := (a + 1) % fleetSize
 	call := op{Kind: opRequest, Digest: 1, End: record.OutcomeAnswered, Work: time.Millisecond, After: 4 * time.Second}
-	there, here := call, call
-	there.A, here.A = b, a
+	onReachable, onCutOff := call, call
+	onReachable.A, onCutOff.A = b, a
 	return []op{
-		{Kind: opOffline, A: a}, {Kind: opSuspect, A: a, After: 8 * time.Second}, {Kind: opTrust, A: a}, there, here,
+		{Kind: opCutPlatform, A: a}, {Kind: opSuspect, A: a, After: 8 * time.Second}, {Kind: opTrust, A: a}, onReachable, onCutOff,
 	}
 }
 
 func TestCallsRunAtMostOnce(t *testing.T) {
-	for name, mode := range map[string]claim.Mode{"serve": claim.Serve, "refuse": claim.Refuse} {
+	for name, mode := range map[string]claim.Mode{"serve": claim.ModeServe, "refuse": claim.ModeRefuse} {
 		t.Run(name, func(t *testing.T) {
 			rapid.Check(t, func(rt *rapid.T) {
-				if bad, _ := play(t, breakage{}, mode, genOps(rt)); len(bad) > 0 {
-					rt.Fatal(bad)
+				if violations, _ := runOps(t, defects{}, mode, genOps(rt)); len(violations) > 0 {
+					rt.Fatal(violations)
 				}
 			})
 		})
@@ -279,23 +279,23 @@
 // The checker finds each of these faults with some of a fixed row of seeds.
 func TestCheckerSeesBrokenClaims(t *testing.T) {
 	const seeds = 1000
-	for name, b := range map[string]breakage{
-		"sealed witness acknowledges":   {ackSealed: true},
-		"takeover by timeout":           {forceClose: true},
-		"unknown said to be not run":    {neverKnown: true},
-		"bodies not compared":           {noDigest: true},
-		"joined run is run again":       {blindRetry: true},
-		"unknown outcome frees its key": {forgetEnded: true},
+	for name, enabled := range map[string]defects{
+		"sealed witness acknowledges":   {sealedWitnessAcknowledges: true},
+		"takeover by timeout":           {closeOnSuspicion: true},
+		"unknown said to be not run":    {unknownAsNotRun: true},
+		"bodies not compared":           {ignoreDigest: true},
+		"joined run is run again":       {rerunJoined: true},
+		"unknown outcome frees its key": {unknownFreesKey: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			gen := rapid.Custom(genOps)
 			for seed := range seeds {
 				ops := gen.Example(seed)
-				if seed < worldSize {
+				if seed < fleetSize {
 					ops = cutOffHolder(seed)
 				}
-				if bad, _ := play(t, b, claim.Serve, ops); len(bad) > 0 {
-					t.Logf("seed %d: %s", seed, bad[0])
+				if violations, _ := runOps(t, enabled, claim.ModeServe, ops); len(violations) > 0 {
+					t.Logf("seed %d: %s", seed, violations[0])
 					return
 				}
 			}
--- a/internal/claim/fleet.go
+++ b/internal/claim/fleet.go
@@ -14,89 +14,89 @@
 )
 
 const (
-	// endTries is how often an end is told to a holder before it goes to the
+	// maxEndAttempts is how often an end is told to a holder before it goes to the
 	// log directly.
-	endTries = 3
-	// maxTelling bounds the ends and places that are being told to holders.
-	maxTelling = 1024
-	// abortPatience bounds telling a holder that an attempt was given up.
-	abortPatience = 5 * time.Second
+	maxEndAttempts = 3
+	// maxPendingNotifications bounds the ends and places that are being told to holders.
+	maxPendingNotifications = 1024
+	// notifyTimeout bounds telling a holder that an attempt was given up.
+	notifyTimeout = 5 * time.Second
 )
 
-// Fleet is Claims over all instances: it asks the holder of each request's
+// Client is Claims over all instances: it asks the holder of each request's
 // shard, here or at a peer. It is safe for concurrent use.
-type Fleet struct {
-	holder  *Holder
-	parts   Parts
-	opts    Options
-	telling chan struct{} // One token for each call under way.
-	working sync.WaitGroup
+type Client struct {
+	holder      *Holder
+	deps        Dependencies
+	opts        Options
+	notifySlots chan struct{} // One token for each call under local.
+	background  sync.WaitGroup
 
 	mu       sync.Mutex // Guards inFlight.
-	inFlight map[record.RequestKey]route
+	inFlight map[record.RequestKey]localRun
 }
 
-// route is what this instance knows of a run that it was given.
-type route struct {
+// localRun is what this instance knows of a run that it was given.
+type localRun struct {
 	home       record.Zone
 	run        record.RunID
 	repeatable bool
 	uncounted  bool
-	endpoint   string // Where it was placed last.
+	endpoint   string // Where it was placed latest.
 }
 
-var _ Claims = (*Fleet)(nil)
+var _ Claims = (*Client)(nil)
 
-// NewFleet returns the claims of an instance whose own shards are holder's.
-func NewFleet(holder *Holder) *Fleet {
-	f := &Fleet{
-		holder: holder, parts: holder.parts, opts: holder.opts,
-		telling:  make(chan struct{}, maxTelling),
-		inFlight: map[record.RequestKey]route{},
+// NewClient returns the claims of an instance whose own shards are holder's.
+func NewClient(holder *Holder) *Client {
+	c := &Client{
+		holder: holder, deps: holder.deps, opts: holder.opts,
+		notifySlots: make(chan struct{}, maxPendingNotifications),
+		inFlight:    map[record.RequestKey]localRun{},
 	}
-	holder.running = f.running
-	return f
+	holder.isRunning = c.isRunning
+	return c
 }
 
-// running says whether this instance was given a run and has not ended it.
-func (f *Fleet) running(key record.RequestKey, run record.RunID) bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	way, ok := f.inFlight[key]
-	return ok && way.run == run
+// isRunning says whether this instance was given a run and has not ended it.
+func (c *Client) isRunning(key record.RequestKey, run record.RunID) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	local, ok := c.inFlight[key]
+	return ok && local.run == run
 }
 
 // Close waits until all holders have been told.
-func (f *Fleet) Close() { f.working.Wait() }
+func (c *Client) Close() { c.background.Wait() }
 
 // Begin implements Claims.
-func (f *Fleet) Begin(ctx context.Context, r Request) (Ticket, error) {
+func (c *Client) Begin(ctx context.Context, r Request) (Ticket, error) {
 	if r.Minted && r.Repeatable {
-		return Ticket{Run: record.NewRunID(), Runner: f.parts.Self.ID}, nil
+		return Ticket{Run: record.NewRunID(), Runner: c.deps.Self.ID}, nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, f.opts.Patience)
+	ctx, cancel := context.WithTimeout(ctx, c.opts.BeginTimeout)
 	defer cancel()
-	ticket, err := f.ask(ctx, r, uuid.NewString())
+	ticket, err := c.beginWithRetries(ctx, r, uuid.NewString())
 	if err == nil && !ticket.Join {
-		f.mu.Lock()
-		f.inFlight[r.Key] = route{home: r.Home, run: ticket.Run, repeatable: r.Repeatable, uncounted: ticket.Uncounted}
-		f.mu.Unlock()
+		c.mu.Lock()
+		c.inFlight[r.Key] = localRun{home: r.Home, run: ticket.Run, repeatable: r.Repeatable, uncounted: ticket.Uncounted}
+		c.mu.Unlock()
 	}
 	return ticket, err
 }
 
-// ask asks the shard's holder, whoever that is by then, until ctx ends.
-func (f *Fleet) ask(ctx context.Context, r Request, attempt string) (Ticket, error) {
-	id := f.holder.shardOf(r)
-	part := f.parts.Partitions[id.Shard]
+// beginWithRetries asks the shard's holder, whoever that is by then, until ctx ends.
+func (c *Client) beginWithRetries(ctx context.Context, r Request, attempt string) (Ticket, error) {
+	id := c.holder.shardIDOf(r)
+	partition := c.deps.Partitions[id.Shard]
 	mayBeClaimed := false
 	for ctx.Err() == nil {
-		changed := part.Changed()
-		last, ok := shardOf(part, id)
+		changed := partition.Changed()
+		latest, ok := latestEpoch(partition, id)
 		err := errNotHolder
-		if ok && !last.Closed {
+		if ok && !latest.Closed {
 			var ticket Ticket
-			ticket, err = f.askHolder(ctx, last, r, attempt)
+			ticket, err = c.beginAtHolder(ctx, latest, r, attempt)
 			if !errors.Is(err, errNotHolder) && !errors.Is(err, peer.ErrUnreachable) {
 				return ticket, err
 			}
@@ -105,154 +105,154 @@
 		if r.Repeatable && errors.Is(err, peer.ErrUnreachable) {
 			break
 		}
-		waitFor(ctx, changed)
+		awaitChange(ctx, changed)
 	}
 	if mayBeClaimed {
-		f.abort(r, attempt)
+		c.abortAttempt(r, attempt)
 	}
-	return f.outOfReach(r)
+	return c.resultWithoutHolder(r)
 }
 
-// outOfReach decides what is true where no holder answers. Load: partitions
+// resultWithoutHolder decides what is true where no holder answers. Load: partitions
 // between zones, and shards whose takeover is under way. Harm prevented: "not
 // run" said of a request that an earlier attempt has run, and a second run of
 // one that may not be repeated. Limit: repeatable requests go on, since their
 // bill is idempotent.
-func (f *Fleet) outOfReach(r Request) (Ticket, error) {
+func (c *Client) resultWithoutHolder(r Request) (Ticket, error) {
 	switch {
 	case r.Repeatable:
-		return Ticket{Run: record.NewRunID(), Runner: f.parts.Self.ID, Uncounted: true}, nil
+		return Ticket{Run: record.NewRunID(), Runner: c.deps.Self.ID, Uncounted: true}, nil
 	case r.First:
 		return Ticket{}, ErrNotCounted
 	}
 	return Ticket{}, ErrUnknown
 }
 
-func (f *Fleet) askHolder(ctx context.Context, last fold.Shard, r Request, attempt string) (Ticket, error) {
-	if last.Holder == f.parts.Self.ID {
-		return f.holder.begin(ctx, r, attempt, f.parts.Self.ID)
+func (c *Client) beginAtHolder(ctx context.Context, latest fold.Shard, r Request, attempt string) (Ticket, error) {
+	if latest.Holder == c.deps.Self.ID {
+		return c.holder.begin(ctx, r, attempt, c.deps.Self.ID)
 	}
-	timeout := f.opts.Ask
+	timeout := c.opts.HolderCallTimeout
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	if deadline, ok := ctx.Deadline(); ok {
 		timeout = time.Until(deadline)
 	}
-	args := BeginArgs{Request: r, Attempt: attempt, Runner: f.parts.Self.ID, Timeout: timeout * 3 / 4}
+	args := BeginArgs{Request: r, Attempt: attempt, Runner: c.deps.Self.ID, Timeout: timeout * 3 / 4}
 	var reply BeginReply
-	if err := f.parts.Caller.Call(ctx, last.Holder, ServiceName+".Begin", args, &reply); err != nil {
+	if err := c.deps.Caller.Call(ctx, latest.Holder, ServiceName+".Begin", args, &reply); err != nil {
 		return Ticket{}, errors.Join(peer.ErrUnreachable, err)
 	}
 	return reply.Ticket, reply.Status.err()
 }
 
 // Place implements Claims.
-func (f *Fleet) Place(_ context.Context, key record.RequestKey, endpoint string) {
-	f.mu.Lock()
-	way, ok := f.inFlight[key]
+func (c *Client) Place(_ context.Context, key record.RequestKey, endpoint string) {
+	c.mu.Lock()
+	local, ok := c.inFlight[key]
 	if ok {
-		way.endpoint = endpoint
-		f.inFlight[key] = way
+		local.endpoint = endpoint
+		c.inFlight[key] = local
 	}
-	f.mu.Unlock()
-	if !ok || way.uncounted {
+	c.mu.Unlock()
+	if !ok || local.uncounted {
 		return
 	}
-	args := PlaceArgs{Home: way.home, Key: key, Run: way.run, Endpoint: endpoint}
-	f.tell(func(ctx context.Context, to record.InstanceID) error {
-		if to == f.parts.Self.ID {
-			return NewService(f.holder).Place(args, nil)
+	args := PlaceArgs{Home: local.home, Key: key, Run: local.run, Endpoint: endpoint}
+	c.notifyHolder(func(ctx context.Context, to record.InstanceID) error {
+		if to == c.deps.Self.ID {
+			return NewService(c.holder).Place(args, nil)
 		}
-		return f.parts.Caller.Call(ctx, to, ServiceName+".Place", args, nil)
-	}, f.holder.shardOf(Request{Key: key, Home: way.home}), 1, nil)
+		return c.deps.Caller.Call(ctx, to, ServiceName+".Place", args, nil)
+	}, c.holder.shardIDOf(Request{Key: key, Home: local.home}), 1, nil)
 }
 
 // End implements Claims.
-func (f *Fleet) End(_ context.Context, key record.RequestKey, end End) {
-	f.mu.Lock()
-	way, ok := f.inFlight[key]
-	delete(f.inFlight, key)
-	f.mu.Unlock()
-	if !ok || way.uncounted {
+func (c *Client) End(_ context.Context, key record.RequestKey, end End) {
+	c.mu.Lock()
+	local, ok := c.inFlight[key]
+	delete(c.inFlight, key)
+	c.mu.Unlock()
+	if !ok || local.uncounted {
 		return
 	}
-	end.Run, end.Endpoint = way.run, way.endpoint
+	end.Run, end.Endpoint = local.run, local.endpoint
 	if end.Answer != nil && len(end.Answer.Body) > MaxAnswerBytes {
 		end.Answer = nil
 	}
-	id := f.holder.shardOf(Request{Key: key, Home: way.home})
-	args := EndArgs{Home: way.home, Key: key, End: end}
-	f.tell(f.ender(args), id, endTries, func() {
-		if way.repeatable {
+	id := c.holder.shardIDOf(Request{Key: key, Home: local.home})
+	args := EndArgs{Home: local.home, Key: key, End: end}
+	c.notifyHolder(c.endReporter(args), id, maxEndAttempts, func() {
+		if local.repeatable {
 			return
 		}
 		// The holder that gave the run is gone: its claim is in the close.
-		ctx, cancel := context.WithTimeout(context.Background(), f.opts.Patience)
+		ctx, cancel := context.WithTimeout(context.Background(), c.opts.BeginTimeout)
 		defer cancel()
-		_, _ = f.parts.Log.Append(ctx, f.parts.Partitions[id.Shard].Stream(),
+		_, _ = c.deps.Log.Append(ctx, c.deps.Partitions[id.Shard].Stream(),
 			record.ClaimEnd{Key: key, Run: end.Run, Outcome: end.Outcome})
 	})
 }
 
-// abort tells the holder that an attempt whose ticket was lost is given up:
+// abortAttempt tells the holder that an attempt whose ticket was lost is given up:
 // this instance will not run it.
-func (f *Fleet) abort(r Request, attempt string) {
+func (c *Client) abortAttempt(r Request, attempt string) {
 	args := EndArgs{Home: r.Home, Key: r.Key, Attempt: attempt, End: End{Outcome: record.OutcomeNotRun}}
-	f.tell(f.ender(args), f.holder.shardOf(r), endTries, nil)
+	c.notifyHolder(c.endReporter(args), c.holder.shardIDOf(r), maxEndAttempts, nil)
 }
 
-// errNotKnown says that the holder does not know the run.
-var errNotKnown = errors.New("claim: run not known to the holder")
+// errRunUnknown says that the holder does not know the run.
+var errRunUnknown = errors.New("claim: run not known to the holder")
 
-func (f *Fleet) ender(args EndArgs) func(context.Context, record.InstanceID) error {
+func (c *Client) endReporter(args EndArgs) func(context.Context, record.InstanceID) error {
 	return func(ctx context.Context, to record.InstanceID) error {
 		var reply EndReply
 		var err error
-		if to == f.parts.Self.ID {
-			err = NewService(f.holder).End(args, &reply)
+		if to == c.deps.Self.ID {
+			err = NewService(c.holder).End(args, &reply)
 		} else {
-			err = f.parts.Caller.Call(ctx, to, ServiceName+".End", args, &reply)
+			err = c.deps.Caller.Call(ctx, to, ServiceName+".End", args, &reply)
 		}
 		if err == nil && !reply.Known {
-			err = errNotKnown
+			err = errRunUnknown
 		}
 		return err
 	}
 }
 
-// tell calls do with the shard's holder in the background, some times at most.
+// notifyHolder calls do with the shard's holder in the background, some times at most.
 // otherwise is called where all failed, or too much is being told already.
-func (f *Fleet) tell(do func(context.Context, record.InstanceID) error, id shardID, tries int, otherwise func()) {
+func (c *Client) notifyHolder(call func(context.Context, record.InstanceID) error, id shardID, attempts int, onFailure func()) {
 	select {
-	case f.telling <- struct{}{}:
+	case c.notifySlots <- struct{}{}:
 	default:
-		if otherwise != nil {
-			f.working.Go(otherwise)
+		if onFailure != nil {
+			c.background.Go(onFailure)
 		}
 		return
 	}
-	f.working.Go(func() {
-		defer func() { <-f.telling }()
-		ctx, cancel := context.WithTimeout(f.holder.ctx, abortPatience)
+	c.background.Go(func() {
+		defer func() { <-c.notifySlots }()
+		ctx, cancel := context.WithTimeout(c.holder.ctx, notifyTimeout)
 		defer cancel()
-		for range tries {
-			last, ok := shardOf(f.parts.Partitions[id.Shard], id)
-			if ok && do(ctx, last.Holder) == nil {
+		for range attempts {
+			latest, ok := latestEpoch(c.deps.Partitions[id.Shard], id)
+			if ok && call(ctx, latest.Holder) == nil {
 				return
 			}
-			pause(ctx, f.opts.Tick)
+			sleep(ctx, c.opts.TickInterval)
 		}
-		if otherwise != nil {
-			otherwise()
+		if onFailure != nil {
+			onFailure()
 		}
 	})
 }
 
-// waitFor waits for the fold to change, a moment at most.
-func waitFor(ctx context.Context, changed <-chan struct{}) {
+// awaitChange waits for the fold to change, a moment at most.
+func awaitChange(ctx context.Context, changed <-chan struct{}) {
 	select {
 	case <-changed:
-	case <-time.After(joinPoll):
+	case <-time.After(joinPollInterval):
 	case <-ctx.Done():
 	}
 }
--- a/internal/claim/holder.go
+++ b/internal/claim/holder.go
@@ -22,13 +22,13 @@
 	WitnessServiceName = "claim.Witness"
 )
 
-// acknowledgeAttempts is how often a batch is sent before it counts as lost.
+// maxAcknowledgeAttempts is how often a batch is sent before it counts as lost.
 // The witness takes copies, and callers wait only Options.Acknowledge, so a
 // short cut between holder and witness does not cost the shard.
-const acknowledgeAttempts = 30
+const maxAcknowledgeAttempts = 30
 
-// Parts are what a Holder and a Fleet are made of.
-type Parts struct {
+// Dependencies are what a Holder and a Fleet are made of.
+type Dependencies struct {
 	Self    logstore.Instance
 	Log     Appender
 	Caller  peer.Caller
@@ -41,37 +41,37 @@
 // Holder holds and witnesses claim shards for this instance. It is safe for
 // concurrent use.
 type Holder struct {
-	parts   Parts
+	deps    Dependencies
 	opts    Options
 	batcher *right.Batcher[Use]
 	witness *right.Service[Use]
-	// running says whether a run is under way at this instance; a Fleet sets it.
-	running func(record.RequestKey, record.RunID) bool
-
-	ctx     context.Context // Ends with Close.
-	cancel  context.CancelFunc
-	working sync.WaitGroup
-
-	mu     sync.Mutex // Guards all below.
-	shards map[shardID]*shard
-	busy   map[shardID]bool
-	away   map[record.InstanceID]time.Time // Out of reach since.
-	closed bool
+	// isRunning says whether a run is under way at this instance; a Fleet sets it.
+	isRunning func(record.RequestKey, record.RunID) bool
+
+	ctx        context.Context // Ends with Close.
+	cancel     context.CancelFunc
+	background sync.WaitGroup
+
+	mu               sync.Mutex // Guards all below.
+	shards           map[shardID]*shard
+	busy             map[shardID]bool
+	unreachableSince map[record.InstanceID]time.Time // Out of reach since.
+	closed           bool
 }
 
 // NewHolder returns a holder of nothing.
-func NewHolder(parts Parts, opts Options) *Holder {
+func NewHolder(deps Dependencies, opts Options) *Holder {
 	ctx, cancel := context.WithCancel(context.Background())
 	opts = opts.withDefaults()
 	h := &Holder{
-		parts: parts, opts: opts, ctx: ctx, cancel: cancel,
-		batcher: right.NewBatcher[Use](parts.Caller, right.BatcherOptions{
-			Service: WitnessServiceName, Deadline: opts.Acknowledge, Attempts: acknowledgeAttempts,
+		deps: deps, opts: opts, ctx: ctx, cancel: cancel,
+		batcher: right.NewBatcher[Use](deps.Caller, right.BatcherOptions{
+			Service: WitnessServiceName, Deadline: opts.AcknowledgeTimeout, Attempts: maxAcknowledgeAttempts,
 		}),
-		running: func(record.RequestKey, record.RunID) bool { return false },
-		shards:  map[shardID]*shard{}, busy: map[shardID]bool{}, away: map[record.InstanceID]time.Time{},
+		isRunning: func(record.RequestKey, record.RunID) bool { return false },
+		shards:    map[shardID]*shard{}, busy: map[shardID]bool{}, unreachableSince: map[record.InstanceID]time.Time{},
 	}
-	h.witness = right.NewService[Use](parts.Self.ID, validator{parts.Partitions}, opts.Acknowledge)
+	h.witness = right.NewService[Use](deps.Self.ID, validator{deps.Partitions}, opts.AcknowledgeTimeout)
 	return h
 }
 
@@ -80,7 +80,7 @@
 
 // Run looks after the shards until ctx ends.
 func (h *Holder) Run(ctx context.Context) {
-	ticker := time.NewTicker(h.opts.Tick)
+	ticker := time.NewTicker(h.opts.TickInterval)
 	defer ticker.Stop()
 	for {
 		h.tick()
@@ -92,10 +92,10 @@
 	}
 }
 
-// Handover closes all held shards with their claims, so that others can take
+// HandOver closes all held shards with their claims, so that others can take
 // them at once. Call it when no run is left here. It ends with ctx at the
 // latest; then the shards are left to their witnesses.
-func (h *Holder) Handover(ctx context.Context) {
+func (h *Holder) HandOver(ctx context.Context) {
 	h.mu.Lock()
 	h.closed = true
 	held := make([]*shard, 0, len(h.shards))
@@ -117,24 +117,24 @@
 	h.closed = true
 	h.mu.Unlock()
 	h.cancel()
-	h.working.Wait()
+	h.background.Wait()
 }
 
 // tick looks at each shard that has an epoch, and at those that this instance
 // could begin.
 func (h *Holder) tick() {
-	live := h.parts.Members.Live()
-	h.noteAway()
-	for n, part := range h.parts.Partitions {
-		for _, id := range h.concerns(n, part) {
-			h.look(id, part, live)
+	live := h.deps.Members.Live()
+	h.updateUnreachable()
+	for n, partition := range h.deps.Partitions {
+		for _, id := range h.shardsToCheck(n, partition) {
+			h.checkShard(id, partition, live)
 		}
 	}
 }
 
-func (h *Holder) concerns(n int, part *Replica) []shardID {
-	ids := []shardID{{Zone: "", Shard: n}, {Zone: h.parts.Self.Zone, Shard: n}}
-	part.View(func(f *fold.Ledger) {
+func (h *Holder) shardsToCheck(n int, partition *Replica) []shardID {
+	ids := []shardID{{Zone: "", Shard: n}, {Zone: h.deps.Self.Zone, Shard: n}}
+	partition.View(func(f *fold.Ledger) {
 		for _, s := range f.ClaimShards() {
 			id := shardID{Zone: s.Zone, Shard: s.Shard.Shard}
 			if !slices.Contains(ids, id) {
@@ -145,108 +145,108 @@
 	return ids
 }
 
-// look acts on one shard, one action at a time. All actions need the log:
+// checkShard acts on one shard, one action at a time. All actions need the log:
 // while it is away an epoch is worth more than a closed one.
-func (h *Holder) look(id shardID, part *Replica, live []logstore.Instance) {
-	last, known := shardOf(part, id)
-	self := h.parts.Self.ID
-	h.forgetHeld(id, last)
-	if known && !last.Supersedable() && last.Holder != self && last.Witness != self {
+func (h *Holder) checkShard(id shardID, partition *Replica, live []logstore.Instance) {
+	latest, hasEpoch := latestEpoch(partition, id)
+	self := h.deps.Self.ID
+	h.dropEnded(id, latest)
+	if hasEpoch && !latest.Supersedable() && latest.Holder != self && latest.Witness != self {
 		return
 	}
-	if last.Holder == self {
-		h.hold(id, part, last.Shard)
+	if latest.Holder == self {
+		h.startUsing(id, partition, latest.Shard)
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.closed || h.busy[id] || !h.parts.Members.PlatformUp() {
+	if h.closed || h.busy[id] || !h.deps.Members.PlatformUp() {
 		return
 	}
-	o := outlook{self: self, known: known, last: last, gone: h.gone}
-	o.holders, o.witnesses = rank(id, live, h.parts.Members.ZoneListed)
+	view := shardView{self: self, hasEpoch: hasEpoch, latest: latest, isGone: h.isGone}
+	view.holders, view.witnesses = rankCandidates(id, live, h.deps.Members.ZoneListed)
 	held := h.shards[id]
-	o.broken = held != nil && held.held.Err() != nil
-	act := plan(o)
+	view.witnessLost = held != nil && held.heldRight.Err() != nil
+	act := nextAction(view)
 	if act == actNone || act == actClose && held == nil {
 		return
 	}
 	h.busy[id] = true
-	h.working.Go(func() {
-		h.act(act, id, part, o, held)
+	h.background.Go(func() {
+		h.execute(act, id, partition, view, held)
 		h.mu.Lock()
 		defer h.mu.Unlock()
 		delete(h.busy, id)
 	})
 }
 
-func (h *Holder) act(a action, id shardID, part *Replica, o outlook, held *shard) {
+func (h *Holder) execute(a action, id shardID, partition *Replica, view shardView, held *shard) {
 	switch a {
-	case actTake:
-		h.take(id, part, o)
+	case actAcquire:
+		h.acquire(id, partition, view)
 	case actClose:
 		h.closeOwn(h.ctx, held)
 	case actSeal:
-		h.sealAndClose(id, part, o.last)
+		h.sealAndClose(id, partition, view.latest)
 	case actNone:
 	}
 }
 
-// forgetHeld drops a held shard whose epoch has ended in the fold.
-func (h *Holder) forgetHeld(id shardID, last fold.Shard) {
+// dropEnded drops a held shard whose epoch has ended in the fold.
+func (h *Holder) dropEnded(id shardID, latest fold.Shard) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	held, ok := h.shards[id]
-	if !ok || last.Right == held.terms.Right && !last.Closed {
+	if !ok || latest.Right == held.terms.Right && !latest.Closed {
 		return
 	}
 	held.retire()
 	delete(h.shards, id)
-	h.parts.Logger.Info().Str("zone", string(id.Zone)).Int("shard", id.Shard).Msg("claim: shard given up")
+	h.deps.Logger.Info().Str("zone", string(id.Zone)).Int("shard", id.Shard).Msg("claim: shard given up")
 }
 
-// take begins the next epoch of a shard, if the fold says so.
-func (h *Holder) take(id shardID, part *Replica, o outlook) {
-	ctx, cancel := context.WithTimeout(h.ctx, h.opts.Append)
+// acquire begins the next epoch of a shard, if the fold says so.
+func (h *Holder) acquire(id shardID, partition *Replica, view shardView) {
+	ctx, cancel := context.WithTimeout(h.ctx, h.opts.AppendTimeout)
 	defer cancel()
 	r := record.Shard{
-		Right: record.NewRightID(), Zone: id.Zone, Shard: id.Shard, Epoch: o.last.Epoch + 1,
-		Holder: o.self, Witness: o.witness(),
+		Right: record.NewRightID(), Zone: id.Zone, Shard: id.Shard, Epoch: view.latest.Epoch + 1,
+		Holder: view.self, Witness: view.bestWitness(),
 	}
-	offset, err := h.parts.Log.Append(ctx, part.Stream(), r)
-	if err == nil && part.Wait(ctx, offset) == nil {
-		h.hold(id, part, r)
+	offset, err := h.deps.Log.Append(ctx, partition.Stream(), r)
+	if err == nil && partition.Wait(ctx, offset) == nil {
+		h.startUsing(id, partition, r)
 	}
 	// Else it may reach the log later; a later tick then finds it.
 }
 
-// hold starts using an epoch that the fold has given to this instance.
-func (h *Holder) hold(id shardID, part *Replica, r record.Shard) {
-	last, ok := shardOf(part, id)
-	if !ok || last.Closed || last.Right != r.Right || last.Holder != h.parts.Self.ID {
+// startUsing starts using an epoch that the fold has given to this instance.
+func (h *Holder) startUsing(id shardID, partition *Replica, r record.Shard) {
+	latest, ok := latestEpoch(partition, id)
+	if !ok || latest.Closed || latest.Right != r.Right || latest.Holder != h.deps.Self.ID {
 		return
 	}
-	terms := termsOf(last)
+	terms := termsOf(latest)
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if old, has := h.shards[id]; has && old.terms.Right == r.Right || h.closed {
 		return
 	}
-	s := newShard(h.ctx, terms, right.NewHeld(terms, h.batcher), part, h.parts.Log, h.opts)
+	s := newShard(h.ctx, terms, right.NewHeld(terms, h.batcher), partition, h.deps.Log, h.opts)
 	h.shards[id] = s
-	h.working.Go(s.writeLazily)
-	h.parts.Logger.Info().Str("zone", string(id.Zone)).Int("shard", id.Shard).Uint64("epoch", last.Epoch).
-		Str("witness", string(last.Witness)).Msg("claim: shard held")
+	h.background.Go(s.runLogWriter)
+	h.deps.Logger.Info().Str("zone", string(id.Zone)).Int("shard", id.Shard).Uint64("epoch", latest.Epoch).
+		Str("witness", string(latest.Witness)).Msg("claim: shard held")
 }
 
 // closeOwn closes an epoch that this instance holds.
 func (h *Holder) closeOwn(ctx context.Context, s *shard) {
-	h.appendClose(ctx, s.part, s.terms.Right, s.close())
+	h.appendClose(ctx, s.partition, s.terms.Right, s.close())
 }
 
 // sealAndClose ends an epoch whose holder is gone. After the seal the holder
 // can count nothing by its witness, whenever it wakes up.
-func (h *Holder) sealAndClose(id shardID, part *Replica, last fold.Shard) {
-	terms := termsOf(last)
+func (h *Holder) sealAndClose(id shardID, partition *Replica, latest fold.Shard) {
+	terms := termsOf(latest)
 	uses, err := h.witness.SealLocal(terms)
 	if err != nil {
 		return
@@ -255,31 +255,31 @@
 	for _, u := range uses {
 		bodies = append(bodies, u.Body)
 	}
-	h.parts.Logger.Info().Str("zone", string(id.Zone)).Int("shard", id.Shard).Int("claims", len(bodies)).
-		Str("holder", string(last.Holder)).Msg("claim: shard sealed")
-	if h.appendClose(h.ctx, part, terms.Right, bodies) {
+	h.deps.Logger.Info().Str("zone", string(id.Zone)).Int("shard", id.Shard).Int("claims", len(bodies)).
+		Str("holder", string(latest.Holder)).Msg("claim: shard sealed")
+	if h.appendClose(h.ctx, partition, terms.Right, bodies) {
 		h.witness.Forget(terms.Right)
 	}
 }
 
 // appendClose puts the claims that the log lacks on it and closes the epoch.
 // The claims go first, in batches: one batch has a largest size.
-func (h *Holder) appendClose(ctx context.Context, part *Replica, id record.RightID, uses []Use) bool {
-	claims, ends := missing(part, uses)
-	for len(claims) > maxGroup {
-		if _, err := h.parts.Log.Append(ctx, part.Stream(), records(claims[:maxGroup])...); err != nil {
+func (h *Holder) appendClose(ctx context.Context, partition *Replica, id record.RightID, uses []Use) bool {
+	claims, ends := missingFromLog(partition, uses)
+	for len(claims) > maxAppendEntries {
+		if _, err := h.deps.Log.Append(ctx, partition.Stream(), asRecords(claims[:maxAppendEntries])...); err != nil {
 			return false
 		}
-		claims = claims[maxGroup:]
+		claims = claims[maxAppendEntries:]
 	}
-	out := append([]record.Record{record.Close{Right: id, By: h.parts.Self.ID, Claims: claims}}, ends...)
-	offset, err := h.parts.Log.Append(ctx, part.Stream(), out...)
-	return err == nil && part.Wait(ctx, offset) == nil
+	out := append([]record.Record{record.Close{Right: id, By: h.deps.Self.ID, Claims: claims}}, ends...)
+	offset, err := h.deps.Log.Append(ctx, partition.Stream(), out...)
+	return err == nil && partition.Wait(ctx, offset) == nil
 }
 
-// missing returns the claims that the fold lacks, and all outcomes.
-func missing(part *Replica, uses []Use) (claims []record.Claim, ends []record.Record) {
-	part.View(func(f *fold.Ledger) {
+// missingFromLog returns the claims that the fold lacks, and all outcomes.
+func missingFromLog(partition *Replica, uses []Use) (claims []record.Claim, ends []record.Record) {
+	partition.View(func(f *fold.Ledger) {
 		for _, u := range uses {
 			if u.Claim.Run == "" {
 				continue // A probe.
@@ -295,7 +295,7 @@
 	return claims, ends
 }
 
-func records(claims []record.Claim) []record.Record {
+func asRecords(claims []record.Claim) []record.Record {
 	out := make([]record.Record, 0, len(claims))
 	for _, c := range claims {
 		out = append(out, c)
@@ -303,38 +303,38 @@
 	return out
 }
 
-// noteAway keeps since when each instance has been out of reach.
-func (h *Holder) noteAway() {
+// updateUnreachable keeps since when each instance has been out of reach.
+func (h *Holder) updateUnreachable() {
 	now := h.opts.Now()
-	concerned := map[record.InstanceID]struct{}{}
-	for _, part := range h.parts.Partitions {
-		part.View(func(f *fold.Ledger) {
+	watched := map[record.InstanceID]struct{}{}
+	for _, partition := range h.deps.Partitions {
+		partition.View(func(f *fold.Ledger) {
 			for _, s := range f.ClaimShards() {
-				concerned[s.Holder] = struct{}{}
-				concerned[s.Witness] = struct{}{}
+				watched[s.Holder] = struct{}{}
+				watched[s.Witness] = struct{}{}
 			}
 		})
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for id := range h.away {
-		if _, ok := concerned[id]; !ok {
-			delete(h.away, id)
+	for id := range h.unreachableSince {
+		if _, ok := watched[id]; !ok {
+			delete(h.unreachableSince, id)
 		}
 	}
-	for id := range concerned {
-		if h.parts.Members.Reachable(id) {
-			delete(h.away, id)
-		} else if _, known := h.away[id]; !known {
-			h.away[id] = now
+	for id := range watched {
+		if h.deps.Members.Reachable(id) {
+			delete(h.unreachableSince, id)
+		} else if _, known := h.unreachableSince[id]; !known {
+			h.unreachableSince[id] = now
 		}
 	}
 }
 
-// gone is called with the lock held.
-func (h *Holder) gone(id record.InstanceID) bool {
-	since, away := h.away[id]
-	return away && id != h.parts.Self.ID && h.opts.Now().Sub(since) >= h.opts.Gone
+// isGone is called with the lock held.
+func (h *Holder) isGone(id record.InstanceID) bool {
+	since, isUnreachable := h.unreachableSince[id]
+	return isUnreachable && id != h.deps.Self.ID && h.opts.Now().Sub(since) >= h.opts.UnreachableGracePeriod
 }
 
 // shard returns a shard that this instance holds.
@@ -350,7 +350,7 @@
 
 // begin answers an attempt's Begin for a shard held here.
 func (h *Holder) begin(ctx context.Context, r Request, attempt string, runner record.InstanceID) (Ticket, error) {
-	s, err := h.shard(h.shardOf(r))
+	s, err := h.shard(h.shardIDOf(r))
 	if err != nil {
 		return Ticket{}, err
 	}
@@ -358,20 +358,20 @@
 	if errors.Is(err, right.ErrSealed) || errors.Is(err, right.ErrClosed) {
 		err = errNotHolder
 	}
-	ticket.RunnerGone = ticket.Join && ticket.Runner != h.parts.Self.ID && !h.parts.Members.Reachable(ticket.Runner)
+	ticket.RunnerGone = ticket.Join && ticket.Runner != h.deps.Self.ID && !h.deps.Members.Reachable(ticket.Runner)
 	lost := err == nil && ticket.Join && ticket.Outcome == 0 && r.Repeatable && r.Lost == ticket.Run
-	if lost && (ticket.RunnerGone || !h.runs(ctx, ticket.Runner, r.Key, ticket.Run)) {
+	if lost && (ticket.RunnerGone || !h.mayStillRun(ctx, ticket.Runner, r.Key, ticket.Run)) {
 		return s.takeOver(r, attempt, runner, ticket), nil
 	}
 	return ticket, err
 }
 
-func (h *Holder) shardOf(r Request) shardID {
-	return shardID{Zone: r.Home, Shard: record.ClaimPartition(r.Key, len(h.parts.Partitions))}
+func (h *Holder) shardIDOf(r Request) shardID {
+	return shardID{Zone: r.Home, Shard: record.ClaimPartition(r.Key, len(h.deps.Partitions))}
 }
 
-func shardOf(part *Replica, id shardID) (s fold.Shard, ok bool) {
-	part.View(func(f *fold.Ledger) { s, ok = f.ClaimShard(id.Zone, id.Shard) })
+func latestEpoch(partition *Replica, id shardID) (s fold.Shard, ok bool) {
+	partition.View(func(f *fold.Ledger) { s, ok = f.ClaimShard(id.Zone, id.Shard) })
 	return s, ok
 }
 
--- a/internal/claim/operate.go
+++ b/internal/claim/operate.go
@@ -26,8 +26,8 @@
 // State returns all claim shards that the fold knows, for a state dump.
 func (h *Holder) State() []ShardState {
 	out := []ShardState{}
-	for _, part := range h.parts.Partitions {
-		part.View(func(f *fold.Ledger) {
+	for _, partition := range h.deps.Partitions {
+		partition.View(func(f *fold.Ledger) {
 			for _, s := range f.ClaimShards() {
 				out = append(out, ShardState{Shard: s})
 			}
@@ -39,7 +39,7 @@
 			continue
 		}
 		held.mu.Lock()
-		out[n].HeldHere, out[n].Rows, out[n].Open = true, len(held.table.rows), held.table.open()
+		out[n].HeldHere, out[n].Rows, out[n].Open = true, len(held.table.entries), held.table.openCount()
 		held.mu.Unlock()
 	}
 	return out
@@ -51,18 +51,18 @@
 // is alive behind a partition, it goes on counting. Teams whose calls count by
 // the log alone (Refuse) lose nothing.
 func (h *Holder) ForceClose(ctx context.Context, id record.RightID) (fold.Shard, error) {
-	for _, part := range h.parts.Partitions {
+	for _, partition := range h.deps.Partitions {
 		var s fold.Shard
 		var ok bool
-		part.View(func(f *fold.Ledger) { s, ok = f.ClaimRight(id) })
+		partition.View(func(f *fold.Ledger) { s, ok = f.ClaimRight(id) })
 		if !ok || s.Closed {
 			continue
 		}
-		offset, err := h.parts.Log.Append(ctx, part.Stream(), record.Close{Right: id, By: h.parts.Self.ID, Forced: true})
+		offset, err := h.deps.Log.Append(ctx, partition.Stream(), record.Close{Right: id, By: h.deps.Self.ID, Forced: true})
 		if err != nil {
 			return s, err
 		}
-		return s, part.Wait(ctx, offset)
+		return s, partition.Wait(ctx, offset)
 	}
 	return fold.Shard{}, ErrNoShard
 }
--- a/internal/claim/service.go
+++ b/internal/claim/service.go
@@ -13,7 +13,7 @@
 // Status is a Begin's result on the wire.
 type Status uint8
 
-// The statuses.
+// The statusErrors.
 const (
 	StatusOK Status = iota
 	StatusKeyReused
@@ -22,7 +22,7 @@
 	StatusNotHolder
 )
 
-var statuses = map[Status]error{
+var statusErrors = map[Status]error{
 	StatusKeyReused:  ErrKeyReused,
 	StatusNotCounted: ErrNotCounted,
 	StatusUnknown:    ErrUnknown,
@@ -33,7 +33,7 @@
 	if s == StatusOK {
 		return nil
 	}
-	if err, ok := statuses[s]; ok {
+	if err, ok := statusErrors[s]; ok {
 		return err
 	}
 	return ErrUnknown
@@ -43,7 +43,7 @@
 	if err == nil {
 		return StatusOK
 	}
-	for status, known := range statuses {
+	for status, known := range statusErrors {
 		if errors.Is(err, known) {
 			return status
 		}
@@ -107,7 +107,7 @@
 
 // Begin is the net/rpc method.
 func (s *Service) Begin(args BeginArgs, reply *BeginReply) error {
-	ctx, cancel := context.WithTimeout(s.holder.ctx, min(max(args.Timeout, 0), s.holder.opts.Patience))
+	ctx, cancel := context.WithTimeout(s.holder.ctx, min(max(args.Timeout, 0), s.holder.opts.BeginTimeout))
 	defer cancel()
 	ticket, err := s.holder.begin(ctx, args.Request, args.Attempt, args.Runner)
 	reply.Ticket, reply.Status = ticket, statusOf(err)
@@ -116,7 +116,7 @@
 
 // Place is the net/rpc method.
 func (s *Service) Place(args PlaceArgs, _ *Empty) error {
-	held, err := s.holder.shard(s.holder.shardOf(Request{Key: args.Key, Home: args.Home}))
+	held, err := s.holder.shard(s.holder.shardIDOf(Request{Key: args.Key, Home: args.Home}))
 	if err == nil {
 		held.place(args.Key, args.Run, args.Endpoint)
 	}
@@ -125,7 +125,7 @@
 
 // End is the net/rpc method.
 func (s *Service) End(args EndArgs, reply *EndReply) error {
-	held, err := s.holder.shard(s.holder.shardOf(Request{Key: args.Key, Home: args.Home}))
+	held, err := s.holder.shard(s.holder.shardIDOf(Request{Key: args.Key, Home: args.Home}))
 	if err == nil {
 		reply.Known = held.end(args.Key, args.Attempt, args.End)
 	}
@@ -134,43 +134,43 @@
 
 // Running is the net/rpc method.
 func (s *Service) Running(args RunningArgs, reply *RunningReply) error {
-	reply.Running = s.holder.running(args.Key, args.Run)
+	reply.Running = s.holder.isRunning(args.Key, args.Run)
 	return nil
 }
 
 // validator looks claim shards up in the fold, for right.Service.
 type validator struct{ partitions []*Replica }
 
-// validatePoll is the time between two looks for a right. It is rare: once
+// validatePollInterval is the time between two looks for a right. It is rare: once
 // for each epoch, and only while this instance's fold is behind.
-const validatePoll = 5 * time.Millisecond
+const validatePollInterval = 5 * time.Millisecond
 
 // Validate implements right.Validator.
 func (v validator) Validate(ctx context.Context, t right.Terms) error {
 	for {
-		s, ok, past := v.find(t)
+		s, ok, allPast := v.findRight(t)
 		switch {
 		case ok && !s.Closed && termsOf(s) == t:
 			return nil
-		case ok, past, ctx.Err() != nil:
+		case ok, allPast, ctx.Err() != nil:
 			return right.ErrUnknownRight
 		}
-		pause(ctx, validatePoll)
+		sleep(ctx, validatePollInterval)
 	}
 }
 
-// find looks in all partitions, since terms don't name theirs. past says that
+// findRight looks in all partitions, since terms don't name theirs. past says that
 // each fold is past the right's offset, so that it will never show up.
-func (v validator) find(t right.Terms) (s fold.Shard, ok, past bool) {
-	past = true
-	for _, part := range v.partitions {
-		part.View(func(f *fold.Ledger) {
+func (v validator) findRight(t right.Terms) (s fold.Shard, ok, allPast bool) {
+	allPast = true
+	for _, partition := range v.partitions {
+		partition.View(func(f *fold.Ledger) {
 			s, ok = f.ClaimRight(t.Right)
-			past = past && f.Next() > t.Offset
+			allPast = allPast && f.Next() > t.Offset
 		})
 		if ok {
-			return s, true, past
+			return s, true, allPast
 		}
 	}
-	return s, false, past
+	return s, false, allPast
 }
--- a/internal/claim/takeover_test.go
+++ b/internal/claim/takeover_test.go
@@ -10,51 +10,51 @@
 	"guavapier/internal/record"
 )
 
-// inSettledWorld plays in a bubble of fake time, with a fleet whose shard has its
+// withSettledFleet plays in a bubble of fake time, with a fleet whose shard has its
 // holder and witness.
-func inSettledWorld(t *testing.T, play func(*testing.T, *world)) {
+func withSettledFleet(t *testing.T, play func(*testing.T, *simFleet)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(breakage{}, claim.Serve)
-		defer endCalls() // After stop: a bubble must not end before its goroutines.
-		defer w.stop()
+		sim := newSimFleet(defects{}, claim.ModeServe)
+		defer awaitCallTimeouts() // After stop: a bubble must not end before its goroutines.
+		defer sim.stop()
 		time.Sleep(5 * time.Second)
-		play(t, w)
+		play(t, sim)
 	})
 }
 
-// endCalls lets calls to instances that are cut off reach their time limits, which
+// awaitCallTimeouts lets calls to instances that are cut off reach their time limits, which
 // no stop waits for; the time is the bubble's.
-func endCalls() { time.Sleep(time.Minute) }
+func awaitCallTimeouts() { time.Sleep(time.Minute) }
 
-func repeatable() claim.Request {
+func repeatableRequest() claim.Request {
 	return claim.Request{Key: record.RequestKey{Team: "t", Key: "k"}, Digest: 1, Home: homeZone, Repeatable: true}
 }
 
-// orphaned has an instance that does not hold the shard claim a repeatable
+// claimThenKillRunner has an instance that does not hold the shard claim a repeatable
 // request and die. It returns the slots of the two that are left, and the run.
-func orphaned(t *testing.T, w *world, r claim.Request) (left [2]int, run record.RunID) {
+func claimThenKillRunner(t *testing.T, sim *simFleet, r claim.Request) (survivors [2]int, run record.RunID) {
 	t.Helper()
-	holder := w.holderSlot(t)
-	victim := (holder + 1) % worldSize
-	ticket, err := w.at(victim).fleet.Begin(w.ctx, r)
+	holder := sim.holderSlot(t)
+	victim := (holder + 1) % fleetSize
+	ticket, err := sim.at(victim).client.Begin(sim.ctx, r)
 	if err != nil || ticket.Join {
 		t.Fatalf("claim: %+v, %v", ticket, err)
 	}
 	time.Sleep(time.Second) // The witness has it.
-	w.bury(victim)
+	sim.killAndClose(victim)
 	time.Sleep(5 * time.Second)
-	return [2]int{holder, (holder + 2) % worldSize}, ticket.Run
+	return [2]int{holder, (holder + 2) % fleetSize}, ticket.Run
 }
 
 // holderSlot returns the slot of the instance that holds the shard.
-func (w *world) holderSlot(t *testing.T) int {
+func (sim *simFleet) holderSlot(t *testing.T) int {
 	t.Helper()
-	for slot := range worldSize {
-		n := w.at(slot)
+	for slot := range fleetSize {
+		n := sim.at(slot)
 		var last fold.Shard
 		var ok bool
-		n.part.View(func(l *fold.Ledger) { last, ok = l.ClaimShard(homeZone, 0) })
+		n.partition.View(func(l *fold.Ledger) { last, ok = l.ClaimShard(homeZone, 0) })
 		if ok && !last.Closed && last.Holder == n.id && n.alive() {
 			return slot
 		}
@@ -67,23 +67,23 @@
 // lost. One gets it under the same id, the other joins it, and its end is what
 // later attempts learn.
 func TestLostRunIsTakenOverOnce(t *testing.T) {
-	inSettledWorld(t, func(t *testing.T, w *world) {
-		r := repeatable()
-		left, run := orphaned(t, w, r)
-		first, second := w.at(left[0]).fleet, w.at(left[1]).fleet
-		if got := begin(t, w, second, r); !got.Join || !got.RunnerGone || got.Run != run {
+	withSettledFleet(t, func(t *testing.T, sim *simFleet) {
+		r := repeatableRequest()
+		survivors, run := claimThenKillRunner(t, sim, r)
+		first, second := sim.at(survivors[0]).client, sim.at(survivors[1]).client
+		if got := mustBegin(t, sim, second, r); !got.Join || !got.RunnerGone || got.Run != run {
 			t.Fatalf("joined: %+v", got)
 		}
 		r.Lost = run
-		if got := begin(t, w, second, r); got.Join || got.Run != run {
+		if got := mustBegin(t, sim, second, r); got.Join || got.Run != run {
 			t.Fatalf("first attempt that found it lost: %+v", got)
 		}
-		if got := begin(t, w, first, r); !got.Join || got.RunnerGone || got.Run != run {
+		if got := mustBegin(t, sim, first, r); !got.Join || got.RunnerGone || got.Run != run {
 			t.Fatalf("second attempt that found it lost: %+v", got)
 		}
-		second.End(w.ctx, r.Key, claim.End{Outcome: record.OutcomeAnswered})
+		second.End(sim.ctx, r.Key, claim.End{Outcome: record.OutcomeAnswered})
 		time.Sleep(2 * time.Second)
-		if got := begin(t, w, first, r); !got.Join || got.Outcome != record.OutcomeAnswered || got.Run != run {
+		if got := mustBegin(t, sim, first, r); !got.Join || got.Outcome != record.OutcomeAnswered || got.Run != run {
 			t.Fatalf("after its end: %+v", got)
 		}
 	})
@@ -93,42 +93,42 @@
 // its own run: the next holder knows the claim from the log only, and the end
 // must reach the log for the holder after that.
 func TestLostRunIsTakenOverByTheNextHolder(t *testing.T) {
-	inSettledWorld(t, func(t *testing.T, w *world) {
-		r := repeatable()
-		holder := w.holderSlot(t)
-		ticket := begin(t, w, w.at(holder).fleet, r)
+	withSettledFleet(t, func(t *testing.T, sim *simFleet) {
+		r := repeatableRequest()
+		holder := sim.holderSlot(t)
+		ticket := mustBegin(t, sim, sim.at(holder).client, r)
 		time.Sleep(time.Second)
-		w.bury(holder)
+		sim.killAndClose(holder)
 		time.Sleep(10 * time.Second)
-		next := w.holderSlot(t)
+		next := sim.holderSlot(t)
 		r.Lost = ticket.Run
-		if got := begin(t, w, w.at(next).fleet, r); got.Join || got.Run != ticket.Run {
+		if got := mustBegin(t, sim, sim.at(next).client, r); got.Join || got.Run != ticket.Run {
 			t.Fatalf("taken over: %+v", got)
 		}
-		w.at(next).fleet.End(w.ctx, r.Key, claim.End{Outcome: record.OutcomeAnswered})
+		sim.at(next).client.End(sim.ctx, r.Key, claim.End{Outcome: record.OutcomeAnswered})
 		time.Sleep(5 * time.Second)
-		w.bury(next)
+		sim.killAndClose(next)
 		time.Sleep(10 * time.Second)
-		for slot := range worldSize {
+		for slot := range fleetSize {
 			if slot == holder || slot == next {
 				continue
 			}
-			if got := begin(t, w, w.at(slot).fleet, r); !got.Join || got.Outcome != record.OutcomeAnswered {
+			if got := mustBegin(t, sim, sim.at(slot).client, r); !got.Join || got.Outcome != record.OutcomeAnswered {
 				t.Fatalf("after its end: %+v", got)
 			}
 		}
 	})
 }
 
-// bury kills an instance for good.
-func (w *world) bury(slot int) {
-	n := w.kill(slot)
-	w.running.Go(func() { n.holder.Close(); _ = n.log.Close() })
+// killAndClose kills an instance for good.
+func (sim *simFleet) killAndClose(slot int) {
+	n := sim.kill(slot)
+	sim.running.Go(func() { n.holder.Close(); _ = n.log.Close() })
 }
 
-func begin(t *testing.T, w *world, f *claim.Fleet, r claim.Request) claim.Ticket {
+func mustBegin(t *testing.T, sim *simFleet, f *claim.Client, r claim.Request) claim.Ticket {
 	t.Helper()
-	ticket, err := f.Begin(w.ctx, r)
+	ticket, err := f.Begin(sim.ctx, r)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -138,18 +138,18 @@
 // TestEndNamesTheEndpoint loses the word of a run's place: a retry must learn
 // from its end where the answer is.
 func TestEndNamesTheEndpoint(t *testing.T) {
-	inSettledWorld(t, func(t *testing.T, w *world) {
-		r := repeatable()
-		holder := w.holderSlot(t)
-		runner := (holder + 1) % worldSize
-		begin(t, w, w.at(runner).fleet, r)
-		w.do(op{Kind: opCut, A: runner, B: holder}, claim.Serve)
-		w.at(runner).fleet.Place(w.ctx, r.Key, "e1")
+	withSettledFleet(t, func(t *testing.T, sim *simFleet) {
+		r := repeatableRequest()
+		holder := sim.holderSlot(t)
+		runner := (holder + 1) % fleetSize
+		mustBegin(t, sim, sim.at(runner).client, r)
+		sim.apply(op{Kind: opCutLink, A: runner, B: holder}, claim.ModeServe)
+		sim.at(runner).client.Place(sim.ctx, r.Key, "e1")
 		time.Sleep(6 * time.Second) // The telling has been given up.
-		w.do(op{Kind: opHeal}, claim.Serve)
-		w.at(runner).fleet.End(w.ctx, r.Key, claim.End{Outcome: record.OutcomeAnswered})
+		sim.apply(op{Kind: opHealLinks}, claim.ModeServe)
+		sim.at(runner).client.End(sim.ctx, r.Key, claim.End{Outcome: record.OutcomeAnswered})
 		time.Sleep(2 * time.Second)
-		if got := begin(t, w, w.at(holder).fleet, r); got.Outcome != record.OutcomeAnswered || got.Endpoint != "e1" {
+		if got := mustBegin(t, sim, sim.at(holder).client, r); got.Outcome != record.OutcomeAnswered || got.Endpoint != "e1" {
 			t.Fatalf("%+v", got)
 		}
 	})
@@ -158,32 +158,32 @@
 // TestRunThatItsRunnerNeverGotIsTakenOver loses the answer to a Begin and the
 // word that the attempt was given up: the runner lives and knows of no run.
 func TestRunThatItsRunnerNeverGotIsTakenOver(t *testing.T) {
-	inSettledWorld(t, func(t *testing.T, w *world) {
-		r := repeatable()
-		holder := w.holderSlot(t)
-		runner := (holder + 1) % worldSize
-		w.do(op{Kind: opDeaf, A: runner, B: holder}, claim.Serve)
-		w.running.Go(func() {
+	withSettledFleet(t, func(t *testing.T, sim *simFleet) {
+		r := repeatableRequest()
+		holder := sim.holderSlot(t)
+		runner := (holder + 1) % fleetSize
+		sim.apply(op{Kind: opLoseAnswers, A: runner, B: holder}, claim.ModeServe)
+		sim.running.Go(func() {
 			time.Sleep(time.Second)
-			w.do(op{Kind: opHeal}, claim.Serve)
-			w.do(op{Kind: opCut, A: runner, B: holder}, claim.Serve)
+			sim.apply(op{Kind: opHealLinks}, claim.ModeServe)
+			sim.apply(op{Kind: opCutLink, A: runner, B: holder}, claim.ModeServe)
 		})
-		if got := begin(t, w, w.at(runner).fleet, r); !got.Uncounted {
+		if got := mustBegin(t, sim, sim.at(runner).client, r); !got.Uncounted {
 			t.Fatalf("the runner got %+v", got)
 		}
 		time.Sleep(8 * time.Second) // The telling has been given up.
-		w.do(op{Kind: opHeal}, claim.Serve)
+		sim.apply(op{Kind: opHealLinks}, claim.ModeServe)
 		time.Sleep(2 * time.Second)
-		found := begin(t, w, w.at(holder).fleet, r)
+		found := mustBegin(t, sim, sim.at(holder).client, r)
 		if !found.Join || found.RunnerGone || found.Outcome != 0 {
 			t.Fatalf("joined: %+v", found)
 		}
 		r.Lost = found.Run
-		if got := begin(t, w, w.at(holder).fleet, r); got.Join || got.Run != found.Run {
+		if got := mustBegin(t, sim, sim.at(holder).client, r); got.Join || got.Run != found.Run {
 			t.Fatalf("taken over: %+v", got)
 		}
 		// The new runner is this instance and knows the run, so others join it.
-		if got := begin(t, w, w.at(runner).fleet, r); !got.Join {
+		if got := mustBegin(t, sim, sim.at(runner).client, r); !got.Join {
 			t.Fatalf("taken over twice: %+v", got)
 		}
 	})
--- a/internal/claim/world_test.go
+++ b/internal/claim/world_test.go
@@ -19,204 +19,204 @@
 )
 
 const (
-	worldSize = 3
-	homeZone  = record.Zone("z")
-	followGap = 10 * time.Millisecond
-	dyingWait = time.Hour // A dead instance's calls end when the world does.
+	fleetSize      = 3
+	homeZone       = record.Zone("z")
+	followInterval = 10 * time.Millisecond
+	deadCallWait   = time.Hour // A dead instance's calls end when the world does.
 )
 
-// world is a small fleet over one log. Its adversary switches cut links, lose
+// simFleet is a small fleet over one log. Its adversary switches cut links, lose
 // answers, hold instances still and kill them. It runs in a synctest bubble.
-type world struct {
-	ctx     context.Context
-	cancel  context.CancelFunc
-	running sync.WaitGroup
-	broken  breakage
-
-	mu      sync.Mutex // Guards all below.
-	entries []logstore.Entry
-	lose    int // Appends whose answer gets lost.
-	nodes   [worldSize]*node
-	started int
-	cut     map[[2]int]bool // Calls vanish.
-	slow    map[[2]int]bool // Calls arrive after their caller gave up.
-	deaf    map[[2]int]bool // Answers vanish.
-	offline [worldSize]bool // The platform is out of reach.
-	wrongly [worldSize]bool // The others believe it gone.
-	checks  checker
+type simFleet struct {
+	ctx           context.Context
+	cancel        context.CancelFunc
+	running       sync.WaitGroup
+	activeDefects defects
+
+	mu                sync.Mutex // Guards all below.
+	entries           []logstore.Entry
+	lostAppendAnswers int // Appends whose answer gets lost.
+	instances         [fleetSize]*simInstance
+	started           int
+	cutLinks          map[[2]int]bool // Calls vanish.
+	slowLinks         map[[2]int]bool // Calls arrive after their caller gave up.
+	answerLossLinks   map[[2]int]bool // Answers vanish.
+	platformCut       [fleetSize]bool // The platform is out of reach.
+	suspected         [fleetSize]bool // The others believe it gone.
+	checker           checker
 }
 
-// breakage switches deliberate faults of the code under test on.
-type breakage struct {
-	ackSealed   bool // A sealed witness goes on acknowledging.
-	forceClose  bool // A shard whose holder seems gone is closed by a timeout.
-	neverKnown  bool // "unknown" becomes "not run".
-	noDigest    bool // Bodies are not compared.
-	blindRetry  bool // A joined run is run again.
-	forgetEnded bool // A run of unknown outcome frees its key.
+// defects switches deliberate faults of the code under test on.
+type defects struct {
+	sealedWitnessAcknowledges bool // A sealed witness goes on acknowledging.
+	closeOnSuspicion          bool // A shard whose holder seems gone is closed by a timeout.
+	unknownAsNotRun           bool // "unknown" becomes "not run".
+	ignoreDigest              bool // Bodies are not compared.
+	rerunJoined               bool // A joined run is run again.
+	unknownFreesKey           bool // A run of unknown outcome frees its key.
 }
 
-// node is one instance's parts.
-type node struct {
-	w       *world
-	slot    int
-	id      record.InstanceID
-	part    *claim.Replica
-	log     *logstore.Publisher
-	holder  *claim.Holder
-	fleet   *claim.Fleet
-	witness *right.Service[claim.Use]
-	cancel  context.CancelFunc
-
-	mu    sync.Mutex
-	dead  bool
-	still chan struct{} // Not nil while held still.
+// simInstance is one instance's parts.
+type simInstance struct {
+	sim       *simFleet
+	slot      int
+	id        record.InstanceID
+	partition *claim.Replica
+	log       *logstore.Publisher
+	holder    *claim.Holder
+	client    *claim.Client
+	witness   *right.Service[claim.Use]
+	cancel    context.CancelFunc
+
+	mu     sync.Mutex
+	dead   bool
+	frozen chan struct{} // Not nil while held still.
 }
 
-func newWorld(b breakage, modes claim.Mode) *world {
-	w := &world{broken: b, cut: map[[2]int]bool{}, slow: map[[2]int]bool{}, deaf: map[[2]int]bool{}, checks: newChecker()}
-	w.ctx, w.cancel = context.WithCancel(context.Background())
-	for slot := range w.nodes {
-		w.start(slot, modes)
+func newSimFleet(enabled defects, modes claim.Mode) *simFleet {
+	sim := &simFleet{activeDefects: enabled, cutLinks: map[[2]int]bool{}, slowLinks: map[[2]int]bool{}, answerLossLinks: map[[2]int]bool{}, checker: newChecker()}
+	sim.ctx, sim.cancel = context.WithCancel(context.Background())
+	for slot := range sim.instances {
+		sim.start(slot, modes)
 	}
-	return w
+	return sim
 }
 
-func (w *world) start(slot int, mode claim.Mode) {
-	w.started++
-	n := &node{w: w, slot: slot, id: record.InstanceID(fmt.Sprintf("i%d.%d", slot, w.started))}
-	ctx, cancel := context.WithCancel(w.ctx)
+func (sim *simFleet) start(slot int, mode claim.Mode) {
+	sim.started++
+	n := &simInstance{sim: sim, slot: slot, id: record.InstanceID(fmt.Sprintf("i%d.%d", slot, sim.started))}
+	ctx, cancel := context.WithCancel(sim.ctx)
 	n.cancel = cancel
-	n.part = replica.New(record.LedgerStream(0), fold.NewLedger())
+	n.partition = replica.New(record.LedgerStream(0), fold.NewLedger())
 	n.log = logstore.NewPublisher(n, n.id, logstore.PublisherOptions{
 		Linger: 5 * time.Millisecond, RetryEvery: 50 * time.Millisecond, MaxRecords: 100,
 	})
-	n.holder = claim.NewHolder(claim.Parts{
+	n.holder = claim.NewHolder(claim.Dependencies{
 		Self: logstore.Instance{ID: n.id, Zone: homeZone}, Log: n.log, Caller: n, Members: n,
-		Partitions: []*claim.Replica{n.part}, Logger: zerolog.Nop(),
-	}, claim.Options{Modes: modeOf(mode)})
-	n.fleet = claim.NewFleet(n.holder)
+		Partitions: []*claim.Replica{n.partition}, Logger: zerolog.Nop(),
+	}, claim.Options{Modes: fixedMode(mode)})
+	n.client = claim.NewClient(n.holder)
 	n.witness = n.holder.Witness()
-	w.mu.Lock()
-	w.nodes[slot] = n
-	w.mu.Unlock()
-	w.running.Go(func() { n.follow(ctx) })
-	w.running.Go(func() { n.holder.Run(ctx) })
+	sim.mu.Lock()
+	sim.instances[slot] = n
+	sim.mu.Unlock()
+	sim.running.Go(func() { n.followLog(ctx) })
+	sim.running.Go(func() { n.holder.Run(ctx) })
 }
 
-type modeOf claim.Mode
+type fixedMode claim.Mode
 
-func (m modeOf) WhenLogAway(record.Team) claim.Mode { return claim.Mode(m) }
+func (m fixedMode) WhenLogUnavailable(record.Team) claim.Mode { return claim.Mode(m) }
 
 // kill ends an instance for good: nothing it does has an effect any more.
-func (w *world) kill(slot int) *node {
-	n := w.at(slot)
+func (sim *simFleet) kill(slot int) *simInstance {
+	n := sim.at(slot)
 	n.mu.Lock()
 	n.dead = true
-	if n.still != nil {
-		close(n.still)
-		n.still = nil
+	if n.frozen != nil {
+		close(n.frozen)
+		n.frozen = nil
 	}
 	n.mu.Unlock()
 	n.cancel()
 	return n
 }
 
-func (w *world) stop() {
-	w.cancel()
-	for slot := range w.nodes {
-		n := w.kill(slot)
+func (sim *simFleet) stop() {
+	sim.cancel()
+	for slot := range sim.instances {
+		n := sim.kill(slot)
 		n.holder.Close()
 		_ = n.log.Close()
 	}
-	w.running.Wait()
+	sim.running.Wait()
 }
 
-func (w *world) at(slot int) *node {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.nodes[slot]
+func (sim *simFleet) at(slot int) *simInstance {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	return sim.instances[slot]
 }
 
 // alive waits while the instance is held still; it returns false once the
 // instance is dead.
-func (n *node) alive() bool {
+func (n *simInstance) alive() bool {
 	n.mu.Lock()
-	still, dead := n.still, n.dead
+	frozen, dead := n.frozen, n.dead
 	n.mu.Unlock()
-	if still != nil && !dead {
-		<-still
+	if frozen != nil && !dead {
+		<-frozen
 		return n.alive()
 	}
 	return !dead
 }
 
-func (n *node) freeze() {
+func (n *simInstance) freeze() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.still == nil && !n.dead {
-		n.still = make(chan struct{})
+	if n.frozen == nil && !n.dead {
+		n.frozen = make(chan struct{})
 	}
 }
 
-func (n *node) thaw() {
+func (n *simInstance) unfreeze() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.still != nil {
-		close(n.still)
-		n.still = nil
+	if n.frozen != nil {
+		close(n.frozen)
+		n.frozen = nil
 	}
 }
 
 // Append implements logstore.Log.
-func (n *node) Append(_ context.Context, _ record.Stream, data []byte) (uint64, error) {
+func (n *simInstance) Append(_ context.Context, _ record.Stream, data []byte) (uint64, error) {
 	if !n.alive() {
 		return 0, logstore.ErrUnavailable
 	}
-	w := n.w
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.offline[n.slot] {
+	sim := n.sim
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	if sim.platformCut[n.slot] {
 		return 0, logstore.ErrUnavailable
 	}
-	offset := w.appendLocked(data)
-	if w.lose > 0 {
-		w.lose--
+	offset := sim.appendLocked(data)
+	if sim.lostAppendAnswers > 0 {
+		sim.lostAppendAnswers--
 		return 0, logstore.ErrUnavailable
 	}
 	return offset, nil
 }
 
-func (w *world) appendLocked(data []byte) uint64 {
-	offset := uint64(len(w.entries))
-	w.entries = append(w.entries, logstore.Entry{Offset: offset, Data: data})
+func (sim *simFleet) appendLocked(data []byte) uint64 {
+	offset := uint64(len(sim.entries))
+	sim.entries = append(sim.entries, logstore.Entry{Offset: offset, Data: data})
 	return offset
 }
 
 // Read implements logstore.Log.
-func (n *node) Read(_ context.Context, _ record.Stream, from uint64, _ time.Duration) (logstore.Page, error) {
+func (n *simInstance) Read(_ context.Context, _ record.Stream, from uint64, _ time.Duration) (logstore.Page, error) {
 	if !n.alive() {
 		return logstore.Page{}, logstore.ErrUnavailable
 	}
-	n.w.mu.Lock()
-	defer n.w.mu.Unlock()
-	if n.w.offline[n.slot] {
+	n.sim.mu.Lock()
+	defer n.sim.mu.Unlock()
+	if n.sim.platformCut[n.slot] {
 		return logstore.Page{}, logstore.ErrUnavailable
 	}
-	from = min(from, uint64(len(n.w.entries)))
-	return logstore.Page{Entries: n.w.entries[from:len(n.w.entries):len(n.w.entries)], Next: uint64(len(n.w.entries))}, nil
+	from = min(from, uint64(len(n.sim.entries)))
+	return logstore.Page{Entries: n.sim.entries[from:len(n.sim.entries):len(n.sim.entries)], Next: uint64(len(n.sim.entries))}, nil
 }
 
-// follow keeps the instance's fold current while it reaches the platform.
-func (n *node) follow(ctx context.Context) {
+// followLog keeps the instance's fold current while it reaches the platform.
+func (n *simInstance) followLog(ctx context.Context) {
 	for ctx.Err() == nil {
-		page, err := n.Read(ctx, "", n.part.Next(), 0)
+		page, err := n.Read(ctx, "", n.partition.Next(), 0)
 		for _, entry := range page.Entries {
 			if err == nil {
-				_ = n.part.Apply(entry)
+				_ = n.partition.Apply(entry)
 			}
 		}
-		sleep(ctx, followGap)
+		sleep(ctx, followInterval)
 	}
 }
 
@@ -228,10 +228,10 @@
 }
 
 // Live implements claim.Members.
-func (n *node) Live() []logstore.Instance {
+func (n *simInstance) Live() []logstore.Instance {
 	var out []logstore.Instance
-	for slot := range worldSize {
-		other := n.w.at(slot)
+	for slot := range fleetSize {
+		other := n.sim.at(slot)
 		if other != nil && (other == n || n.Reachable(other.id)) {
 			out = append(out, logstore.Instance{ID: other.id, Zone: homeZone})
 		}
@@ -240,47 +240,47 @@
 }
 
 // Reachable implements claim.Members; the adversary makes it wrong.
-func (n *node) Reachable(id record.InstanceID) bool {
+func (n *simInstance) Reachable(id record.InstanceID) bool {
 	if !n.alive() {
 		return false
 	}
-	n.w.mu.Lock()
-	defer n.w.mu.Unlock()
-	for slot, other := range n.w.nodes {
+	n.sim.mu.Lock()
+	defer n.sim.mu.Unlock()
+	for slot, other := range n.sim.instances {
 		if other == nil || other.id != id {
 			continue
 		}
 		link := [2]int{n.slot, slot}
 		other.mu.Lock()
 		defer other.mu.Unlock()
-		return !other.dead && other.still == nil && !n.w.cut[link] && !n.w.deaf[link] && !n.w.wrongly[slot]
+		return !other.dead && other.frozen == nil && !n.sim.cutLinks[link] && !n.sim.answerLossLinks[link] && !n.sim.suspected[slot]
 	}
 	return false
 }
 
 // ZoneListed implements claim.Members.
-func (n *node) ZoneListed(record.Zone) bool { return true }
+func (n *simInstance) ZoneListed(record.Zone) bool { return true }
 
 // PlatformUp implements claim.Members.
-func (n *node) PlatformUp() bool {
+func (n *simInstance) PlatformUp() bool {
 	if !n.alive() {
 		return false
 	}
-	n.w.mu.Lock()
-	defer n.w.mu.Unlock()
-	return !n.w.offline[n.slot]
+	n.sim.mu.Lock()
+	defer n.sim.mu.Unlock()
+	return !n.sim.platformCut[n.slot]
 }
 
 // Call implements peer.Caller.
-func (n *node) Call(ctx context.Context, to record.InstanceID, method string, args, reply any) error {
+func (n *simInstance) Call(ctx context.Context, to record.InstanceID, method string, args, reply any) error {
 	if !n.alive() {
-		sleep(n.w.ctx, dyingWait)
+		sleep(n.sim.ctx, deadCallWait)
 		return peer.ErrUnreachable
 	}
-	target, link := n.w.find(n.slot, to)
-	n.w.mu.Lock()
-	cut, slow, deaf := n.w.cut[link], n.w.slow[link], n.w.deaf[link]
-	n.w.mu.Unlock()
+	target, link := n.sim.findInstance(n.slot, to)
+	n.sim.mu.Lock()
+	cut, slow, deaf := n.sim.cutLinks[link], n.sim.slowLinks[link], n.sim.answerLossLinks[link]
+	n.sim.mu.Unlock()
 	if target == nil {
 		return errors.Join(peer.ErrUnreachable, peer.ErrNotSent)
 	}
@@ -289,9 +289,9 @@
 		return peer.ErrUnreachable
 	}
 	done := make(chan func(), 1)
-	n.w.running.Go(func() {
+	n.sim.running.Go(func() {
 		if slow {
-			sleep(n.w.ctx, 3*time.Second)
+			sleep(n.sim.ctx, 3*time.Second)
 		}
 		if target.alive() {
 			done <- target.serve(method, args, reply)
@@ -310,10 +310,10 @@
 	return peer.ErrUnreachable
 }
 
-func (w *world) find(from int, to record.InstanceID) (*node, [2]int) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for slot, n := range w.nodes {
+func (sim *simFleet) findInstance(from int, to record.InstanceID) (*simInstance, [2]int) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	for slot, n := range sim.instances {
 		if n != nil && n.id == to {
 			return n, [2]int{from, slot}
 		}
@@ -322,7 +322,7 @@
 }
 
 // serve runs a method and returns what hands its reply over.
-func (n *node) serve(method string, args, reply any) func() {
+func (n *simInstance) serve(method string, args, reply any) func() {
 	service := claim.NewService(n.holder)
 	switch a := args.(type) {
 	case claim.BeginArgs:
@@ -342,7 +342,7 @@
 	case right.AcknowledgeArgs[claim.Use]:
 		var out right.AcknowledgeReply
 		_ = n.witness.Acknowledge(a, &out)
-		if n.w.broken.ackSealed {
+		if n.sim.activeDefects.sealedWitnessAcknowledges {
 			out.Results = make([]right.Result, len(a.Batches))
 		}
 		return func() { *reply.(*right.AcknowledgeReply) = out }
@@ -352,27 +352,27 @@
 	return func() {}
 }
 
-// closeByTimeout is the broken takeover: whoever believes a holder gone closes
+// closeSuspected is the broken takeover: whoever believes a holder gone closes
 // its shard.
-func (w *world) closeByTimeout() {
-	for slot := range worldSize {
-		n := w.at(slot)
+func (sim *simFleet) closeSuspected() {
+	for slot := range fleetSize {
+		n := sim.at(slot)
 		n.mu.Lock()
-		still := n.still != nil
+		isFrozen := n.frozen != nil
 		n.mu.Unlock()
-		if still {
+		if isFrozen {
 			continue
 		}
-		n.part.View(func(f *fold.Ledger) {
+		n.partition.View(func(f *fold.Ledger) {
 			for _, s := range f.ClaimShards() {
 				if s.Closed || s.Holder == n.id || n.Reachable(s.Holder) || !n.PlatformUp() {
 					continue
 				}
 				env, _ := record.Encode(record.Close{Right: s.Right, Forced: true})
 				data, _ := record.EncodeBatch(record.Batch{Writer: record.InstanceID("forced-" + s.Right), Seq: 1, Records: []record.Envelope{env}})
-				w.mu.Lock()
-				w.appendLocked(data)
-				w.mu.Unlock()
+				sim.mu.Lock()
+				sim.appendLocked(data)
+				sim.mu.Unlock()
 			}
 		})
 	}
--- a/internal/server/claims.go
+++ b/internal/server/claims.go
@@ -16,10 +16,10 @@
 
 // joinClaims makes the parts that claim requests.
 func (s *Server) joinClaims() error {
-	s.holder = claim.NewHolder(claim.Parts{
+	s.holder = claim.NewHolder(claim.Dependencies{
 		Self: s.self(), Log: s.publisher, Caller: s.pool, Members: s.members, Partitions: s.partitions, Logger: s.log,
 	}, claim.Options{Modes: claimModes{s.config}})
-	s.claims = claim.NewFleet(s.holder)
+	s.claims = claim.NewClient(s.holder)
 	s.tables.Register("claims", func() any { return s.holder.State() })
 	if err := s.peerServer.Register(claim.ServiceName, claim.NewService(s.holder)); err != nil {
 		return err
@@ -32,7 +32,7 @@
 	s.claims.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), handoverPatience)
 	defer cancel()
-	s.holder.Handover(ctx)
+	s.holder.HandOver(ctx)
 }
 
 // claimModes reads the teams' modes out of the settings.
@@ -40,12 +40,12 @@
 	config *replica.Replica[*fold.Config]
 }
 
-// WhenLogAway implements claim.Modes.
-func (m claimModes) WhenLogAway(team record.Team) claim.Mode {
-	mode := claim.Serve
+// WhenLogUnavailable implements claim.Modes.
+func (m claimModes) WhenLogUnavailable(team record.Team) claim.Mode {
+	mode := claim.ModeServe
 	m.config.View(func(f *fold.Config) {
-		if v, ok := f.Get(claim.WhenLogAwayPath(team)); ok && v.Value == claim.RefuseValue {
-			mode = claim.Refuse
+		if v, ok := f.Get(claim.WhenLogUnavailablePath(team)); ok && v.Value == claim.ModeRefuseValue {
+			mode = claim.ModeRefuse
 		}
 	})
 	return mode
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -64,7 +64,7 @@
 	relay      *relay.Log
 	budgets    *ledger.Ledger
 	holder     *claim.Holder
-	claims     *claim.Fleet
+	claims     *claim.Client
 	runner     *run.Runner
 	draining   atomic.Bool
 	inFlight   atomic.Int64 // Callers' requests that have no whole answer yet.
--- a/test/process/claim_test.go
+++ b/test/process/claim_test.go
@@ -257,7 +257,7 @@
 	r := startRig(t, "a1", "a2", "a3")
 	careful := seedTeam(t, r.fleet[0].operators, "careful", 1_000)
 	mustCall(t, http.MethodPut, r.fleet[0].operators+"/settings", operatorToken, record.Change{ID: "careful", By: "test", Ops: []record.ChangeOp{
-		{Path: claim.WhenLogAwayPath("careful"), Value: claim.RefuseValue},
+		{Path: claim.WhenLogUnavailablePath("careful"), Value: claim.ModeRefuseValue},
 	}})
 	r.recovers("warm-", r.fleet...)
 	serving := r.session
