--- a/internal/membership/decide.go
+++ b/internal/membership/decide.go
@@ -8,54 +8,54 @@
 	"guavapier/internal/record"
 )
 
-// live decides whom to offer work to. Load: every claim and grant asks for
+// liveInstances decides whom to offer work to. Load: every claim and grant asks for
 // peers. Harm prevented: a peer that is known to be silent costs each asker a
 // timeout. The own zone goes first since other zones may be cut off.
-func live(listed []logstore.Instance, self logstore.Instance, unreachable map[record.InstanceID]struct{}) []logstore.Instance {
+func liveInstances(listed []logstore.Instance, self logstore.Instance, unreachable map[record.InstanceID]struct{}) []logstore.Instance {
 	out := make([]logstore.Instance, 0, len(listed))
 	for _, in := range listed {
-		if _, bad := unreachable[in.ID]; bad || in.Leaving {
+		if _, isUnreachable := unreachable[in.ID]; isUnreachable || in.Leaving {
 			continue
 		}
 		out = append(out, in)
 	}
-	rank := func(in logstore.Instance) int {
+	zoneRank := func(in logstore.Instance) int {
 		if in.Zone == self.Zone {
 			return 0
 		}
 		return 1
 	}
 	slices.SortFunc(out, func(a, b logstore.Instance) int {
-		return cmp.Or(cmp.Compare(rank(a), rank(b)), cmp.Compare(a.Zone, b.Zone), cmp.Compare(a.ID, b.ID))
+		return cmp.Or(cmp.Compare(zoneRank(a), zoneRank(b)), cmp.Compare(a.Zone, b.Zone), cmp.Compare(a.ID, b.ID))
 	})
 	return out
 }
 
-// pick decides which peers get a heartbeat in this round: those that waited
+// selectProbeTargets decides which peers get a heartbeat in this round: those that waited
 // longest for one. Load: hundreds of peers, a few of them silent. Harm
 // prevented: heartbeats whose cost grows with the fleet, and a peer that came
 // back but is not asked. Limit: probesPerRound, at most half of it for peers
 // marked unreachable while there are others.
-func pick(listed []logstore.Instance, self record.InstanceID, unreachable map[record.InstanceID]struct{}, lastTurn map[record.InstanceID]int) []record.InstanceID {
-	var good, bad []record.InstanceID
+func selectProbeTargets(listed []logstore.Instance, self record.InstanceID, unreachable map[record.InstanceID]struct{}, lastProbeRound map[record.InstanceID]int) []record.InstanceID {
+	var reachable, silent []record.InstanceID
 	for _, in := range listed {
 		if in.ID == self || in.Peer == "" {
 			continue
 		}
-		if _, is := unreachable[in.ID]; is {
-			bad = append(bad, in.ID)
+		if _, isUnreachable := unreachable[in.ID]; isUnreachable {
+			silent = append(silent, in.ID)
 		} else {
-			good = append(good, in.ID)
+			reachable = append(reachable, in.ID)
 		}
 	}
-	out := longest(bad, lastTurn, probesPerRound/2)
-	return append(out, longest(good, lastTurn, probesPerRound-len(out))...)
+	out := leastRecentlyProbed(silent, lastProbeRound, maxProbesPerRound/2)
+	return append(out, leastRecentlyProbed(reachable, lastProbeRound, maxProbesPerRound-len(out))...)
 }
 
-// longest returns the n ids whose last turn is the longest ago.
-func longest(ids []record.InstanceID, lastTurn map[record.InstanceID]int, n int) []record.InstanceID {
+// leastRecentlyProbed returns the n ids whose last turn is the leastRecentlyProbed ago.
+func leastRecentlyProbed(ids []record.InstanceID, lastProbeRound map[record.InstanceID]int, n int) []record.InstanceID {
 	slices.SortFunc(ids, func(a, b record.InstanceID) int {
-		return cmp.Or(cmp.Compare(lastTurn[a], lastTurn[b]), cmp.Compare(a, b))
+		return cmp.Or(cmp.Compare(lastProbeRound[a], lastProbeRound[b]), cmp.Compare(a, b))
 	})
 	return ids[:min(n, len(ids))]
 }
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -18,21 +18,21 @@
 )
 
 const (
-	// ListEvery is the time between two reads of the instance list.
-	ListEvery = 500 * time.Millisecond
-	// AnnounceEvery is the longest time between two announcements. The platform
+	// ListInterval is the time between two reads of the instance list.
+	ListInterval = 500 * time.Millisecond
+	// AnnounceInterval is the longest time between two announcements. The platform
 	// drops an instance that was silent for 5 s, so one may be lost.
-	AnnounceEvery = 2 * time.Second
-	// ProbeEvery is the time between two rounds of heartbeats.
-	ProbeEvery = 500 * time.Millisecond
-	// probesPerRound bounds the heartbeats of one round, so that their cost
+	AnnounceInterval = 2 * time.Second
+	// ProbeInterval is the time between two rounds of heartbeats.
+	ProbeInterval = 500 * time.Millisecond
+	// maxProbesPerRound bounds the heartbeats of one round, so that their cost
 	// does not grow with the fleet. Peers take turns; peers in use are watched
 	// by their own connections.
-	probesPerRound = 4
+	maxProbesPerRound = 4
 	// probeTimeout is how long a peer has to answer a heartbeat.
 	probeTimeout = 500 * time.Millisecond
-	// upFor is how long the platform counts as up after it answered.
-	upFor = 2 * time.Second
+	// platformUpTimeout is how long the platform counts as up after it answered.
+	platformUpTimeout = 2 * time.Second
 )
 
 // Pinger sends a heartbeat to a peer; see peer.Pool.
@@ -48,19 +48,19 @@
 
 	mu sync.Mutex
 	// list is the last list that was read; it stays while the platform is away.
-	list        logstore.List
-	seen        bool
-	answered    time.Time // The platform's last answer.
-	addresses   map[record.InstanceID]string
-	unreachable map[record.InstanceID]struct{}
-	turn        int
-	lastTurn    map[record.InstanceID]int // Of each peer's last heartbeat.
-	watchers    []func(logstore.List)
-
-	// told is what the platform was last told about this instance, at toldAt.
+	list           logstore.List
+	hasList        bool
+	lastAnswerAt   time.Time // The platform's last answer.
+	addresses      map[record.InstanceID]string
+	unreachable    map[record.InstanceID]struct{}
+	probeRound     int
+	lastProbeRound map[record.InstanceID]int // Of each peer's last heartbeat.
+	listeners      []func(logstore.List)
+
+	// announced is what the platform was last announced about this instance, at toldAt.
 	// Only the goroutine of refresh uses them.
-	told   logstore.Instance
-	toldAt time.Time
+	announced   logstore.Instance
+	announcedAt time.Time
 }
 
 var _ peer.Addresses = (*Members)(nil)
@@ -70,24 +70,24 @@
 	return &Members{
 		directory: directory, self: self, log: log,
 		addresses: map[record.InstanceID]string{}, unreachable: map[record.InstanceID]struct{}{},
-		lastTurn: map[record.InstanceID]int{},
+		lastProbeRound: map[record.InstanceID]int{},
 	}
 }
 
 // OnList adds a function that is called with each list that is read. Add all
 // of them before Run.
-func (m *Members) OnList(f func(logstore.List)) { m.watchers = append(m.watchers, f) }
+func (m *Members) OnList(f func(logstore.List)) { m.listeners = append(m.listeners, f) }
 
 // Run announces this instance, follows the list and sends heartbeats until ctx
 // ends.
 func (m *Members) Run(ctx context.Context, pinger Pinger) {
 	var running sync.WaitGroup
 	defer running.Wait()
-	running.Go(func() { every(ctx, ListEvery, func() { m.refresh(ctx) }) })
-	running.Go(func() { every(ctx, ProbeEvery, func() { m.probe(ctx, pinger) }) })
+	running.Go(func() { runPeriodically(ctx, ListInterval, func() { m.refresh(ctx) }) })
+	running.Go(func() { runPeriodically(ctx, ProbeInterval, func() { m.probe(ctx, pinger) }) })
 }
 
-func every(ctx context.Context, period time.Duration, do func()) {
+func runPeriodically(ctx context.Context, period time.Duration, do func()) {
 	ticker := time.NewTicker(period)
 	defer ticker.Stop()
 	for {
@@ -105,11 +105,11 @@
 func (m *Members) announce(ctx context.Context) {
 	self := m.self()
 	now := time.Now()
-	if self == m.told && now.Sub(m.toldAt) < AnnounceEvery {
+	if self == m.announced && now.Sub(m.announcedAt) < AnnounceInterval {
 		return
 	}
 	if m.directory.Announce(ctx, self) == nil {
-		m.told, m.toldAt = self, now
+		m.announced, m.announcedAt = self, now
 	}
 }
 
@@ -120,26 +120,26 @@
 	if err != nil {
 		return
 	}
-	m.take(list)
-	for _, watch := range m.watchers {
-		watch(list)
+	m.setList(list)
+	for _, listener := range m.listeners {
+		listener(list)
 	}
 }
 
-func (m *Members) take(list logstore.List) {
+func (m *Members) setList(list logstore.List) {
 	addresses := make(map[record.InstanceID]string, len(list.Instances))
 	for _, in := range list.Instances {
 		addresses[in.ID] = in.Peer
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.list, m.seen, m.addresses, m.answered = list, true, addresses, time.Now()
+	m.list, m.hasList, m.addresses, m.lastAnswerAt = list, true, addresses, time.Now()
 	unlisted := func(id record.InstanceID) bool {
 		_, listed := addresses[id]
 		return !listed
 	}
 	maps.DeleteFunc(m.unreachable, func(id record.InstanceID, _ struct{}) bool { return unlisted(id) })
-	maps.DeleteFunc(m.lastTurn, func(id record.InstanceID, _ int) bool { return unlisted(id) })
+	maps.DeleteFunc(m.lastProbeRound, func(id record.InstanceID, _ int) bool { return unlisted(id) })
 }
 
 // List returns the last list that was read.
@@ -149,18 +149,18 @@
 	return m.list
 }
 
-// Seen says whether a list has been read.
-func (m *Members) Seen() bool {
+// HasList says whether a list has been read.
+func (m *Members) HasList() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.seen
+	return m.hasList
 }
 
 // PlatformUp says whether the platform answered lately.
 func (m *Members) PlatformUp() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.seen && time.Since(m.answered) < upFor
+	return m.hasList && time.Since(m.lastAnswerAt) < platformUpTimeout
 }
 
 // ZoneListed says whether the list has an instance of a zone that is not
@@ -187,7 +187,7 @@
 	self := m.self()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return live(m.list.Instances, self, m.unreachable)
+	return liveInstances(m.list.Instances, self, m.unreachable)
 }
 
 // Reachable says whether a listed peer's last heartbeat was answered, or none
@@ -195,22 +195,22 @@
 func (m *Members) Reachable(id record.InstanceID) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	_, bad := m.unreachable[id]
+	_, isUnreachable := m.unreachable[id]
 	_, listed := m.addresses[id]
-	return listed && !bad
+	return listed && !isUnreachable
 }
 
-// Mark notes whether a peer answered.
-func (m *Members) Mark(id record.InstanceID, reachable bool) {
+// SetReachable notes whether a peer answered.
+func (m *Members) SetReachable(id record.InstanceID, reachable bool) {
 	m.mu.Lock()
-	_, was := m.unreachable[id]
+	_, wasUnreachable := m.unreachable[id]
 	if reachable {
 		delete(m.unreachable, id)
 	} else {
 		m.unreachable[id] = struct{}{}
 	}
 	m.mu.Unlock()
-	if was == reachable {
+	if wasUnreachable == reachable {
 		m.log.Info().Str("peer", string(id)).Bool("reachable", reachable).Msg("membership: peer changed")
 	}
 }
@@ -219,21 +219,21 @@
 func (m *Members) probe(ctx context.Context, pinger Pinger) {
 	self := m.self().ID
 	m.mu.Lock()
-	targets := pick(m.list.Instances, self, m.unreachable, m.lastTurn)
-	m.turn++
+	targets := selectProbeTargets(m.list.Instances, self, m.unreachable, m.lastProbeRound)
+	m.probeRound++
 	for _, id := range targets {
-		m.lastTurn[id] = m.turn
+		m.lastProbeRound[id] = m.probeRound
 	}
 	m.mu.Unlock()
-	bounded, cancel := context.WithTimeout(ctx, probeTimeout)
+	probeCtx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	var running sync.WaitGroup
 	defer running.Wait()
 	for _, id := range targets {
 		running.Go(func() {
-			err := pinger.Ping(bounded, id)
+			err := pinger.Ping(probeCtx, id)
 			if ctx.Err() == nil {
-				m.Mark(id, err == nil)
+				m.SetReachable(id, err == nil)
 			}
 		})
 	}
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -17,28 +17,28 @@
 	"guavapier/internal/record"
 )
 
-// fleet is a platform's list and the peers behind it. It runs in a synctest
+// simFleet is a platform's list and the peers behind it. It runs in a synctest
 // bubble, which fails a test that leaves goroutines behind.
-type fleet struct {
-	mu     sync.Mutex
-	list   logstore.List
-	away   bool
-	silent map[record.InstanceID]bool
-	pings  map[record.InstanceID]int
+type simFleet struct {
+	mu          sync.Mutex
+	list        logstore.List
+	unavailable bool
+	silent      map[record.InstanceID]bool
+	pings       map[record.InstanceID]int
 }
 
-func (f *fleet) Announce(context.Context, logstore.Instance) error { return nil }
+func (f *simFleet) Announce(context.Context, logstore.Instance) error { return nil }
 
-func (f *fleet) List(context.Context) (logstore.List, error) {
+func (f *simFleet) List(context.Context) (logstore.List, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.away {
+	if f.unavailable {
 		return logstore.List{}, logstore.ErrUnavailable
 	}
 	return logstore.List{Instances: slices.Clone(f.list.Instances)}, nil
 }
 
-func (f *fleet) Ping(ctx context.Context, to record.InstanceID) error {
+func (f *simFleet) Ping(ctx context.Context, to record.InstanceID) error {
 	f.mu.Lock()
 	f.pings[to]++
 	silent := f.silent[to]
@@ -50,7 +50,7 @@
 	return nil
 }
 
-func (f *fleet) set(change func()) {
+func (f *simFleet) update(change func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	change()
@@ -65,10 +65,10 @@
 	return out
 }
 
-func run(t *testing.T, size int, steps func(*fleet, *membership.Members)) {
+func runWithMembers(t *testing.T, size int, steps func(*simFleet, *membership.Members)) {
 	t.Helper()
 	synctest.Test(t, func(*testing.T) {
-		f := &fleet{list: logstore.List{Instances: instances(size)}, silent: map[record.InstanceID]bool{}, pings: map[record.InstanceID]int{}}
+		f := &simFleet{list: logstore.List{Instances: instances(size)}, silent: map[record.InstanceID]bool{}, pings: map[record.InstanceID]int{}}
 		m := membership.New(f, func() logstore.Instance { return logstore.Instance{ID: "i001", Zone: "z1"} }, zerolog.Nop())
 		ctx, cancel := context.WithCancel(context.Background())
 		var running sync.WaitGroup
@@ -80,7 +80,7 @@
 	})
 }
 
-func ids(live []logstore.Instance) []record.InstanceID {
+func instanceIDs(live []logstore.Instance) []record.InstanceID {
 	var out []record.InstanceID
 	for _, in := range live {
 		out = append(out, in.ID)
@@ -89,19 +89,19 @@
 }
 
 func TestListOutlivesThePlatform(t *testing.T) {
-	run(t, 6, func(f *fleet, m *membership.Members) {
+	runWithMembers(t, 6, func(f *simFleet, m *membership.Members) {
 		want := []record.InstanceID{"i001", "i004", "i000", "i003", "i002", "i005"}
-		if got := ids(m.Live()); !slices.Equal(got, want) || !m.PlatformUp() {
+		if got := instanceIDs(m.Live()); !slices.Equal(got, want) || !m.PlatformUp() {
 			t.Errorf("live %v, want %v; platform up %v", got, want, m.PlatformUp())
 		}
-		f.set(func() { f.away = true })
+		f.update(func() { f.unavailable = true })
 		time.Sleep(time.Hour)
-		if got := ids(m.Live()); !slices.Equal(got, want) || m.PlatformUp() {
+		if got := instanceIDs(m.Live()); !slices.Equal(got, want) || m.PlatformUp() {
 			t.Errorf("after an hour without the platform: live %v; platform up %v", got, m.PlatformUp())
 		}
-		f.set(func() { f.away, f.list.Instances[4].Leaving = false, true })
+		f.update(func() { f.unavailable, f.list.Instances[4].Leaving = false, true })
 		time.Sleep(time.Second)
-		if got := ids(m.Live()); slices.Contains(got, "i004") {
+		if got := instanceIDs(m.Live()); slices.Contains(got, "i004") {
 			t.Errorf("leaving instance is live: %v", got)
 		}
 	})
@@ -109,16 +109,16 @@
 
 // A silent peer is marked, and unmarked when it answers again; the others stay.
 func TestHeartbeatsMarkSilentPeers(t *testing.T) {
-	run(t, 6, func(f *fleet, m *membership.Members) {
-		f.set(func() { f.silent["i003"] = true })
+	runWithMembers(t, 6, func(f *simFleet, m *membership.Members) {
+		f.update(func() { f.silent["i003"] = true })
 		time.Sleep(10 * time.Second)
 		if m.Reachable("i003") || len(m.Live()) != 5 {
-			t.Errorf("silent peer: reachable %v, live %v", m.Reachable("i003"), ids(m.Live()))
+			t.Errorf("silent peer: reachable %v, live %v", m.Reachable("i003"), instanceIDs(m.Live()))
 		}
-		f.set(func() { f.silent["i003"] = false })
+		f.update(func() { f.silent["i003"] = false })
 		time.Sleep(10 * time.Second)
 		if !m.Reachable("i003") || len(m.Live()) != 6 {
-			t.Errorf("peer that came back: reachable %v, live %v", m.Reachable("i003"), ids(m.Live()))
+			t.Errorf("peer that came back: reachable %v, live %v", m.Reachable("i003"), instanceIDs(m.Live()))
 		}
 	})
 }
@@ -126,8 +126,8 @@
 // Heartbeats cost the same for any fleet, and every peer has its turn, also
 // while many are silent.
 func TestHeartbeatsAreBoundedAndFair(t *testing.T) {
-	run(t, 410, func(f *fleet, _ *membership.Members) {
-		f.set(func() {
+	runWithMembers(t, 410, func(f *simFleet, _ *membership.Members) {
+		f.update(func() {
 			for n := range 100 {
 				f.silent[f.list.Instances[n].ID] = n != 1
 			}
@@ -137,15 +137,15 @@
 		time.Sleep(seconds * time.Second)
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		sum := 0
+		total := 0
 		for _, in := range f.list.Instances {
-			sum += f.pings[in.ID]
+			total += f.pings[in.ID]
 			if in.ID != "i001" && f.pings[in.ID] == 0 {
 				t.Errorf("%s had no heartbeat", in.ID)
 			}
 		}
-		if sum > 8*seconds+8 {
-			t.Errorf("%d heartbeats in %d s", sum, seconds)
+		if total > 8*seconds+8 {
+			t.Errorf("%d heartbeats in %d s", total, seconds)
 		}
 	})
 }
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -206,7 +206,7 @@
 			BytesPerToken: limits.PromptBytesPerToken, Read: readWithin, Write: writeWithin, Heartbeat: callerHeartbeat,
 			FirstToken: limits.FirstToken.D(), ServiceAnswer: limits.ServiceAnswer.D(),
 		},
-		Ready: func() bool { return !s.draining.Load() && s.members.Seen() && s.current() },
+		Ready: func() bool { return !s.draining.Load() && s.members.HasList() && s.current() },
 	}
 	return s.metrics.Measure(metrics.CallersHTTP, s.countInFlight(c.Handler()))
 }
