--- a/internal/claim/bench_test.go
+++ b/internal/claim/bench_test.go
@@ -20,7 +20,8 @@
 	"guavapier/internal/right"
 )
 
-// benchFleet is a fleet over real connections on loopback and one log in memory.
+// benchFleet is a fleet of instances that are connected over loopback TCP and
+// share one log in memory.
 type benchFleet struct {
 	entries    chan record.Batch
 	partitions []*claim.Replica
@@ -115,7 +116,8 @@
 	return s
 }
 
-// holderAndOther returns the holder of the home zone's shard and another instance.
+// holderAndOther returns the holder of the home zone's shard and another
+// instance.
 func (s *benchFleet) holderAndOther(b *testing.B) (holder, other *benchInstance) {
 	b.Helper()
 	for range 1000 {
@@ -130,11 +132,11 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	b.Fatal("no holder")
+	b.Fatal("no instance acquired the claim shard in time")
 	return nil, nil
 }
 
-// BenchmarkBegin gives what a claim adds to a request.
+// BenchmarkBegin measures the latency that a claim adds to a request.
 func BenchmarkBegin(b *testing.B) {
 	for _, c := range []struct {
 		name               string
@@ -171,7 +173,7 @@
 	}
 }
 
-// BenchmarkClaimTable gives the bytes that one claim takes in a fold.
+// BenchmarkClaimTable measures the heap bytes of one claim in a fold.
 func BenchmarkClaimTable(b *testing.B) {
 	for _, size := range []int{1_000, 10_000, 100_000} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
@@ -201,7 +203,7 @@
 	return int64(m.HeapAlloc)
 }
 
-// BenchmarkAcknowledge gives the witness's time for one claim by batch size.
+// BenchmarkAcknowledge measures the witness's time per claim by batch size.
 func BenchmarkAcknowledge(b *testing.B) {
 	for _, size := range []int{1, 10, 100} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -1,10 +1,13 @@
-// Package claim decides which run answers a request, whatever its retries: one
-// claim per request key, joined by every retry.
+// Package claim assigns each request key one run, so that all retries of a
+// request share that run. A claim records which run, and which instance, has
+// the request; every later attempt under the same key joins it.
 //
-// A claim shard (home zone of the session, ledger partition of the key) has one
-// holder at a time, by a record.Shard on the log. A claim counts only when it
-// stands in two places: holder and witness, or holder and log. A request that
-// may not be repeated starts only on a counted claim, once.
+// A claim shard is identified by the session's home zone and the key's ledger
+// partition. It has one holder at a time, which a record.Shard on the log names
+// for one epoch. A claim counts, that is, it survives the loss of one copy,
+// only when two places store it: the holder and its witness, or the holder and
+// the log. A request that must not be repeated starts only on a counted claim,
+// and only once.
 package claim
 
 import (
@@ -16,91 +19,102 @@
 	"guavapier/internal/record"
 )
 
-// Errors of Begin.
+// Errors that Begin returns.
 var (
-	// ErrKeyReused says that the key was used with another body.
-	ErrKeyReused = eris.New("claim: idempotency key used with another body")
-	// ErrNotCounted says that the claim stands in too few places to count, and
-	// that no earlier attempt has run: the request has not run.
-	ErrNotCounted = eris.New("claim: not counted")
-	// ErrUnknown says that an earlier attempt may have run.
-	ErrUnknown = eris.New("claim: outcome unknown")
+	// ErrKeyReused reports that the idempotency key was already used with another
+	// request body.
+	ErrKeyReused = eris.New("claim: idempotency key already used with another request body")
+	// ErrNotCounted reports that fewer than two places store the claim and that no
+	// earlier attempt has run: the request has not run.
+	ErrNotCounted = eris.New("claim: not stored in two places, request has not run")
+	// ErrUnknown reports that an earlier attempt may have run: it is known to have
+	// run, or this cannot be ruled out.
+	ErrUnknown = eris.New("claim: unknown whether an earlier attempt has run")
 )
 
-// Request is what Begin needs to know.
+// Request describes one attempt of a request to Begin.
 type Request struct {
 	Key    record.RequestKey
-	Digest uint64 // Hash of the request's body.
-	// Home is the session's home zone; empty for a request without a session.
-	// It must be the same in all attempts: it chooses the shard.
+	Digest uint64 // Hash of the request body.
+	// Home is the session's home zone, empty for a request without a session. All
+	// attempts must give the same value, because it selects the shard.
 	Home       record.Zone
 	Repeatable bool
-	// First is the caller's promise that it has made no attempt before.
+	// First is the caller's assurance that it has made no earlier attempt.
 	First bool
-	// Minted says that the entry drew the key itself, so that no retry can
-	// name the request again. A repeatable one then needs no claim.
+	// Minted reports that this instance generated the key, so that no retry can
+	// refer to the request. A minted request that is repeatable needs no claim.
 	Minted bool
-	// Lost is the run that this attempt joined before and found at no endpoint.
-	// A repeatable request takes it over where its runner is gone or does not
-	// know it. Empty for none.
+	// Lost is the run that this attempt joined earlier but found at no endpoint. A
+	// repeatable request takes that run over if its runner is unreachable or does
+	// not know it. Empty for none.
 	Lost record.RunID
 }
 
-// Answer is a plain service's whole answer, kept for retries.
+// Answer is the complete response to a service call (not a chat completion),
+// kept for retries.
 type Answer struct {
 	Status      int
 	ContentType string
 	Body        []byte
 }
 
-// Ticket is the answer to Begin: run it, or join the run there is.
+// Ticket is the result of Begin: start the run, or join the existing one.
 type Ticket struct {
 	Run record.RunID
-	// Join is true where another attempt has the run already.
+	// Join is true if another attempt already has the run.
 	Join bool
-	// Outcome is set for a joined run that has ended.
+	// Outcome is set for a joined run that has ended, otherwise 0.
 	Outcome record.Outcome
-	// Answer is the joined run's answer, where the holder still has a copy.
+	// Answer is the joined run's response, nil if the holder has no copy.
 	Answer *Answer
-	// Runner and Endpoint say where a joined run is. Endpoint is empty until
-	// it was placed.
+	// Runner and Endpoint locate the run. Endpoint is empty until the runner has
+	// chosen one.
 	Runner   record.InstanceID
 	Endpoint string
-	// RunnerGone says that the runner does not answer the holder.
+	// RunnerGone reports that the runner does not answer the holder.
 	RunnerGone bool
-	// Uncounted says that the holder was out of reach: the run may have a
-	// twin. Only repeatable requests get such a ticket.
+	// Uncounted reports that no holder keeps the claim, because the holder was
+	// unreachable or had too many open claims: a second run of the request may
+	// exist. Only repeatable requests get such a ticket.
 	Uncounted bool
 }
 
-// End is how a run ended.
+// End describes how a run ended.
 type End struct {
 	Run record.RunID
-	// Outcome answered or unknown is final; not run frees the key.
+	// Outcome is final if it is answered or unknown; not run frees the key.
 	Outcome record.Outcome
-	// Answer is kept for retries up to MaxAnswerBytes; nil for none.
+	// Answer is kept for retries if its body has at most MaxAnswerBytes; nil for
+	// none.
 	Answer *Answer
-	// Endpoint is where the run was placed last; empty where it is not known.
-	// Place may be lost or arrive after the end.
+	// Endpoint is the endpoint that the run was last sent to, empty if unknown. It
+	// is repeated here because the call of Place may be lost or arrive after the
+	// end.
 	Endpoint string
 }
 
-// Claims is what a run needs.
+// Claims is the interface that package run uses to claim requests.
 type Claims interface {
-	// Begin claims a request or joins its run. It ends by its own bound.
+	// Begin claims a request or joins its run. It returns ErrKeyReused,
+	// ErrNotCounted or ErrUnknown, after a bounded time even if ctx has no
+	// deadline.
 	Begin(ctx context.Context, r Request) (Ticket, error)
-	// Place tells where the run is sent, before it is sent. It does not block.
+	// Place records the endpoint that the run is about to be sent to. It does not
+	// block.
 	Place(ctx context.Context, key record.RequestKey, endpoint string)
-	// End tells the run's final outcome. It does not block.
+	// End records the run's outcome. It does not block.
 	End(ctx context.Context, key record.RequestKey, end End)
 }
 
-// joinPollInterval is the time between two looks at a joined run.
+// joinPollInterval is the time between two checks of a joined run, and the
+// longest wait for a new epoch of a shard before its holder is called again.
 const joinPollInterval = 50 * time.Millisecond
 
-// BeginOrJoin begins a request and waits for the end of a run that it joins:
-// the ticket is its caller's own to run, or has an outcome. Where the joined
-// run does not end before ctx, or its runner is gone, the error is ErrUnknown.
+// BeginOrJoin begins a request and, if it joins a run, waits for that run to
+// end: the returned ticket is either the caller's own run or has an outcome. It
+// returns ErrUnknown if the joined run does not end before ctx does, or its
+// runner is unreachable.
 func BeginOrJoin(ctx context.Context, claims Claims, r Request) (Ticket, error) {
 	for {
 		ticket, err := claims.Begin(ctx, r)
@@ -110,7 +124,7 @@
 		if ticket.RunnerGone {
 			return ticket, ErrUnknown
 		}
-		// From here on there is an earlier attempt, whatever the caller said.
+		// An earlier attempt now exists, whatever the caller said.
 		r.First = false
 		select {
 		case <-time.After(joinPollInterval):
--- a/internal/claim/claim_test.go
+++ b/internal/claim/claim_test.go
@@ -15,15 +15,15 @@
 	"guavapier/internal/record"
 )
 
-// checker holds the invariants. Runs are counted at the service, as the
-// service would count them.
+// checker checks the invariants of package claim. It records runs as the called
+// service would see them.
 type checker struct {
 	mu         sync.Mutex
-	runs       map[string][]int // The attempts that executed, by key.
-	attempts   map[string]int   // Attempts that callers made by key.
+	runs       map[string][]int // Attempts that executed the request, by key.
+	attempts   map[string]int   // Number of attempts that callers made, by key.
 	digests    map[record.RunID]uint64
 	violations []string
-	outcomes   map[string]int // How often each outcome came, to see what a test reached.
+	outcomes   map[string]int // Number of runs and of each error, to show what a test has reached.
 }
 
 func newChecker() checker {
@@ -34,12 +34,13 @@
 	c.violations = append(c.violations, fmt.Sprintf(format, args...))
 }
 
-// recordTicket notes a ticket. All tickets of one run are for one body.
+// recordTicket records a ticket. All tickets of one run must be for the same
+// body.
 func (c *checker) recordTicket(key string, digest uint64, t claim.Ticket) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if known, ok := c.digests[t.Run]; ok && known != digest {
-		c.fail("key %s: body %d got the run of body %d", key, digest, known)
+		c.fail("key %s: request body %d got the run of body %d", key, digest, known)
 	}
 	c.digests[t.Run] = digest
 }
@@ -50,18 +51,19 @@
 	c.outcomes["ran"]++
 	c.runs[key] = append(c.runs[key], attempt)
 	if len(c.runs[key]) > 1 {
-		c.fail("key %s ran in attempts %v", key, c.runs[key])
+		c.fail("key %s: ran more than once, in attempts %v", key, c.runs[key])
 	}
 }
 
-// recordError notes an error. "Not run" speaks of this attempt and all before it.
+// recordError records an error of Begin. ErrNotCounted asserts that neither
+// this attempt nor an earlier one has run.
 func (c *checker) recordError(key string, attempt int, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.outcomes[err.Error()]++
 	for _, ran := range c.runs[key] {
 		if errors.Is(err, claim.ErrNotCounted) && ran <= attempt {
-			c.fail("key %s: attempt %d was told that it had not run, after attempt %d ran", key, attempt, ran)
+			c.fail("key %s: attempt %d got ErrNotCounted although attempt %d ran", key, attempt, ran)
 		}
 	}
 }
@@ -85,7 +87,7 @@
 	opKindCount
 )
 
-// op is one step of the adversary.
+// op is one generated step: a call, or a fault that is injected or removed.
 type op struct {
 	Kind   opKind
 	A, B   int
@@ -115,7 +117,8 @@
 	return rapid.SliceOfN(one, 5, 40).Draw(t, "ops")
 }
 
-// runOps runs the steps in a bubble of fake time and returns what was violated.
+// runOps applies the steps in a synctest bubble and returns the violated
+// invariants.
 func runOps(t *testing.T, enabled defects, mode claim.Mode, ops []op) (violations []string, outcomes map[string]int) {
 	synctest.Test(t, func(*testing.T) {
 		sim := newSimFleet(enabled, mode)
@@ -194,8 +197,8 @@
 	}
 }
 
-// startCall is a caller's attempt: it begins, runs and ends a call as package
-// run does. First is only promised where it is true.
+// startCall makes one attempt of a caller: it begins, runs and ends a call as
+// package run does. It sets First only if there was no earlier attempt.
 func (sim *simFleet) startCall(n *simInstance, o op) {
 	key := fmt.Sprint("key-", o.Key)
 	c := &sim.checker
@@ -252,8 +255,9 @@
 	n.client.End(sim.ctx, key, claim.End{Outcome: end})
 }
 
-// cutOffHolder cuts one instance off from the platform alone, has its shard
-// taken over if it holds one, and sends the same call through both sides.
+// cutOffHolder returns steps that cut instance a off from the platform while
+// the others suspect it, so that they take its shard over if it holds one, and
+// then send the same call to another instance and to a.
 func cutOffHolder(a int) []op {
 	b := (a + 1) % fleetSize
 	call := op{Kind: opRequest, Digest: 1, End: record.OutcomeAnswered, Work: time.Millisecond, After: 4 * time.Second}
@@ -276,7 +280,7 @@
 	}
 }
 
-// The checker finds each of these faults with some of a fixed row of seeds.
+// Each defect must be detected with at least one of a fixed series of seeds.
 func TestCheckerSeesBrokenClaims(t *testing.T) {
 	const seeds = 1000
 	for name, enabled := range map[string]defects{
@@ -299,7 +303,7 @@
 					return
 				}
 			}
-			t.Fatal("not seen")
+			t.Fatal("defect not detected with any seed")
 		})
 	}
 }
--- a/internal/claim/fleet.go
+++ b/internal/claim/fleet.go
@@ -14,40 +14,43 @@
 )
 
 const (
-	// maxEndAttempts is how often an end is told to a holder before it goes to the
-	// log directly.
+	// maxEndAttempts is how often a run's end is sent to the holder before it is
+	// appended to the log directly.
 	maxEndAttempts = 3
-	// maxPendingNotifications bounds the ends and places that are being told to holders.
+	// maxPendingNotifications bounds the concurrent background calls to holders;
+	// each reports an end or an endpoint.
 	maxPendingNotifications = 1024
-	// notifyTimeout bounds telling a holder that an attempt was given up.
+	// notifyTimeout bounds one background notification of a holder, with its
+	// retries.
 	notifyTimeout = 5 * time.Second
 )
 
-// Client is Claims over all instances: it asks the holder of each request's
-// shard, here or at a peer. It is safe for concurrent use.
+// Client implements Claims by calling the holder of each request's shard, which
+// is this instance or a peer. It is safe for concurrent use.
 type Client struct {
 	holder      *Holder
 	deps        Dependencies
 	opts        Options
-	notifySlots chan struct{} // One token for each call under local.
+	notifySlots chan struct{} // Semaphore of the background calls.
 	background  sync.WaitGroup
 
 	mu       sync.Mutex // Guards inFlight.
 	inFlight map[record.RequestKey]localRun
 }
 
-// localRun is what this instance knows of a run that it was given.
+// localRun is what this instance knows about a run that it was given.
 type localRun struct {
 	home       record.Zone
 	run        record.RunID
 	repeatable bool
 	uncounted  bool
-	endpoint   string // Where it was placed latest.
+	endpoint   string // Where the run was last sent.
 }
 
 var _ Claims = (*Client)(nil)
 
-// NewClient returns the claims of an instance whose own shards are holder's.
+// NewClient returns the client of an instance whose own shards are in holder.
+// It gives holder access to the runs in progress at this instance.
 func NewClient(holder *Holder) *Client {
 	c := &Client{
 		holder: holder, deps: holder.deps, opts: holder.opts,
@@ -58,7 +61,8 @@
 	return c
 }
 
-// isRunning says whether this instance was given a run and has not ended it.
+// isRunning reports whether this instance was given the run and has not ended
+// it.
 func (c *Client) isRunning(key record.RequestKey, run record.RunID) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -66,7 +70,7 @@
 	return ok && local.run == run
 }
 
-// Close waits until all holders have been told.
+// Close waits for the background notifications of holders to finish.
 func (c *Client) Close() { c.background.Wait() }
 
 // Begin implements Claims.
@@ -85,7 +89,8 @@
 	return ticket, err
 }
 
-// beginWithRetries asks the shard's holder, whoever that is by then, until ctx ends.
+// beginWithRetries calls the shard's current holder, which may change between
+// attempts, until a holder decides or ctx ends.
 func (c *Client) beginWithRetries(ctx context.Context, r Request, attempt string) (Ticket, error) {
 	id := c.holder.shardIDOf(r)
 	partition := c.deps.Partitions[id.Shard]
@@ -113,11 +118,12 @@
 	return c.resultWithoutHolder(r)
 }
 
-// resultWithoutHolder decides what is true where no holder answers. Load: partitions
-// between zones, and shards whose takeover is under way. Harm prevented: "not
-// run" said of a request that an earlier attempt has run, and a second run of
-// one that may not be repeated. Limit: repeatable requests go on, since their
-// bill is idempotent.
+// resultWithoutHolder decides the result of Begin if no holder answers, which
+// happens when zones are partitioned or a shard's takeover is in progress. A
+// repeatable request runs without a claim, because its bill is idempotent. For
+// other requests the result is ErrNotCounted only if the caller assured that
+// there was no earlier attempt. Otherwise an earlier attempt may have run, and
+// ErrUnknown neither denies that run nor allows a second one.
 func (c *Client) resultWithoutHolder(r Request) (Ticket, error) {
 	switch {
 	case r.Repeatable:
@@ -128,6 +134,8 @@
 	return Ticket{}, ErrUnknown
 }
 
+// beginAtHolder makes one call of Begin to the holder of an epoch. The call to a
+// peer fails with peer.ErrUnreachable.
 func (c *Client) beginAtHolder(ctx context.Context, latest fold.Shard, r Request, attempt string) (Ticket, error) {
 	if latest.Holder == c.deps.Self.ID {
 		return c.holder.begin(ctx, r, attempt, c.deps.Self.ID)
@@ -186,7 +194,8 @@
 		if local.repeatable {
 			return
 		}
-		// The holder that gave the run is gone: its claim is in the close.
+		// The holder that assigned the run is presumably lost. The close of its
+		// epoch records the claim, so only the end is appended.
 		ctx, cancel := context.WithTimeout(context.Background(), c.opts.BeginTimeout)
 		defer cancel()
 		_, _ = c.deps.Log.Append(ctx, c.deps.Partitions[id.Shard].Stream(),
@@ -194,16 +203,18 @@
 	})
 }
 
-// abortAttempt tells the holder that an attempt whose ticket was lost is given up:
-// this instance will not run it.
+// abortAttempt tells the holder that this instance will not run an attempt
+// whose ticket it may not have received.
 func (c *Client) abortAttempt(r Request, attempt string) {
 	args := EndArgs{Home: r.Home, Key: r.Key, Attempt: attempt, End: End{Outcome: record.OutcomeNotRun}}
 	c.notifyHolder(c.endReporter(args), c.holder.shardIDOf(r), maxEndAttempts, nil)
 }
 
-// errRunUnknown says that the holder does not know the run.
-var errRunUnknown = errors.New("claim: run not known to the holder")
+// errRunUnknown reports that the holder does not know the run.
+var errRunUnknown = errors.New("claim: run unknown to the holder")
 
+// endReporter returns a function that reports an end to a holder. It fails with
+// errRunUnknown if the holder does not know the run.
 func (c *Client) endReporter(args EndArgs) func(context.Context, record.InstanceID) error {
 	return func(ctx context.Context, to record.InstanceID) error {
 		var reply EndReply
@@ -220,8 +231,9 @@
 	}
 }
 
-// notifyHolder calls do with the shard's holder in the background, some times at most.
-// otherwise is called where all failed, or too much is being told already.
+// notifyHolder calls the shard's holder in the background, at most attempts
+// times. It calls onFailure if all attempts fail or maxPendingNotifications
+// calls are already in progress.
 func (c *Client) notifyHolder(call func(context.Context, record.InstanceID) error, id shardID, attempts int, onFailure func()) {
 	select {
 	case c.notifySlots <- struct{}{}:
@@ -248,7 +260,7 @@
 	})
 }
 
-// awaitChange waits for the fold to change, a moment at most.
+// awaitChange waits until the fold changes, at most joinPollInterval.
 func awaitChange(ctx context.Context, changed <-chan struct{}) {
 	select {
 	case <-changed:
--- a/internal/claim/holder.go
+++ b/internal/claim/holder.go
@@ -16,50 +16,53 @@
 	"guavapier/internal/right"
 )
 
-// The names under which instances serve each other.
+// The net/rpc service names that instances register for each other.
 const (
 	ServiceName        = "claim.Service"
 	WitnessServiceName = "claim.Witness"
 )
 
-// maxAcknowledgeAttempts is how often a batch is sent before it counts as lost.
-// The witness takes copies, and callers wait only Options.Acknowledge, so a
-// short cut between holder and witness does not cost the shard.
+// maxAcknowledgeAttempts is how often a batch is sent to the witness before the
+// acknowledgement counts as lost. The witness ignores duplicates, and callers
+// wait only Options.AcknowledgeTimeout, so a short interruption between holder
+// and witness does not cost the holder the shard.
 const maxAcknowledgeAttempts = 30
 
-// Dependencies are what a Holder and a Fleet are made of.
+// Dependencies are the components that a Holder and its Client use.
 type Dependencies struct {
 	Self    logstore.Instance
 	Log     Appender
 	Caller  peer.Caller
 	Members Members
-	// Partitions are the replicas of the ledger partitions, by number.
+	// Partitions are the replicas of the ledger partitions, indexed by partition
+	// number.
 	Partitions []*Replica
 	Logger     zerolog.Logger
 }
 
-// Holder holds and witnesses claim shards for this instance. It is safe for
-// concurrent use.
+// Holder manages the claim shards that this instance holds or witnesses. It is
+// safe for concurrent use.
 type Holder struct {
 	deps    Dependencies
 	opts    Options
 	batcher *right.Batcher[Use]
 	witness *right.Service[Use]
-	// isRunning says whether a run is under way at this instance; a Fleet sets it.
+	// isRunning reports whether this instance has a run in progress; NewClient
+	// sets it.
 	isRunning func(record.RequestKey, record.RunID) bool
 
-	ctx        context.Context // Ends with Close.
+	ctx        context.Context // Canceled by Close.
 	cancel     context.CancelFunc
 	background sync.WaitGroup
 
 	mu               sync.Mutex // Guards all below.
 	shards           map[shardID]*shard
 	busy             map[shardID]bool
-	unreachableSince map[record.InstanceID]time.Time // Out of reach since.
+	unreachableSince map[record.InstanceID]time.Time // Start of the outage, for each unreachable instance.
 	closed           bool
 }
 
-// NewHolder returns a holder of nothing.
+// NewHolder returns a Holder that holds no shards yet. Run acquires them.
 func NewHolder(deps Dependencies, opts Options) *Holder {
 	ctx, cancel := context.WithCancel(context.Background())
 	opts = opts.withDefaults()
@@ -78,7 +81,7 @@
 // Witness returns the service to register as WitnessServiceName.
 func (h *Holder) Witness() *right.Service[Use] { return h.witness }
 
-// Run looks after the shards until ctx ends.
+// Run checks all shards every Options.TickInterval until ctx ends.
 func (h *Holder) Run(ctx context.Context) {
 	ticker := time.NewTicker(h.opts.TickInterval)
 	defer ticker.Stop()
@@ -92,9 +95,10 @@
 	}
 }
 
-// HandOver closes all held shards with their claims, so that others can take
-// them at once. Call it when no run is left here. It ends with ctx at the
-// latest; then the shards are left to their witnesses.
+// HandOver closes all held shards together with their claims, so that other
+// instances can acquire them at once. Call it when no run is left at this
+// instance. If ctx ends first, the remaining shards are left to their
+// witnesses.
 func (h *Holder) HandOver(ctx context.Context) {
 	h.mu.Lock()
 	h.closed = true
@@ -110,8 +114,8 @@
 	running.Wait()
 }
 
-// Close ends all work. Shards that were not handed over stay to their
-// witnesses.
+// Close stops all background work. Shards that were not handed over are left to
+// their witnesses.
 func (h *Holder) Close() {
 	h.mu.Lock()
 	h.closed = true
@@ -120,8 +124,8 @@
 	h.background.Wait()
 }
 
-// tick looks at each shard that has an epoch, and at those that this instance
-// could begin.
+// tick checks each shard that has an epoch, and those that this instance could
+// acquire.
 func (h *Holder) tick() {
 	live := h.deps.Members.Live()
 	h.updateUnreachable()
@@ -132,6 +136,8 @@
 	}
 }
 
+// shardsToCheck returns the shards of partition n that have an epoch, and those
+// of sessions without a home zone and of this instance's zone.
 func (h *Holder) shardsToCheck(n int, partition *Replica) []shardID {
 	ids := []shardID{{Zone: "", Shard: n}, {Zone: h.deps.Self.Zone, Shard: n}}
 	partition.View(func(f *fold.Ledger) {
@@ -145,8 +151,10 @@
 	return ids
 }
 
-// checkShard acts on one shard, one action at a time. All actions need the log:
-// while it is away an epoch is worth more than a closed one.
+// checkShard starts the action that a shard needs, if any, unless one is
+// already in progress for it. All actions append to the log. While the log is
+// unavailable none starts: an open epoch can still count claims by its witness,
+// a closed one cannot.
 func (h *Holder) checkShard(id shardID, partition *Replica, live []logstore.Instance) {
 	latest, hasEpoch := latestEpoch(partition, id)
 	self := h.deps.Self.ID
@@ -191,7 +199,7 @@
 	}
 }
 
-// dropEnded drops a held shard whose epoch has ended in the fold.
+// dropEnded stops using a held shard whose epoch has ended in the fold.
 func (h *Holder) dropEnded(id shardID, latest fold.Shard) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -201,10 +209,11 @@
 	}
 	held.retire()
 	delete(h.shards, id)
-	h.deps.Logger.Info().Str("zone", string(id.Zone)).Int("shard", id.Shard).Msg("claim: shard given up")
+	h.deps.Logger.Info().Str("zone", string(id.Zone)).Int("shard", id.Shard).Msg("claim: shard released")
 }
 
-// acquire begins the next epoch of a shard, if the fold says so.
+// acquire begins the next epoch of a shard with this instance as holder. The
+// fold rejects it if another instance was first.
 func (h *Holder) acquire(id shardID, partition *Replica, view shardView) {
 	ctx, cancel := context.WithTimeout(h.ctx, h.opts.AppendTimeout)
 	defer cancel()
@@ -216,10 +225,12 @@
 	if err == nil && partition.Wait(ctx, offset) == nil {
 		h.startUsing(id, partition, r)
 	}
-	// Else it may reach the log later; a later tick then finds it.
+	// After an error the record may still reach the log; a later tick then finds
+	// it.
 }
 
-// startUsing starts using an epoch that the fold has given to this instance.
+// startUsing starts using an epoch of which the fold names this instance the
+// holder.
 func (h *Holder) startUsing(id shardID, partition *Replica, r record.Shard) {
 	latest, ok := latestEpoch(partition, id)
 	if !ok || latest.Closed || latest.Right != r.Right || latest.Holder != h.deps.Self.ID {
@@ -235,7 +246,7 @@
 	h.shards[id] = s
 	h.background.Go(s.runLogWriter)
 	h.deps.Logger.Info().Str("zone", string(id.Zone)).Int("shard", id.Shard).Uint64("epoch", latest.Epoch).
-		Str("witness", string(latest.Witness)).Msg("claim: shard held")
+		Str("witness", string(latest.Witness)).Msg("claim: shard acquired")
 }
 
 // closeOwn closes an epoch that this instance holds.
@@ -243,8 +254,8 @@
 	h.appendClose(ctx, s.partition, s.terms.Right, s.close())
 }
 
-// sealAndClose ends an epoch whose holder is gone. After the seal the holder
-// can count nothing by its witness, whenever it wakes up.
+// sealAndClose ends an epoch whose holder is unreachable. After the seal, the
+// holder can count no claim by its witness, whenever it resumes.
 func (h *Holder) sealAndClose(id shardID, partition *Replica, latest fold.Shard) {
 	terms := termsOf(latest)
 	uses, err := h.witness.SealLocal(terms)
@@ -262,8 +273,8 @@
 	}
 }
 
-// appendClose puts the claims that the log lacks on it and closes the epoch.
-// The claims go first, in batches: one batch has a largest size.
+// appendClose appends the claims that the log lacks and closes the epoch.
+// Claims that exceed the size of one batch are appended before the close.
 func (h *Holder) appendClose(ctx context.Context, partition *Replica, id record.RightID, uses []Use) bool {
 	claims, ends := missingFromLog(partition, uses)
 	for len(claims) > maxAppendEntries {
@@ -277,12 +288,13 @@
 	return err == nil && partition.Wait(ctx, offset) == nil
 }
 
-// missingFromLog returns the claims that the fold lacks, and all outcomes.
+// missingFromLog returns the claims that the fold lacks, and the ends of all
+// uses that have an outcome.
 func missingFromLog(partition *Replica, uses []Use) (claims []record.Claim, ends []record.Record) {
 	partition.View(func(f *fold.Ledger) {
 		for _, u := range uses {
 			if u.Claim.Run == "" {
-				continue // A probe.
+				continue // A probe of witnessConfirms.
 			}
 			if c, ok := f.Claim(u.Claim.Key); !ok || c.Run != u.Claim.Run {
 				claims = append(claims, u.Claim)
@@ -295,6 +307,7 @@
 	return claims, ends
 }
 
+// asRecords converts claims for an append.
 func asRecords(claims []record.Claim) []record.Record {
 	out := make([]record.Record, 0, len(claims))
 	for _, c := range claims {
@@ -303,7 +316,8 @@
 	return out
 }
 
-// updateUnreachable keeps since when each instance has been out of reach.
+// updateUnreachable records since when each holder and witness of a shard has
+// been unreachable.
 func (h *Holder) updateUnreachable() {
 	now := h.opts.Now()
 	watched := map[record.InstanceID]struct{}{}
@@ -331,13 +345,14 @@
 	}
 }
 
-// isGone is called with the lock held.
+// isGone reports whether another instance has been unreachable for
+// Options.UnreachableGracePeriod. The caller holds h.mu.
 func (h *Holder) isGone(id record.InstanceID) bool {
 	since, isUnreachable := h.unreachableSince[id]
 	return isUnreachable && id != h.deps.Self.ID && h.opts.Now().Sub(since) >= h.opts.UnreachableGracePeriod
 }
 
-// shard returns a shard that this instance holds.
+// shard returns a shard that this instance holds, errNotHolder if it does not.
 func (h *Holder) shard(id shardID) (*shard, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -348,7 +363,7 @@
 	return s, nil
 }
 
-// begin answers an attempt's Begin for a shard held here.
+// begin handles an attempt's Begin for a shard that this instance holds.
 func (h *Holder) begin(ctx context.Context, r Request, attempt string, runner record.InstanceID) (Ticket, error) {
 	s, err := h.shard(h.shardIDOf(r))
 	if err != nil {
@@ -366,15 +381,19 @@
 	return ticket, err
 }
 
+// shardIDOf returns the shard of a request, by its home zone and key.
 func (h *Holder) shardIDOf(r Request) shardID {
 	return shardID{Zone: r.Home, Shard: record.ClaimPartition(r.Key, len(h.deps.Partitions))}
 }
 
+// latestEpoch returns the latest epoch of a shard in the fold, open or closed; ok
+// is false if it never had one.
 func latestEpoch(partition *Replica, id shardID) (s fold.Shard, ok bool) {
 	partition.View(func(f *fold.Ledger) { s, ok = f.ClaimShard(id.Zone, id.Shard) })
 	return s, ok
 }
 
+// termsOf returns the terms of the right that an epoch is for its holder.
 func termsOf(s fold.Shard) right.Terms {
 	return right.Terms{Right: s.Right, Holder: s.Holder, Witness: s.Witness, Offset: s.Offset}
 }
--- a/internal/claim/operate.go
+++ b/internal/claim/operate.go
@@ -9,21 +9,22 @@
 	"guavapier/internal/record"
 )
 
-// ErrNoShard says that no open claim shard has the right.
-var ErrNoShard = eris.New("claim: no open shard of this right")
+// ErrNoShard reports that no open claim shard has the given right.
+var ErrNoShard = eris.New("claim: no open shard has this right")
 
 // ShardState is one claim shard in a state dump.
 type ShardState struct {
 	fold.Shard
-	// HeldHere says that this instance uses the epoch.
+	// HeldHere reports that this instance is using the epoch as its holder.
 	HeldHere bool `json:"held_here"`
-	// Rows and Open are the claims in this instance's memory: all, and those
-	// that have not ended or are not on the log.
+	// Rows is the number of claims in this instance's memory; Open is the number
+	// of those that have not ended or are not on the log yet.
 	Rows int `json:"rows"`
 	Open int `json:"open"`
 }
 
-// State returns all claim shards that the fold knows, for a state dump.
+// State returns the latest epoch of every claim shard in the fold, for a state
+// dump.
 func (h *Holder) State() []ShardState {
 	out := []ShardState{}
 	for _, partition := range h.deps.Partitions {
@@ -45,11 +46,14 @@
 	return out
 }
 
-// ForceClose closes a shard whose holder and witness are both gone for good.
-// The risk: claims that only these two had are forgotten, so a call that ran
-// under one of them can run again if its caller retries; and if one of the two
-// is alive behind a partition, it goes on counting. Teams whose calls count by
-// the log alone (Refuse) lose nothing.
+// ForceClose closes the epoch of the right id, whose holder and witness are
+// both permanently lost, without their claims. The risk: a claim that only
+// these two stored is forgotten, so its call can run again if the caller
+// retries; and if one of the two is still alive behind a network partition, it
+// goes on counting claims. Teams whose calls count by the log alone
+// (ModeRefuse) lose nothing. It returns ErrNoShard if no open shard has the
+// right, and any other error if the close is not confirmed; it may still take
+// effect then.
 func (h *Holder) ForceClose(ctx context.Context, id record.RightID) (fold.Shard, error) {
 	for _, partition := range h.deps.Partitions {
 		var s fold.Shard
--- a/internal/claim/options.go
+++ b/internal/claim/options.go
@@ -13,78 +13,85 @@
 	Append(ctx context.Context, stream record.Stream, records ...record.Record) (uint64, error)
 }
 
-// Members is what claims need of package membership: hints, never facts.
+// Members is the part of package membership that claims use. Its answers may be
+// wrong or outdated; no decision about a run's safety depends on them.
 type Members interface {
-	// Live returns the instances that answer and do not leave.
+	// Live returns the instances that answer and are not leaving.
 	Live() []logstore.Instance
-	// Reachable says whether a listed instance answers.
+	// Reachable reports whether a listed instance answers.
 	Reachable(id record.InstanceID) bool
-	// ZoneListed says whether the instance list has an instance of a zone that
-	// is not leaving, reachable or not.
+	// ZoneListed reports whether the instance list has an instance of the zone
+	// that is not leaving, reachable or not.
 	ZoneListed(zone record.Zone) bool
-	// PlatformUp says whether the platform answered lately.
+	// PlatformUp reports whether the platform answered recently.
 	PlatformUp() bool
 }
 
-// Mode says how a team's calls that may not be repeated are counted.
+// Mode selects the two places that must store a claim of a team's
+// non-repeatable calls before it counts.
 type Mode int
 
 const (
-	// ModeServe counts a claim by holder and witness, so that such calls go on
-	// while the log is away. If holder and witness die at once, the shard's
-	// such calls are refused until an operator says that both are dead.
+	// ModeServe counts a claim by holder and witness, so that such calls continue
+	// while the log is unavailable. If holder and witness fail together, such
+	// calls of the shard are refused until an operator confirms that both are
+	// lost.
 	ModeServe Mode = iota
-	// ModeRefuse counts a claim by holder and log only: refused while the log is
-	// away, and safe under an operator's forced close.
+	// ModeRefuse counts a claim by holder and log only. Such calls are refused
+	// while the log is unavailable, but an operator's forced close loses no claim.
 	ModeRefuse
 )
 
-// The values of the setting at WhenLogAwayPath.
+// Values of the setting at WhenLogUnavailablePath.
 const (
 	ModeServeValue  = "serve"
 	ModeRefuseValue = "refuse"
 )
 
-// WhenLogUnavailablePath returns the path of a team's Mode.
+// WhenLogUnavailablePath returns the settings path of a team's Mode.
 func WhenLogUnavailablePath(team record.Team) string {
 	return "/teams/" + string(team) + "/calls/when_log_away"
 }
 
-// Modes reads the teams' modes.
+// Modes looks up the Mode of a team.
 type Modes interface {
 	WhenLogUnavailable(team record.Team) Mode
 }
 
-// Options bound a Holder and a Fleet. A zero field takes its default.
+// Options configure a Holder and its Client. A zero field takes its default.
 type Options struct {
 	Modes Modes
-	// Now is the clock of the claims' times; it decides only when a claim may
-	// be forgotten.
+	// Now is the clock that dates claims, detects expired keys and measures how
+	// long an instance has been unreachable. The date of a claim decides only when
+	// the claim may be forgotten. The default is time.Now.
 	Now func() time.Time
-	// AcknowledgeTimeout bounds the wait for a witness.
+	// AcknowledgeTimeout bounds the wait for the witness's acknowledgement.
 	AcknowledgeTimeout time.Duration
-	// AppendTimeout bounds the wait for a claim to be on the log.
+	// AppendTimeout bounds the wait for a record to be appended and applied.
 	AppendTimeout time.Duration
-	// LogFlushInterval is the pause between two lazy appends of one shard. Load: calls all
-	// the time at every shard. Harm prevented: the platform's appends, several
-	// hundred a second for everybody, used up by a few instances; at 500 ms one
-	// instance with all 8 shards makes 16 a second. Limit: the witness has the
-	// claims meanwhile, and maxOpenClaims bounds those that wait.
+	// LogFlushInterval is the pause between two appends of one shard's queued
+	// records. The platform allows several hundred appends a second for all
+	// instances; without the pause, a few instances with calls at every shard
+	// would use them up. At 500 ms an instance that holds all 8 shards makes 16
+	// appends a second. The witness stores the claims in the meantime, and
+	// maxOpenClaims bounds the queue.
 	LogFlushInterval time.Duration
-	// TickInterval is the time between two looks at the shards.
+	// TickInterval is the time between two checks of the shards, and between
+	// attempts to notify a holder.
 	TickInterval time.Duration
-	// UnreachableGracePeriod is how long a holder or witness must be out of reach before its
-	// shard is sealed or closed. It decides only when to try: a wrong seal
-	// costs two appends and a moment without holder, a late one keeps callers
-	// waiting.
+	// UnreachableGracePeriod is how long a holder or witness must be unreachable
+	// before its epoch is sealed or closed. Safety does not depend on it: an
+	// unnecessary seal costs two appends and a short time without a holder, a late
+	// one keeps callers waiting.
 	UnreachableGracePeriod time.Duration
-	// BeginTimeout bounds Begin.
+	// BeginTimeout bounds one Begin, and the append of an end that no holder took.
 	BeginTimeout time.Duration
-	// HolderCallTimeout bounds one call to a holder.
+	// HolderCallTimeout bounds one call to a holder at another instance.
 	HolderCallTimeout time.Duration
 }
 
-// maxAppendEntries bounds the lazy entries of one append; each has two records at most.
+// maxAppendEntries bounds the queued entries of one append, each of which has
+// at most two records, and the claims of one close.
 const maxAppendEntries = 400
 
 func (o Options) withDefaults() Options {
@@ -109,6 +116,7 @@
 	return o
 }
 
+// fixedMode gives all teams the same Mode.
 type fixedMode Mode
 
 // WhenLogUnavailable implements Modes.
--- a/internal/claim/plan.go
+++ b/internal/claim/plan.go
@@ -22,28 +22,29 @@
 	actSeal           // Seal and close the epoch that this instance witnesses.
 )
 
-// shardView is what one instance sees of one shard.
+// shardView is one instance's view of one shard; see nextAction.
 type shardView struct {
 	self     record.InstanceID
 	hasEpoch bool
 	latest   fold.Shard
-	// witnessLost says that this instance holds the epoch but may not use its
-	// witness's acknowledgement any more.
+	// witnessLost reports that this instance holds the epoch but can no longer
+	// rely on its witness's acknowledgements.
 	witnessLost bool
-	// isGone says that an instance has been out of reach for Options.Gone.
+	// isGone reports whether an instance has been unreachable for
+	// Options.UnreachableGracePeriod.
 	isGone func(record.InstanceID) bool
 	// holders and witnesses are the live candidates in order of preference.
 	holders, witnesses []record.InstanceID
 }
 
-// nextAction decides what to do about a shard. Load: instances that die, freeze, are
-// cut off and come back, many shards each. Harm prevented: a shard without a
-// holder, and a dead holder's shard that nobody takes over. Nothing here is
-// needed for safety: the fold voids what is out of turn, and a seal ends every
-// use before a close. Limits: only the preferred instance takes, so that takers
-// do not race; only the witness seals and only the holder closes, since nobody
-// else knows all uses; an epoch that works is left alone, since each change
-// costs two appends and a moment without holder.
+// nextAction decides what to do about a shard whose instances may crash,
+// freeze, be partitioned and recover, so that no shard stays without a working
+// holder. Safety does not depend on it: the fold ignores records that are out
+// of turn, and a seal ends every use of an epoch before its close. Only the
+// preferred instance acquires a shard, so that instances do not race for it.
+// Only the witness seals and only the holder closes, because no other instance
+// knows all claims of the epoch. An epoch that works is left alone, because
+// each change costs two appends and a short time without a holder.
 func nextAction(view shardView) action {
 	preferred := len(view.holders) > 0 && view.holders[0] == view.self
 	if !view.hasEpoch || view.latest.Closed {
@@ -62,14 +63,16 @@
 	return actNone
 }
 
-func actionIf(yes bool, a action) action {
-	if yes {
+// actionIf returns a if cond is true, else actNone.
+func actionIf(cond bool, a action) action {
+	if cond {
 		return a
 	}
 	return actNone
 }
 
-// bestWitness returns the best live candidate but this instance, or "".
+// bestWitness returns the preferred live witness other than this instance, or
+// "".
 func (view shardView) bestWitness() record.InstanceID {
 	for _, id := range view.witnesses {
 		if id != view.self {
@@ -79,10 +82,11 @@
 	return ""
 }
 
-// rankCandidates orders the candidates of a shard by rendezvous hash, those of its home
-// zone first; a shard without a home zone takes all alike. While the home zone
-// has a listed instance only its own hold the shard: the zone may be cut off
-// from here, and its callers are there. Any may be the witness.
+// rankCandidates returns the candidates for a shard in the order of a
+// rendezvous hash, with those of the shard's home zone first; a shard without a
+// home zone treats all alike. While the home zone has a listed instance, only
+// its instances may hold the shard: if the zone is cut off from here, its
+// callers still reach them. Any instance may be the witness.
 func rankCandidates(id shardID, live []logstore.Instance, isZoneListed func(record.Zone) bool) (holders, witnesses []record.InstanceID) {
 	type scored struct {
 		id    record.InstanceID
@@ -109,6 +113,7 @@
 	return holders, witnesses
 }
 
+// compareHome sorts instances of the home zone before others.
 func compareHome(home bool) int {
 	if home {
 		return -1
@@ -116,6 +121,8 @@
 	return 1
 }
 
+// rendezvousScore returns the weight of an instance for a shard; the highest one
+// is preferred.
 func rendezvousScore(id shardID, instance record.InstanceID) uint64 {
 	return xxhash.Sum64String(string(id.Zone) + "/" + strconv.Itoa(id.Shard) + "/" + string(instance))
 }
--- a/internal/claim/service.go
+++ b/internal/claim/service.go
@@ -10,10 +10,10 @@
 	"guavapier/internal/right"
 )
 
-// Status is a Begin's result on the wire.
+// Status is the result of Service.Begin as sent between instances.
 type Status uint8
 
-// The statusErrors.
+// StatusOK and one status for each error that Begin can return.
 const (
 	StatusOK Status = iota
 	StatusKeyReused
@@ -51,23 +51,23 @@
 	return StatusUnknown
 }
 
-// BeginArgs ask a shard's holder. Attempt names one attempt of the request, so
-// that a second copy of the call gets the same ticket.
+// BeginArgs is the request of Service.Begin. Attempt identifies one attempt of
+// the request, so that a duplicate of the call gets the same ticket.
 type BeginArgs struct {
 	Request Request
 	Attempt string
 	Runner  record.InstanceID
-	// Timeout bounds the holder's work on it.
+	// Timeout bounds the time that the holder spends on the call.
 	Timeout time.Duration
 }
 
-// BeginReply is the holder's answer.
+// BeginReply is the response of Service.Begin.
 type BeginReply struct {
 	Status Status
 	Ticket Ticket
 }
 
-// PlaceArgs tell the holder a run's endpoint.
+// PlaceArgs is the request of Service.Place: the endpoint of a run.
 type PlaceArgs struct {
 	Home     record.Zone
 	Key      record.RequestKey
@@ -75,8 +75,9 @@
 	Endpoint string
 }
 
-// EndArgs tell the holder a run's outcome. Attempt is for an attempt that
-// does not know its run, since the answer to Begin was lost.
+// EndArgs is the request of Service.End: the outcome of a run. Attempt
+// identifies the run if the runner does not know its ID because the reply of
+// Begin was lost.
 type EndArgs struct {
 	Home    record.Zone
 	Key     record.RequestKey
@@ -84,28 +85,29 @@
 	End     End
 }
 
-// EndReply says whether the holder knows the run.
+// EndReply reports whether the holder knows the run.
 type EndReply struct{ Known bool }
 
-// RunningArgs ask a runner whether it knows a run.
+// RunningArgs asks a runner whether it knows a run.
 type RunningArgs struct {
 	Key record.RequestKey
 	Run record.RunID
 }
 
-// RunningReply says whether the run is under way there.
+// RunningReply reports whether the run is in progress at the runner.
 type RunningReply struct{ Running bool }
 
-// Empty is no answer.
+// Empty is the reply of a method without results.
 type Empty struct{}
 
-// Service is the holder's side over net/rpc, registered as ServiceName.
+// Service serves a Holder's shards over net/rpc, registered as ServiceName.
 type Service struct{ holder *Holder }
 
-// NewService returns the service of a holder.
+// NewService returns the net/rpc service of a holder.
 func NewService(h *Holder) *Service { return &Service{holder: h} }
 
-// Begin is the net/rpc method.
+// Begin claims a request or joins its run. The result is in reply.Status; the
+// error is always nil.
 func (s *Service) Begin(args BeginArgs, reply *BeginReply) error {
 	ctx, cancel := context.WithTimeout(s.holder.ctx, min(max(args.Timeout, 0), s.holder.opts.BeginTimeout))
 	defer cancel()
@@ -114,7 +116,8 @@
 	return nil
 }
 
-// Place is the net/rpc method.
+// Place records the endpoint of a run. It does nothing if this instance does
+// not hold the shard, and the error is always nil.
 func (s *Service) Place(args PlaceArgs, _ *Empty) error {
 	held, err := s.holder.shard(s.holder.shardIDOf(Request{Key: args.Key, Home: args.Home}))
 	if err == nil {
@@ -123,7 +126,7 @@
 	return nil
 }
 
-// End is the net/rpc method.
+// End records the outcome of a run. The error is always nil.
 func (s *Service) End(args EndArgs, reply *EndReply) error {
 	held, err := s.holder.shard(s.holder.shardIDOf(Request{Key: args.Key, Home: args.Home}))
 	if err == nil {
@@ -132,17 +135,19 @@
 	return nil
 }
 
-// Running is the net/rpc method.
+// Running reports whether this instance has the run in progress. The error is
+// always nil.
 func (s *Service) Running(args RunningArgs, reply *RunningReply) error {
 	reply.Running = s.holder.isRunning(args.Key, args.Run)
 	return nil
 }
 
-// validator looks claim shards up in the fold, for right.Service.
+// validator checks the terms of a right against the fold, for right.Service.
 type validator struct{ partitions []*Replica }
 
-// validatePollInterval is the time between two looks for a right. It is rare: once
-// for each epoch, and only while this instance's fold is behind.
+// validatePollInterval is the time between two lookups of a right. Polling is
+// rare: once for each epoch, and only while this instance's fold lags behind
+// the log.
 const validatePollInterval = 5 * time.Millisecond
 
 // Validate implements right.Validator.
@@ -159,8 +164,9 @@
 	}
 }
 
-// findRight looks in all partitions, since terms don't name theirs. past says that
-// each fold is past the right's offset, so that it will never show up.
+// findRight searches all partitions, because terms do not name theirs. allPast
+// reports that every fold has passed the right's offset, so that an unknown
+// right will never appear.
 func (v validator) findRight(t right.Terms) (s fold.Shard, ok, allPast bool) {
 	allPast = true
 	for _, partition := range v.partitions {
--- a/internal/claim/shard.go
+++ b/internal/claim/shard.go
@@ -14,26 +14,29 @@
 	"guavapier/internal/right"
 )
 
-// errNotHolder says that this instance does not hold the shard, or no more.
-// Another instance may have counted a claim of the key.
-var errNotHolder = eris.New("claim: shard not held here")
+// errNotHolder reports that this instance does not hold the shard, or no longer
+// does. Another instance may have counted a claim for the key.
+var errNotHolder = eris.New("claim: shard not held by this instance")
 
-// Use is the body of a use of a claim shard: what the witness keeps.
+// Use is what the witness stores about one use of a claim shard: a claim and,
+// once the run has ended, its outcome.
 type Use struct {
 	Claim   record.Claim
 	Outcome record.Outcome
 }
 
-// shardID names a claim shard.
+// shardID identifies a claim shard. Zone is empty for requests without a
+// session.
 type shardID struct {
 	Zone  record.Zone
 	Shard int
 }
 
-// Replica is the fold of the ledger partition that a shard's claims stand in.
+// Replica is the replicated fold of the ledger partition that stores a shard's
+// claims.
 type Replica = replica.Replica[*fold.Ledger]
 
-// shard is one epoch of a claim shard, held by this instance. It is safe for
+// shard is one epoch of a claim shard that this instance holds. It is safe for
 // concurrent use.
 type shard struct {
 	terms     right.Terms
@@ -42,17 +45,18 @@
 	log       Appender
 	opts      Options
 
-	ctx     context.Context // Ends with the instance.
+	ctx     context.Context // Canceled by Holder.Close.
 	wake    chan struct{}
-	retired chan struct{} // Closed when the epoch has ended in the fold.
+	retired chan struct{} // Closed once the epoch has ended in the fold.
 
 	mu    sync.Mutex // Guards all below.
 	table *claimTable
-	// queue has the records that go to the log lazily, and what follows once
-	// they are there.
+	// queue contains the records to append to the log in the background.
 	queue []queuedRecords
 }
 
+// queuedRecords is one entry of a shard's queue. onLogged, if not nil, is called
+// once its records are appended and applied.
 type queuedRecords struct {
 	records  []record.Record
 	onLogged func()
@@ -65,15 +69,16 @@
 	}
 }
 
-// retire ends this instance's use of an epoch that the fold has ended. What is
-// queued for the log still goes there.
+// retire stops using an epoch that has ended in the fold. Queued records are
+// still appended to the log.
 func (s *shard) retire() {
 	s.heldRight.Close()
 	close(s.retired)
 }
 
-// begin answers one attempt's Begin. When several attempts of a request come
-// at once, one is counted and the others wait for it.
+// begin handles one attempt's Begin. If several attempts of a request arrive
+// together, the first one's claim is counted and the others wait for the
+// result.
 func (s *shard) begin(ctx context.Context, r Request, attempt string, runner record.InstanceID) (Ticket, error) {
 	for {
 		entry, ticket, v := s.findOrAdd(r, attempt, runner)
@@ -95,8 +100,8 @@
 	}
 }
 
-// findOrAdd looks a request up in memory and fold, and enters a new row where there
-// is none.
+// findOrAdd looks up the request's claim in memory and in the fold, and adds a
+// new entry if there is none.
 func (s *shard) findOrAdd(r Request, attempt string, runner record.InstanceID) (*claimEntry, Ticket, decision) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -123,7 +128,7 @@
 	return entry, Ticket{}, v
 }
 
-// foldClaim returns the fold's claim of a key.
+// foldClaim returns the fold's claim of a key, nil for none.
 func (s *shard) foldClaim(key record.RequestKey) *fold.Claim {
 	var c fold.Claim
 	var ok bool
@@ -134,7 +139,8 @@
 	return &c
 }
 
-// admit counts a new row.
+// admit counts the claim of a new entry and returns its ticket, or removes the
+// entry if the claim does not count.
 func (s *shard) admit(ctx context.Context, r Request, entry *claimEntry) (Ticket, error) {
 	err := s.count(ctx, r, entry)
 	s.mu.Lock()
@@ -152,8 +158,8 @@
 	return entry.ticket(false), nil
 }
 
-// count makes a claim stand in two places. A repeatable request does not wait
-// for the second: its bill is idempotent, so a twin does no harm.
+// count stores a claim in a second place. A repeatable request does not wait
+// for that: its bill is idempotent, so a duplicate run does no harm.
 func (s *shard) count(ctx context.Context, r Request, entry *claimEntry) error {
 	if r.Repeatable {
 		s.heldRight.Change(newUse(entry.claim, 0))
@@ -177,6 +183,7 @@
 	return s.notCountedError(ctx, r)
 }
 
+// countByWitness waits for the witness to acknowledge a claim.
 func (s *shard) countByWitness(ctx context.Context, entry *claimEntry) error {
 	if s.terms.Witness == "" {
 		return errNotHolder
@@ -186,8 +193,9 @@
 	return s.heldRight.Use(ctx, newUse(entry.claim, 0))
 }
 
-// countByLog appends a claim and looks whether the fold has it. A claim that
-// may still reach the log after the wait is followed by its end, not run.
+// countByLog appends a claim and checks whether the fold accepted it. If the
+// append is not confirmed in time, the claim may still reach the log, so an end
+// with the outcome not run is queued to follow it.
 func (s *shard) countByLog(ctx context.Context, entry *claimEntry) error {
 	ctx, cancel := context.WithTimeout(ctx, s.opts.AppendTimeout)
 	defer cancel()
@@ -206,12 +214,13 @@
 	return err
 }
 
-// notCountedError decides what is true of a request whose claim could not be
-// counted. Load: log and witness out of reach. Harm prevented: "not run" said
-// by a holder whose shard was sealed and taken over behind a partition, while
-// an earlier attempt ran there. Limit: it is said only by the caller's promise
-// that there was no earlier attempt, or once the witness has shown just now
-// that it has not sealed the shard.
+// notCountedError returns the error for a request whose claim could not be
+// counted because log and witness are unreachable. This instance's shard may
+// have been sealed and taken over behind a network partition, and an earlier
+// attempt may have run there. So the error is ErrNotCounted, which asserts that
+// the request has not run, only if the caller assured that there was no earlier
+// attempt or the witness confirms at this moment that it has not sealed the
+// shard.
 func (s *shard) notCountedError(ctx context.Context, r Request) error {
 	if r.First || s.witnessConfirms(ctx) {
 		return ErrNotCounted
@@ -219,7 +228,8 @@
 	return ErrUnknown
 }
 
-// witnessConfirms says whether the witness acknowledges a use now.
+// witnessConfirms reports whether the witness currently acknowledges a use, so
+// has not sealed the shard. It sends a use without a claim as a probe.
 func (s *shard) witnessConfirms(ctx context.Context) bool {
 	if s.terms.Witness == "" {
 		return false
@@ -234,7 +244,7 @@
 	return true
 }
 
-// place notes a run's endpoint.
+// place records a run's endpoint, here and at the witness.
 func (s *shard) place(key record.RequestKey, run record.RunID, endpoint string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -247,8 +257,8 @@
 	s.heldRight.Flush()
 }
 
-// end notes a run's outcome and sends it to the log. It returns false where
-// the run is not known here.
+// end records a run's outcome and queues it for the log. It returns false if
+// the run is unknown here.
 func (s *shard) end(key record.RequestKey, attempt string, e End) bool {
 	s.mu.Lock()
 	entry := s.table.end(key, attempt, e)
@@ -266,9 +276,9 @@
 	return true
 }
 
-// endRepeatable lets go of a repeatable run. The log knows it only where it was
-// claimed in an earlier epoch; then it must learn the end too, or later epochs
-// would take the run for lost.
+// endRepeatable releases the entry of a repeatable run. Only a run that was
+// claimed in an earlier epoch is on the log; its end is queued for the log,
+// because later epochs would otherwise treat the run as lost.
 func (s *shard) endRepeatable(entry *claimEntry, e End) {
 	c := s.foldClaim(entry.claim.Key)
 	if c == nil || c.Run != entry.claim.Run {
@@ -279,7 +289,8 @@
 	s.enqueue([]record.Record{end}, func() { s.release(entry) })
 }
 
-// endLogged notes the outcome of a run that was claimed in an earlier epoch.
+// endLogged queues the outcome of a run that was claimed in an earlier epoch.
+// It returns false if the fold has no claim of this run.
 func (s *shard) endLogged(key record.RequestKey, e End) bool {
 	c := s.foldClaim(key)
 	if c == nil || c.Run != e.Run {
@@ -289,7 +300,8 @@
 	return true
 }
 
-// release lets go of a row that needs no place in a close any more.
+// release drops an entry's use at the witness, as a close need not account for
+// it any more, and lets the table evict the entry.
 func (s *shard) release(entry *claimEntry) {
 	s.heldRight.Drop(right.UseID(entry.claim.Run))
 	s.mu.Lock()
@@ -297,7 +309,8 @@
 	s.table.markLogged(entry)
 }
 
-// enqueue queues records for the log.
+// enqueue queues records for the log. onLogged, if not nil, is called once they
+// are appended and applied.
 func (s *shard) enqueue(records []record.Record, onLogged func()) {
 	s.mu.Lock()
 	s.queue = append(s.queue, queuedRecords{records: records, onLogged: onLogged})
@@ -308,8 +321,8 @@
 	}
 }
 
-// runLogWriter appends what is queued, many records at once, until the instance
-// or the epoch ends. The witness has the claims meanwhile.
+// runLogWriter appends the queued records in groups until the instance stops or
+// the epoch ends. The witness stores the claims until then.
 func (s *shard) runLogWriter() {
 	for {
 		final := false
@@ -331,15 +344,17 @@
 	}
 }
 
-// hasFullGroup says whether a whole group is queued: more calls than Linger is
-// made for. Then the appends follow each other at once, before maxOpenClaims refuses.
+// hasFullGroup reports whether a whole group is queued, which means more calls
+// than the flush interval allows for. The next append then follows without a
+// pause, so that the number of open claims does not reach maxOpenClaims.
 func (s *shard) hasFullGroup() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.queue) >= maxAppendEntries
 }
 
-// appendQueued appends one group; it returns false when none was queued.
+// appendQueued appends one group of queued entries and waits until the fold has
+// applied it. It returns false if nothing was queued or the append failed.
 func (s *shard) appendQueued() bool {
 	s.mu.Lock()
 	n := min(len(s.queue), maxAppendEntries)
@@ -366,8 +381,8 @@
 	return err == nil
 }
 
-// close ends this instance's use of the shard and returns what must be on the
-// log before, and with, the close.
+// close stops using the shard and returns the uses whose records must be on the
+// log before the close, or in the same batch.
 func (s *shard) close() []Use {
 	s.heldRight.Close()
 	s.mu.Lock()
@@ -379,10 +394,13 @@
 	return out
 }
 
+// newUse returns the use of the shard that the witness stores for a claim; the
+// run ID identifies it.
 func newUse(c record.Claim, outcome record.Outcome) right.Use[Use] {
 	return right.Use[Use]{ID: right.UseID(c.Run), Body: Use{Claim: c, Outcome: outcome}}
 }
 
+// sleep waits for d or until ctx ends.
 func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-time.After(d):
--- a/internal/claim/table.go
+++ b/internal/claim/table.go
@@ -10,17 +10,19 @@
 )
 
 const (
-	// MaxAnswerBytes is the largest answer that is kept for retries.
+	// MaxAnswerBytes is the size of the largest response body that is kept for
+	// retries.
 	MaxAnswerBytes = 64 << 10
-	// maxTotalAnswerBytes bounds all answers kept by one shard.
+	// maxTotalAnswerBytes bounds the response bodies kept by one shard.
 	maxTotalAnswerBytes = 4 << 20
 	// maxEndedClaims bounds the ended claims that one shard keeps in memory.
 	maxEndedClaims = 4096
-	// maxOpenClaims bounds the claims of one shard that have not ended or are not on
-	// the log. Above it no new one counts: a log outage must not take all
-	// memory.
+	// maxOpenClaims bounds the claims of one shard that have not ended or are not
+	// on the log. Further claims do not count, so that a log outage cannot exhaust
+	// the memory.
 	maxOpenClaims = 1 << 16
-	// maxClockSkew is how far the clocks of instances and callers may be apart.
+	// maxClockSkew is the largest assumed difference between the clocks of
+	// instances and callers.
 	maxClockSkew = time.Hour
 )
 
@@ -30,44 +32,46 @@
 	repeatable   bool
 	attempt      string
 	counted      bool
-	countingDone chan struct{} // Closed when counting has ended.
+	countingDone chan struct{} // Closed once counting has succeeded or failed.
 	outcome      record.Outcome
 	answer       *Answer
-	logged       bool // The fold has it, with its outcome if there is one.
+	logged       bool // The fold has the claim and its outcome, or need not have them.
 }
 
-// claimTable is the holder's memory of one shard epoch. It is not safe for
-// concurrent use. A claim that the fold has needs no row here.
+// claimTable contains the claims that the holder of one shard epoch keeps in
+// memory. Claims that the fold has need no entry. It is not safe for concurrent
+// use.
 type claimTable struct {
 	entries     map[record.RequestKey]*claimEntry
 	ended       []*claimEntry // Ended and logged, oldest first.
 	answerBytes int
-	// freed has the runs that did not run although the fold, which lags, may
-	// still show their claim.
+	// freed contains the runs that ended as not run, whose claim the lagging fold
+	// may still show.
 	freed   map[record.RunID]struct{}
-	lastSeq uint64 // Of the last claim made here.
+	lastSeq uint64 // Sequence number of the last claim made in this epoch.
 }
 
 func newClaimTable() *claimTable {
 	return &claimTable{entries: map[record.RequestKey]*claimEntry{}, freed: map[record.RunID]struct{}{}}
 }
 
-// decision is what Begin meets at the holder.
+// decision is how the holder answers a Begin.
 type decision int
 
 const (
-	decisionStart      decision = iota // No claim: make one.
-	decisionWait                       // Another attempt is being counted.
-	decisionOwnRun                     // This very attempt has the run.
+	decisionStart      decision = iota // There is no claim: make one.
+	decisionWait                       // Another attempt's claim is being counted: wait.
+	decisionOwnRun                     // This attempt already has the run.
 	decisionJoin                       // Another attempt has the run.
 	decisionKeyReused                  // The key was used with another body.
-	decisionKeyExpired                 // The key is older than the claim window.
+	decisionKeyExpired                 // The key may be older than the claim window.
 )
 
-// decide decides what a request meets. Load: callers that retry at any instance,
-// at any time. Harm prevented: a second run of a request that may not be
-// repeated. Limit: the claim window, after which the tables have forgotten; a
-// key that carries its time is never run once it may be that old.
+// decide returns the decision about an attempt, so that a request that must not
+// be repeated runs at most once although callers retry at any instance and any
+// time. This holds within the claim window, after which the tables forget a
+// claim: a key that contains its creation time is rejected once it may be that
+// old.
 func (t *claimTable) decide(r Request, attempt string, logged *fold.Claim, now time.Time) decision {
 	entry, ok := t.entries[r.Key]
 	if logged != nil {
@@ -90,7 +94,8 @@
 	return decisionStart
 }
 
-// isKeyExpired says whether a key is a UUIDv7 that may be older than the window.
+// isKeyExpired reports whether a key is a UUIDv7 that may be older than the
+// claim window.
 func isKeyExpired(key string, now time.Time) bool {
 	id, err := uuid.Parse(key)
 	if err != nil || id.Version() != 7 {
@@ -100,7 +105,8 @@
 	return now.Sub(time.Unix(seconds, nanos)) > fold.ClaimWindow-maxClockSkew
 }
 
-// ticket returns what a joiner, or the attempt itself, gets to know.
+// ticket returns the ticket of an attempt that joins the run, or of the one
+// that has it.
 func (entry *claimEntry) ticket(join bool) Ticket {
 	return Ticket{
 		Run: entry.claim.Run, Join: join, Outcome: entry.outcome, Answer: entry.answer,
@@ -108,15 +114,17 @@
 	}
 }
 
+// ticketFromFold returns the ticket of an attempt that joins a run known from the
+// fold.
 func ticketFromFold(c fold.Claim) Ticket {
 	return Ticket{Run: c.Run, Join: true, Outcome: c.Outcome, Runner: c.Runner, Endpoint: c.Endpoint}
 }
 
-// openCount returns the number of claims that have to stay in memory.
+// openCount returns the number of claims that must stay in memory.
 func (t *claimTable) openCount() int { return len(t.entries) - len(t.ended) }
 
-// end notes a run's outcome. It returns the row, or nil if there is no such
-// run here or it has ended before. A run that did not run frees its key.
+// end records a run's outcome and returns its entry, or nil if the table has no
+// such run or the run has ended before. The outcome not run frees the key.
 func (t *claimTable) end(key record.RequestKey, attempt string, e End) *claimEntry {
 	entry, ok := t.entries[key]
 	if !ok || entry.outcome != 0 || (entry.claim.Run != e.Run && (attempt == "" || entry.attempt != attempt)) {
@@ -138,8 +146,8 @@
 	return entry
 }
 
-// markLogged notes that an ended row is on the log, or needs no place there, and
-// drops the oldest such rows over the bounds.
+// markLogged marks an ended entry as being on the log, or as not needed there,
+// and evicts the oldest such entries above the bounds.
 func (t *claimTable) markLogged(entry *claimEntry) {
 	delete(t.freed, entry.claim.Run)
 	if t.entries[entry.claim.Key] != entry || entry.logged {
--- a/internal/claim/takeover.go
+++ b/internal/claim/takeover.go
@@ -7,8 +7,9 @@
 	"guavapier/internal/record"
 )
 
-// mayStillRun asks a run's runner whether it knows the run. It may not: the answer to
-// its Begin, or its word of the end, can be lost. No answer counts as yes.
+// mayStillRun asks a run's runner whether it knows the run. The runner does not
+// know it if the reply of its Begin was lost, or if it has ended the run and
+// that report was lost. If the runner does not answer, the result is true.
 func (h *Holder) mayStillRun(ctx context.Context, runner record.InstanceID, key record.RequestKey, run record.RunID) bool {
 	if runner == h.deps.Self.ID {
 		return h.isRunning(key, run)
@@ -18,9 +19,10 @@
 	return err != nil || reply.Running
 }
 
-// takeOver gives a run whose runner is gone to the attempt that found it lost.
-// The run keeps its id, so that it is billed once even if the runner was only
-// cut off. Of several such attempts the first gets the run, the others join it.
+// takeOver gives a run whose runner is unreachable, or does not know it, to the
+// attempt that found it lost. The run keeps its ID, so that it is billed once
+// even if the old runner is only partitioned. Of several such attempts the
+// first gets the run and the others join it.
 func (s *shard) takeOver(r Request, attempt string, runner record.InstanceID, found Ticket) Ticket {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -37,8 +39,8 @@
 	return entry.ticket(false)
 }
 
-// adopt enters a run that was claimed in an earlier epoch and is known from the
-// fold only.
+// adopt adds an entry for a run that was claimed in an earlier epoch and is
+// known from the fold only.
 func (t *claimTable) adopt(r Request, run record.RunID, right record.RightID, now time.Time) *claimEntry {
 	t.lastSeq++
 	entry := &claimEntry{
--- a/internal/claim/world_test.go
+++ b/internal/claim/world_test.go
@@ -22,11 +22,12 @@
 	fleetSize      = 3
 	homeZone       = record.Zone("z")
 	followInterval = 10 * time.Millisecond
-	deadCallWait   = time.Hour // A dead instance's calls end when the world does.
+	deadCallWait   = time.Hour // Calls of a dead instance return only once the simulation is stopped.
 )
 
-// simFleet is a small fleet over one log. Its adversary switches cut links, lose
-// answers, hold instances still and kill them. It runs in a synctest bubble.
+// simFleet is a simulated fleet of a few instances over one log. A test can cut
+// links, lose answers, freeze instances and kill them. It runs in a synctest
+// bubble.
 type simFleet struct {
 	ctx           context.Context
 	cancel        context.CancelFunc
@@ -35,28 +36,29 @@
 
 	mu                sync.Mutex // Guards all below.
 	entries           []logstore.Entry
-	lostAppendAnswers int // Appends whose answer gets lost.
+	lostAppendAnswers int // Number of appends to take effect without an answer.
 	instances         [fleetSize]*simInstance
 	started           int
-	cutLinks          map[[2]int]bool // Calls vanish.
-	slowLinks         map[[2]int]bool // Calls arrive after their caller gave up.
-	answerLossLinks   map[[2]int]bool // Answers vanish.
-	platformCut       [fleetSize]bool // The platform is out of reach.
-	suspected         [fleetSize]bool // The others believe it gone.
+	cutLinks          map[[2]int]bool // Calls do not arrive. Keys: calling slot, called slot.
+	slowLinks         map[[2]int]bool // Calls arrive after their caller's timeout.
+	answerLossLinks   map[[2]int]bool // Answers do not arrive.
+	platformCut       [fleetSize]bool // The instance cannot reach the platform.
+	suspected         [fleetSize]bool // The other instances wrongly consider it unreachable.
 	checker           checker
 }
 
-// defects switches deliberate faults of the code under test on.
+// defects enables deliberate faults that the checker must detect.
 type defects struct {
-	sealedWitnessAcknowledges bool // A sealed witness goes on acknowledging.
-	closeOnSuspicion          bool // A shard whose holder seems gone is closed by a timeout.
-	unknownAsNotRun           bool // "unknown" becomes "not run".
-	ignoreDigest              bool // Bodies are not compared.
+	sealedWitnessAcknowledges bool // A sealed witness still acknowledges.
+	closeOnSuspicion          bool // An instance closes the shard of a holder that it suspects, without a seal.
+	unknownAsNotRun           bool // ErrUnknown is reported as ErrNotCounted.
+	ignoreDigest              bool // Request bodies are not compared.
 	rerunJoined               bool // A joined run is run again.
 	unknownFreesKey           bool // A run of unknown outcome frees its key.
 }
 
-// simInstance is one instance's parts.
+// simInstance is one instance of a simFleet, with its log replica and claim
+// components.
 type simInstance struct {
 	sim       *simFleet
 	slot      int
@@ -70,7 +72,7 @@
 
 	mu     sync.Mutex
 	dead   bool
-	frozen chan struct{} // Not nil while held still.
+	frozen chan struct{} // Not nil while frozen; closed to resume.
 }
 
 func newSimFleet(enabled defects, modes claim.Mode) *simFleet {
@@ -108,7 +110,7 @@
 
 func (m fixedMode) WhenLogUnavailable(record.Team) claim.Mode { return claim.Mode(m) }
 
-// kill ends an instance for good: nothing it does has an effect any more.
+// kill stops an instance for good: its further calls have no effect.
 func (sim *simFleet) kill(slot int) *simInstance {
 	n := sim.at(slot)
 	n.mu.Lock()
@@ -138,8 +140,8 @@
 	return sim.instances[slot]
 }
 
-// alive waits while the instance is held still; it returns false once the
-// instance is dead.
+// alive blocks while the instance is frozen and then reports whether it has not
+// been killed.
 func (n *simInstance) alive() bool {
 	n.mu.Lock()
 	frozen, dead := n.frozen, n.dead
@@ -207,7 +209,8 @@
 	return logstore.Page{Entries: n.sim.entries[from:len(n.sim.entries):len(n.sim.entries)], Next: uint64(len(n.sim.entries))}, nil
 }
 
-// followLog keeps the instance's fold current while it reaches the platform.
+// followLog applies new log entries to the instance's fold while it can reach
+// the platform.
 func (n *simInstance) followLog(ctx context.Context) {
 	for ctx.Err() == nil {
 		page, err := n.Read(ctx, "", n.partition.Next(), 0)
@@ -239,7 +242,7 @@
 	return out
 }
 
-// Reachable implements claim.Members; the adversary makes it wrong.
+// Reachable implements claim.Members. It is wrong about suspected instances.
 func (n *simInstance) Reachable(id record.InstanceID) bool {
 	if !n.alive() {
 		return false
@@ -321,7 +324,8 @@
 	return nil, [2]int{}
 }
 
-// serve runs a method and returns what hands its reply over.
+// serve runs a method and returns a function that delivers its reply to the
+// caller.
 func (n *simInstance) serve(method string, args, reply any) func() {
 	service := claim.NewService(n.holder)
 	switch a := args.(type) {
@@ -352,8 +356,8 @@
 	return func() {}
 }
 
-// closeSuspected is the broken takeover: whoever believes a holder gone closes
-// its shard.
+// closeSuspected implements the defect closeOnSuspicion: each running instance
+// closes the shards whose holder it considers unreachable.
 func (sim *simFleet) closeSuspected() {
 	for slot := range fleetSize {
 		n := sim.at(slot)
