--- a/internal/membership/decide.go
+++ b/internal/membership/decide.go
@@ -8,9 +8,10 @@
 	"guavapier/internal/record"
 )
 
-// liveInstances decides whom to offer work to. Load: every claim and grant asks for
-// peers. Harm prevented: a peer that is known to be silent costs each asker a
-// timeout. The own zone goes first since other zones may be cut off.
+// liveInstances returns the instances to offer work to. Those known to be
+// unreachable are left out, because every claim and grant contacts peers, and a
+// silent one would cost each caller a timeout. The own zone goes first, because
+// other zones may be partitioned off.
 func liveInstances(listed []logstore.Instance, self logstore.Instance, unreachable map[record.InstanceID]struct{}) []logstore.Instance {
 	out := make([]logstore.Instance, 0, len(listed))
 	for _, in := range listed {
@@ -31,11 +32,11 @@
 	return out
 }
 
-// selectProbeTargets decides which peers get a heartbeat in this round: those that waited
-// longest for one. Load: hundreds of peers, a few of them silent. Harm
-// prevented: heartbeats whose cost grows with the fleet, and a peer that came
-// back but is not asked. Limit: probesPerRound, at most half of it for peers
-// marked unreachable while there are others.
+// selectProbeTargets returns the peers that get a heartbeat in this round:
+// those whose latest heartbeat is the longest ago. Their number does not depend
+// on the size of the fleet. At most half of maxProbesPerRound go to peers marked
+// unreachable, which must be probed to notice a recovery but must not delay the
+// probes of the others.
 func selectProbeTargets(listed []logstore.Instance, self record.InstanceID, unreachable map[record.InstanceID]struct{}, lastProbeRound map[record.InstanceID]int) []record.InstanceID {
 	var reachable, silent []record.InstanceID
 	for _, in := range listed {
@@ -52,7 +53,8 @@
 	return append(out, leastRecentlyProbed(reachable, lastProbeRound, maxProbesPerRound-len(out))...)
 }
 
-// leastRecentlyProbed returns the n ids whose last turn is the leastRecentlyProbed ago.
+// leastRecentlyProbed returns the n ids whose latest heartbeat is the longest
+// ago.
 func leastRecentlyProbed(ids []record.InstanceID, lastProbeRound map[record.InstanceID]int, n int) []record.InstanceID {
 	slices.SortFunc(ids, func(a, b record.InstanceID) int {
 		return cmp.Or(cmp.Compare(lastProbeRound[a], lastProbeRound[b]), cmp.Compare(a, b))
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -1,6 +1,7 @@
-// Package membership follows the platform's lagging instance list and knows
-// which peers answer. Both are hints: they decide whom to ask first, never who
-// holds a right.
+// Package membership keeps an instance's view of the fleet: the platform's
+// instance list, which may lag, and which peers answer heartbeats. Either may
+// be wrong. They decide which instances to contact first, never who holds a
+// right.
 package membership
 
 import (
@@ -20,52 +21,56 @@
 const (
 	// ListInterval is the time between two reads of the instance list.
 	ListInterval = 500 * time.Millisecond
-	// AnnounceInterval is the longest time between two announcements. The platform
-	// drops an instance that was silent for 5 s, so one may be lost.
+	// AnnounceInterval is the longest time between two announcements of this
+	// instance. The platform drops an instance that was silent for 5 s, so one
+	// announcement may be lost.
 	AnnounceInterval = 2 * time.Second
 	// ProbeInterval is the time between two rounds of heartbeats.
 	ProbeInterval = 500 * time.Millisecond
 	// maxProbesPerRound bounds the heartbeats of one round, so that their cost
-	// does not grow with the fleet. Peers take turns; peers in use are watched
-	// by their own connections.
+	// does not grow with the fleet. The rounds cover the peers in turn. Peers that
+	// this instance exchanges calls with are also watched by their connections.
 	maxProbesPerRound = 4
-	// probeTimeout is how long a peer has to answer a heartbeat.
+	// probeTimeout bounds the wait for the answers to one round of heartbeats.
 	probeTimeout = 500 * time.Millisecond
-	// platformUpTimeout is how long the platform counts as up after it answered.
+	// platformUpTimeout is how long the platform counts as up after an answer.
 	platformUpTimeout = 2 * time.Second
 )
 
-// Pinger sends a heartbeat to a peer; see peer.Pool.
+// Pinger sends a heartbeat to a peer and returns an error if it is not answered
+// before ctx ends; see peer.Pool.
 type Pinger interface {
 	Ping(ctx context.Context, to record.InstanceID) error
 }
 
-// Members is this instance's view of the fleet. It is safe for concurrent use.
+// Members is an instance's view of the fleet. It is safe for concurrent use.
 type Members struct {
 	directory logstore.Directory
 	self      func() logstore.Instance
 	log       zerolog.Logger
 
 	mu sync.Mutex
-	// list is the last list that was read; it stays while the platform is away.
+	// list is the latest list that was read. It is kept while the platform is
+	// unavailable.
 	list           logstore.List
 	hasList        bool
-	lastAnswerAt   time.Time // The platform's last answer.
+	lastAnswerAt   time.Time // Time of the platform's latest answer.
 	addresses      map[record.InstanceID]string
 	unreachable    map[record.InstanceID]struct{}
 	probeRound     int
-	lastProbeRound map[record.InstanceID]int // Of each peer's last heartbeat.
+	lastProbeRound map[record.InstanceID]int // Round of each peer's latest heartbeat.
 	listeners      []func(logstore.List)
 
-	// announced is what the platform was last announced about this instance, at toldAt.
-	// Only the goroutine of refresh uses them.
+	// announced is the latest successful announcement of this instance, and
+	// announcedAt its time. Only the goroutine that runs refresh uses them.
 	announced   logstore.Instance
 	announcedAt time.Time
 }
 
 var _ peer.Addresses = (*Members)(nil)
 
-// New returns a view without any list. self is announced as it is at the time.
+// New returns a view without a list. Each announcement calls self for this
+// instance's current state.
 func New(directory logstore.Directory, self func() logstore.Instance, log zerolog.Logger) *Members {
 	return &Members{
 		directory: directory, self: self, log: log,
@@ -74,12 +79,12 @@
 	}
 }
 
-// OnList adds a function that is called with each list that is read. Add all
-// of them before Run.
+// OnList adds a function that is called with each list that is read. All
+// functions must be added before Run.
 func (m *Members) OnList(f func(logstore.List)) { m.listeners = append(m.listeners, f) }
 
-// Run announces this instance, follows the list and sends heartbeats until ctx
-// ends.
+// Run announces this instance, reads the instance list and sends heartbeats
+// until ctx ends.
 func (m *Members) Run(ctx context.Context, pinger Pinger) {
 	var running sync.WaitGroup
 	defer running.Wait()
@@ -87,6 +92,7 @@
 	running.Go(func() { runPeriodically(ctx, ProbeInterval, func() { m.probe(ctx, pinger) }) })
 }
 
+// runPeriodically calls do at once and then in each period until ctx ends.
 func runPeriodically(ctx context.Context, period time.Duration, do func()) {
 	ticker := time.NewTicker(period)
 	defer ticker.Stop()
@@ -100,8 +106,8 @@
 	}
 }
 
-// announce tells the platform about this instance when there is news, and often
-// enough to stay listed. Only refresh calls it.
+// announce announces this instance to the platform if its state has changed or
+// AnnounceInterval has passed. Only refresh calls it.
 func (m *Members) announce(ctx context.Context) {
 	self := m.self()
 	now := time.Now()
@@ -113,7 +119,8 @@
 	}
 }
 
-// refresh keeps the last list that was read while the platform is away.
+// refresh announces this instance and reads the list. If reading fails, the
+// previous list stays.
 func (m *Members) refresh(ctx context.Context) {
 	m.announce(ctx)
 	list, err := m.directory.List(ctx)
@@ -126,6 +133,7 @@
 	}
 }
 
+// setList replaces the list and drops the state of peers that are not on it.
 func (m *Members) setList(list logstore.List) {
 	addresses := make(map[record.InstanceID]string, len(list.Instances))
 	for _, in := range list.Instances {
@@ -142,28 +150,28 @@
 	maps.DeleteFunc(m.lastProbeRound, func(id record.InstanceID, _ int) bool { return unlisted(id) })
 }
 
-// List returns the last list that was read.
+// List returns the latest list that was read.
 func (m *Members) List() logstore.List {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.list
 }
 
-// HasList says whether a list has been read.
+// HasList reports whether a list has been read.
 func (m *Members) HasList() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.hasList
 }
 
-// PlatformUp says whether the platform answered lately.
+// PlatformUp reports whether the platform answered within platformUpTimeout.
 func (m *Members) PlatformUp() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.hasList && time.Since(m.lastAnswerAt) < platformUpTimeout
 }
 
-// ZoneListed says whether the list has an instance of a zone that is not
+// ZoneListed reports whether the list has an instance of the zone that is not
 // leaving, reachable or not.
 func (m *Members) ZoneListed(zone record.Zone) bool {
 	m.mu.Lock()
@@ -181,8 +189,9 @@
 	return address, ok && address != ""
 }
 
-// Live returns the listed instances that are not leaving and not known to be
-// unreachable, this one included: its own zone first, each zone by identity.
+// Live returns the listed instances that are neither leaving nor known to be
+// unreachable, including this one: those of its own zone first, then zone by
+// zone, and by ID within a zone.
 func (m *Members) Live() []logstore.Instance {
 	self := m.self()
 	m.mu.Lock()
@@ -190,8 +199,8 @@
 	return liveInstances(m.list.Instances, self, m.unreachable)
 }
 
-// Reachable says whether a listed peer's last heartbeat was answered, or none
-// was sent yet.
+// Reachable reports whether an instance is listed and its latest heartbeat was
+// answered or none has been sent yet.
 func (m *Members) Reachable(id record.InstanceID) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -200,7 +209,7 @@
 	return listed && !isUnreachable
 }
 
-// SetReachable notes whether a peer answered.
+// SetReachable records whether a peer answered, and logs a change.
 func (m *Members) SetReachable(id record.InstanceID, reachable bool) {
 	m.mu.Lock()
 	_, wasUnreachable := m.unreachable[id]
@@ -215,7 +224,7 @@
 	}
 }
 
-// probe sends one round of heartbeats.
+// probe sends one round of heartbeats and waits for it.
 func (m *Members) probe(ctx context.Context, pinger Pinger) {
 	self := m.self().ID
 	m.mu.Lock()
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -17,8 +17,8 @@
 	"guavapier/internal/record"
 )
 
-// simFleet is a platform's list and the peers behind it. It runs in a synctest
-// bubble, which fails a test that leaves goroutines behind.
+// simFleet simulates the platform's instance list and the peers on it. It runs
+// in a synctest bubble, which fails a test that leaks goroutines.
 type simFleet struct {
 	mu          sync.Mutex
 	list        logstore.List
@@ -107,7 +107,8 @@
 	})
 }
 
-// A silent peer is marked, and unmarked when it answers again; the others stay.
+// A silent peer is marked unreachable until it answers again; the others stay
+// reachable.
 func TestHeartbeatsMarkSilentPeers(t *testing.T) {
 	runWithMembers(t, 6, func(f *simFleet, m *membership.Members) {
 		f.update(func() { f.silent["i003"] = true })
@@ -118,13 +119,13 @@
 		f.update(func() { f.silent["i003"] = false })
 		time.Sleep(10 * time.Second)
 		if !m.Reachable("i003") || len(m.Live()) != 6 {
-			t.Errorf("peer that came back: reachable %v, live %v", m.Reachable("i003"), instanceIDs(m.Live()))
+			t.Errorf("recovered peer: reachable %v, live %v", m.Reachable("i003"), instanceIDs(m.Live()))
 		}
 	})
 }
 
-// Heartbeats cost the same for any fleet, and every peer has its turn, also
-// while many are silent.
+// The number of heartbeats does not depend on the size of the fleet, and every
+// peer gets one, even while many are silent.
 func TestHeartbeatsAreBoundedAndFair(t *testing.T) {
 	runWithMembers(t, 410, func(f *simFleet, _ *membership.Members) {
 		f.update(func() {
@@ -145,7 +146,7 @@
 			}
 		}
 		if total > 8*seconds+8 {
-			t.Errorf("%d heartbeats in %d s", total, seconds)
+			t.Errorf("%d heartbeats in %d s, want at most 8 per second", total, seconds)
 		}
 	})
 }
