--- a/internal/claim/bench_test.go
+++ b/internal/claim/bench_test.go
@@ -121,11 +121,11 @@
 func (s *benchFleet) holderAndOther(b *testing.B) (holder, other *benchInstance) {
 	b.Helper()
 	for range 1000 {
-		var row fold.Shard
+		var latest fold.Shard
 		var ok bool
-		s.partitions[0].View(func(f *fold.Ledger) { row, ok = f.ClaimShard(homeZone, 0) })
+		s.partitions[0].View(func(f *fold.Ledger) { latest, ok = f.ClaimShard(homeZone, 0) })
 		for n, m := range s.instances {
-			if ok && row.Holder == m.id {
+			if ok && latest.Holder == m.id {
 				time.Sleep(500 * time.Millisecond)
 				return m, s.instances[(n+1)%len(s.instances)]
 			}
--- a/internal/claim/claim_test.go
+++ b/internal/claim/claim_test.go
@@ -152,7 +152,7 @@
 	}
 	switch o.Kind {
 	case opRequest:
-		sim.startCall(sim.at(o.A), o)
+		sim.startCall(sim.instance(o.A), o)
 	case opCutLink:
 		set(sim.cutLinks)
 	case opLoseAnswers:
@@ -174,9 +174,9 @@
 	case opTrust:
 		flag(&sim.suspected, false)
 	case opFreeze:
-		sim.at(o.A).freeze()
+		sim.instance(o.A).freeze()
 	case opUnfreeze:
-		sim.at(o.A).unfreeze()
+		sim.instance(o.A).unfreeze()
 	case opRestart:
 		n := sim.kill(o.A)
 		sim.running.Go(func() { n.holder.Close(); _ = n.log.Close() })
--- a/internal/claim/holder.go
+++ b/internal/claim/holder.go
@@ -57,7 +57,7 @@
 
 	mu               sync.Mutex // Guards all below.
 	shards           map[shardID]*shard
-	busy             map[shardID]bool
+	actionInProgress map[shardID]bool
 	unreachableSince map[record.InstanceID]time.Time // Start of the outage, for each unreachable instance.
 	closed           bool
 }
@@ -72,7 +72,7 @@
 			Service: WitnessServiceName, Deadline: opts.AcknowledgeTimeout, Attempts: maxAcknowledgeAttempts,
 		}),
 		isRunning: func(record.RequestKey, record.RunID) bool { return false },
-		shards:    map[shardID]*shard{}, busy: map[shardID]bool{}, unreachableSince: map[record.InstanceID]time.Time{},
+		shards:    map[shardID]*shard{}, actionInProgress: map[shardID]bool{}, unreachableSince: map[record.InstanceID]time.Time{},
 	}
 	h.witness = right.NewService[Use](deps.Self.ID, validator{deps.Partitions}, opts.AcknowledgeTimeout)
 	return h
@@ -167,7 +167,7 @@
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.closed || h.busy[id] || !h.deps.Members.PlatformUp() {
+	if h.closed || h.actionInProgress[id] || !h.deps.Members.PlatformUp() {
 		return
 	}
 	view := shardView{self: self, hasEpoch: hasEpoch, latest: latest, isGone: h.isGone}
@@ -178,12 +178,12 @@
 	if act == actNone || act == actClose && held == nil {
 		return
 	}
-	h.busy[id] = true
+	h.actionInProgress[id] = true
 	h.background.Go(func() {
 		h.execute(act, id, partition, view, held)
 		h.mu.Lock()
 		defer h.mu.Unlock()
-		delete(h.busy, id)
+		delete(h.actionInProgress, id)
 	})
 }
 
@@ -239,7 +239,7 @@
 	terms := termsOf(latest)
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if old, has := h.shards[id]; has && old.terms.Right == r.Right || h.closed {
+	if old, wasHeld := h.shards[id]; wasHeld && old.terms.Right == r.Right || h.closed {
 		return
 	}
 	s := newShard(h.ctx, terms, right.NewHeld(terms, h.batcher), partition, h.deps.Log, h.opts)
--- a/internal/claim/plan.go
+++ b/internal/claim/plan.go
@@ -93,22 +93,22 @@
 		home  bool
 		score uint64
 	}
-	rows := make([]scored, 0, len(live))
+	candidates := make([]scored, 0, len(live))
 	for _, in := range live {
-		rows = append(rows, scored{id: in.ID, home: id.Zone == "" || in.Zone == id.Zone, score: rendezvousScore(id, in.ID)})
+		candidates = append(candidates, scored{id: in.ID, home: id.Zone == "" || in.Zone == id.Zone, score: rendezvousScore(id, in.ID)})
 	}
-	slices.SortFunc(rows, func(a, b scored) int {
+	slices.SortFunc(candidates, func(a, b scored) int {
 		if a.home != b.home {
 			return compareHome(a.home)
 		}
 		return cmp.Or(cmp.Compare(b.score, a.score), cmp.Compare(a.id, b.id))
 	})
 	homeOnly := id.Zone != "" && isZoneListed(id.Zone)
-	for _, r := range rows {
-		if r.home || !homeOnly {
-			holders = append(holders, r.id)
+	for _, candidate := range candidates {
+		if candidate.home || !homeOnly {
+			holders = append(holders, candidate.id)
 		}
-		witnesses = append(witnesses, r.id)
+		witnesses = append(witnesses, candidate.id)
 	}
 	return holders, witnesses
 }
--- a/internal/claim/shard.go
+++ b/internal/claim/shard.go
@@ -45,9 +45,9 @@
 	log       Appender
 	opts      Options
 
-	ctx     context.Context // Canceled by Holder.Close.
-	wake    chan struct{}
-	retired chan struct{} // Closed once the epoch has ended in the fold.
+	ctx          context.Context // Canceled by Holder.Close.
+	queueChanged chan struct{}
+	retired      chan struct{} // Closed once the epoch has ended in the fold.
 
 	mu    sync.Mutex // Guards all below.
 	table *claimTable
@@ -65,7 +65,7 @@
 func newShard(ctx context.Context, terms right.Terms, heldRight *right.Held[Use], partition *Replica, log Appender, opts Options) *shard {
 	return &shard{
 		terms: terms, heldRight: heldRight, partition: partition, log: log, opts: opts,
-		ctx: ctx, wake: make(chan struct{}, 1), retired: make(chan struct{}), table: newClaimTable(),
+		ctx: ctx, queueChanged: make(chan struct{}, 1), retired: make(chan struct{}), table: newClaimTable(),
 	}
 }
 
@@ -316,7 +316,7 @@
 	s.queue = append(s.queue, queuedRecords{records: records, onLogged: onLogged})
 	s.mu.Unlock()
 	select {
-	case s.wake <- struct{}{}:
+	case s.queueChanged <- struct{}{}:
 	default:
 	}
 }
@@ -327,7 +327,7 @@
 	for {
 		final := false
 		select {
-		case <-s.wake:
+		case <-s.queueChanged:
 		case <-s.retired:
 			final = true
 		case <-s.ctx.Done():
--- a/internal/claim/takeover_test.go
+++ b/internal/claim/takeover_test.go
@@ -38,7 +38,7 @@
 	t.Helper()
 	holder := sim.holderSlot(t)
 	victim := (holder + 1) % fleetSize
-	ticket, err := sim.at(victim).client.Begin(sim.ctx, r)
+	ticket, err := sim.instance(victim).client.Begin(sim.ctx, r)
 	if err != nil || ticket.Join {
 		t.Fatalf("first attempt, at the instance to kill: ticket %+v, error %v; want a new run", ticket, err)
 	}
@@ -52,11 +52,11 @@
 func (sim *simFleet) holderSlot(t *testing.T) int {
 	t.Helper()
 	for slot := range fleetSize {
-		n := sim.at(slot)
-		var last fold.Shard
+		n := sim.instance(slot)
+		var latest fold.Shard
 		var ok bool
-		n.partition.View(func(l *fold.Ledger) { last, ok = l.ClaimShard(homeZone, 0) })
-		if ok && !last.Closed && last.Holder == n.id && n.alive() {
+		n.partition.View(func(l *fold.Ledger) { latest, ok = l.ClaimShard(homeZone, 0) })
+		if ok && !latest.Closed && latest.Holder == n.id && n.alive() {
 			return slot
 		}
 	}
@@ -71,7 +71,7 @@
 	withSettledFleet(t, func(t *testing.T, sim *simFleet) {
 		r := repeatableRequest()
 		survivors, run := claimThenKillRunner(t, sim, r)
-		first, second := sim.at(survivors[0]).client, sim.at(survivors[1]).client
+		first, second := sim.instance(survivors[0]).client, sim.instance(survivors[1]).client
 		if got := mustBegin(t, sim, second, r); !got.Join || !got.RunnerGone || got.Run != run {
 			t.Fatalf("attempt after the runner died: %+v, want to join its run with the runner gone", got)
 		}
@@ -97,16 +97,16 @@
 	withSettledFleet(t, func(t *testing.T, sim *simFleet) {
 		r := repeatableRequest()
 		holder := sim.holderSlot(t)
-		ticket := mustBegin(t, sim, sim.at(holder).client, r)
+		ticket := mustBegin(t, sim, sim.instance(holder).client, r)
 		time.Sleep(time.Second)
 		sim.killAndClose(holder)
 		time.Sleep(10 * time.Second)
 		next := sim.holderSlot(t)
 		r.Lost = ticket.Run
-		if got := mustBegin(t, sim, sim.at(next).client, r); got.Join || got.Run != ticket.Run {
+		if got := mustBegin(t, sim, sim.instance(next).client, r); got.Join || got.Run != ticket.Run {
 			t.Fatalf("attempt that found the run lost: %+v, want the run", got)
 		}
-		sim.at(next).client.End(sim.ctx, r.Key, claim.End{Outcome: record.OutcomeAnswered})
+		sim.instance(next).client.End(sim.ctx, r.Key, claim.End{Outcome: record.OutcomeAnswered})
 		time.Sleep(5 * time.Second)
 		sim.killAndClose(next)
 		time.Sleep(10 * time.Second)
@@ -114,7 +114,7 @@
 			if slot == holder || slot == next {
 				continue
 			}
-			if got := mustBegin(t, sim, sim.at(slot).client, r); !got.Join || got.Outcome != record.OutcomeAnswered {
+			if got := mustBegin(t, sim, sim.instance(slot).client, r); !got.Join || got.Outcome != record.OutcomeAnswered {
 				t.Fatalf("attempt after the run ended: %+v, want to join it with outcome answered", got)
 			}
 		}
@@ -143,14 +143,14 @@
 		r := repeatableRequest()
 		holder := sim.holderSlot(t)
 		runner := (holder + 1) % fleetSize
-		mustBegin(t, sim, sim.at(runner).client, r)
+		mustBegin(t, sim, sim.instance(runner).client, r)
 		sim.apply(op{Kind: opCutLink, A: runner, B: holder}, claim.ModeServe)
-		sim.at(runner).client.Place(sim.ctx, r.Key, "e1")
+		sim.instance(runner).client.Place(sim.ctx, r.Key, "e1")
 		time.Sleep(6 * time.Second) // Until the call of Place has timed out.
 		sim.apply(op{Kind: opHealLinks}, claim.ModeServe)
-		sim.at(runner).client.End(sim.ctx, r.Key, claim.End{Outcome: record.OutcomeAnswered})
+		sim.instance(runner).client.End(sim.ctx, r.Key, claim.End{Outcome: record.OutcomeAnswered})
 		time.Sleep(2 * time.Second)
-		if got := mustBegin(t, sim, sim.at(holder).client, r); got.Outcome != record.OutcomeAnswered || got.Endpoint != "e1" {
+		if got := mustBegin(t, sim, sim.instance(holder).client, r); got.Outcome != record.OutcomeAnswered || got.Endpoint != "e1" {
 			t.Fatalf("retry after the run ended: %+v, want outcome answered and endpoint e1", got)
 		}
 	})
@@ -169,23 +169,23 @@
 			sim.apply(op{Kind: opHealLinks}, claim.ModeServe)
 			sim.apply(op{Kind: opCutLink, A: runner, B: holder}, claim.ModeServe)
 		})
-		if got := mustBegin(t, sim, sim.at(runner).client, r); !got.Uncounted {
+		if got := mustBegin(t, sim, sim.instance(runner).client, r); !got.Uncounted {
 			t.Fatalf("ticket of the runner that got no reply: %+v, want one marked as uncounted", got)
 		}
 		time.Sleep(8 * time.Second) // Until the calls to abort the attempt have timed out.
 		sim.apply(op{Kind: opHealLinks}, claim.ModeServe)
 		time.Sleep(2 * time.Second)
-		found := mustBegin(t, sim, sim.at(holder).client, r)
+		found := mustBegin(t, sim, sim.instance(holder).client, r)
 		if !found.Join || found.RunnerGone || found.Outcome != 0 {
 			t.Fatalf("attempt at the holder: %+v, want to join a run that has not ended", found)
 		}
 		r.Lost = found.Run
-		if got := mustBegin(t, sim, sim.at(holder).client, r); got.Join || got.Run != found.Run {
+		if got := mustBegin(t, sim, sim.instance(holder).client, r); got.Join || got.Run != found.Run {
 			t.Fatalf("attempt that found the run lost: %+v, want the run", got)
 		}
 		// The holder's instance is now the runner and knows the run, so others join
 		// it.
-		if got := mustBegin(t, sim, sim.at(runner).client, r); !got.Join {
+		if got := mustBegin(t, sim, sim.instance(runner).client, r); !got.Join {
 			t.Fatalf("attempt after the takeover: %+v, want to join the run", got)
 		}
 	})
--- a/internal/claim/world_test.go
+++ b/internal/claim/world_test.go
@@ -112,7 +112,7 @@
 
 // kill stops an instance for good: its further calls have no effect.
 func (sim *simFleet) kill(slot int) *simInstance {
-	n := sim.at(slot)
+	n := sim.instance(slot)
 	n.mu.Lock()
 	n.dead = true
 	if n.frozen != nil {
@@ -134,7 +134,7 @@
 	sim.running.Wait()
 }
 
-func (sim *simFleet) at(slot int) *simInstance {
+func (sim *simFleet) instance(slot int) *simInstance {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	return sim.instances[slot]
@@ -234,7 +234,7 @@
 func (n *simInstance) Live() []logstore.Instance {
 	var out []logstore.Instance
 	for slot := range fleetSize {
-		other := n.sim.at(slot)
+		other := n.sim.instance(slot)
 		if other != nil && (other == n || n.Reachable(other.id)) {
 			out = append(out, logstore.Instance{ID: other.id, Zone: homeZone})
 		}
@@ -360,7 +360,7 @@
 // closes the shards whose holder it considers unreachable.
 func (sim *simFleet) closeSuspected() {
 	for slot := range fleetSize {
-		n := sim.at(slot)
+		n := sim.instance(slot)
 		n.mu.Lock()
 		isFrozen := n.frozen != nil
 		n.mu.Unlock()
