--- a/internal/forward/answer.go
+++ b/internal/forward/answer.go
@@ -7,67 +7,74 @@
 	"time"
 )
 
-// Reason says in a log line and a refusal's body why a request was not
-// answered by an endpoint.
+// Reason states, in log lines, metrics and the body of a refusal, why a request
+// or one attempt got no endpoint's answer.
 type Reason string
 
-// The reasons.
+// Values of Reason. Reports and metrics use their text.
 const (
-	ReasonNoState      Reason = "no desired state yet"
-	ReasonOutdated     Reason = "instance behind the store"
-	ReasonEnding       Reason = "instance ends"
-	ReasonBadRequest   Reason = "malformed request"
-	ReasonNoRoute      Reason = "no route"
-	ReasonUnknownKey   Reason = "unknown key"
-	ReasonHeadTooLarge Reason = "head too large"
-	ReasonBodyTooLarge Reason = "body too large"
-	ReasonBodyBroken   Reason = "body not received"
-	ReasonExhausted    Reason = "budget exhausted"
-	ReasonShort        Reason = "budget not at hand"
-	ReasonNoEndpoint   Reason = "no endpoint"
-	ReasonRefused      Reason = "endpoints refused"
-	ReasonHeld         Reason = "endpoints ended under this request"
-	ReasonUnreachable  Reason = "endpoint unreachable"
-	ReasonTimeout      Reason = "timeout"
-	ReasonBroken       Reason = "answer broken off"
-	ReasonCallerLeft   Reason = "caller left"
-	ReasonCut          Reason = "cut at the end of the drain"
+	ReasonNoDesiredState     Reason = "no desired state yet"
+	ReasonOutdated           Reason = "instance behind the store"
+	ReasonShuttingDown       Reason = "instance ends"
+	ReasonBadRequest         Reason = "malformed request"
+	ReasonNoRoute            Reason = "no route"
+	ReasonUnknownKey         Reason = "unknown key"
+	ReasonHeaderTooLarge     Reason = "head too large"
+	ReasonBodyTooLarge       Reason = "body too large"
+	ReasonBodyIncomplete     Reason = "body not received"
+	ReasonBudgetExhausted    Reason = "budget exhausted"
+	ReasonInsufficientTokens Reason = "budget not at hand"
+	ReasonNoEndpoint         Reason = "no endpoint"
+	ReasonEndpointsRefused   Reason = "endpoints refused"
+	ReasonQuarantined        Reason = "endpoints ended under this request"
+	ReasonUnreachable        Reason = "endpoint unreachable"
+	ReasonTimeout            Reason = "timeout"
+	ReasonAnswerFailed       Reason = "answer broken off"
+	ReasonCallerDisconnected Reason = "caller left"
+	ReasonDrainTimeout       Reason = "cut at the end of the drain"
 )
 
-// refusal is a final answer of the instance's own.
+// refusal is a final answer that this instance gives itself, without an endpoint.
 type refusal struct {
 	status int
 	reason Reason
-	// after is when coming back helps; set where nothing has run.
-	after time.Duration
+	// retryAfter is sent as the Retry-After header, in seconds. It is set only if
+	// the request has not run; 0 sends no header.
+	retryAfter time.Duration
 }
 
 const (
-	// againSoon suits what other instances or the next moment may serve.
-	againSoon = 250 * time.Millisecond
-	// againShort suits a budget whose tokens are held elsewhere: a claim takes
-	// a round trip, a give-back by another instance up to a second.
-	againShort = time.Second
-	// spreadShort spreads callers that all wait for the same moment.
-	spreadShort = 200 * time.Millisecond
-	// againStart suits an instance that has no desired state yet; another one
-	// has.
-	againStart = 500 * time.Millisecond
+	// defaultRetryAfter applies when another instance, or this one shortly after,
+	// may be able to serve the request.
+	defaultRetryAfter = 250 * time.Millisecond
+	// tokensRetryAfter applies when the budget's tokens are held by other
+	// instances: claiming more takes a round trip, and another instance takes up
+	// to a second to return tokens. It is also the minimum delay for a quarantined
+	// request.
+	tokensRetryAfter = time.Second
+	// tokensRetryJitter bounds the random delay that is added when tokens become
+	// free at a known time, so that the callers waiting for them don't all retry at
+	// once.
+	tokensRetryJitter = 200 * time.Millisecond
+	// noStateRetryAfter applies while this instance has not loaded a desired state;
+	// other instances have one.
+	noStateRetryAfter = 500 * time.Millisecond
 )
 
-func notRun(reason Reason, after time.Duration) *refusal {
-	return &refusal{status: http.StatusServiceUnavailable, reason: reason, after: after}
+// notRun returns a 503 refusal, which promises that the request has not run.
+func notRun(reason Reason, retryAfter time.Duration) *refusal {
+	return &refusal{status: http.StatusServiceUnavailable, reason: reason, retryAfter: retryAfter}
 }
 
-// write sends the refusal.
-func (f *refusal) write(w http.ResponseWriter) {
+// write sends the refusal with the reason as a plain-text body.
+func (r *refusal) write(w http.ResponseWriter) {
 	h := w.Header()
 	h.Set("Content-Type", "text/plain; charset=utf-8")
-	if f.after > 0 {
-		h.Set("Retry-After", strconv.FormatFloat(f.after.Seconds(), 'f', 2, 64))
+	if r.retryAfter > 0 {
+		h.Set("Retry-After", strconv.FormatFloat(r.retryAfter.Seconds(), 'f', 2, 64))
 	}
-	body := fmt.Sprintf("%s\n", f.reason)
+	body := fmt.Sprintf("%s\n", r.reason)
 	h.Set("Content-Length", strconv.Itoa(len(body)))
-	w.WriteHeader(f.status)
+	w.WriteHeader(r.status)
 	_, _ = w.Write([]byte(body))
 }
--- a/internal/gateway/probes_test.go
+++ b/internal/gateway/probes_test.go
@@ -25,7 +25,7 @@
 	endpoints := placement.New(1)
 	endpoints.Put(discovery.Endpoint{ID: "e", Service: "s", Address: address})
 	endpoints.Place(placement.Query{Service: "s"}, 0).Done(placement.Unreachable, 0)
-	pool := upstream.NewPool(upstream.Options{DialWithin: time.Second, IdleFor: time.Second, Dial: upstream.TCP(time.Second)})
+	pool := upstream.NewPool(upstream.Options{DialWaitTimeout: time.Second, IdleTimeout: time.Second, Dial: upstream.TCPDialer(time.Second)})
 	p := &prober{endpoints: endpoints, pool: pool, log: zerolog.Nop()}
 	p.probe(t.Context(), endpoints.Unreachable()[0])
 	if len(endpoints.Unreachable()) != 1 {
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -84,18 +84,18 @@
 
 // callerIdleTimeout returns how long a keep-alive connection of a caller may be idle.
 func callerIdleTimeout(state route.State) time.Duration {
-	if state.Limits.Idle <= 0 {
+	if state.Limits.IdleTimeout <= 0 {
 		return defaultCallerIdleTimeout
 	}
-	return state.Limits.Idle
+	return state.Limits.IdleTimeout
 }
 
 // prepaidTotals returns the prepaid total of each organisation that has one, in tokens.
 func prepaidTotals(s route.State) map[record.Team]int64 {
 	totals := map[record.Team]int64{}
 	for _, org := range s.Organisations {
-		if org.Prepaid != nil {
-			totals[org.Name] = *org.Prepaid
+		if org.PrepaidTotal != nil {
+			totals[org.Name] = *org.PrepaidTotal
 		}
 	}
 	return totals
--- a/internal/report/report.go
+++ b/internal/report/report.go
@@ -104,7 +104,7 @@
 	case (l.Status == 0 || l.Status >= firstNonSuccessStatus) && l.Reason != "":
 		return l.Reason
 	case l.Status == 0 || l.Status >= firstNonSuccessStatus:
-		return Outcome(forward.ReasonBroken)
+		return Outcome(forward.ReasonAnswerFailed)
 	case l.Late:
 		return Late
 	}
