--- a/internal/claim/options.go
+++ b/internal/claim/options.go
@@ -74,7 +74,7 @@
 	// instances; without the pause, a few instances with calls at every shard
 	// would use them up. At 500 ms an instance that holds all 8 shards makes 16
 	// appends a second. The witness stores the claims in the meantime, and
-	// maxOpenClaims bounds the queue.
+	// maxOpenClaims bounds the claims that wait.
 	LogFlushInterval time.Duration
 	// TickInterval is the time between two checks of the shards, and between
 	// attempts to notify a holder.
--- a/internal/claim/plan.go
+++ b/internal/claim/plan.go
@@ -73,9 +73,9 @@
 
 // bestWitness returns the preferred live witness other than this instance, or
 // "".
-func (view shardView) bestWitness() record.InstanceID {
-	for _, id := range view.witnesses {
-		if id != view.self {
+func (v shardView) bestWitness() record.InstanceID {
+	for _, id := range v.witnesses {
+		if id != v.self {
 			return id
 		}
 	}
--- a/internal/claim/table.go
+++ b/internal/claim/table.go
@@ -107,10 +107,10 @@
 
 // ticket returns the ticket of an attempt that joins the run, or of the one
 // that has it.
-func (entry *claimEntry) ticket(join bool) Ticket {
+func (e *claimEntry) ticket(join bool) Ticket {
 	return Ticket{
-		Run: entry.claim.Run, Join: join, Outcome: entry.outcome, Answer: entry.answer,
-		Runner: entry.claim.Runner, Endpoint: entry.claim.Endpoint,
+		Run: e.claim.Run, Join: join, Outcome: e.outcome, Answer: e.answer,
+		Runner: e.claim.Runner, Endpoint: e.claim.Endpoint,
 	}
 }
 
