--- a/internal/claim/plan.go
+++ b/internal/claim/plan.go
@@ -16,106 +16,113 @@
 type action int
 
 const (
-	actNone  action = iota
-	actTake         // Begin the next epoch.
-	actClose        // Close the epoch that this instance holds.
-	actSeal         // Seal and close the epoch that this instance witnesses.
+	actNone    action = iota
+	actAcquire        // Begin the next epoch.
+	actClose          // Close the epoch that this instance holds.
+	actSeal           // Seal and close the epoch that this instance witnesses.
 )
 
-// outlook is what one instance sees of one shard.
-type outlook struct {
-	self  record.InstanceID
-	known bool
-	last  fold.Shard
-	// broken says that this instance holds the epoch but may not use its
-	// witness's acknowledgement any more.
-	broken bool
-	// gone says that an instance has been out of reach for Options.Gone.
-	gone func(record.InstanceID) bool
+// shardView is one instance's view of one shard; see nextAction.
+type shardView struct {
+	self     record.InstanceID
+	hasEpoch bool
+	latest   fold.Shard
+	// witnessLost reports that this instance holds the epoch but can no longer
+	// rely on its witness's acknowledgements.
+	witnessLost bool
+	// isGone reports whether an instance has been unreachable for
+	// Options.UnreachableGracePeriod.
+	isGone func(record.InstanceID) bool
 	// holders and witnesses are the live candidates in order of preference.
 	holders, witnesses []record.InstanceID
 }
 
-// plan decides what to do about a shard. Load: instances that die, freeze, are
-// cut off and come back, many shards each. Harm prevented: a shard without a
-// holder, and a dead holder's shard that nobody takes over. Nothing here is
-// needed for safety: the fold voids what is out of turn, and a seal ends every
-// use before a close. Limits: only the preferred instance takes, so that takers
-// do not race; only the witness seals and only the holder closes, since nobody
-// else knows all uses; an epoch that works is left alone, since each change
-// costs two appends and a moment without holder.
-func plan(o outlook) action {
-	first := len(o.holders) > 0 && o.holders[0] == o.self
-	if !o.known || o.last.Closed {
-		return when(first, actTake)
+// nextAction decides what to do about a shard whose instances may crash,
+// freeze, be partitioned and recover, so that no shard stays without a working
+// holder. Safety does not depend on it: the fold ignores records that are out
+// of turn, and a seal ends every use of an epoch before its close. Only the
+// preferred instance acquires a shard, so that instances do not race for it.
+// Only the witness seals and only the holder closes, because no other instance
+// knows all claims of the epoch. An epoch that works is left alone, because
+// each change costs two appends and a short time without a holder.
+func nextAction(view shardView) action {
+	preferred := len(view.holders) > 0 && view.holders[0] == view.self
+	if !view.hasEpoch || view.latest.Closed {
+		return actionIf(preferred, actAcquire)
 	}
 	switch {
-	case o.last.Holder == o.self:
-		alone := o.last.Witness == "" && o.witness() != ""
-		lost := o.last.Witness != "" && (o.broken || o.gone(o.last.Witness))
-		return when(alone || lost, actClose)
-	case o.last.Witness == o.self:
-		return when(o.gone(o.last.Holder), actSeal)
-	case o.last.Supersedable():
-		return when(first && o.gone(o.last.Holder), actTake)
+	case view.latest.Holder == view.self:
+		canAddWitness := view.latest.Witness == "" && view.bestWitness() != ""
+		mustClose := view.latest.Witness != "" && (view.witnessLost || view.isGone(view.latest.Witness))
+		return actionIf(canAddWitness || mustClose, actClose)
+	case view.latest.Witness == view.self:
+		return actionIf(view.isGone(view.latest.Holder), actSeal)
+	case view.latest.Supersedable():
+		return actionIf(preferred && view.isGone(view.latest.Holder), actAcquire)
 	}
 	return actNone
 }
 
-func when(yes bool, a action) action {
-	if yes {
+// actionIf returns a if cond is true, else actNone.
+func actionIf(cond bool, a action) action {
+	if cond {
 		return a
 	}
 	return actNone
 }
 
-// witness returns the best live candidate but this instance, or "".
-func (o outlook) witness() record.InstanceID {
-	for _, id := range o.witnesses {
-		if id != o.self {
+// bestWitness returns the preferred live witness other than this instance, or
+// "".
+func (v shardView) bestWitness() record.InstanceID {
+	for _, id := range v.witnesses {
+		if id != v.self {
 			return id
 		}
 	}
 	return ""
 }
 
-// rank orders the candidates of a shard by rendezvous hash, those of its home
-// zone first; a shard without a home zone takes all alike. While the home zone
-// has a listed instance only its own hold the shard: the zone may be cut off
-// from here, and its callers are there. Any may be the witness.
-func rank(id shardID, live []logstore.Instance, listed func(record.Zone) bool) (holders, witnesses []record.InstanceID) {
+// rankCandidates returns the candidates for a shard in the order of a
+// rendezvous hash, with those of the shard's home zone first; a shard without a
+// home zone treats all alike. While the home zone has a listed instance, only
+// its instances may hold the shard: if the zone is cut off from here, its
+// callers still reach them. Any instance may be the witness.
+func rankCandidates(id shardID, live []logstore.Instance, isZoneListed func(record.Zone) bool) (holders, witnesses []record.InstanceID) {
 	type scored struct {
 		id    record.InstanceID
 		home  bool
 		score uint64
 	}
-	rows := make([]scored, 0, len(live))
+	candidates := make([]scored, 0, len(live))
 	for _, in := range live {
-		rows = append(rows, scored{id: in.ID, home: id.Zone == "" || in.Zone == id.Zone, score: score(id, in.ID)})
+		candidates = append(candidates, scored{id: in.ID, home: id.Zone == "" || in.Zone == id.Zone, score: rendezvousScore(id, in.ID)})
 	}
-	slices.SortFunc(rows, func(a, b scored) int {
+	slices.SortFunc(candidates, func(a, b scored) int {
 		if a.home != b.home {
-			return homeFirst(a.home)
+			return compareHome(a.home)
 		}
 		return cmp.Or(cmp.Compare(b.score, a.score), cmp.Compare(a.id, b.id))
 	})
-	strict := id.Zone != "" && listed(id.Zone)
-	for _, r := range rows {
-		if r.home || !strict {
-			holders = append(holders, r.id)
+	homeOnly := id.Zone != "" && isZoneListed(id.Zone)
+	for _, candidate := range candidates {
+		if candidate.home || !homeOnly {
+			holders = append(holders, candidate.id)
 		}
-		witnesses = append(witnesses, r.id)
+		witnesses = append(witnesses, candidate.id)
 	}
 	return holders, witnesses
 }
 
-func homeFirst(home bool) int {
+// compareHome sorts instances of the home zone before others.
+func compareHome(home bool) int {
 	if home {
 		return -1
 	}
 	return 1
 }
 
-func score(id shardID, instance record.InstanceID) uint64 {
+// rendezvousScore returns the weight of an instance for a shard; the highest one
+// is preferred.
+func rendezvousScore(id shardID, instance record.InstanceID) uint64 {
 	return xxhash.Sum64String(string(id.Zone) + "/" + strconv.Itoa(id.Shard) + "/" + string(instance))
 }
--- a/internal/claim/takeover_test.go
+++ b/internal/claim/takeover_test.go
@@ -10,181 +10,183 @@
 	"guavapier/internal/record"
 )
 
-// inSettledWorld plays in a bubble of fake time, with a fleet whose shard has its
-// holder and witness.
-func inSettledWorld(t *testing.T, play func(*testing.T, *world)) {
+// withSettledFleet runs play in a synctest bubble, with a fleet whose shard has
+// a holder and a witness.
+func withSettledFleet(t *testing.T, play func(*testing.T, *simFleet)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(breakage{}, claim.Serve)
-		defer endCalls() // After stop: a bubble must not end before its goroutines.
-		defer w.stop()
+		sim := newSimFleet(defects{}, claim.ModeServe)
+		defer awaitCallTimeouts() // After stop, because a bubble must not end before its goroutines.
+		defer sim.stop()
 		time.Sleep(5 * time.Second)
-		play(t, w)
+		play(t, sim)
 	})
 }
 
-// endCalls lets calls to instances that are cut off reach their time limits, which
-// no stop waits for; the time is the bubble's.
-func endCalls() { time.Sleep(time.Minute) }
+// awaitCallTimeouts lets calls to partitioned instances time out, which stop
+// does not wait for. The time is that of the bubble.
+func awaitCallTimeouts() { time.Sleep(time.Minute) }
 
-func repeatable() claim.Request {
+func repeatableRequest() claim.Request {
 	return claim.Request{Key: record.RequestKey{Team: "t", Key: "k"}, Digest: 1, Home: homeZone, Repeatable: true}
 }
 
-// orphaned has an instance that does not hold the shard claim a repeatable
-// request and die. It returns the slots of the two that are left, and the run.
-func orphaned(t *testing.T, w *world, r claim.Request) (left [2]int, run record.RunID) {
+// claimThenKillRunner lets an instance that does not hold the shard claim a
+// repeatable request, and kills it. It returns the slots of the two surviving
+// instances, the holder's first, and the run.
+func claimThenKillRunner(t *testing.T, sim *simFleet, r claim.Request) (survivors [2]int, run record.RunID) {
 	t.Helper()
-	holder := w.holderSlot(t)
-	victim := (holder + 1) % worldSize
-	ticket, err := w.at(victim).fleet.Begin(w.ctx, r)
+	holder := sim.holderSlot(t)
+	victim := (holder + 1) % fleetSize
+	ticket, err := sim.instance(victim).client.Begin(sim.ctx, r)
 	if err != nil || ticket.Join {
-		t.Fatalf("claim: %+v, %v", ticket, err)
+		t.Fatalf("first attempt, at the instance to kill: ticket %+v, error %v; want a new run", ticket, err)
 	}
-	time.Sleep(time.Second) // The witness has it.
-	w.bury(victim)
+	time.Sleep(time.Second) // Until the witness has the claim.
+	sim.killAndClose(victim)
 	time.Sleep(5 * time.Second)
-	return [2]int{holder, (holder + 2) % worldSize}, ticket.Run
+	return [2]int{holder, (holder + 2) % fleetSize}, ticket.Run
 }
 
 // holderSlot returns the slot of the instance that holds the shard.
-func (w *world) holderSlot(t *testing.T) int {
+func (sim *simFleet) holderSlot(t *testing.T) int {
 	t.Helper()
-	for slot := range worldSize {
-		n := w.at(slot)
-		var last fold.Shard
+	for slot := range fleetSize {
+		n := sim.instance(slot)
+		var latest fold.Shard
 		var ok bool
-		n.part.View(func(l *fold.Ledger) { last, ok = l.ClaimShard(homeZone, 0) })
-		if ok && !last.Closed && last.Holder == n.id && n.alive() {
+		n.partition.View(func(l *fold.Ledger) { latest, ok = l.ClaimShard(homeZone, 0) })
+		if ok && !latest.Closed && latest.Holder == n.id && n.alive() {
 			return slot
 		}
 	}
-	t.Fatal("no holder")
+	t.Fatal("no live instance holds an open claim shard")
 	return 0
 }
 
-// TestLostRunIsTakenOverOnce has two attempts find the run of a dead instance
-// lost. One gets it under the same id, the other joins it, and its end is what
-// later attempts learn.
+// TestLostRunIsTakenOverOnce lets two attempts find the run of a dead instance
+// lost. One must get the run under the same ID and the other join it, and later
+// attempts must see the outcome.
 func TestLostRunIsTakenOverOnce(t *testing.T) {
-	inSettledWorld(t, func(t *testing.T, w *world) {
-		r := repeatable()
-		left, run := orphaned(t, w, r)
-		first, second := w.at(left[0]).fleet, w.at(left[1]).fleet
-		if got := begin(t, w, second, r); !got.Join || !got.RunnerGone || got.Run != run {
-			t.Fatalf("joined: %+v", got)
+	withSettledFleet(t, func(t *testing.T, sim *simFleet) {
+		r := repeatableRequest()
+		survivors, run := claimThenKillRunner(t, sim, r)
+		first, second := sim.instance(survivors[0]).client, sim.instance(survivors[1]).client
+		if got := mustBegin(t, sim, second, r); !got.Join || !got.RunnerGone || got.Run != run {
+			t.Fatalf("attempt after the runner died: %+v, want to join its run with the runner gone", got)
 		}
 		r.Lost = run
-		if got := begin(t, w, second, r); got.Join || got.Run != run {
-			t.Fatalf("first attempt that found it lost: %+v", got)
+		if got := mustBegin(t, sim, second, r); got.Join || got.Run != run {
+			t.Fatalf("first attempt that found the run lost: %+v, want the run", got)
 		}
-		if got := begin(t, w, first, r); !got.Join || got.RunnerGone || got.Run != run {
-			t.Fatalf("second attempt that found it lost: %+v", got)
+		if got := mustBegin(t, sim, first, r); !got.Join || got.RunnerGone || got.Run != run {
+			t.Fatalf("second attempt that found the run lost: %+v, want to join it at its new runner", got)
 		}
-		second.End(w.ctx, r.Key, claim.End{Outcome: record.OutcomeAnswered})
+		second.End(sim.ctx, r.Key, claim.End{Outcome: record.OutcomeAnswered})
 		time.Sleep(2 * time.Second)
-		if got := begin(t, w, first, r); !got.Join || got.Outcome != record.OutcomeAnswered || got.Run != run {
-			t.Fatalf("after its end: %+v", got)
+		if got := mustBegin(t, sim, first, r); !got.Join || got.Outcome != record.OutcomeAnswered || got.Run != run {
+			t.Fatalf("attempt after the run ended: %+v, want to join it with outcome answered", got)
 		}
 	})
 }
 
-// TestLostRunIsTakenOverByTheNextHolder has the holder of the shard die with
-// its own run: the next holder knows the claim from the log only, and the end
-// must reach the log for the holder after that.
+// TestLostRunIsTakenOverByTheNextHolder kills the shard's holder together with
+// its own run. The next holder knows the claim only from the log, and must log
+// the end for the holder after it.
 func TestLostRunIsTakenOverByTheNextHolder(t *testing.T) {
-	inSettledWorld(t, func(t *testing.T, w *world) {
-		r := repeatable()
-		holder := w.holderSlot(t)
-		ticket := begin(t, w, w.at(holder).fleet, r)
+	withSettledFleet(t, func(t *testing.T, sim *simFleet) {
+		r := repeatableRequest()
+		holder := sim.holderSlot(t)
+		ticket := mustBegin(t, sim, sim.instance(holder).client, r)
 		time.Sleep(time.Second)
-		w.bury(holder)
+		sim.killAndClose(holder)
 		time.Sleep(10 * time.Second)
-		next := w.holderSlot(t)
+		next := sim.holderSlot(t)
 		r.Lost = ticket.Run
-		if got := begin(t, w, w.at(next).fleet, r); got.Join || got.Run != ticket.Run {
-			t.Fatalf("taken over: %+v", got)
+		if got := mustBegin(t, sim, sim.instance(next).client, r); got.Join || got.Run != ticket.Run {
+			t.Fatalf("attempt that found the run lost: %+v, want the run", got)
 		}
-		w.at(next).fleet.End(w.ctx, r.Key, claim.End{Outcome: record.OutcomeAnswered})
+		sim.instance(next).client.End(sim.ctx, r.Key, claim.End{Outcome: record.OutcomeAnswered})
 		time.Sleep(5 * time.Second)
-		w.bury(next)
+		sim.killAndClose(next)
 		time.Sleep(10 * time.Second)
-		for slot := range worldSize {
+		for slot := range fleetSize {
 			if slot == holder || slot == next {
 				continue
 			}
-			if got := begin(t, w, w.at(slot).fleet, r); !got.Join || got.Outcome != record.OutcomeAnswered {
-				t.Fatalf("after its end: %+v", got)
+			if got := mustBegin(t, sim, sim.instance(slot).client, r); !got.Join || got.Outcome != record.OutcomeAnswered {
+				t.Fatalf("attempt after the run ended: %+v, want to join it with outcome answered", got)
 			}
 		}
 	})
 }
 
-// bury kills an instance for good.
-func (w *world) bury(slot int) {
-	n := w.kill(slot)
-	w.running.Go(func() { n.holder.Close(); _ = n.log.Close() })
+// killAndClose kills an instance and releases its goroutines.
+func (sim *simFleet) killAndClose(slot int) {
+	n := sim.kill(slot)
+	sim.running.Go(func() { n.holder.Close(); _ = n.log.Close() })
 }
 
-func begin(t *testing.T, w *world, f *claim.Fleet, r claim.Request) claim.Ticket {
+func mustBegin(t *testing.T, sim *simFleet, f *claim.Client, r claim.Request) claim.Ticket {
 	t.Helper()
-	ticket, err := f.Begin(w.ctx, r)
+	ticket, err := f.Begin(sim.ctx, r)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return ticket
 }
 
-// TestEndNamesTheEndpoint loses the word of a run's place: a retry must learn
-// from its end where the answer is.
+// TestEndNamesTheEndpoint loses the call of Place: a retry must get the
+// endpoint that has the answer from the run's end.
 func TestEndNamesTheEndpoint(t *testing.T) {
-	inSettledWorld(t, func(t *testing.T, w *world) {
-		r := repeatable()
-		holder := w.holderSlot(t)
-		runner := (holder + 1) % worldSize
-		begin(t, w, w.at(runner).fleet, r)
-		w.do(op{Kind: opCut, A: runner, B: holder}, claim.Serve)
-		w.at(runner).fleet.Place(w.ctx, r.Key, "e1")
-		time.Sleep(6 * time.Second) // The telling has been given up.
-		w.do(op{Kind: opHeal}, claim.Serve)
-		w.at(runner).fleet.End(w.ctx, r.Key, claim.End{Outcome: record.OutcomeAnswered})
+	withSettledFleet(t, func(t *testing.T, sim *simFleet) {
+		r := repeatableRequest()
+		holder := sim.holderSlot(t)
+		runner := (holder + 1) % fleetSize
+		mustBegin(t, sim, sim.instance(runner).client, r)
+		sim.apply(op{Kind: opCutLink, A: runner, B: holder}, claim.ModeServe)
+		sim.instance(runner).client.Place(sim.ctx, r.Key, "e1")
+		time.Sleep(6 * time.Second) // Until the call of Place has timed out.
+		sim.apply(op{Kind: opHealLinks}, claim.ModeServe)
+		sim.instance(runner).client.End(sim.ctx, r.Key, claim.End{Outcome: record.OutcomeAnswered})
 		time.Sleep(2 * time.Second)
-		if got := begin(t, w, w.at(holder).fleet, r); got.Outcome != record.OutcomeAnswered || got.Endpoint != "e1" {
-			t.Fatalf("%+v", got)
+		if got := mustBegin(t, sim, sim.instance(holder).client, r); got.Outcome != record.OutcomeAnswered || got.Endpoint != "e1" {
+			t.Fatalf("retry after the run ended: %+v, want outcome answered and endpoint e1", got)
 		}
 	})
 }
 
-// TestRunThatItsRunnerNeverGotIsTakenOver loses the answer to a Begin and the
-// word that the attempt was given up: the runner lives and knows of no run.
+// TestRunThatItsRunnerNeverGotIsTakenOver loses the reply of a Begin and the
+// call that aborts the attempt: the runner is alive but does not know the run.
 func TestRunThatItsRunnerNeverGotIsTakenOver(t *testing.T) {
-	inSettledWorld(t, func(t *testing.T, w *world) {
-		r := repeatable()
-		holder := w.holderSlot(t)
-		runner := (holder + 1) % worldSize
-		w.do(op{Kind: opDeaf, A: runner, B: holder}, claim.Serve)
-		w.running.Go(func() {
+	withSettledFleet(t, func(t *testing.T, sim *simFleet) {
+		r := repeatableRequest()
+		holder := sim.holderSlot(t)
+		runner := (holder + 1) % fleetSize
+		sim.apply(op{Kind: opLoseAnswers, A: runner, B: holder}, claim.ModeServe)
+		sim.running.Go(func() {
 			time.Sleep(time.Second)
-			w.do(op{Kind: opHeal}, claim.Serve)
-			w.do(op{Kind: opCut, A: runner, B: holder}, claim.Serve)
+			sim.apply(op{Kind: opHealLinks}, claim.ModeServe)
+			sim.apply(op{Kind: opCutLink, A: runner, B: holder}, claim.ModeServe)
 		})
-		if got := begin(t, w, w.at(runner).fleet, r); !got.Uncounted {
-			t.Fatalf("the runner got %+v", got)
+		if got := mustBegin(t, sim, sim.instance(runner).client, r); !got.Uncounted {
+			t.Fatalf("ticket of the runner that got no reply: %+v, want one marked as uncounted", got)
 		}
-		time.Sleep(8 * time.Second) // The telling has been given up.
-		w.do(op{Kind: opHeal}, claim.Serve)
+		time.Sleep(8 * time.Second) // Until the calls to abort the attempt have timed out.
+		sim.apply(op{Kind: opHealLinks}, claim.ModeServe)
 		time.Sleep(2 * time.Second)
-		found := begin(t, w, w.at(holder).fleet, r)
+		found := mustBegin(t, sim, sim.instance(holder).client, r)
 		if !found.Join || found.RunnerGone || found.Outcome != 0 {
-			t.Fatalf("joined: %+v", found)
+			t.Fatalf("attempt at the holder: %+v, want to join a run that has not ended", found)
 		}
 		r.Lost = found.Run
-		if got := begin(t, w, w.at(holder).fleet, r); got.Join || got.Run != found.Run {
-			t.Fatalf("taken over: %+v", got)
+		if got := mustBegin(t, sim, sim.instance(holder).client, r); got.Join || got.Run != found.Run {
+			t.Fatalf("attempt that found the run lost: %+v, want the run", got)
 		}
-		// The new runner is this instance and knows the run, so others join it.
-		if got := begin(t, w, w.at(runner).fleet, r); !got.Join {
-			t.Fatalf("taken over twice: %+v", got)
+		// The holder's instance is now the runner and knows the run, so others join
+		// it.
+		if got := mustBegin(t, sim, sim.instance(runner).client, r); !got.Join {
+			t.Fatalf("attempt after the takeover: %+v, want to join the run", got)
 		}
 	})
 }
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -27,7 +27,7 @@
 // engine. Null and unknown fields are valid.
 func TestMalformedInputGetsItsOwnClearAnswer(t *testing.T) {
 	s := newTestServer(t)
-	_, otherTeamToken, err := s.sessionKeys.Open("another", "hall-a")
+	_, otherTeamToken, err := s.sessionKeys.Issue("another", "hall-a")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -64,7 +64,7 @@
 	relay      *relay.Log
 	budgets    *ledger.Ledger
 	holder     *claim.Holder
-	claims     *claim.Fleet
+	claims     *claim.Client
 	runner     *run.Runner
 	draining   atomic.Bool
 	inFlight   atomic.Int64 // Callers' requests that have no whole answer yet.
@@ -206,7 +206,7 @@
 			MinPromptBytesPerToken: limits.PromptBytesPerToken, BodyReadTimeout: readWithin, WriteTimeout: writeWithin, HeartbeatInterval: callerHeartbeat,
 			FirstTokenTimeout: limits.FirstToken.D(), ServiceAnswerTimeout: limits.ServiceAnswer.D(),
 		},
-		IsReady: func() bool { return !s.draining.Load() && s.members.Seen() && s.current() },
+		IsReady: func() bool { return !s.draining.Load() && s.members.HasList() && s.current() },
 	}
 	return s.metrics.Measure(metrics.CallersHTTP, s.countInFlight(c.Handler()))
 }
