--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -33,60 +33,62 @@
 	TeamsPath = "/teams"
 	FleetPath = "/fleet"
 
-	apiKeysName      = "api_keys"
-	operatorKeysName = "operator_keys"
-	expiresName      = "expires"
-	budgetName       = "default_budget"
-	defaultBudget    = "main"
+	apiKeysSegment       = "api_keys"
+	operatorKeysSegment  = "operator_keys"
+	expiresSegment       = "expires"
+	defaultBudgetSegment = "default_budget"
+	defaultBudgetName    = "main"
 )
 
 // DefaultBudgetPath returns the path of a team's default budget.
-func DefaultBudgetPath(team record.Team) string { return join(TeamPath(team), budgetName) }
+func DefaultBudgetPath(team record.Team) string {
+	return joinPath(TeamPath(team), defaultBudgetSegment)
+}
 
 // Authenticate returns the team of an API key. Keys have the form team:secret,
 // so that one look-up finds them.
 func Authenticate(c *fold.Config, key string) (Team, bool) {
-	team, ok := TeamOfKey(key)
+	team, ok := TeamFromKey(key)
 	if !ok {
 		return Team{}, false
 	}
-	if _, err := credential(c, APIKeyPath(team, key), time.Now()); err != nil {
+	if _, err := findCredential(c, APIKeyPath(team, key), time.Now()); err != nil {
 		return Team{}, false
 	}
-	budget := record.BudgetID{Team: team, Name: defaultBudget}
+	budget := record.BudgetID{Team: team, Name: defaultBudgetName}
 	if v, ok := c.Get(DefaultBudgetPath(team)); ok {
 		budget.Name = v.Value
 	}
 	return Team{
 		Name: team, Budget: budget,
-		Priority:    text(c, join(TeamPath(team), "priorities", "default"), PriorityInteractive),
-		MaxPriority: text(c, join(TeamPath(team), "priorities", "max"), PriorityCall),
+		Priority:    stringAt(c, joinPath(TeamPath(team), "priorities", "default"), PriorityInteractive),
+		MaxPriority: stringAt(c, joinPath(TeamPath(team), "priorities", "max"), PriorityCall),
 	}, true
 }
 
 // text returns the value at a path, or a default.
-func text(c *fold.Config, path, otherwise string) string {
+func stringAt(c *fold.Config, path, fallback string) string {
 	if v, ok := c.Get(path); ok {
 		return v.Value
 	}
-	return otherwise
+	return fallback
 }
 
 // number returns the value at a path, or 0. It was validated before it was
 // accepted.
-func number(c *fold.Config, path string) int {
+func intAt(c *fold.Config, path string) int {
 	v, _ := c.Get(path)
 	n, _ := strconv.Atoi(v.Value)
 	return max(n, 0)
 }
 
-// Engine is what the settings say about an endpoint; 0 where they are silent.
-type Engine struct {
+// EndpointCapacity is what the settings say about an endpoint; 0 where they are silent.
+type EndpointCapacity struct {
 	Slots, Weight int
 }
 
-// EngineOf returns the settings of an endpoint.
-func EngineOf(c *fold.Config, name string) Engine {
-	at := join(FleetPath, "engines", name)
-	return Engine{Slots: number(c, join(at, "slots")), Weight: number(c, join(at, "weight"))}
+// FleetEndpointCapacity returns the settings of an endpoint.
+func FleetEndpointCapacity(c *fold.Config, name string) EndpointCapacity {
+	base := joinPath(FleetPath, "engines", name)
+	return EndpointCapacity{Slots: intAt(c, joinPath(base, "slots")), Weight: intAt(c, joinPath(base, "weight"))}
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -13,18 +13,18 @@
 func TestPathsAreDocumentedAndTyped(t *testing.T) {
 	for _, p := range config.Paths() {
 		path := p.Example()
-		if found, ok := config.Find(path); !ok || found.Pattern != p.Pattern {
+		if found, ok := config.FindPath(path); !ok || found.Pattern != p.Pattern {
 			t.Errorf("%s is found as %q", path, found.Pattern)
 		}
 		if p.Default != "" && p.Default != "never" && p.Default != "none" {
-			if f := config.Validate([]record.ChangeOp{{Path: path, Value: p.Default}}, ""); len(f) > 0 {
-				t.Errorf("its own default: %v", f)
+			if findings := config.Validate([]record.ChangeOp{{Path: path, Value: p.Default}}, ""); len(findings) > 0 {
+				t.Errorf("its own default: %v", findings)
 			}
 		}
-		typed := !strings.HasPrefix(p.Allowed(), "text")
-		wrong := config.Validate([]record.ChangeOp{{Path: path, Value: "-1 / nonsense"}}, "")
-		if (len(wrong) > 0) != typed {
-			t.Errorf("%s takes nonsense: %v", path, wrong)
+		isTyped := !strings.HasPrefix(p.Allowed(), "text")
+		findings := config.Validate([]record.ChangeOp{{Path: path, Value: "-1 / nonsense"}}, "")
+		if (len(findings) > 0) != isTyped {
+			t.Errorf("%s takes nonsense: %v", path, findings)
 		}
 	}
 	page, err := os.ReadFile("../../docs/OPERATIONS.md")
--- a/internal/config/credentials.go
+++ b/internal/config/credentials.go
@@ -14,12 +14,12 @@
 
 // Errors of the credential checks.
 var (
-	// ErrForged says that no such credential stands in the settings.
-	ErrForged = eris.New("config: credential is not valid")
-	// ErrExpired says that the credential's time is over by this instance's
+	// ErrInvalidCredential says that no such credential stands in the settings.
+	ErrInvalidCredential = eris.New("config: credential is not valid")
+	// ErrExpiredCredential says that the credential's time is over by this instance's
 	// clock. Clocks may differ between instances by as much as they are off;
 	// delete a credential to end it everywhere.
-	ErrExpired = eris.New("config: credential has expired")
+	ErrExpiredCredential = eris.New("config: credential has expired")
 )
 
 // HashKey returns the form in which a credential stands in the settings.
@@ -28,31 +28,31 @@
 	return hex.EncodeToString(sum[:])
 }
 
-func join(parts ...string) string { return strings.Join(parts, "/") }
+func joinPath(parts ...string) string { return strings.Join(parts, "/") }
 
 // TeamPath returns the subtree of a team.
-func TeamPath(team record.Team) string { return join(TeamsPath, string(team)) }
+func TeamPath(team record.Team) string { return joinPath(TeamsPath, string(team)) }
 
 // APIKeyPath returns the path that makes key a credential of team. The value
 // is a note for people.
 func APIKeyPath(team record.Team, key string) string {
-	return join(TeamPath(team), apiKeysName, HashKey(key))
+	return joinPath(TeamPath(team), apiKeysSegment, HashKey(key))
 }
 
 // OperatorKeyPath returns the path that makes key an operator's credential of
 // team, or of the fleet if team is empty.
 func OperatorKeyPath(team record.Team, key string) string {
 	if team == "" {
-		return join(FleetPath, operatorKeysName, HashKey(key))
+		return joinPath(FleetPath, operatorKeysSegment, HashKey(key))
 	}
-	return join(TeamPath(team), operatorKeysName, HashKey(key))
+	return joinPath(TeamPath(team), operatorKeysSegment, HashKey(key))
 }
 
 // ExpiresPath returns the path of a credential's last moment.
-func ExpiresPath(credential string) string { return join(credential, expiresName) }
+func ExpiresPath(credential string) string { return joinPath(credential, expiresSegment) }
 
-// TeamOfKey returns the team that a key of the form team:secret names.
-func TeamOfKey(key string) (record.Team, bool) {
+// TeamFromKey returns the team that a key of the form team:secret names.
+func TeamFromKey(key string) (record.Team, bool) {
 	name, secret, ok := strings.Cut(key, ":")
 	if !ok || secret == "" || !ValidName(name) {
 		return "", false
@@ -61,18 +61,18 @@
 }
 
 // credential checks that a credential stands and has not expired.
-func credential(c *fold.Config, path string, now time.Time) (fold.Value, error) {
+func findCredential(c *fold.Config, path string, now time.Time) (fold.Value, error) {
 	v, ok := c.Get(path)
 	if !ok {
-		return fold.Value{}, ErrForged
+		return fold.Value{}, ErrInvalidCredential
 	}
-	limit, ok := c.Get(ExpiresPath(path))
+	expiry, ok := c.Get(ExpiresPath(path))
 	if !ok {
 		return v, nil
 	}
-	expires, err := time.Parse(time.RFC3339, limit.Value)
+	expires, err := time.Parse(time.RFC3339, expiry.Value)
 	if err != nil || !now.Before(expires) {
-		return fold.Value{}, ErrExpired
+		return fold.Value{}, ErrExpiredCredential
 	}
 	return v, nil
 }
@@ -88,31 +88,33 @@
 	Credential string
 }
 
-// Fleet says whether the operator may act on the whole fleet.
-func (o Operator) Fleet() bool { return o.Team == "" }
+// IsFleetOperator says whether the operator may act on the whole fleet.
+func (o Operator) IsFleetOperator() bool { return o.Team == "" }
 
 // Scope is the subtree that the operator may change; "" is all.
 func (o Operator) Scope() string {
-	if o.Fleet() {
+	if o.IsFleetOperator() {
 		return ""
 	}
 	return TeamPath(o.Team)
 }
 
 // MayRead says whether the operator may see a path.
-func (o Operator) MayRead(path string) bool { return o.Fleet() || fold.IsAtOrBelow(path, o.Scope()) }
+func (o Operator) MayRead(path string) bool {
+	return o.IsFleetOperator() || fold.IsAtOrBelow(path, o.Scope())
+}
 
 // AuthenticateOperator returns the operator of a token that stands in the
-// settings. Errors: ErrForged, ErrExpired.
+// settings. Errors: ErrInvalidCredential, ErrExpiredCredential.
 func AuthenticateOperator(c *fold.Config, token string, now time.Time) (Operator, error) {
-	if team, ok := TeamOfKey(token); ok {
+	if team, ok := TeamFromKey(token); ok {
 		path := OperatorKeyPath(team, token)
-		v, err := credential(c, path, now)
-		if err == nil || eris.Is(err, ErrExpired) {
+		v, err := findCredential(c, path, now)
+		if err == nil || eris.Is(err, ErrExpiredCredential) {
 			return Operator{Name: "team " + string(team) + ": " + v.Value, Team: team, Credential: path}, err
 		}
 	}
 	path := OperatorKeyPath("", token)
-	v, err := credential(c, path, now)
+	v, err := findCredential(c, path, now)
 	return Operator{Name: "fleet: " + v.Value, Credential: path}, err
 }
--- a/internal/config/repeat.go
+++ b/internal/config/repeat.go
@@ -7,12 +7,14 @@
 	"github.com/rotisserie/eris"
 )
 
-// ErrRepeatRule says that a rule for repeatable calls is malformed.
-var ErrRepeatRule = eris.New(`config: a rule for repeatable calls is "METHOD /path"`)
+// ErrMalformedRepeatRule says that a rule for repeatable calls is malformed.
+var ErrMalformedRepeatRule = eris.New(`config: a rule for repeatable calls is "METHOD /path"`)
 
 // RepeatablePath returns the path of a service's rules for calls that may be
 // repeated; see ParseRepeatRules.
-func RepeatablePath(service string) string { return join(FleetPath, "services", service, "repeatable") }
+func RepeatablePath(service string) string {
+	return joinPath(FleetPath, "services", service, "repeatable")
+}
 
 // RepeatRule lets the calls of one method under one path be repeated.
 type RepeatRule struct {
@@ -31,7 +33,7 @@
 			continue
 		}
 		if len(fields) != 2 || fields[0] != strings.ToUpper(fields[0]) || !strings.HasPrefix(fields[1], "/") {
-			return nil, eris.Wrapf(ErrRepeatRule, "config: %q", item)
+			return nil, eris.Wrapf(ErrMalformedRepeatRule, "config: %q", item)
 		}
 		rules = append(rules, RepeatRule{Method: fields[0], Path: strings.TrimSuffix(fields[1], "/")})
 	}
@@ -40,18 +42,18 @@
 
 // matches compares whole path segments. A path that is not in its simplest
 // form never matches, since the service may read it as another one.
-func (rule RepeatRule) matches(method, called string) bool {
-	if method != rule.Method || path.Clean(called) != strings.TrimSuffix(called, "/") || strings.ContainsAny(called, `%\`) {
+func (rule RepeatRule) matches(method, callPath string) bool {
+	if method != rule.Method || path.Clean(callPath) != strings.TrimSuffix(callPath, "/") || strings.ContainsAny(callPath, `%\`) {
 		return false
 	}
-	rest, ok := strings.CutPrefix(called, rule.Path)
-	return ok && (rest == "" || rest[0] == '/')
+	remainder, ok := strings.CutPrefix(callPath, rule.Path)
+	return ok && (remainder == "" || remainder[0] == '/')
 }
 
-// AnyRepeats says whether one of the rules covers a call.
-func AnyRepeats(rules []RepeatRule, method, called string) bool {
+// IsRepeatable says whether one of the rules covers a call.
+func IsRepeatable(rules []RepeatRule, method, callPath string) bool {
 	for _, rule := range rules {
-		if rule.matches(method, called) {
+		if rule.matches(method, callPath) {
 			return true
 		}
 	}
--- a/internal/config/repeat_test.go
+++ b/internal/config/repeat_test.go
@@ -7,7 +7,7 @@
 
 func TestMalformedRepeatRulesAllowNothing(t *testing.T) {
 	for _, text := range []string{"GET", "get /x", "GET x", "GET /a b", "GET /ok, POST"} {
-		if rules, err := ParseRepeatRules(text); !errors.Is(err, ErrRepeatRule) || rules != nil {
+		if rules, err := ParseRepeatRules(text); !errors.Is(err, ErrMalformedRepeatRule) || rules != nil {
 			t.Errorf("%q: %v, %v", text, rules, err)
 		}
 	}
--- a/internal/config/schema.go
+++ b/internal/config/schema.go
@@ -28,40 +28,40 @@
 	// they bear on other teams, or on who may change settings.
 	FleetOnly bool
 
-	value value
+	value valueRule
 }
 
 // value is what a path takes.
-type value struct {
+type valueRule struct {
 	allowed string
-	ok      func(string) bool
+	isValid func(string) bool
 }
 
 // Paths lists every known path.
 func Paths() []Path {
 	return []Path{
 		{Pattern: "/teams/{team}/api_keys/{sha256}", Unit: "text", value: anyText, Doc: "A caller's credential, by the SHA-256 of team:secret. The value is a note for people."},
-		{Pattern: "/teams/{team}/api_keys/{sha256}/expires", Unit: "RFC 3339 time", Default: "never", value: instant, Doc: "The credential is refused from then on."},
+		{Pattern: "/teams/{team}/api_keys/{sha256}/expires", Unit: "RFC 3339 time", Default: "never", value: timestamp, Doc: "The credential is refused from then on."},
 		{Pattern: "/teams/{team}/operator_keys/{sha256}", Unit: "text", value: anyText, FleetOnly: true, Doc: "A credential that changes this team's subtree, by the SHA-256 of team:secret."},
-		{Pattern: "/teams/{team}/operator_keys/{sha256}/expires", Unit: "RFC 3339 time", Default: "never", value: instant, FleetOnly: true, Doc: "The credential is refused from then on."},
+		{Pattern: "/teams/{team}/operator_keys/{sha256}/expires", Unit: "RFC 3339 time", Default: "never", value: timestamp, FleetOnly: true, Doc: "The credential is refused from then on."},
 		{Pattern: "/teams/{team}/default_budget", Unit: "budget", Default: "main", value: anyName, Doc: "Budget that a request draws on when it names none."},
-		{Pattern: "/teams/{team}/budgets/{name}/lean", Unit: "share", Default: "1", value: share, Doc: "0 leans to fewer stranded tokens behind a cut, 1 to fewer false refusals."},
-		{Pattern: "/teams/{team}/weight", Unit: "weight", Default: "1", value: count(1, 1000), FleetOnly: true, Doc: "The team's share of a busy fleet against other teams."},
+		{Pattern: "/teams/{team}/budgets/{name}/lean", Unit: "share", Default: "1", value: fraction, Doc: "0 leans to fewer stranded tokens behind a cut, 1 to fewer false refusals."},
+		{Pattern: "/teams/{team}/weight", Unit: "weight", Default: "1", value: intRange(1, 1000), FleetOnly: true, Doc: "The team's share of a busy fleet against other teams."},
 		{Pattern: "/teams/{team}/priorities/default", Unit: "class", Default: "interactive", value: priorityClass, Doc: "Priority class of the team's requests that name none."},
 		{Pattern: "/teams/{team}/priorities/max", Unit: "class", Default: "call", value: priorityClass, FleetOnly: true, Doc: "Highest priority class that the team's model requests may name; a higher one is lowered to it."},
-		{Pattern: "/teams/{team}/calls/when_log_away", Unit: "policy", Default: "serve", value: choice("refuse", "serve"), Doc: "Calls that may not be repeated, while the log is away: refuse is always safe; serve needs the claim's holder and witness."},
+		{Pattern: "/teams/{team}/calls/when_log_away", Unit: "policy", Default: "serve", value: oneOf("refuse", "serve"), Doc: "Calls that may not be repeated, while the log is away: refuse is always safe; serve needs the claim's holder and witness."},
 		{Pattern: "/teams/{team}/endpoints/{name}/url", Unit: "address", value: baseURL, Doc: "Adds an endpoint that serves this team alone. Without a url the other settings of the endpoint have no effect."},
 		{Pattern: "/teams/{team}/endpoints/{name}/zone", Unit: "availability zone", value: anyName, Doc: "Where the endpoint is; instances of this zone prefer it."},
 		{Pattern: "/teams/{team}/endpoints/{name}/model", Unit: "model", value: anyName, Doc: "Model that the endpoint serves."},
 		{Pattern: "/teams/{team}/endpoints/{name}/service", Unit: "service", value: anyName, Doc: "Plain service that the endpoint serves, instead of a model."},
-		{Pattern: "/teams/{team}/endpoints/{name}/slots", Unit: "requests", Default: "16", value: count(1, 4096), Doc: "Requests that the endpoint works on at once."},
-		{Pattern: "/teams/{team}/endpoints/{name}/weight", Unit: "weight", value: count(1, 4096), Doc: "The endpoint's capacity against the team's others; its slots where it is not set."},
+		{Pattern: "/teams/{team}/endpoints/{name}/slots", Unit: "requests", Default: "16", value: intRange(1, 4096), Doc: "Requests that the endpoint works on at once."},
+		{Pattern: "/teams/{team}/endpoints/{name}/weight", Unit: "weight", value: intRange(1, 4096), Doc: "The endpoint's capacity against the team's others; its slots where it is not set."},
 		{Pattern: "/fleet/operator_keys/{sha256}", Unit: "text", value: anyText, Doc: "A fleet operator's credential, by the SHA-256 of the token. The value is the operator's name."},
-		{Pattern: "/fleet/operator_keys/{sha256}/expires", Unit: "RFC 3339 time", Default: "never", value: instant, Doc: "The credential is refused from then on."},
+		{Pattern: "/fleet/operator_keys/{sha256}/expires", Unit: "RFC 3339 time", Default: "never", value: timestamp, Doc: "The credential is refused from then on."},
 		{Pattern: "/fleet/services/{name}/repeatable", Unit: "rules", Default: "none", value: repeatRules, Doc: "Which calls of the service may run twice: METHOD /path, parted by commas; a path covers all below it."},
-		{Pattern: "/fleet/engines/{name}/slots", Unit: "requests", Default: "16", value: count(1, 4096), Doc: "Requests that the endpoint works on at once."},
-		{Pattern: "/fleet/engines/{name}/weight", Unit: "weight", value: count(1, 4096), Doc: "The endpoint's capacity against the others; its slots where it is not set. Set it for all or for none."},
-		{Pattern: "/fleet/engines/{name}/fencing", Unit: "switch", Default: "ignores", value: choice("checks", "ignores"), Doc: "Whether the endpoint refuses an order with an old fencing number. Not read yet by this version."},
+		{Pattern: "/fleet/engines/{name}/slots", Unit: "requests", Default: "16", value: intRange(1, 4096), Doc: "Requests that the endpoint works on at once."},
+		{Pattern: "/fleet/engines/{name}/weight", Unit: "weight", value: intRange(1, 4096), Doc: "The endpoint's capacity against the others; its slots where it is not set. Set it for all or for none."},
+		{Pattern: "/fleet/engines/{name}/fencing", Unit: "switch", Default: "ignores", value: oneOf("checks", "ignores"), Doc: "Whether the endpoint refuses an order with an old fencing number. Not read yet by this version."},
 	}
 }
 
@@ -69,22 +69,22 @@
 	namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,99}$`)
 	hashPattern = regexp.MustCompile(`^[0-9a-f]{64}$`)
 
-	anyText       = value{fmt.Sprintf("text of at most %d bytes", MaxValueBytes), func(string) bool { return true }}
-	anyName       = value{"a name: letters, digits, dots, dashes, underscores; at most 100", ValidName}
-	instant       = value{"a time like 2027-01-31T00:00:00Z", func(v string) bool { _, err := time.Parse(time.RFC3339, v); return err == nil }}
-	priorityClass = choice(PriorityBatch, PriorityInteractive, PriorityCall)
-	baseURL       = value{"http://IP:port or https://IP:port", validBaseURL}
-	repeatRules   = value{"rules like GET /calendar, POST /tags", func(v string) bool { _, err := ParseRepeatRules(v); return err == nil }}
-	share         = value{"a number from 0 to 1", func(v string) bool { f, err := strconv.ParseFloat(v, 64); return err == nil && f >= 0 && f <= 1 }}
+	anyText       = valueRule{fmt.Sprintf("text of at most %d bytes", MaxValueBytes), func(string) bool { return true }}
+	anyName       = valueRule{"a name: letters, digits, dots, dashes, underscores; at most 100", ValidName}
+	timestamp     = valueRule{"a time like 2027-01-31T00:00:00Z", func(v string) bool { _, err := time.Parse(time.RFC3339, v); return err == nil }}
+	priorityClass = oneOf(PriorityBatch, PriorityInteractive, PriorityCall)
+	baseURL       = valueRule{"http://IP:port or https://IP:port", validBaseURL}
+	repeatRules   = valueRule{"rules like GET /calendar, POST /tags", func(v string) bool { _, err := ParseRepeatRules(v); return err == nil }}
+	fraction      = valueRule{"a number from 0 to 1", func(v string) bool { f, err := strconv.ParseFloat(v, 64); return err == nil && f >= 0 && f <= 1 }}
 )
 
-func count(low, high int) value {
-	ok := func(v string) bool { n, err := strconv.Atoi(v); return err == nil && n >= low && n <= high }
-	return value{fmt.Sprintf("an integer from %d to %d", low, high), ok}
+func intRange(minValue, maxValue int) valueRule {
+	isValid := func(v string) bool { n, err := strconv.Atoi(v); return err == nil && n >= minValue && n <= maxValue }
+	return valueRule{fmt.Sprintf("an integer from %d to %d", minValue, maxValue), isValid}
 }
 
-func choice(choices ...string) value {
-	ok := func(v string) bool {
+func oneOf(choices ...string) valueRule {
+	isValid := func(v string) bool {
 		for _, c := range choices {
 			if v == c {
 				return true
@@ -92,7 +92,7 @@
 		}
 		return false
 	}
-	return value{strings.Join(choices, " or "), ok}
+	return valueRule{strings.Join(choices, " or "), isValid}
 }
 
 // validBaseURL takes an address by IP number only, so that no name is looked up
@@ -122,31 +122,31 @@
 
 // match says whether path is of this pattern.
 func (p Path) match(path string) bool {
-	want, got := strings.Split(p.Pattern, "/"), strings.Split(path, "/")
-	if len(want) != len(got) {
+	patternSegments, segments := strings.Split(p.Pattern, "/"), strings.Split(path, "/")
+	if len(patternSegments) != len(segments) {
 		return false
 	}
-	for i, part := range want {
-		if !matchPart(part, got[i]) {
+	for i, pattern := range patternSegments {
+		if !matchSegment(pattern, segments[i]) {
 			return false
 		}
 	}
 	return true
 }
 
-func matchPart(want, got string) bool {
-	switch want {
+func matchSegment(pattern, segment string) bool {
+	switch pattern {
 	case "{sha256}":
-		return hashPattern.MatchString(got)
+		return hashPattern.MatchString(segment)
 	case "{team}", "{name}":
-		return ValidName(got)
+		return ValidName(segment)
 	default:
-		return want == got
+		return pattern == segment
 	}
 }
 
-// Find returns the known path that a path is of.
-func Find(path string) (Path, bool) {
+// FindPath returns the known path that a path is of.
+func FindPath(path string) (Path, bool) {
 	for _, p := range Paths() {
 		if p.match(path) {
 			return p, true
--- a/internal/config/team.go
+++ b/internal/config/team.go
@@ -9,7 +9,7 @@
 
 // TeamEndpoint is an endpoint that a team's operators added for it alone.
 type TeamEndpoint struct {
-	Engine
+	EndpointCapacity
 	Team    record.Team
 	Name    string // Team and name, so that teams cannot take each other's names.
 	URL     string
@@ -18,39 +18,39 @@
 	Service string
 }
 
-// TeamRows is what the settings say about the teams, as far as placement needs
+// PlacementSettings is what the settings say about the teams, as far as placement needs
 // it.
-type TeamRows struct {
+type PlacementSettings struct {
 	// Weights has the teams whose share differs from 1.
 	Weights   map[record.Team]float64
 	Endpoints []TeamEndpoint
 }
 
-// TeamRowsOf reads all teams' weights and endpoints. It costs a walk over the
+// ReadPlacementSettings reads all teams' weights and endpoints. It costs a walk over the
 // teams' subtree, so callers read it again only after a change.
-func TeamRowsOf(c *fold.Config) TeamRows {
-	rows := TeamRows{Weights: map[record.Team]float64{}}
+func ReadPlacementSettings(c *fold.Config) PlacementSettings {
+	placement := PlacementSettings{Weights: map[record.Team]float64{}}
 	for _, v := range c.List(TeamsPath) {
-		parts := strings.Split(v.Path, "/") // Empty, teams, team, ...
+		segments := strings.Split(v.Path, "/") // Empty, teams, team, ...
 		switch {
-		case len(parts) == 4 && parts[3] == "weight":
-			rows.Weights[record.Team(parts[2])] = float64(number(c, v.Path))
-		case len(parts) == 6 && parts[3] == "endpoints" && parts[5] == "url":
-			rows.Endpoints = append(rows.Endpoints, teamEndpoint(c, record.Team(parts[2]), parts[4], v.Value))
+		case len(segments) == 4 && segments[3] == "weight":
+			placement.Weights[record.Team(segments[2])] = float64(intAt(c, v.Path))
+		case len(segments) == 6 && segments[3] == "endpoints" && segments[5] == "url":
+			placement.Endpoints = append(placement.Endpoints, readTeamEndpoint(c, record.Team(segments[2]), segments[4], v.Value))
 		}
 	}
-	return rows
+	return placement
 }
 
-func teamEndpoint(c *fold.Config, team record.Team, name, url string) TeamEndpoint {
-	at := join(TeamPath(team), "endpoints", name)
+func readTeamEndpoint(c *fold.Config, team record.Team, name, url string) TeamEndpoint {
+	base := joinPath(TeamPath(team), "endpoints", name)
 	return TeamEndpoint{
-		Engine:  Engine{Slots: number(c, join(at, "slots")), Weight: number(c, join(at, "weight"))},
-		Team:    team,
-		Name:    string(team) + "/" + name,
-		URL:     url,
-		Zone:    record.Zone(text(c, join(at, "zone"), "")),
-		Model:   text(c, join(at, "model"), ""),
-		Service: text(c, join(at, "service"), ""),
+		EndpointCapacity: EndpointCapacity{Slots: intAt(c, joinPath(base, "slots")), Weight: intAt(c, joinPath(base, "weight"))},
+		Team:             team,
+		Name:             string(team) + "/" + name,
+		URL:              url,
+		Zone:             record.Zone(stringAt(c, joinPath(base, "zone"), "")),
+		Model:            stringAt(c, joinPath(base, "model"), ""),
+		Service:          stringAt(c, joinPath(base, "service"), ""),
 	}
 }
--- a/internal/config/team_test.go
+++ b/internal/config/team_test.go
@@ -9,7 +9,7 @@
 )
 
 // applied returns a fold that has accepted values at paths.
-func applied(t *testing.T, values map[string]string) *fold.Config {
+func newConfigWith(t *testing.T, values map[string]string) *fold.Config {
 	t.Helper()
 	change := record.Change{ID: "1", By: "test"}
 	for path, value := range values {
@@ -29,29 +29,29 @@
 	return c
 }
 
-func TestTeamRows(t *testing.T) {
-	c := applied(t, map[string]string{
+func TestTeamWeightsAndEndpointsAreReadForPlacement(t *testing.T) {
+	c := newConfigWith(t, map[string]string{
 		"/teams/dala/weight":                  "3",
 		"/teams/dala/endpoints/own/url":       "http://127.0.0.1:9300",
 		"/teams/dala/endpoints/own/model":     "tuned",
 		"/teams/dala/endpoints/own/slots":     "4",
 		"/teams/agenda/endpoints/half/weight": "2", // Without a url it is no endpoint.
 	})
-	rows := config.TeamRowsOf(c)
-	if len(rows.Weights) != 1 || rows.Weights["dala"] != 3 {
-		t.Errorf("weights %v", rows.Weights)
+	placement := config.ReadPlacementSettings(c)
+	if len(placement.Weights) != 1 || placement.Weights["dala"] != 3 {
+		t.Errorf("weights %v", placement.Weights)
 	}
 	want := config.TeamEndpoint{
-		Engine: config.Engine{Slots: 4}, Team: "dala", Name: "dala/own", URL: "http://127.0.0.1:9300", Model: "tuned",
+		EndpointCapacity: config.EndpointCapacity{Slots: 4}, Team: "dala", Name: "dala/own", URL: "http://127.0.0.1:9300", Model: "tuned",
 	}
-	if len(rows.Endpoints) != 1 || rows.Endpoints[0] != want {
-		t.Errorf("endpoints %+v", rows.Endpoints)
+	if len(placement.Endpoints) != 1 || placement.Endpoints[0] != want {
+		t.Errorf("endpoints %+v", placement.Endpoints)
 	}
 }
 
 func TestTeamPriorities(t *testing.T) {
 	key := "dala:secret"
-	c := applied(t, map[string]string{
+	c := newConfigWith(t, map[string]string{
 		config.APIKeyPath("dala", key):   "note",
 		"/teams/dala/priorities/max":     "interactive",
 		"/teams/dala/priorities/default": "batch",
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -21,13 +21,13 @@
 // The fold does not validate: it must give the same tables in every version,
 // while the known paths grow from version to version.
 func Validate(ops []record.ChangeOp, scope string) []Finding {
-	var out []Finding
+	var findings []Finding
 	add := func(path, format string, args ...any) {
-		out = append(out, Finding{Path: path, Problem: fmt.Sprintf(format, args...)})
+		findings = append(findings, Finding{Path: path, Problem: fmt.Sprintf(format, args...)})
 	}
 	if len(ops) == 0 || len(ops) > MaxOps {
 		add("", "has %d operations; allowed: 1 to %d", len(ops), MaxOps)
-		return out
+		return findings
 	}
 	if size := changeBytes(ops); size > MaxChangeBytes {
 		add("", "is %d bytes long; allowed: %d, so split it", size, MaxChangeBytes)
@@ -40,7 +40,7 @@
 			add(op.Path, "stands twice in the change; allowed: once")
 		}
 	}
-	return out
+	return findings
 }
 
 func changeBytes(ops []record.ChangeOp) int {
@@ -59,10 +59,10 @@
 	if scope != "" && !fold.IsAtOrBelow(op.Path, scope) {
 		return "is outside of what this credential may change; allowed: paths below " + scope
 	}
-	path, known := Find(op.Path)
+	path, known := FindPath(op.Path)
 	switch {
 	case !known:
-		return "is not a known path; " + nearest(op.Path)
+		return "is not a known path; " + suggestPaths(op.Path)
 	case scope != "" && path.FleetOnly:
 		return "is for fleet operators to change; ask them"
 	case op.Delete && op.Value != "":
@@ -71,35 +71,35 @@
 		return ""
 	case len(op.Value) > MaxValueBytes:
 		return fmt.Sprintf("has a value of %d bytes; allowed: %d", len(op.Value), MaxValueBytes)
-	case !path.value.ok(op.Value):
+	case !path.value.isValid(op.Value):
 		return fmt.Sprintf("is %q; allowed: %s", op.Value, path.Allowed())
 	}
 	return ""
 }
 
 // nearest names the known paths with the same beginning.
-func nearest(path string) string {
-	parts := strings.Split(path, "/")
-	for depth := min(len(parts), 4); depth > 1; depth-- {
-		var same []string
+func suggestPaths(path string) string {
+	segments := strings.Split(path, "/")
+	for depth := min(len(segments), 4); depth > 1; depth-- {
+		var candidates []string
 		for _, p := range Paths() {
-			if beginsLike(strings.Split(p.Pattern, "/"), parts[:depth]) {
-				same = append(same, p.Pattern)
+			if hasPatternPrefix(strings.Split(p.Pattern, "/"), segments[:depth]) {
+				candidates = append(candidates, p.Pattern)
 			}
 		}
-		if len(same) > 0 {
-			return "allowed there: " + strings.Join(same, ", ")
+		if len(candidates) > 0 {
+			return "allowed there: " + strings.Join(candidates, ", ")
 		}
 	}
 	return "allowed: paths below " + TeamsPath + "/{team} or " + FleetPath
 }
 
-func beginsLike(pattern, parts []string) bool {
-	if len(pattern) < len(parts) {
+func hasPatternPrefix(pattern, segments []string) bool {
+	if len(pattern) < len(segments) {
 		return false
 	}
-	for i, part := range parts {
-		if !matchPart(pattern[i], part) {
+	for i, segment := range segments {
+		if !matchSegment(pattern[i], segment) {
 			return false
 		}
 	}
--- a/internal/operator/access.go
+++ b/internal/operator/access.go
@@ -29,7 +29,7 @@
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		operator, err := a.identify(r)
 		switch {
-		case eris.Is(err, config.ErrExpired):
+		case eris.Is(err, config.ErrExpiredCredential):
 			writeProblem(w, http.StatusUnauthorized, problem{Code: "expired_operator_token", Message: "The operator token has expired; a fleet operator can set a later time or a new token."})
 		case err != nil:
 			writeProblem(w, http.StatusUnauthorized, problem{Code: "invalid_operator_token", Message: "The operator token is missing or not valid."})
@@ -39,12 +39,12 @@
 	})
 }
 
-// identify returns the operator of the request's bearer token. Errors: config.ErrForged,
-// also if there is no token, and config.ErrExpired.
+// identify returns the operator of the request's bearer token. Errors: config.ErrInvalidCredential,
+// also if there is no token, and config.ErrExpiredCredential.
 func (a *API) identify(r *http.Request) (config.Operator, error) {
 	token, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !ok || token == "" {
-		return config.Operator{}, config.ErrForged
+		return config.Operator{}, config.ErrInvalidCredential
 	}
 	if secretsEqual(token, a.FleetToken) {
 		return config.Operator{Name: fleetOperatorName}, nil
@@ -79,7 +79,7 @@
 	return func(next http.Handler) http.Handler {
 		return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			operator := authenticatedOperator(r)
-			allowed := operator.Fleet() || required == accessScoped ||
+			allowed := operator.IsFleetOperator() || required == accessScoped ||
 				required == accessTeam && record.Team(chi.URLParam(r, "team")) == operator.Team
 			if !allowed {
 				writeForbidden(w, "This is for fleet operators, or for the operators of that team.")
--- a/internal/run/chat_test.go
+++ b/internal/run/chat_test.go
@@ -311,4 +311,4 @@
 
 type repeats []config.RepeatRule
 
-func (r repeats) Repeatable(_, method, path string) bool { return config.AnyRepeats(r, method, path) }
+func (r repeats) Repeatable(_, method, path string) bool { return config.IsRepeatable(r, method, path) }
--- a/internal/server/endpoints.go
+++ b/internal/server/endpoints.go
@@ -73,7 +73,7 @@
 		return false
 	}
 	rules, err := config.ParseRepeatRules(value.Value)
-	return err == nil && config.AnyRepeats(rules, method, path)
+	return err == nil && config.IsRepeatable(rules, method, path)
 }
 
 // endpointClients holds the clients of the endpoints and polls their load.
--- a/internal/server/table.go
+++ b/internal/server/table.go
@@ -33,7 +33,7 @@
 	// weights are the team weights last handed over.
 	weights map[record.Team]float64
 	// teams is as of the settings' offset teamsAt.
-	teams   config.TeamRows
+	teams   config.PlacementSettings
 	teamsAt uint64
 }
 
@@ -72,7 +72,7 @@
 	if t.teams.Weights != nil && f.Next() == t.teamsAt {
 		return
 	}
-	t.teams, t.teamsAt = config.TeamRowsOf(f), f.Next()
+	t.teams, t.teamsAt = config.ReadPlacementSettings(f), f.Next()
 }
 
 func (t *endpointTable) handWeights(d *decide.Decider) {
@@ -89,18 +89,18 @@
 
 func listedRow(f *fold.Config, e logstore.Endpoint) decide.Endpoint {
 	row := decide.Endpoint{Name: e.Name, Zone: e.Zone, Service: e.Service, Leaving: e.Leaving}
-	return withCapacity(row, e.Model, config.EngineOf(f, e.Name))
+	return withCapacity(row, e.Model, config.FleetEndpointCapacity(f, e.Name))
 }
 
 func teamRow(e config.TeamEndpoint) decide.Endpoint {
 	row := decide.Endpoint{Name: e.Name, Zone: e.Zone, Service: e.Service, Team: e.Team}
-	return withCapacity(row, e.Model, e.Engine)
+	return withCapacity(row, e.Model, e.EndpointCapacity)
 }
 
 // withCapacity sets slots and weight. Where no weight is set, the slots stand
 // for the capacity: with equal weights a fleet of mixed sizes lost a fifth of
 // its goodput at 90 to 110 per cent (docs/measurements/decide.md).
-func withCapacity(row decide.Endpoint, model string, capacity config.Engine) decide.Endpoint {
+func withCapacity(row decide.Endpoint, model string, capacity config.EndpointCapacity) decide.Endpoint {
 	if model != "" {
 		row.Models = []string{model}
 	}
--- a/internal/server/table_test.go
+++ b/internal/server/table_test.go
@@ -9,14 +9,14 @@
 
 func TestCapacityOfAnEndpoint(t *testing.T) {
 	for _, c := range []struct {
-		set    config.Engine
+		set    config.EndpointCapacity
 		slots  int
 		weight float64
 	}{
-		{config.Engine{}, defaultSlots, defaultSlots},
-		{config.Engine{Slots: 4}, 4, 4},
-		{config.Engine{Slots: 4, Weight: 9}, 4, 9},
-		{config.Engine{Weight: 9}, defaultSlots, 9},
+		{config.EndpointCapacity{}, defaultSlots, defaultSlots},
+		{config.EndpointCapacity{Slots: 4}, 4, 4},
+		{config.EndpointCapacity{Slots: 4, Weight: 9}, 4, 9},
+		{config.EndpointCapacity{Weight: 9}, defaultSlots, 9},
 	} {
 		row := withCapacity(decide.Endpoint{}, "small", c.set)
 		if row.Slots != c.slots || row.Weight != c.weight || len(row.Models) != 1 {
