--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,6 +1,7 @@
-// Package config reads typed settings out of the paths on the platform's log,
-// and validates changes of them. Paths lists every known path. Static
-// settings, which an instance needs to start, are in package settings.
+// Package config reads typed settings from the paths and values on the platform's
+// log, authenticates callers and operators against them, and validates changes.
+// Paths lists every known path. Static settings, which an instance needs to
+// start, are in package settings.
 package config
 
 import (
@@ -11,13 +12,13 @@
 	"guavapier/internal/record"
 )
 
-// Team is what the settings say about a team.
+// Team holds the settings of a team that apply to its requests.
 type Team struct {
 	Name record.Team
-	// Budget is the budget that requests draw on by default.
+	// Budget is charged for requests that name no budget.
 	Budget record.BudgetID
-	// Priority is the class of requests that name none, MaxPriority the highest
-	// that a request may name; see PriorityBatch.
+	// Priority is the priority class of requests that name none, MaxPriority the
+	// highest class that a request may name; see PriorityBatch.
 	Priority, MaxPriority string
 }
 
@@ -28,7 +29,7 @@
 	PriorityCall        = "call"
 )
 
-// The subtrees and names in use.
+// The roots of the subtrees, and segments and values that several paths share.
 const (
 	TeamsPath = "/teams"
 	FleetPath = "/fleet"
@@ -40,13 +41,14 @@
 	defaultBudgetName    = "main"
 )
 
-// DefaultBudgetPath returns the path of a team's default budget.
+// DefaultBudgetPath returns the path of the name of a team's default budget.
 func DefaultBudgetPath(team record.Team) string {
 	return joinPath(TeamPath(team), defaultBudgetSegment)
 }
 
-// Authenticate returns the team of an API key. Keys have the form team:secret,
-// so that one look-up finds them.
+// Authenticate returns the team of an API key, or false if the key is malformed,
+// unknown or expired. Keys have the form team:secret, so that a single lookup
+// finds them.
 func Authenticate(c *fold.Config, key string) (Team, bool) {
 	team, ok := TeamFromKey(key)
 	if !ok {
@@ -66,7 +68,7 @@
 	}, true
 }
 
-// text returns the value at a path, or a default.
+// stringAt returns the value at a path, or fallback if it is not set.
 func stringAt(c *fold.Config, path, fallback string) string {
 	if v, ok := c.Get(path); ok {
 		return v.Value
@@ -74,20 +76,24 @@
 	return fallback
 }
 
-// number returns the value at a path, or 0. It was validated before it was
-// accepted.
+// intAt returns the value at a path as an integer, or 0 if it is not set. The
+// value was validated before it was appended.
 func intAt(c *fold.Config, path string) int {
 	v, _ := c.Get(path)
 	n, _ := strconv.Atoi(v.Value)
 	return max(n, 0)
 }
 
-// EndpointCapacity is what the settings say about an endpoint; 0 where they are silent.
+// EndpointCapacity holds the capacity settings of an endpoint; 0 stands for one
+// that is not set.
 type EndpointCapacity struct {
+	// Slots is the number of requests that the endpoint processes at once, Weight
+	// its capacity relative to other endpoints.
 	Slots, Weight int
 }
 
-// FleetEndpointCapacity returns the settings of an endpoint.
+// FleetEndpointCapacity returns the capacity settings of an endpoint that serves
+// the whole fleet.
 func FleetEndpointCapacity(c *fold.Config, name string) EndpointCapacity {
 	base := joinPath(FleetPath, "engines", name)
 	return EndpointCapacity{Slots: intAt(c, joinPath(base, "slots")), Weight: intAt(c, joinPath(base, "weight"))}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -9,22 +9,23 @@
 	"guavapier/internal/record"
 )
 
-// Every known path takes its default, refuses nonsense, and is on the page.
+// Every known path accepts its default value, rejects a value of the wrong type,
+// and is documented in the operators' reference.
 func TestPathsAreDocumentedAndTyped(t *testing.T) {
 	for _, p := range config.Paths() {
 		path := p.Example()
 		if found, ok := config.FindPath(path); !ok || found.Pattern != p.Pattern {
-			t.Errorf("%s is found as %q", path, found.Pattern)
+			t.Errorf("FindPath(%q) returned the pattern %q", path, found.Pattern)
 		}
 		if p.Default != "" && p.Default != "never" && p.Default != "none" {
 			if findings := config.Validate([]record.ChangeOp{{Path: path, Value: p.Default}}, ""); len(findings) > 0 {
-				t.Errorf("its own default: %v", findings)
+				t.Errorf("the default is rejected: %v", findings)
 			}
 		}
 		isTyped := !strings.HasPrefix(p.Allowed(), "text")
 		findings := config.Validate([]record.ChangeOp{{Path: path, Value: "-1 / nonsense"}}, "")
 		if (len(findings) > 0) != isTyped {
-			t.Errorf("%s takes nonsense: %v", path, findings)
+			t.Errorf("%s: findings for a value of the wrong type: %v", path, findings)
 		}
 	}
 	page, err := os.ReadFile("../../docs/OPERATIONS.md")
--- a/internal/config/credentials.go
+++ b/internal/config/credentials.go
@@ -12,17 +12,18 @@
 	"guavapier/internal/record"
 )
 
-// Errors of the credential checks.
+// Reasons for which a credential is refused.
 var (
-	// ErrInvalidCredential says that no such credential stands in the settings.
+	// ErrInvalidCredential reports that the settings contain no such credential.
 	ErrInvalidCredential = eris.New("config: credential is not valid")
-	// ErrExpiredCredential says that the credential's time is over by this instance's
-	// clock. Clocks may differ between instances by as much as they are off;
-	// delete a credential to end it everywhere.
+	// ErrExpiredCredential reports that the credential has expired by this
+	// instance's clock. As clocks may differ, instances may disagree on it by their
+	// clock skew; deleting a credential revokes it on all instances.
 	ErrExpiredCredential = eris.New("config: credential has expired")
 )
 
-// HashKey returns the form in which a credential stands in the settings.
+// HashKey returns the form in which the settings store a credential: its
+// SHA-256 in lower-case hexadecimal.
 func HashKey(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
@@ -30,16 +31,16 @@
 
 func joinPath(parts ...string) string { return strings.Join(parts, "/") }
 
-// TeamPath returns the subtree of a team.
+// TeamPath returns the root of a team's subtree, /teams/{team}.
 func TeamPath(team record.Team) string { return joinPath(TeamsPath, string(team)) }
 
-// APIKeyPath returns the path that makes key a credential of team. The value
-// is a note for people.
+// APIKeyPath returns the path whose presence makes key an API key of team. Its
+// value is a free-form note.
 func APIKeyPath(team record.Team, key string) string {
 	return joinPath(TeamPath(team), apiKeysSegment, HashKey(key))
 }
 
-// OperatorKeyPath returns the path that makes key an operator's credential of
+// OperatorKeyPath returns the path whose presence makes key an operator key of
 // team, or of the fleet if team is empty.
 func OperatorKeyPath(team record.Team, key string) string {
 	if team == "" {
@@ -48,10 +49,12 @@
 	return joinPath(TeamPath(team), operatorKeysSegment, HashKey(key))
 }
 
-// ExpiresPath returns the path of a credential's last moment.
+// ExpiresPath returns the path of the expiry time of the credential at the path
+// credential. Its value is an RFC 3339 time.
 func ExpiresPath(credential string) string { return joinPath(credential, expiresSegment) }
 
-// TeamFromKey returns the team that a key of the form team:secret names.
+// TeamFromKey returns the team named by a key of the form team:secret. It is
+// false for a key of another form.
 func TeamFromKey(key string) (record.Team, bool) {
 	name, secret, ok := strings.Cut(key, ":")
 	if !ok || secret == "" || !ValidName(name) {
@@ -60,7 +63,9 @@
 	return record.Team(name), true
 }
 
-// credential checks that a credential stands and has not expired.
+// findCredential returns the value at a credential's path. Errors:
+// ErrInvalidCredential if there is none, ErrExpiredCredential if it has expired
+// or its expiry time is malformed.
 func findCredential(c *fold.Config, path string, now time.Time) (fold.Value, error) {
 	v, ok := c.Get(path)
 	if !ok {
@@ -77,21 +82,22 @@
 	return v, nil
 }
 
-// Operator is who calls the operators' interface.
+// Operator is an authenticated caller of the operators' API.
 type Operator struct {
-	// Name stands in the history of changes.
+	// Name is recorded as the author of a change in the history.
 	Name string
 	// Team is empty for a fleet operator.
 	Team record.Team
-	// Credential is the path that the credential stands at; empty for the
-	// token of the settings file.
+	// Credential is the path of the operator's credential; empty for the token
+	// of the settings file.
 	Credential string
 }
 
-// IsFleetOperator says whether the operator may act on the whole fleet.
+// IsFleetOperator reports whether the operator may act on the whole fleet.
 func (o Operator) IsFleetOperator() bool { return o.Team == "" }
 
-// Scope is the subtree that the operator may change; "" is all.
+// Scope returns the root of the subtree that the operator may change; "" means
+// all paths.
 func (o Operator) Scope() string {
 	if o.IsFleetOperator() {
 		return ""
@@ -99,13 +105,15 @@
 	return TeamPath(o.Team)
 }
 
-// MayRead says whether the operator may see a path.
+// MayRead reports whether the operator may read a path.
 func (o Operator) MayRead(path string) bool {
 	return o.IsFleetOperator() || fold.IsAtOrBelow(path, o.Scope())
 }
 
-// AuthenticateOperator returns the operator of a token that stands in the
-// settings. Errors: ErrInvalidCredential, ErrExpiredCredential.
+// AuthenticateOperator returns the operator whose token is in the settings. A
+// token of the form team:secret is looked up among the team's operator keys
+// first, then among the fleet's. Errors: ErrInvalidCredential,
+// ErrExpiredCredential.
 func AuthenticateOperator(c *fold.Config, token string, now time.Time) (Operator, error) {
 	if team, ok := TeamFromKey(token); ok {
 		path := OperatorKeyPath(team, token)
--- a/internal/config/repeat.go
+++ b/internal/config/repeat.go
@@ -7,24 +7,26 @@
 	"github.com/rotisserie/eris"
 )
 
-// ErrMalformedRepeatRule says that a rule for repeatable calls is malformed.
+// ErrMalformedRepeatRule reports a malformed rule for repeatable calls.
 var ErrMalformedRepeatRule = eris.New(`config: a rule for repeatable calls is "METHOD /path"`)
 
-// RepeatablePath returns the path of a service's rules for calls that may be
-// repeated; see ParseRepeatRules.
+// RepeatablePath returns the path of the rules that list a service's repeatable
+// calls; see ParseRepeatRules.
 func RepeatablePath(service string) string {
 	return joinPath(FleetPath, "services", service, "repeatable")
 }
 
-// RepeatRule lets the calls of one method under one path be repeated.
+// RepeatRule marks the calls with one method, to one path and all paths below it,
+// as safe to execute more than once.
 type RepeatRule struct {
 	Method string
-	Path   string // Without a slash at the end.
+	Path   string // Without a trailing slash.
 }
 
-// ParseRepeatRules reads rules, one a line or parted by commas, such as
-// "GET /calendar, POST /tags". Malformed text gives no rules at all: the safe
-// side is that nothing may be repeated.
+// ParseRepeatRules parses rules separated by commas or newlines, such as
+// "GET /calendar, POST /tags". It returns no rules at all if one of them is
+// malformed, as the safe default is that no call may be repeated. The error is
+// ErrMalformedRepeatRule.
 func ParseRepeatRules(text string) ([]RepeatRule, error) {
 	var rules []RepeatRule
 	for _, item := range strings.FieldsFunc(text, func(c rune) bool { return c == ',' || c == '\n' }) {
@@ -40,8 +42,9 @@
 	return rules, nil
 }
 
-// matches compares whole path segments. A path that is not in its simplest
-// form never matches, since the service may read it as another one.
+// matches reports whether the rule covers a call; it compares whole path
+// segments. A path that is not normalized, or has an escape or a backslash, never
+// matches, as the service may resolve it to a path that no rule covers.
 func (rule RepeatRule) matches(method, callPath string) bool {
 	if method != rule.Method || path.Clean(callPath) != strings.TrimSuffix(callPath, "/") || strings.ContainsAny(callPath, `%\`) {
 		return false
@@ -50,7 +53,8 @@
 	return ok && (remainder == "" || remainder[0] == '/')
 }
 
-// IsRepeatable says whether one of the rules covers a call.
+// IsRepeatable reports whether one of the rules covers a call with this method
+// and path.
 func IsRepeatable(rules []RepeatRule, method, callPath string) bool {
 	for _, rule := range rules {
 		if rule.matches(method, callPath) {
--- a/internal/config/schema.go
+++ b/internal/config/schema.go
@@ -9,35 +9,38 @@
 	"time"
 )
 
-// Bounds of a change. They keep what the fold remembers of changes small:
-// fold.ResultWindow changes of MaxChangeBytes are 64 MiB.
+// Limits of a change. They bound the memory that the fold needs to remember
+// changes: fold.ResultWindow changes of MaxChangeBytes are 64 MiB.
 const (
-	MaxOps         = 128
-	MaxValueBytes  = 1 << 10
-	MaxChangeBytes = 16 << 10
-	maxPathBytes   = 512
+	MaxOps         = 128      // Operations of a change.
+	MaxValueBytes  = 1 << 10  // Bytes of one value.
+	MaxChangeBytes = 16 << 10 // Bytes of all paths and values of a change.
+	maxPathBytes   = 512      // Bytes of one path.
 )
 
-// Path documents one known path. Parts in braces stand for a name.
+// Path describes a known path or a family of them.
 type Path struct {
+	// Pattern is the path with a placeholder in braces for each variable
+	// segment: {team} and {name} match a valid name, {sha256} a hash in
+	// hexadecimal.
 	Pattern string
 	Unit    string
-	Default string
+	Default string // Value used if the path is not set; empty for none.
 	Doc     string
-	// FleetOnly paths are under a team but are the fleet operators' to change:
-	// they bear on other teams, or on who may change settings.
+	// FleetOnly marks a path in a team's subtree that only fleet operators may
+	// change, as it affects other teams or who may change settings.
 	FleetOnly bool
 
 	value valueRule
 }
 
-// value is what a path takes.
+// valueRule defines the valid values of a path.
 type valueRule struct {
-	allowed string
+	allowed string // The rule in words, for findings and the reference.
 	isValid func(string) bool
 }
 
-// Paths lists every known path.
+// Paths returns every known path, in the order of the reference.
 func Paths() []Path {
 	return []Path{
 		{Pattern: "/teams/{team}/api_keys/{sha256}", Unit: "text", value: anyText, Doc: "A caller's credential, by the SHA-256 of team:secret. The value is a note for people."},
@@ -78,11 +81,13 @@
 	fraction      = valueRule{"a number from 0 to 1", func(v string) bool { f, err := strconv.ParseFloat(v, 64); return err == nil && f >= 0 && f <= 1 }}
 )
 
+// intRange returns the rule for a decimal integer; both bounds are valid.
 func intRange(minValue, maxValue int) valueRule {
 	isValid := func(v string) bool { n, err := strconv.Atoi(v); return err == nil && n >= minValue && n <= maxValue }
 	return valueRule{fmt.Sprintf("an integer from %d to %d", minValue, maxValue), isValid}
 }
 
+// oneOf returns the rule for one of several words.
 func oneOf(choices ...string) valueRule {
 	isValid := func(v string) bool {
 		for _, c := range choices {
@@ -95,8 +100,9 @@
 	return valueRule{strings.Join(choices, " or "), isValid}
 }
 
-// validBaseURL takes an address by IP number only, so that no name is looked up
-// on a request's way.
+// validBaseURL reports whether text is an http or https URL of an IP address and
+// a port, without a path. Host names are rejected so that forwarding a request
+// needs no DNS lookup.
 func validBaseURL(text string) bool {
 	addr, ok := strings.CutPrefix(text, "http://")
 	if !ok {
@@ -109,18 +115,19 @@
 	return err == nil
 }
 
-// ValidName says whether a team, budget, endpoint or service may be called so.
+// ValidName reports whether name is a valid name of a team, budget, endpoint or
+// service.
 func ValidName(name string) bool { return namePattern.MatchString(name) }
 
-// Allowed says which values the path takes.
+// Allowed describes the valid values of the path.
 func (p Path) Allowed() string { return p.value.allowed }
 
-// Example returns the path with names filled in.
+// Example returns a path of this pattern, with sample names in the placeholders.
 func (p Path) Example() string {
 	return strings.NewReplacer("{team}", "dala", "{name}", "main", "{sha256}", HashKey("dala:secret")).Replace(p.Pattern)
 }
 
-// match says whether path is of this pattern.
+// match reports whether path matches the pattern.
 func (p Path) match(path string) bool {
 	patternSegments, segments := strings.Split(p.Pattern, "/"), strings.Split(path, "/")
 	if len(patternSegments) != len(segments) {
@@ -134,6 +141,7 @@
 	return true
 }
 
+// matchSegment reports whether one segment of a path matches that of a pattern.
 func matchSegment(pattern, segment string) bool {
 	switch pattern {
 	case "{sha256}":
@@ -145,7 +153,8 @@
 	}
 }
 
-// FindPath returns the known path that a path is of.
+// FindPath returns the known path whose pattern path matches, or false if path is
+// unknown.
 func FindPath(path string) (Path, bool) {
 	for _, p := range Paths() {
 		if p.match(path) {
@@ -155,7 +164,7 @@
 	return Path{}, false
 }
 
-// PathReference returns the known paths as a table in Markdown.
+// PathReference returns the known paths as a Markdown table.
 func PathReference() string {
 	var b strings.Builder
 	b.WriteString("| path | unit | default | allowed | who | what it does |\n| --- | --- | --- | --- | --- | --- |\n")
--- a/internal/config/team.go
+++ b/internal/config/team.go
@@ -7,31 +7,33 @@
 	"guavapier/internal/record"
 )
 
-// TeamEndpoint is an endpoint that a team's operators added for it alone.
+// TeamEndpoint is an endpoint that a team's operators added and that serves only
+// this team.
 type TeamEndpoint struct {
 	EndpointCapacity
 	Team    record.Team
-	Name    string // Team and name, so that teams cannot take each other's names.
+	Name    string // team/name: qualified, so that names of two teams can't collide.
 	URL     string
 	Zone    record.Zone
 	Model   string
 	Service string
 }
 
-// PlacementSettings is what the settings say about the teams, as far as placement needs
-// it.
+// PlacementSettings holds the settings of all teams that request placement
+// depends on.
 type PlacementSettings struct {
-	// Weights has the teams whose share differs from 1.
+	// Weights holds the teams with a weight set; the others have weight 1.
 	Weights   map[record.Team]float64
 	Endpoints []TeamEndpoint
 }
 
-// ReadPlacementSettings reads all teams' weights and endpoints. It costs a walk over the
-// teams' subtree, so callers read it again only after a change.
+// ReadPlacementSettings reads the weights and endpoints of all teams. It walks
+// the whole subtree of teams, so callers should cache the result until the
+// settings change.
 func ReadPlacementSettings(c *fold.Config) PlacementSettings {
 	placement := PlacementSettings{Weights: map[record.Team]float64{}}
 	for _, v := range c.List(TeamsPath) {
-		segments := strings.Split(v.Path, "/") // Empty, teams, team, ...
+		segments := strings.Split(v.Path, "/") // "", "teams", team name, ...
 		switch {
 		case len(segments) == 4 && segments[3] == "weight":
 			placement.Weights[record.Team(segments[2])] = float64(intAt(c, v.Path))
@@ -42,6 +44,7 @@
 	return placement
 }
 
+// readTeamEndpoint reads the settings of a team's endpoint other than its URL.
 func readTeamEndpoint(c *fold.Config, team record.Team, name, url string) TeamEndpoint {
 	base := joinPath(TeamPath(team), "endpoints", name)
 	return TeamEndpoint{
--- a/internal/config/team_test.go
+++ b/internal/config/team_test.go
@@ -8,7 +8,8 @@
 	"guavapier/internal/record"
 )
 
-// applied returns a fold that has accepted values at paths.
+// newConfigWith returns a fold that has accepted a change with the given value at
+// each path.
 func newConfigWith(t *testing.T, values map[string]string) *fold.Config {
 	t.Helper()
 	change := record.Change{ID: "1", By: "test"}
@@ -35,17 +36,17 @@
 		"/teams/dala/endpoints/own/url":       "http://127.0.0.1:9300",
 		"/teams/dala/endpoints/own/model":     "tuned",
 		"/teams/dala/endpoints/own/slots":     "4",
-		"/teams/agenda/endpoints/half/weight": "2", // Without a url it is no endpoint.
+		"/teams/agenda/endpoints/half/weight": "2", // Without a url this defines no endpoint.
 	})
 	placement := config.ReadPlacementSettings(c)
 	if len(placement.Weights) != 1 || placement.Weights["dala"] != 3 {
-		t.Errorf("weights %v", placement.Weights)
+		t.Errorf("team weights %v, want dala: 3 alone", placement.Weights)
 	}
 	want := config.TeamEndpoint{
 		EndpointCapacity: config.EndpointCapacity{Slots: 4}, Team: "dala", Name: "dala/own", URL: "http://127.0.0.1:9300", Model: "tuned",
 	}
 	if len(placement.Endpoints) != 1 || placement.Endpoints[0] != want {
-		t.Errorf("endpoints %+v", placement.Endpoints)
+		t.Errorf("endpoints %+v, want the endpoint dala/own alone", placement.Endpoints)
 	}
 }
 
@@ -58,6 +59,6 @@
 	})
 	team, ok := config.Authenticate(c, key)
 	if !ok || team.Priority != config.PriorityBatch || team.MaxPriority != config.PriorityInteractive {
-		t.Errorf("team %+v, known %v", team, ok)
+		t.Errorf("team %+v, authenticated: %t", team, ok)
 	}
 }
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -9,17 +9,18 @@
 	"guavapier/internal/record"
 )
 
-// Finding is one thing wrong with a change.
+// Finding is one error in a change or another request of an operator.
 type Finding struct {
-	Path    string `json:"path"`
+	Path    string `json:"path"`    // Path or request field; empty for the whole change.
 	Problem string `json:"problem"` // What is wrong and what is allowed.
 }
 
-// Validate returns everything wrong with a change that has not been appended
-// yet. scope is the subtree that the operator may change; "" is all.
+// Validate returns all errors in a change before it is appended to the log.
+// scope is the root of the subtree that the operator may change; "" means all
+// paths.
 //
-// The fold does not validate: it must give the same tables in every version,
-// while the known paths grow from version to version.
+// The fold does not validate: it must build the same tables in every version of
+// the program, whereas the set of known paths grows from version to version.
 func Validate(ops []record.ChangeOp, scope string) []Finding {
 	var findings []Finding
 	add := func(path, format string, args ...any) {
@@ -43,6 +44,7 @@
 	return findings
 }
 
+// changeBytes returns the size of a change: the bytes of its paths and values.
 func changeBytes(ops []record.ChangeOp) int {
 	size := 0
 	for _, op := range ops {
@@ -51,7 +53,7 @@
 	return size
 }
 
-// validateOp returns what is wrong with one operation, or nothing.
+// validateOp returns the first error in an operation, or "" if it is valid.
 func validateOp(op record.ChangeOp, scope string) string {
 	if len(op.Path) > maxPathBytes {
 		return fmt.Sprintf("is a path of %d bytes; allowed: %d", len(op.Path), maxPathBytes)
@@ -77,7 +79,8 @@
 	return ""
 }
 
-// nearest names the known paths with the same beginning.
+// suggestPaths lists, for a finding, the known paths that share the longest
+// prefix with an unknown one.
 func suggestPaths(path string) string {
 	segments := strings.Split(path, "/")
 	for depth := min(len(segments), 4); depth > 1; depth-- {
@@ -94,6 +97,8 @@
 	return "allowed: paths below " + TeamsPath + "/{team} or " + FleetPath
 }
 
+// hasPatternPrefix reports whether the first segments of a pattern match the
+// given ones.
 func hasPatternPrefix(pattern, segments []string) bool {
 	if len(pattern) < len(segments) {
 		return false
