--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -43,7 +43,7 @@
 				return usagef("it needs -settings FILE or -standalone")
 			}
 			outliveLogReader()
-			if settings.IsGateway(*file) {
+			if settings.IsGatewayFile(*file) {
 				return runGateway(ctx, o, *file)
 			}
 			return runInstance(ctx, o, *file)
@@ -118,7 +118,7 @@
 }
 
 func checkFile(file string) error {
-	if settings.IsGateway(file) {
+	if settings.IsGatewayFile(file) {
 		_, err := settings.LoadGateway(file)
 		return err
 	}
--- a/internal/server/endpoints.go
+++ b/internal/server/endpoints.go
@@ -88,7 +88,7 @@
 	opts := endpoint.Options{
 		Connect: connectWithin, Silence: min(silentAfter, limits.Progress.D()), Control: controlWithin, AnswerBytes: limits.AnswerBytes,
 	}
-	if l.secured(settings.LinkEndpoints) {
+	if l.secured(settings.InterfaceEndpoints) {
 		opts.DialTLS = l.outside.Dial
 	}
 	e := &endpointClients{}
--- a/internal/server/peers.go
+++ b/internal/server/peers.go
@@ -30,7 +30,7 @@
 	s.endpoints = &endpointTable{config: s.config, dispatcher: s.dispatcher, links: s.links}
 	s.members.OnList(s.endpoints.take)
 	var opts peer.Options
-	if s.links.secured(settings.LinkPeers) {
+	if s.links.secured(settings.InterfacePeers) {
 		opts.Dialer = func(ctx context.Context, address string) (net.Conn, error) {
 			return s.links.peers.Dial(ctx, "tcp", address)
 		}
--- a/internal/server/secure.go
+++ b/internal/server/secure.go
@@ -38,23 +38,23 @@
 
 // listener secures a listener unless its interface is plain.
 func (l links) listener(link string, plain net.Listener) net.Listener {
-	if l.peers == nil || !l.settings.Secured(link) {
+	if l.peers == nil || !l.settings.RequiresTLS(link) {
 		return plain
 	}
-	return tls.NewListener(plain, l.peers.Server(link == settings.LinkPeers))
+	return tls.NewListener(plain, l.peers.Server(link == settings.InterfacePeers))
 }
 
 // mayUse says whether an endpoint's address fits: with TLS, or endpoints may be
 // plain. An endpoint that may not be used is left out of the placement.
 func (l links) mayUse(url string) bool {
-	return !l.secured(settings.LinkEndpoints) || strings.HasPrefix(url, "https://")
+	return !l.secured(settings.InterfaceEndpoints) || strings.HasPrefix(url, "https://")
 }
 
 // secured says whether an interface may only be used with TLS.
 func (l links) secured(link string) bool {
 	source := l.peers
-	if link == settings.LinkPlatform || link == settings.LinkEndpoints {
+	if link == settings.InterfacePlatform || link == settings.InterfaceEndpoints {
 		source = l.outside
 	}
-	return source != nil && l.settings.Secured(link)
+	return source != nil && l.settings.RequiresTLS(link)
 }
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -89,7 +89,7 @@
 		return nil, err
 	}
 	srv.client = logstore.NewClient(s.Platform.URL, s.Platform.Timeout.D())
-	if srv.links.secured(settings.LinkPlatform) {
+	if srv.links.secured(settings.InterfacePlatform) {
 		srv.client.Secure(srv.links.outside.Dial)
 	}
 	srv.publisher = logstore.NewPublisher(srv.client, srv.id, logstore.PublisherOptions{
@@ -154,10 +154,12 @@
 	group.Go(func() error { s.clients.poller.Run(background); return nil })
 	group.Go(func() error { s.members.Run(background, s.pool); return nil })
 	group.Go(func() error { s.holder.Run(background); return nil })
-	group.Go(func() error { return s.peerServer.Serve(s.links.listener(settings.LinkPeers, s.peers)) })
-	group.Go(func() error { return ignoreClosed(entries.Serve(s.links.listener(settings.LinkCallers, s.callers))) })
+	group.Go(func() error { return s.peerServer.Serve(s.links.listener(settings.InterfacePeers, s.peers)) })
 	group.Go(func() error {
-		return ignoreClosed(operators.Serve(s.links.listener(settings.LinkOperators, s.operators)))
+		return ignoreClosed(entries.Serve(s.links.listener(settings.InterfaceCallers, s.callers)))
+	})
+	group.Go(func() error {
+		return ignoreClosed(operators.Serve(s.links.listener(settings.InterfaceOperators, s.operators)))
 	})
 	s.log.Info().Str("id", string(s.id)).Str("callers", s.CallersAddr()).Str("operators", s.OperatorsAddr()).
 		Str("peers", s.PeersAddr()).Msg("server: serving")
--- a/internal/settings/finding.go
+++ b/internal/settings/finding.go
@@ -18,11 +18,11 @@
 
 // String returns the finding as one line: file:line: key: problem.
 func (f Finding) String() string {
-	place := f.File
+	location := f.File
 	if f.Line > 0 {
-		place = fmt.Sprintf("%s:%d", f.File, f.Line)
+		location = fmt.Sprintf("%s:%d", f.File, f.Line)
 	}
-	return place + ": " + f.Key + ": " + f.Problem
+	return location + ": " + f.Key + ": " + f.Problem
 }
 
 // Findings is all that is wrong with the settings; it is an error.
--- a/internal/settings/gateway_test.go
+++ b/internal/settings/gateway_test.go
@@ -12,13 +12,13 @@
 )
 
 // placeholders stand for what the platform fills in.
-var placeholders = map[string]string{
+var templateValues = map[string]string{
 	"node_name": "edge-hall-a-1", "zone": "hall-a", "listen.front": "10.1.0.40:8227", "listen.ready": "10.1.0.40:8220",
 	"ip": "10.1.0.40", "port_range.0": "7340", "limits.memory_mb": "284", "limits.link_mbps": "1000.0", "platform.address": "10.200.1.7:8223",
 	"bounds.config_apply_ms": "2000", "bounds.drain_ms": "2000", "bounds.grace_s": "8", "bounds.retry_ratio": "0.2", "bounds.retry_extra": "56", "bounds.retry_window_s": "10",
 }
 
-func render(t *testing.T, values map[string]string) string {
+func renderTemplate(t *testing.T, values map[string]string) string {
 	t.Helper()
 	template, err := os.ReadFile("../../deploy/settings.toml.tmpl")
 	if err != nil {
@@ -30,7 +30,7 @@
 }
 
 func TestTheDeployedTemplateIsRight(t *testing.T) {
-	g, err := settings.ParseGateway("t.toml", []byte(render(t, placeholders)))
+	g, err := settings.ParseGateway("t.toml", []byte(renderTemplate(t, templateValues)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -41,13 +41,13 @@
 
 // A template value that is missing, or a file half written, is told with all
 // its findings at once.
-func TestABrokenTemplateIsTold(t *testing.T) {
+func TestFindingsOfABrokenTemplateAreReportedTogether(t *testing.T) {
 	values := map[string]string{}
-	for name, value := range placeholders {
+	for name, value := range templateValues {
 		values[name] = value
 	}
 	values["zone"], values["bounds.grace_s"], values["limits.memory_mb"] = "", "soon", ""
-	_, err := settings.ParseGateway("t.toml", []byte(render(t, values)))
+	_, err := settings.ParseGateway("t.toml", []byte(renderTemplate(t, values)))
 	if err == nil {
 		t.Fatal("no finding")
 	}
@@ -56,14 +56,14 @@
 			t.Errorf("no %q in\n%s", want, err)
 		}
 	}
-	text := render(t, placeholders)
+	text := renderTemplate(t, templateValues)
 	if _, err := settings.ParseGateway("t.toml", []byte(text[:len(text)/2])); err == nil {
 		t.Error("half a file is right")
 	}
 }
 
 func TestGatewayFindings(t *testing.T) {
-	text := render(t, placeholders) + "unready = \"9s\"\nmore = 1\n"
+	text := renderTemplate(t, templateValues) + "unready = \"9s\"\nmore = 1\n"
 	text = strings.Replace(text, "ratio = 0.2", "ratio = 1.5", 1)
 	text = strings.Replace(text, "10.1.0.40:8220", "10.1.0.40:8227", 1)
 	text = strings.Replace(text, "[drain]\n", "[drain]\nunready = \"9s\"\n", 1)
@@ -107,11 +107,11 @@
 		{number: "true", finding: "retries.extra: is a bool; allowed: an integer"},
 	} {
 		values := map[string]string{}
-		for name, value := range placeholders {
+		for name, value := range templateValues {
 			values[name] = value
 		}
 		values["bounds.retry_extra"] = test.number
-		g, err := settings.ParseGateway("t.toml", []byte(render(t, values)))
+		g, err := settings.ParseGateway("t.toml", []byte(renderTemplate(t, values)))
 		switch {
 		case test.finding == "" && (err != nil || g.Retries.Extra != test.want):
 			t.Errorf("%s: %d, %v; want %d", test.number, g.Retries.Extra, err, test.want)
@@ -125,23 +125,23 @@
 func TestEveryNumberOfTheTemplateBearsAFraction(t *testing.T) {
 	for _, name := range []string{"limits.memory_mb", "bounds.config_apply_ms", "bounds.drain_ms", "bounds.grace_s", "bounds.retry_ratio", "bounds.retry_extra", "bounds.retry_window_s"} {
 		values := map[string]string{}
-		for other, value := range placeholders {
+		for other, value := range templateValues {
 			values[other] = value
 		}
 		values[name] += ".158"
 		if name == "bounds.retry_ratio" {
 			values[name] = "0.2158"
 		}
-		if _, err := settings.ParseGateway("t.toml", []byte(render(t, values))); err != nil {
+		if _, err := settings.ParseGateway("t.toml", []byte(renderTemplate(t, values))); err != nil {
 			t.Errorf("%s = %s: %v", name, values[name], err)
 		}
 	}
 	values := map[string]string{}
-	for other, value := range placeholders {
+	for other, value := range templateValues {
 		values[other] = value
 	}
 	values["bounds.retry_ratio"] = "nan"
-	if _, err := settings.ParseGateway("t.toml", []byte(render(t, values))); err == nil {
+	if _, err := settings.ParseGateway("t.toml", []byte(renderTemplate(t, values))); err == nil {
 		t.Error("a ratio that is not a number is taken")
 	}
 }
@@ -160,11 +160,11 @@
 		if err := os.WriteFile(file, []byte(test.text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if got := settings.IsGateway(file); got != test.want {
+		if got := settings.IsGatewayFile(file); got != test.want {
 			t.Errorf("%s: %v", name, got)
 		}
 	}
-	if settings.IsGateway(filepath.Join(dir, "missing")) {
+	if settings.IsGatewayFile(filepath.Join(dir, "missing")) {
 		t.Error("a missing file is a gateway's")
 	}
 }
--- a/internal/settings/parse.go
+++ b/internal/settings/parse.go
@@ -20,8 +20,8 @@
 // that a syntax error hides what comes after it.
 func Parse(name string, data []byte) (Settings, error) {
 	s := Default()
-	p := newParse(name, &s, Keys())
-	p.together = func() { p.checkTogether(&s) }
+	p := newFileParser(name, &s, Keys())
+	p.crossCheck = func() { p.crossCheckSettings(&s) }
 	if err := p.run(data); err != nil {
 		return Settings{}, err
 	}
@@ -29,34 +29,34 @@
 }
 
 // parse is the state of reading one file.
-type parse struct {
-	file     string
-	root     reflect.Value // The struct that the file fills.
-	keys     []Key         // Of that struct.
-	together func()        // Checks what is right only together.
-	findings Findings
+type fileParser struct {
+	file       string
+	root       reflect.Value // The struct that the file fills.
+	keys       []Key         // Of that struct.
+	crossCheck func()        // Checks what is right only together.
+	findings   Findings
 	// lines holds the line of each key that the file sets.
-	lines map[string]int
+	keyLines map[string]int
 	// wrong holds the keys with a finding already, so that none gets two.
-	wrong map[string]bool
+	hasFinding map[string]bool
 	// broken says that the text after some line could not be read.
-	broken bool
+	isTruncated bool
 }
 
 // newParse returns a parse that fills the struct at target, which holds the
 // defaults.
-func newParse(file string, target any, keys []Key) *parse {
-	return &parse{
-		file: file, root: reflect.ValueOf(target).Elem(), keys: keys, together: func() {},
-		lines: map[string]int{}, wrong: map[string]bool{},
+func newFileParser(file string, target any, keys []Key) *fileParser {
+	return &fileParser{
+		file: file, root: reflect.ValueOf(target).Elem(), keys: keys, crossCheck: func() {},
+		keyLines: map[string]int{}, hasFinding: map[string]bool{},
 	}
 }
 
 // run reads and checks the text; an error is Findings.
-func (p *parse) run(data []byte) error {
-	p.walk(data)
-	p.syntax(data)
-	p.check()
+func (p *fileParser) run(data []byte) error {
+	p.readExpressions(data)
+	p.checkSyntax(data)
+	p.checkValues()
 	if len(p.findings) == 0 {
 		return nil
 	}
@@ -64,61 +64,61 @@
 	return p.findings
 }
 
-func (p *parse) add(line int, key, format string, args ...any) {
-	p.wrong[key] = true
+func (p *fileParser) addFinding(line int, key, format string, args ...any) {
+	p.hasFinding[key] = true
 	p.findings = append(p.findings, Finding{File: p.file, Line: line, Key: key, Problem: fmt.Sprintf(format, args...)})
 }
 
 // syntax reports what is not TOML at all, keys that are set twice included. A
 // line on which walk found something gets no second finding.
-func (p *parse) syntax(data []byte) {
+func (p *fileParser) checkSyntax(data []byte) {
 	var document map[string]any
-	var wrong *toml.DecodeError
-	if err := toml.Unmarshal(data, &document); errors.As(err, &wrong) {
-		line, _ := wrong.Position()
+	var decodeErr *toml.DecodeError
+	if err := toml.Unmarshal(data, &document); errors.As(err, &decodeErr) {
+		line, _ := decodeErr.Position()
 		if slices.ContainsFunc(p.findings, func(f Finding) bool { return f.Line == line }) {
 			return
 		}
-		p.add(line, "toml", "%s", strings.TrimPrefix(wrong.Error(), "toml: "))
+		p.addFinding(line, "toml", "%s", strings.TrimPrefix(decodeErr.Error(), "toml: "))
 	}
 }
 
 // walk sets every key that the text gives, and reports those that are unknown
 // or of the wrong type.
-func (p *parse) walk(data []byte) {
+func (p *fileParser) readExpressions(data []byte) {
 	var reader unstable.Parser
 	reader.Reset(data)
 	table := []string{}
 	for reader.NextExpression() {
 		node := reader.Expression()
-		line := lineOf(&reader, data, node)
+		line := lineOfExpression(&reader, data, node)
 		switch node.Kind {
 		case unstable.Table:
-			table = keyOf(node)
-			p.table(line, table)
+			table = keyParts(node)
+			p.checkTableHeader(line, table)
 		case unstable.ArrayTable:
-			table = keyOf(node)
-			p.add(line, strings.Join(table, "."), "is a list of tables; allowed: [%s], once", strings.Join(table, "."))
+			table = keyParts(node)
+			p.addFinding(line, strings.Join(table, "."), "is a list of tables; allowed: [%s], once", strings.Join(table, "."))
 		case unstable.KeyValue:
-			p.value(line, append(table[:len(table):len(table)], keyOf(node)...), node.Value())
+			p.setValue(line, append(table[:len(table):len(table)], keyParts(node)...), node.Value())
 		}
 	}
-	p.unreadable(&reader)
+	p.reportParseError(&reader)
 }
 
 // unreadable reports the line from which on the text could not be read.
-func (p *parse) unreadable(reader *unstable.Parser) {
-	var wrong *unstable.ParserError
-	if !errors.As(reader.Error(), &wrong) {
+func (p *fileParser) reportParseError(reader *unstable.Parser) {
+	var parseErr *unstable.ParserError
+	if !errors.As(reader.Error(), &parseErr) {
 		return
 	}
-	p.broken = true
-	line := reader.Shape(reader.Range(wrong.Highlight)).Start.Line
-	p.add(line, "toml", "%s; nothing after it was read", wrong.Message)
+	p.isTruncated = true
+	line := reader.Shape(reader.Range(parseErr.Highlight)).Start.Line
+	p.addFinding(line, "toml", "%s; nothing after it was read", parseErr.Message)
 }
 
 // lineOf returns the line of an expression: that of its first key.
-func lineOf(reader *unstable.Parser, data []byte, node *unstable.Node) int {
+func lineOfExpression(reader *unstable.Parser, data []byte, node *unstable.Node) int {
 	keys := node.Key()
 	if !keys.Next() {
 		return 0
@@ -127,7 +127,7 @@
 	return 1 + bytes.Count(reader.Data()[:min(int(start), len(data))], []byte("\n"))
 }
 
-func keyOf(node *unstable.Node) []string {
+func keyParts(node *unstable.Node) []string {
 	var key []string
 	parts := node.Key()
 	for parts.Next() {
@@ -137,39 +137,39 @@
 }
 
 // table checks a table's header.
-func (p *parse) table(line int, key []string) {
-	field, ok := fieldOf(p.root, key)
+func (p *fileParser) checkTableHeader(line int, key []string) {
+	field, ok := fieldByKey(p.root, key)
 	if !ok || (field.Kind() != reflect.Struct && field.Kind() != reflect.Map) {
-		p.add(line, strings.Join(key, "."), "is not a known table; allowed: %s", strings.Join(tables(p.keys), ", "))
+		p.addFinding(line, strings.Join(key, "."), "is not a known table; allowed: %s", strings.Join(tableNames(p.keys), ", "))
 		return
 	}
-	p.lines[strings.Join(key, ".")] = line
+	p.keyLines[strings.Join(key, ".")] = line
 }
 
-func (p *parse) value(line int, key []string, value *unstable.Node) {
+func (p *fileParser) setValue(line int, key []string, value *unstable.Node) {
 	name := strings.Join(key, ".")
-	if p.wrong[strings.Join(key[:len(key)-1], ".")] {
+	if p.hasFinding[strings.Join(key[:len(key)-1], ".")] {
 		return // The whole table has a finding already.
 	}
 	if value.Kind == unstable.InlineTable {
-		p.inline(line, key, value)
+		p.setInlineTable(line, key, value)
 		return
 	}
-	p.lines[name] = line
+	p.keyLines[name] = line
 	root := p.root
-	if field, ok := fieldOf(root, key); ok {
-		if err := set(field, value); err != nil {
-			p.add(line, name, "%s", err)
+	if field, ok := fieldByKey(root, key); ok {
+		if err := setField(field, value); err != nil {
+			p.addFinding(line, name, "%s", err)
 		}
 		return
 	}
-	parent, ok := fieldOf(root, key[:len(key)-1])
+	parent, ok := fieldByKey(root, key[:len(key)-1])
 	if !ok || parent.Kind() != reflect.Map {
-		p.add(line, name, "is not a known key; %s", nearest(p.keys, name))
+		p.addFinding(line, name, "is not a known key; %s", suggestKeys(p.keys, name))
 		return
 	}
 	if value.Kind != unstable.String {
-		p.add(line, name, "is %s; allowed: a string", kindName(value))
+		p.addFinding(line, name, "is %s; allowed: a string", describeKind(value))
 		return
 	}
 	if parent.IsNil() {
@@ -179,17 +179,17 @@
 }
 
 // inline walks { a = 1, b = 2 } as if each key stood on its own.
-func (p *parse) inline(line int, key []string, value *unstable.Node) {
-	p.table(line, key)
+func (p *fileParser) setInlineTable(line int, key []string, value *unstable.Node) {
+	p.checkTableHeader(line, key)
 	children := value.Children()
 	for children.Next() {
 		child := children.Node()
-		p.value(line, append(key[:len(key):len(key)], keyOf(child)...), child.Value())
+		p.setValue(line, append(key[:len(key):len(key)], keyParts(child)...), child.Value())
 	}
 }
 
 // fieldOf finds the field of a dotted key by its toml tags.
-func fieldOf(v reflect.Value, key []string) (reflect.Value, bool) {
+func fieldByKey(v reflect.Value, key []string) (reflect.Value, bool) {
 	for _, part := range key {
 		if v.Kind() != reflect.Struct {
 			return reflect.Value{}, false
@@ -211,19 +211,19 @@
 var durationType = reflect.TypeFor[Duration]()
 
 // set decodes a value into a field; the error says what is wrong and allowed.
-func set(field reflect.Value, value *unstable.Node) error {
+func setField(field reflect.Value, value *unstable.Node) error {
 	if field.Type() == durationType {
 		return setDuration(field, value)
 	}
 	switch field.Kind() {
 	case reflect.String:
 		if value.Kind != unstable.String {
-			return fmt.Errorf("is %s; allowed: a string", kindName(value))
+			return fmt.Errorf("is %s; allowed: a string", describeKind(value))
 		}
 		field.SetString(string(value.Data))
 	case reflect.Bool:
 		if value.Kind != unstable.Bool {
-			return fmt.Errorf("is %s; allowed: true or false", kindName(value))
+			return fmt.Errorf("is %s; allowed: true or false", describeKind(value))
 		}
 		field.SetBool(string(value.Data) == "true")
 	case reflect.Int, reflect.Int64:
@@ -233,14 +233,14 @@
 	case reflect.Slice:
 		return setStrings(field, value)
 	default:
-		return fmt.Errorf("is %s; allowed: a table", kindName(value))
+		return fmt.Errorf("is %s; allowed: a table", describeKind(value))
 	}
 	return nil
 }
 
 func setDuration(field reflect.Value, value *unstable.Node) error {
 	if value.Kind != unstable.String {
-		return fmt.Errorf(`is %s; allowed: a duration in quotes like "1.5s"`, kindName(value))
+		return fmt.Errorf(`is %s; allowed: a duration in quotes like "1.5s"`, describeKind(value))
 	}
 	d, err := time.ParseDuration(string(value.Data))
 	if err != nil {
@@ -254,10 +254,10 @@
 // to the size of a fleet renders shares, and rounding up would exceed a bound.
 func setInteger(field reflect.Value, value *unstable.Node) error {
 	if value.Kind == unstable.Float {
-		return setWholePart(field, value)
+		return setFloored(field, value)
 	}
 	if value.Kind != unstable.Integer {
-		return fmt.Errorf("is %s; allowed: an integer", kindName(value))
+		return fmt.Errorf("is %s; allowed: an integer", describeKind(value))
 	}
 	n, err := strconv.ParseInt(string(value.Data), 0, 64)
 	if err != nil {
@@ -267,7 +267,7 @@
 	return nil
 }
 
-func setWholePart(field reflect.Value, value *unstable.Node) error {
+func setFloored(field reflect.Value, value *unstable.Node) error {
 	f, err := parseFloat(value)
 	if err != nil {
 		return err
@@ -281,7 +281,7 @@
 
 func setFloat(field reflect.Value, value *unstable.Node) error {
 	if value.Kind != unstable.Float && value.Kind != unstable.Integer {
-		return fmt.Errorf("is %s; allowed: a number", kindName(value))
+		return fmt.Errorf("is %s; allowed: a number", describeKind(value))
 	}
 	f, err := parseFloat(value)
 	if err != nil {
@@ -301,13 +301,13 @@
 
 func setStrings(field reflect.Value, value *unstable.Node) error {
 	if value.Kind != unstable.Array {
-		return fmt.Errorf("is %s; allowed: a list of strings", kindName(value))
+		return fmt.Errorf("is %s; allowed: a list of strings", describeKind(value))
 	}
 	items := []string{}
 	children := value.Children()
 	for children.Next() {
 		if children.Node().Kind != unstable.String {
-			return fmt.Errorf("holds %s; allowed: a list of strings", kindName(children.Node()))
+			return fmt.Errorf("holds %s; allowed: a list of strings", describeKind(children.Node()))
 		}
 		items = append(items, string(children.Node().Data))
 	}
@@ -316,7 +316,7 @@
 }
 
 // kindName names a value's type with its article.
-func kindName(value *unstable.Node) string {
+func describeKind(value *unstable.Node) string {
 	name := strings.ToLower(value.Kind.String())
 	if strings.ContainsRune("aeiou", rune(name[0])) {
 		return "an " + name
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -97,15 +97,15 @@
 
 // The interfaces that are secured, or named in TLS.Plain.
 const (
-	LinkCallers   = "callers"
-	LinkOperators = "operators"
-	LinkPeers     = "peers"
-	LinkPlatform  = "platform"
-	LinkEndpoints = "endpoints"
+	InterfaceCallers   = "callers"
+	InterfaceOperators = "operators"
+	InterfacePeers     = "peers"
+	InterfacePlatform  = "platform"
+	InterfaceEndpoints = "endpoints"
 )
 
-// Secured says whether an interface is not named in Plain.
-func (t TLS) Secured(link string) bool { return !slices.Contains(t.Plain, link) }
+// RequiresTLS says whether an interface is not named in Plain.
+func (t TLS) RequiresTLS(iface string) bool { return !slices.Contains(t.Plain, iface) }
 
 // Duration is a time.Duration written like "1.5s".
 type Duration time.Duration
@@ -143,21 +143,21 @@
 	if err != nil {
 		return Settings{}, err
 	}
-	s.resolve(filepath.Dir(path))
+	s.resolvePaths(filepath.Dir(path))
 	return s, nil
 }
 
-func (s *Settings) resolve(dir string) {
-	absolute := func(file string) string {
+func (s *Settings) resolvePaths(dir string) {
+	resolve := func(file string) string {
 		if file == "" || filepath.IsAbs(file) {
 			return file
 		}
 		return filepath.Join(dir, file)
 	}
 	for id, file := range s.Sessions.KeyFiles {
-		s.Sessions.KeyFiles[id] = absolute(file)
+		s.Sessions.KeyFiles[id] = resolve(file)
 	}
 	for _, file := range []*string{&s.Operator.TokenFile, &s.TLS.Certificate, &s.TLS.Key, &s.TLS.PeersCA, &s.TLS.OutsideCA} {
-		*file = absolute(*file)
+		*file = resolve(*file)
 	}
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -32,14 +32,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	zones, err := filepath.Glob("../../examples/*/*.toml")
+	zoneFiles, err := filepath.Glob("../../examples/*/*.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	const want = 1 + 2*4 // One complete file and two deployments of four zones.
-	files = append(files, zones...)
-	if len(files) != want {
-		t.Fatalf("%d example files, want %d", len(files), want)
+	const wantFiles = 1 + 2*4 // One complete file and two deployments of four zones.
+	files = append(files, zoneFiles...)
+	if len(files) != wantFiles {
+		t.Fatalf("%d example files, want %d", len(files), wantFiles)
 	}
 	for _, file := range files {
 		s, err := settings.Load(file)
@@ -129,10 +129,10 @@
 	rapid.Check(t, func(t *rapid.T) {
 		text := append([]byte(nil), example...)
 		for range rapid.IntRange(1, 4).Draw(t, "cuts") {
-			at := rapid.IntRange(0, len(text)).Draw(t, "at")
-			end := min(len(text), at+rapid.IntRange(0, 20).Draw(t, "length"))
-			put := rapid.SampledFrom([]string{"", "=", "[", "]", "\"", "\n", "x = 1\n", "{", "é", "'''", "\x00"}).Draw(t, "put")
-			text = append(text[:at:at], append([]byte(put), text[end:]...)...)
+			start := rapid.IntRange(0, len(text)).Draw(t, "at")
+			end := min(len(text), start+rapid.IntRange(0, 20).Draw(t, "length"))
+			replacement := rapid.SampledFrom([]string{"", "=", "[", "]", "\"", "\n", "x = 1\n", "{", "é", "'''", "\x00"}).Draw(t, "put")
+			text = append(text[:start:start], append([]byte(replacement), text[end:]...)...)
 		}
 		_, err := settings.Parse("f.toml", text)
 		var findings settings.Findings
