--- a/internal/server/secure.go
+++ b/internal/server/secure.go
@@ -14,7 +14,7 @@
 type links struct {
 	// peers shows this instance's certificate and asks for the peers'; outside
 	// shows none.
-	peers, outside *tlsconf.Source
+	peers, outside *tlsconf.Credentials
 	settings       settings.TLS
 }
 
@@ -41,7 +41,7 @@
 	if l.peers == nil || !l.settings.RequiresTLS(link) {
 		return plain
 	}
-	return tls.NewListener(plain, l.peers.Server(link == settings.InterfacePeers))
+	return tls.NewListener(plain, l.peers.ServerConfig(link == settings.InterfacePeers))
 }
 
 // mayUse says whether an endpoint's address fits: with TLS, or endpoints may be
--- a/internal/tlsconf/tlsconf.go
+++ b/internal/tlsconf/tlsconf.go
@@ -16,8 +16,8 @@
 	"github.com/rotisserie/eris"
 )
 
-// ErrNoAuthority says that a file holds no certificate of an authority.
-var ErrNoAuthority = eris.New("tlsconf: no certificate of an authority in the file")
+// ErrNoCACertificate says that a file holds no certificate of an authority.
+var ErrNoCACertificate = eris.New("tlsconf: no certificate of an authority in the file")
 
 // Files names PEM files. Certificate and Key are this side's own and may be
 // empty for a client that shows none; CA has the authorities that the other
@@ -28,40 +28,40 @@
 }
 
 // lookEvery bounds how often the files' times are looked at.
-const lookEvery = time.Second
+const fileCheckInterval = time.Second
 
-// Source holds what the files held last. It is safe for concurrent use.
-type Source struct {
+// Credentials holds what the files held last. It is safe for concurrent use.
+type Credentials struct {
 	files   Files
 	onError func(error)
 
 	mu          sync.Mutex // Guards all below.
-	looked      time.Time
-	stamp       [3]time.Time
+	checkedAt   time.Time
+	modTimes    [3]time.Time
 	certificate *tls.Certificate
-	authorities *x509.CertPool
+	caPool      *x509.CertPool
 }
 
 // New reads the files. onError is told of files that later can't be used.
-func New(files Files, onError func(error)) (*Source, error) {
-	s := &Source{files: files, onError: onError}
-	if err := s.load(); err != nil {
+func New(files Files, onError func(error)) (*Credentials, error) {
+	c := &Credentials{files: files, onError: onError}
+	if err := c.loadFiles(); err != nil {
 		return nil, err
 	}
-	s.stamp, s.looked = s.times(), time.Now()
-	return s, nil
+	c.modTimes, c.checkedAt = c.fileModTimes(), time.Now()
+	return c, nil
 }
 
-// Server returns the configuration of a listener. With mutual set a client
+// ServerConfig returns the configuration of a listener. With mutual set a client
 // must show a certificate that the authorities signed.
-func (s *Source) Server(mutual bool) *tls.Config {
+func (c *Credentials) ServerConfig(mutual bool) *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
-			certificate, authorities := s.current()
+			certificate, caPool := c.currentCertificates()
 			config := &tls.Config{MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{*certificate}}
 			if mutual {
-				config.ClientAuth, config.ClientCAs = tls.RequireAndVerifyClientCert, authorities
+				config.ClientAuth, config.ClientCAs = tls.RequireAndVerifyClientCert, caPool
 			}
 			return config, nil
 		},
@@ -70,7 +70,7 @@
 
 // Dial connects to IP:port and checks that the other side's certificate is for
 // that IP and signed by one of the authorities.
-func (s *Source) Dial(ctx context.Context, network, address string) (net.Conn, error) {
+func (c *Credentials) Dial(ctx context.Context, network, address string) (net.Conn, error) {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
 		return nil, eris.Wrap(err, "tlsconf: address")
@@ -80,74 +80,74 @@
 	if err != nil {
 		return nil, err
 	}
-	certificate, authorities := s.current()
-	config := &tls.Config{MinVersion: tls.VersionTLS13, RootCAs: authorities, ServerName: host}
+	certificate, caPool := c.currentCertificates()
+	config := &tls.Config{MinVersion: tls.VersionTLS13, RootCAs: caPool, ServerName: host}
 	if certificate != nil {
 		config.Certificates = []tls.Certificate{*certificate}
 	}
-	secured := tls.Client(conn, config)
-	if err := secured.HandshakeContext(ctx); err != nil {
+	tlsConn := tls.Client(conn, config)
+	if err := tlsConn.HandshakeContext(ctx); err != nil {
 		_ = conn.Close()
 		return nil, eris.Wrap(err, "tlsconf: handshake")
 	}
-	return secured, nil
+	return tlsConn, nil
 }
 
 // current returns what is in force now.
-func (s *Source) current() (*tls.Certificate, *x509.CertPool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if now := time.Now(); now.Sub(s.looked) >= lookEvery {
-		s.looked = now
-		s.refresh()
+func (c *Credentials) currentCertificates() (*tls.Certificate, *x509.CertPool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if now := time.Now(); now.Sub(c.checkedAt) >= fileCheckInterval {
+		c.checkedAt = now
+		c.reloadIfChanged()
 	}
-	return s.certificate, s.authorities
+	return c.certificate, c.caPool
 }
 
 // refresh reads files that have changed. s.mu is held.
-func (s *Source) refresh() {
-	stamp := s.times()
-	if stamp == s.stamp {
+func (c *Credentials) reloadIfChanged() {
+	modTimes := c.fileModTimes()
+	if modTimes == c.modTimes {
 		return
 	}
-	if err := s.load(); err != nil {
-		s.onError(err)
+	if err := c.loadFiles(); err != nil {
+		c.onError(err)
 		return // Looked at again in lookEvery: the files may be half written.
 	}
-	s.stamp = stamp
+	c.modTimes = modTimes
 }
 
 // times returns when each file was changed last; zero for none.
-func (s *Source) times() (stamp [3]time.Time) {
-	for i, file := range []string{s.files.Certificate, s.files.Key, s.files.CA} {
+func (c *Credentials) fileModTimes() (modTimes [3]time.Time) {
+	for i, file := range []string{c.files.Certificate, c.files.Key, c.files.CA} {
 		if info, err := os.Stat(file); file != "" && err == nil {
-			stamp[i] = info.ModTime()
+			modTimes[i] = info.ModTime()
 		}
 	}
-	return stamp
+	return modTimes
 }
 
 // load reads all files, or changes nothing.
-func (s *Source) load() error {
+func (c *Credentials) loadFiles() error {
 	var certificate *tls.Certificate
-	if s.files.Certificate != "" {
-		pair, err := tls.LoadX509KeyPair(s.files.Certificate, s.files.Key)
+	if c.files.Certificate != "" {
+		keyPair, err := tls.LoadX509KeyPair(c.files.Certificate, c.files.Key)
 		if err != nil {
 			return eris.Wrap(err, "tlsconf: certificate and key")
 		}
-		certificate = &pair
+		certificate = &keyPair
 	}
-	var authorities *x509.CertPool
-	if s.files.CA != "" {
-		data, err := os.ReadFile(s.files.CA)
+	var caPool *x509.CertPool
+	if c.files.CA != "" {
+		data, err := os.ReadFile(c.files.CA)
 		if err != nil {
 			return eris.Wrap(err, "tlsconf: authorities")
 		}
-		authorities = x509.NewCertPool()
-		if !authorities.AppendCertsFromPEM(data) {
-			return eris.Wrap(ErrNoAuthority, s.files.CA)
+		caPool = x509.NewCertPool()
+		if !caPool.AppendCertsFromPEM(data) {
+			return eris.Wrap(ErrNoCACertificate, c.files.CA)
 		}
 	}
-	s.certificate, s.authorities = certificate, authorities
+	c.certificate, c.caPool = certificate, caPool
 	return nil
 }
--- a/internal/tlsconf/tlsconf_test.go
+++ b/internal/tlsconf/tlsconf_test.go
@@ -27,7 +27,7 @@
 	file string
 }
 
-func write(t *testing.T, file, kind string, der []byte) {
+func writePEM(t *testing.T, file, kind string, der []byte) {
 	t.Helper()
 	if err := os.WriteFile(file, pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der}), 0o600); err != nil {
 		t.Fatal(err)
@@ -53,7 +53,7 @@
 		t.Fatal(err)
 	}
 	a := authority{cert: cert, key: key, file: filepath.Join(t.TempDir(), "ca.pem")}
-	write(t, a.file, "CERTIFICATE", der)
+	writePEM(t, a.file, "CERTIFICATE", der)
 	return a
 }
 
@@ -77,8 +77,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	write(t, files.Certificate, "CERTIFICATE", der)
-	write(t, files.Key, "EC PRIVATE KEY", keyDER)
+	writePEM(t, files.Certificate, "CERTIFICATE", der)
+	writePEM(t, files.Key, "EC PRIVATE KEY", keyDER)
 }
 
 func newFiles(t *testing.T, a authority) tlsconf.Files {
@@ -86,7 +86,7 @@
 	return tlsconf.Files{Certificate: filepath.Join(dir, "cert.pem"), Key: filepath.Join(dir, "key.pem"), CA: a.file}
 }
 
-func newSource(t *testing.T, files tlsconf.Files, onError func(error)) *tlsconf.Source {
+func newCredentials(t *testing.T, files tlsconf.Files, onError func(error)) *tlsconf.Credentials {
 	t.Helper()
 	s, err := tlsconf.New(files, onError)
 	if err != nil {
@@ -96,14 +96,14 @@
 }
 
 // serve answers each connection with one byte.
-func serve(t *testing.T, s *tlsconf.Source, mutual bool) string {
+func serve(t *testing.T, s *tlsconf.Credentials, mutual bool) string {
 	t.Helper()
 	plain, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = plain.Close() })
-	listener := tls.NewListener(plain, s.Server(mutual))
+	listener := tls.NewListener(plain, s.ServerConfig(mutual))
 	go func() {
 		for {
 			conn, err := listener.Accept()
@@ -118,7 +118,7 @@
 }
 
 // dial returns the serial of the certificate that the server showed.
-func dial(s *tlsconf.Source, address string) (int64, error) {
+func dial(s *tlsconf.Credentials, address string) (int64, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
 	conn, err := s.Dial(ctx, "tcp", address)
@@ -133,26 +133,26 @@
 }
 
 func TestOnlyTheRightCertificatesConnect(t *testing.T) {
-	ours, other := newAuthority(t), newAuthority(t)
-	mine, theirs, elsewhere := newFiles(t, ours), newFiles(t, other), newFiles(t, ours)
-	ours.issue(t, mine, "127.0.0.1", 1)
-	other.issue(t, theirs, "127.0.0.1", 2)
-	ours.issue(t, elsewhere, "127.0.0.9", 3)
-	fail := func(err error) { t.Error(err) }
+	ca, otherCA := newAuthority(t), newAuthority(t)
+	valid, untrusted, otherIP := newFiles(t, ca), newFiles(t, otherCA), newFiles(t, ca)
+	ca.issue(t, valid, "127.0.0.1", 1)
+	otherCA.issue(t, untrusted, "127.0.0.1", 2)
+	ca.issue(t, otherIP, "127.0.0.9", 3)
+	reportError := func(err error) { t.Error(err) }
 	for _, row := range []struct {
 		name           string
 		server, client tlsconf.Files
 		mutual, ok     bool
 	}{
-		{"one-sided", mine, tlsconf.Files{CA: ours.file}, false, true},
-		{"mutual", mine, mine, true, true},
-		{"server of another authority", theirs, tlsconf.Files{CA: ours.file}, false, false},
-		{"server of another IP", elsewhere, tlsconf.Files{CA: ours.file}, false, false},
-		{"client without certificate", mine, tlsconf.Files{CA: ours.file}, true, false},
-		{"client of another authority", mine, tlsconf.Files{Certificate: theirs.Certificate, Key: theirs.Key, CA: ours.file}, true, false},
+		{"one-sided", valid, tlsconf.Files{CA: ca.file}, false, true},
+		{"mutual", valid, valid, true, true},
+		{"server of another authority", untrusted, tlsconf.Files{CA: ca.file}, false, false},
+		{"server of another IP", otherIP, tlsconf.Files{CA: ca.file}, false, false},
+		{"client without certificate", valid, tlsconf.Files{CA: ca.file}, true, false},
+		{"client of another authority", valid, tlsconf.Files{Certificate: untrusted.Certificate, Key: untrusted.Key, CA: ca.file}, true, false},
 	} {
-		address := serve(t, newSource(t, row.server, fail), row.mutual)
-		if _, err := dial(newSource(t, row.client, fail), address); (err == nil) != row.ok {
+		address := serve(t, newCredentials(t, row.server, reportError), row.mutual)
+		if _, err := dial(newCredentials(t, row.client, reportError), address); (err == nil) != row.ok {
 			t.Errorf("%s: %v", row.name, err)
 		}
 	}
@@ -162,11 +162,11 @@
 	ca := newAuthority(t)
 	files := newFiles(t, ca)
 	ca.issue(t, files, "127.0.0.1", 1)
-	var complaints atomic.Int32
-	server := newSource(t, files, func(error) { complaints.Add(1) })
-	client := newSource(t, tlsconf.Files{CA: ca.file}, func(err error) { t.Error(err) })
+	var reloadErrors atomic.Int32
+	server := newCredentials(t, files, func(error) { reloadErrors.Add(1) })
+	client := newCredentials(t, tlsconf.Files{CA: ca.file}, func(err error) { t.Error(err) })
 	address := serve(t, server, false)
-	until := func(what string, ok func(serial int64) bool) {
+	waitUntil := func(what string, ok func(serial int64) bool) {
 		t.Helper()
 		for deadline := time.Now().Add(20 * time.Second); ; time.Sleep(50 * time.Millisecond) {
 			serial, err := dial(client, address)
@@ -184,7 +184,7 @@
 	if err := os.WriteFile(files.Certificate, []byte("half"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	until("the broken file is told of, and the old one serves", func(serial int64) bool { return serial == 1 && complaints.Load() > 0 })
+	waitUntil("the broken file is told of, and the old one serves", func(serial int64) bool { return serial == 1 && reloadErrors.Load() > 0 })
 	ca.issue(t, files, "127.0.0.1", 2)
-	until("the new one is shown", func(serial int64) bool { return serial == 2 })
+	waitUntil("the new one is shown", func(serial int64) bool { return serial == 2 })
 }
