--- a/internal/dial/dial.go
+++ b/internal/dial/dial.go
@@ -11,7 +11,7 @@
 type Func func(ctx context.Context, network, address string) (net.Conn, error)
 
 // result is the end of one attempt.
-type result struct {
+type dialResult struct {
 	conn net.Conn
 	err  error
 }
@@ -20,29 +20,29 @@
 // nothing after again, and takes the connection that is made first. A lost opening
 // packet is sent again only after a second, so that a new attempt is faster; on a slow
 // link the first one is, and must not be given up.
-func Hedged(dial Func, again time.Duration) Func {
+func Hedged(dial Func, hedgeDelay time.Duration) Func {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		ctx, cancel := context.WithCancel(ctx)
-		results := make(chan result, 2)
+		results := make(chan dialResult, 2)
 		attempt := func() {
 			conn, err := dial(ctx, network, address)
-			results <- result{conn, err}
+			results <- dialResult{conn, err}
 		}
 		go attempt()
-		begun := 1
-		timer := time.NewTimer(again)
+		started := 1
+		timer := time.NewTimer(hedgeDelay)
 		defer timer.Stop()
-		for ended := 0; ; {
+		for finished := 0; ; {
 			select {
 			case <-timer.C:
 				go attempt()
-				begun++
+				started++
 			case r := <-results:
-				ended++
-				if r.err != nil && ended < begun {
+				finished++
+				if r.err != nil && finished < started {
 					continue
 				}
-				go discard(results, begun-ended, cancel)
+				go closeRemaining(results, started-finished, cancel)
 				return r.conn, r.err
 			}
 		}
@@ -50,9 +50,9 @@
 }
 
 // discard ends the attempts that are left over.
-func discard(results <-chan result, left int, cancel context.CancelFunc) {
+func closeRemaining(results <-chan dialResult, remaining int, cancel context.CancelFunc) {
 	cancel()
-	for range left {
+	for range remaining {
 		if r := <-results; r.conn != nil {
 			_ = r.conn.Close()
 		}
--- a/internal/dial/dial_test.go
+++ b/internal/dial/dial_test.go
@@ -18,9 +18,9 @@
 type network struct {
 	delays []time.Duration
 
-	mu    sync.Mutex // Guards all below.
-	begun int
-	open  int // Connections that nobody has closed.
+	mu        sync.Mutex // Guards all below.
+	attempts  int
+	openConns int // Connections that nobody has closed.
 }
 
 type conn struct {
@@ -28,30 +28,30 @@
 	network *network
 }
 
-func (c conn) Close() error { c.network.opened(-1); return nil }
+func (c conn) Close() error { c.network.addOpenConns(-1); return nil }
 
-func (n *network) opened(change int) {
+func (n *network) addOpenConns(change int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.open += change
+	n.openConns += change
 }
 
 // begin returns the delay of one more attempt.
-func (n *network) begin() time.Duration {
+func (n *network) nextDelay() time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.begun++
-	return n.delays[n.begun-1]
+	n.attempts++
+	return n.delays[n.attempts-1]
 }
 
 func (n *network) dial(ctx context.Context, _, _ string) (net.Conn, error) {
-	delay := n.begin()
+	delay := n.nextDelay()
 	if delay == 0 {
 		return nil, errRefused
 	}
 	select {
 	case <-time.After(delay):
-		n.opened(1)
+		n.addOpenConns(1)
 		return conn{network: n}, nil
 	case <-ctx.Done():
 		return nil, ctx.Err()
@@ -59,37 +59,37 @@
 }
 
 func TestHedged(t *testing.T) {
-	const again, limit = 400 * time.Millisecond, time.Second
+	const hedgeDelay, timeout = 400 * time.Millisecond, time.Second
 	for name, c := range map[string]struct {
-		delays []time.Duration
-		took   time.Duration
-		begun  int
-		err    error
+		delays       []time.Duration
+		wantElapsed  time.Duration
+		wantAttempts int
+		err          error
 	}{
 		"fast":                {[]time.Duration{3 * time.Millisecond}, 3 * time.Millisecond, 1, nil},
 		"slow link":           {[]time.Duration{600 * time.Millisecond, 600 * time.Millisecond}, 600 * time.Millisecond, 2, nil},
 		"opening packet lost": {[]time.Duration{1003 * time.Millisecond, 3 * time.Millisecond}, 403 * time.Millisecond, 2, nil},
 		"refused":             {[]time.Duration{0}, 0, 1, errRefused},
 		"second refused":      {[]time.Duration{600 * time.Millisecond, 0}, 600 * time.Millisecond, 2, nil},
-		"dark":                {[]time.Duration{time.Hour, time.Hour}, limit, 2, context.DeadlineExceeded},
+		"dark":                {[]time.Duration{time.Hour, time.Hour}, timeout, 2, context.DeadlineExceeded},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				n := &network{delays: c.delays}
-				ctx, cancel := context.WithTimeout(t.Context(), limit)
+				ctx, cancel := context.WithTimeout(t.Context(), timeout)
 				defer cancel()
-				began := time.Now()
-				got, err := dial.Hedged(n.dial, again)(ctx, "tcp", "a")
-				if !errors.Is(err, c.err) || time.Since(began) != c.took || n.begun != c.begun {
-					t.Fatalf("%d attempts, %s: %v", n.begun, time.Since(began), err)
+				start := time.Now()
+				conn, err := dial.Hedged(n.dial, hedgeDelay)(ctx, "tcp", "a")
+				if !errors.Is(err, c.err) || time.Since(start) != c.wantElapsed || n.attempts != c.wantAttempts {
+					t.Fatalf("%d attempts, %s: %v", n.attempts, time.Since(start), err)
 				}
 				synctest.Wait()
 				time.Sleep(2 * time.Second)
 				if err == nil {
-					_ = got.Close()
+					_ = conn.Close()
 				}
-				if n.open != 0 {
-					t.Errorf("%d connections left open", n.open)
+				if n.openConns != 0 {
+					t.Errorf("%d connections left open", n.openConns)
 				}
 			})
 		})
