--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -10,10 +10,13 @@
 	"strings"
 )
 
+// namePattern matches a DNS label.
 var namePattern = regexp.MustCompile(`^[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?$`)
 
-// check holds every value against its key's rule, then the keys against each
-// other. A key with a finding gets no second one.
+// checkValues checks each value against the rule of its key, then the rules that
+// involve several keys. Keys that have a finding are skipped. If reading stopped
+// at a syntax error, so are keys not seen until then and the rules that involve
+// several keys.
 func (p *fileParser) checkValues() {
 	for _, k := range p.keys {
 		field, ok := fieldByKey(p.root, strings.Split(k.Name, "."))
@@ -29,7 +32,8 @@
 	}
 }
 
-// place returns the line of a key, else that of its table, else 0.
+// lineForKey returns the line of a key, or that of its table if the file lacks the
+// key, or 0 if it lacks both.
 func (p *fileParser) lineForKey(key string) int {
 	if line, ok := p.keyLines[key]; ok {
 		return line
@@ -38,7 +42,7 @@
 	return p.keyLines[table]
 }
 
-// check returns what is wrong with a value, or nothing.
+// problem returns what is wrong with a value, or "" if it is valid.
 func (k Key) problem(field reflect.Value) string {
 	if k.required && (field.IsZero() || field.Kind() == reflect.Map && field.Len() == 0) {
 		return "is missing"
@@ -64,7 +68,8 @@
 	}
 }
 
-// problemUnless returns what the value is, unless it is right.
+// problemUnless returns "" if the value is valid, and otherwise "is" with the
+// value.
 func problemUnless(ok bool, field reflect.Value) string {
 	if ok {
 		return ""
@@ -79,6 +84,8 @@
 	}
 }
 
+// isPlatformURL reports whether text is an http or https URL of an IP address and a
+// port other than 0, without path, query or user.
 func isPlatformURL(text string) bool {
 	u, err := url.Parse(text)
 	if err != nil || u.Scheme != "http" && u.Scheme != "https" || u.Path != "" || u.RawQuery != "" || u.User != nil {
@@ -88,7 +95,8 @@
 	return err == nil && addr.Port() != 0
 }
 
-// checkTogether reports keys that are right each by itself but not together.
+// crossCheckSettings reports values that are valid on their own but not in
+// combination.
 func (p *fileParser) crossCheckSettings(s *Settings) {
 	require := func(ok bool, key, format string, args ...any) {
 		if !ok && !p.hasFinding[key] {
@@ -107,7 +115,8 @@
 	p.checkTLS(s)
 }
 
-// checkTLS reports each interface that is neither secured nor named as plain.
+// checkTLS reports each interface that requires TLS but lacks its certificates, and
+// contradictory TLS settings.
 func (p *fileParser) checkTLS(s *Settings) {
 	t := s.TLS
 	if p.hasFinding["tls.plain"] {
@@ -138,10 +147,11 @@
 	}
 }
 
-// listener is an address of the settings that is listened on.
+// listenAddress is a key whose value is a listen address, IP:port.
 type listenAddress struct{ key, addr string }
 
-// checkAddresses reports listeners that would take each other's port.
+// checkAddressConflicts reports listen addresses that are used twice. Port 0 never
+// conflicts, as the kernel chooses the port.
 func (p *fileParser) checkAddressConflicts(addresses []listenAddress) {
 	keyByAddress := map[netip.AddrPort]string{}
 	for _, listen := range addresses {
--- a/internal/settings/finding.go
+++ b/internal/settings/finding.go
@@ -7,12 +7,12 @@
 	"strings"
 )
 
-// Finding is one thing wrong with the settings.
+// Finding is one error in a settings file.
 type Finding struct {
 	File string
-	// Line is 0 where the finding is about something missing.
+	// Line counts from 1; 0 if a key and its table are missing.
 	Line    int
-	Key     string
+	Key     string // Dotted key or table; "toml" for a syntax error.
 	Problem string // What is wrong and what is allowed.
 }
 
@@ -25,10 +25,10 @@
 	return location + ": " + f.Key + ": " + f.Problem
 }
 
-// Findings is all that is wrong with the settings; it is an error.
+// Findings holds all errors in a settings file. It implements error.
 type Findings []Finding
 
-// Error implements error.
+// Error returns the findings, one per line.
 func (f Findings) Error() string {
 	lines := make([]string, len(f))
 	for i, finding := range f {
@@ -37,7 +37,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// sort orders the findings by line; those without one come last.
+// sort orders the findings by line, then by key. Those without a line come last.
 func (f Findings) sort() {
 	slices.SortStableFunc(f, func(a, b Finding) int {
 		if (a.Line == 0) != (b.Line == 0) {
--- a/internal/settings/gateway.go
+++ b/internal/settings/gateway.go
@@ -8,8 +8,10 @@
 	"github.com/rotisserie/eris"
 )
 
-// Gateway is the settings file of an instance that serves an outside
-// platform's callers and endpoints. A file with a table [gateway] is one.
+// Gateway is the content of the settings file of an instance that serves the
+// callers and endpoints of an external platform. Such a file has a table
+// [gateway]. The fields are named after the keys of the file; GatewayKeys
+// documents each of them.
 type Gateway struct {
 	Gateway GatewayInstance `toml:"gateway"`
 	Store   Store           `toml:"store"`
@@ -18,7 +20,8 @@
 	Retries Retries         `toml:"retries"`
 }
 
-// GatewayInstance says who and where the instance is.
+// GatewayInstance identifies the instance and holds its listen addresses
+// (IP:port) and resources.
 type GatewayInstance struct {
 	Name      string `toml:"name"`
 	Zone      string `toml:"zone"`
@@ -27,47 +30,55 @@
 	Operators string `toml:"operators"`
 	Peers     string `toml:"peers"`
 	MemoryMB  int64  `toml:"memory_mb"`
-	// LinkMbps is the speed of the instance's link; 0 for unknown.
+	// LinkMbps is the bandwidth of the instance's network link in Mbit/s; 0 if
+	// unknown.
 	LinkMbps float64 `toml:"link_mbps"`
 }
 
-// Store says where the platform's store is.
+// Store configures the connection to the platform's store.
 type Store struct {
 	URL     string   `toml:"url"`
 	Timeout Duration `toml:"timeout"`
-	// StateWithin is the time within which a change of the desired state is to be in
-	// force, LeavingWithin that within which a leaving endpoint gets nothing more.
+	// StateWithin bounds the time until a change of the desired state takes effect,
+	// LeavingWithin the time until an endpoint that is leaving gets no new requests.
 	StateWithin   Duration `toml:"state_within"`
 	LeavingWithin Duration `toml:"leaving_within"`
 }
 
-// GatewayLog sets the instance's own logs.
+// GatewayLog configures the instance's own log output.
 type GatewayLog struct {
 	Level  string `toml:"level"`
 	Format string `toml:"format"`
-	// Buffer is how many lines wait for a slow reader of standard output.
+	// Buffer is the maximum number of lines that wait for a slow reader of standard
+	// output.
 	Buffer int `toml:"buffer"`
-	// Lines is how many lines a second are written of each level below error.
+	// Lines is the maximum number of lines per second of each level below error.
 	Lines int `toml:"lines"`
 }
 
-// Drain sets how an instance ends.
+// Drain configures how an instance shuts down. All its times start at the signal
+// to end, except LastCallers.
 type Drain struct {
-	Within  Duration `toml:"within"`
+	// Within is the time until the process is killed.
+	Within Duration `toml:"within"`
+	// Unready is how long new connections are still accepted, while the balancer
+	// notices that the instance is not ready.
 	Unready Duration `toml:"unready"`
-	// LastCallers is the end of Unready; whoever comes in it or later has other
-	// instances, and is not kept for longer than the drain lasts.
+	// LastCallers is the last part of Unready. A request that arrives in it or later
+	// can be sent to another instance, so it is refused if it may take longer than
+	// the drain lasts.
 	LastCallers Duration `toml:"last_callers"`
 }
 
-// Retries is the fleet's budget of repeated sends to one service.
+// Retries is the whole fleet's retry budget for one service: in each Window, Ratio
+// retries per request and Extra retries in addition.
 type Retries struct {
 	Ratio  float64  `toml:"ratio"`
 	Extra  int64    `toml:"extra"`
 	Window Duration `toml:"window"`
 }
 
-// DefaultGateway returns the settings that hold where the file is silent.
+// DefaultGateway returns the values of the keys that the file does not set.
 func DefaultGateway() Gateway {
 	return Gateway{
 		Gateway: GatewayInstance{MemoryMB: 256},
@@ -78,7 +89,7 @@
 	}
 }
 
-// GatewayKeys lists every key of a gateway's file in its order.
+// GatewayKeys returns every key of a gateway's file, in the order of the file.
 func GatewayKeys() []Key {
 	return []Key{
 		{Name: "gateway.name", Unit: "name", kind: kindLabel, required: true, Doc: "Name of the instance in logs and statements; a restarted one keeps it."},
@@ -106,14 +117,15 @@
 	}
 }
 
-// ParseGateway checks the text of a gateway's settings file as Parse does.
+// ParseGateway parses and checks the text of a gateway's settings file. The
+// findings give name as the file. An error is Findings; see Parse.
 func ParseGateway(name string, data []byte) (Gateway, error) {
 	g := DefaultGateway()
 	p := newFileParser(name, &g, GatewayKeys())
 	p.crossCheck = func() {
 		instance := g.Gateway
 		p.checkAddressConflicts([]listenAddress{{"gateway.callers", instance.Callers}, {"gateway.ready", instance.Ready}, {"gateway.operators", instance.Operators}, {"gateway.peers", instance.Peers}})
-		if allowed := g.Retries.Ratio >= 0 && g.Retries.Ratio <= 1; !allowed { // NaN is not.
+		if allowed := g.Retries.Ratio >= 0 && g.Retries.Ratio <= 1; !allowed { // NaN fails both comparisons.
 			p.addFinding(p.lineForKey("retries.ratio"), "retries.ratio", "is %g; allowed: 0 to 1", g.Retries.Ratio)
 		}
 		if allowed := instance.LinkMbps >= 0; !allowed {
@@ -132,7 +144,8 @@
 	return g, nil
 }
 
-// LoadGateway reads and checks a gateway's file.
+// LoadGateway reads and checks a gateway's settings file. If the file is readable,
+// the error is Findings.
 func LoadGateway(path string) (Gateway, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -141,8 +154,8 @@
 	return ParseGateway(path, data)
 }
 
-// IsGatewayFile says whether a file is meant to be a gateway's. One that can't be
-// read is not.
+// IsGatewayFile reports whether a file is the settings file of a gateway, valid or
+// not. It is false for a file that can't be read.
 func IsGatewayFile(path string) bool {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -151,8 +164,9 @@
 	return gatewayTableHeader.Match(data)
 }
 
-// gatewayTable finds the table in a file that is wrong elsewhere too.
+// gatewayTableHeader matches the header of the table [gateway]. A regular
+// expression finds it also in a file that is not valid TOML.
 var gatewayTableHeader = regexp.MustCompile(`(?m)^\s*\[gateway\]`)
 
-// GatewayReference returns the keys of a gateway's file as a table in Markdown.
+// GatewayReference returns the keys of a gateway's file as a Markdown table.
 func GatewayReference() string { return keyTable(GatewayKeys(), DefaultGateway()) }
--- a/internal/settings/gateway_test.go
+++ b/internal/settings/gateway_test.go
@@ -11,13 +11,16 @@
 	"guavapier/internal/settings"
 )
 
-// placeholders stand for what the platform fills in.
+// templateValues holds the values that the platform substitutes for the
+// placeholders of the deployed template.
 var templateValues = map[string]string{
 	"node_name": "edge-hall-a-1", "zone": "hall-a", "listen.front": "10.1.0.40:8227", "listen.ready": "10.1.0.40:8220",
 	"ip": "10.1.0.40", "port_range.0": "7340", "limits.memory_mb": "284", "limits.link_mbps": "1000.0", "platform.address": "10.200.1.7:8223",
 	"bounds.config_apply_ms": "2000", "bounds.drain_ms": "2000", "bounds.grace_s": "8", "bounds.retry_ratio": "0.2", "bounds.retry_extra": "56", "bounds.retry_window_s": "10",
 }
 
+// renderTemplate returns the deployed template with its placeholders substituted;
+// one without a value becomes empty.
 func renderTemplate(t *testing.T, values map[string]string) string {
 	t.Helper()
 	template, err := os.ReadFile("../../deploy/settings.toml.tmpl")
@@ -35,12 +38,12 @@
 		t.Fatal(err)
 	}
 	if g.Drain.Within.D() != 8*time.Second || g.Retries.Extra != 56 || g.Gateway.Peers != "10.1.0.40:7340" || g.Store.URL != "http://10.200.1.7:8223" {
-		t.Errorf("%+v", g)
+		t.Errorf("settings of the rendered template: %+v", g)
 	}
 }
 
-// A template value that is missing, or a file half written, is told with all
-// its findings at once.
+// Missing or malformed template values are all reported at once. A file that ends
+// in the middle is an error.
 func TestFindingsOfABrokenTemplateAreReportedTogether(t *testing.T) {
 	values := map[string]string{}
 	for name, value := range templateValues {
@@ -49,16 +52,16 @@
 	values["zone"], values["bounds.grace_s"], values["limits.memory_mb"] = "", "soon", ""
 	_, err := settings.ParseGateway("t.toml", []byte(renderTemplate(t, values)))
 	if err == nil {
-		t.Fatal("no finding")
+		t.Fatal("no findings for a template with missing values")
 	}
 	for _, want := range []string{"t.toml:5: gateway.zone: is missing", "t.toml:10: toml: "} {
 		if !strings.Contains(err.Error(), want) {
-			t.Errorf("no %q in\n%s", want, err)
+			t.Errorf("findings lack %q:\n%s", want, err)
 		}
 	}
 	text := renderTemplate(t, templateValues)
 	if _, err := settings.ParseGateway("t.toml", []byte(text[:len(text)/2])); err == nil {
-		t.Error("half a file is right")
+		t.Error("no findings for the first half of a file")
 	}
 }
 
@@ -69,20 +72,20 @@
 	text = strings.Replace(text, "[drain]\n", "[drain]\nunready = \"9s\"\n", 1)
 	_, err := settings.ParseGateway("t.toml", []byte(text))
 	if err == nil {
-		t.Fatal("no finding")
+		t.Fatal("no findings for invalid settings")
 	}
 	for _, want := range []string{
 		"retries.ratio: is 1.5; allowed: 0 to 1", "drain.unready: is 9s; allowed: less than drain.within", "retries.more: is not a known key",
 		"gateway.ready: is \"10.1.0.40:8227\" as gateway.callers is",
 	} {
 		if !strings.Contains(err.Error(), want) {
-			t.Errorf("no %q in\n%s", want, err)
+			t.Errorf("findings lack %q:\n%s", want, err)
 		}
 	}
 }
 
-// A platform that scales its figures to the size of the fleet renders fractions,
-// also for what counts whole things.
+// A platform that scales limits to the size of the fleet renders fractions, also
+// for counts. An integer key takes them, rounded down.
 func TestACountTakesTheWholePartOfAFraction(t *testing.T) {
 	for _, test := range []struct {
 		number  string
@@ -114,14 +117,15 @@
 		g, err := settings.ParseGateway("t.toml", []byte(renderTemplate(t, values)))
 		switch {
 		case test.finding == "" && (err != nil || g.Retries.Extra != test.want):
-			t.Errorf("%s: %d, %v; want %d", test.number, g.Retries.Extra, err, test.want)
+			t.Errorf("%s: parsed as %d, error %v; want %d", test.number, g.Retries.Extra, err, test.want)
 		case test.finding != "" && (err == nil || !strings.Contains(err.Error(), test.finding)):
-			t.Errorf("%s: %v; want %q", test.number, err, test.finding)
+			t.Errorf("%s: error %v; want %q", test.number, err, test.finding)
 		}
 	}
 }
 
-// Every count and share of the deployed template bears a fraction.
+// A fraction is valid for every number that the deployed template takes from the
+// platform.
 func TestEveryNumberOfTheTemplateBearsAFraction(t *testing.T) {
 	for _, name := range []string{"limits.memory_mb", "bounds.config_apply_ms", "bounds.drain_ms", "bounds.grace_s", "bounds.retry_ratio", "bounds.retry_extra", "bounds.retry_window_s"} {
 		values := map[string]string{}
@@ -142,7 +146,7 @@
 	}
 	values["bounds.retry_ratio"] = "nan"
 	if _, err := settings.ParseGateway("t.toml", []byte(renderTemplate(t, values))); err == nil {
-		t.Error("a ratio that is not a number is taken")
+		t.Error("a retry ratio of NaN is accepted")
 	}
 }
 
@@ -154,18 +158,18 @@
 	}{
 		"gateway":        {"# x\n[gateway]\nname = \"a\"\n", true},
 		"broken gateway": {"[gateway]\nname = \n", true},
-		"own":            {"[instance]\nname = \"gateway\"\n", false},
+		"no gateway":     {"[instance]\nname = \"gateway\"\n", false},
 	} {
 		file := filepath.Join(dir, strings.ReplaceAll(name, " ", "-"))
 		if err := os.WriteFile(file, []byte(test.text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		if got := settings.IsGatewayFile(file); got != test.want {
-			t.Errorf("%s: %v", name, got)
+			t.Errorf("%s: IsGatewayFile returned %t", name, got)
 		}
 	}
 	if settings.IsGatewayFile(filepath.Join(dir, "missing")) {
-		t.Error("a missing file is a gateway's")
+		t.Error("IsGatewayFile returned true for a missing file")
 	}
 }
 
--- a/internal/settings/keys.go
+++ b/internal/settings/keys.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// form is the shape of a key's value.
+// kind is the syntax of a key's value; see Key.Allowed.
 type kind int
 
 const (
@@ -24,24 +24,24 @@
 	kindInterfaces
 )
 
-// Key documents and bounds one key.
+// Key documents one key of the file and defines its valid values.
 type Key struct {
-	Name string
+	Name string // table.key
 	Unit string
 	Doc  string
 
 	kind     kind
-	min, max int64 // For counts and durations, both included.
+	min, max int64 // Inclusive; for counts, and for durations in nanoseconds.
 	choices  []string
 	required bool
 }
 
-// maxPlatformTimeout leaves time for a second read within the 9 s in which a
-// configuration must be in force.
+// maxPlatformTimeout bounds the timeout of a call to the platform. It leaves time
+// for a second read within the 9 s in which a configuration must take effect.
 const maxPlatformTimeout = 4 * time.Second
 
-// Keys lists every key in the order of the file. The reference in
-// docs/OPERATIONS.md is checked against it, and so is the Settings type.
+// Keys returns every key, in the order of the file. Tests compare the reference
+// in docs/OPERATIONS.md and the fields of Settings with it.
 func Keys() []Key {
 	return []Key{
 		{Name: "instance.name", Unit: "name", kind: kindLabel, required: true, Doc: "Name of the instance in logs, metrics and the instance list."},
@@ -76,7 +76,7 @@
 	}
 }
 
-// Allowed says which values the key takes.
+// Allowed describes the valid values of the key.
 func (k Key) Allowed() string {
 	switch k.kind {
 	case kindLabel:
@@ -102,15 +102,17 @@
 	}
 }
 
+// interfaceNames returns the names that tls.plain may list.
 func interfaceNames() []string {
 	return []string{InterfaceCallers, InterfaceOperators, InterfacePeers, InterfacePlatform, InterfaceEndpoints}
 }
 
-// DefaultText is the key's default as it stands in a file of an instance with
-// guavapier's own interface; "" for none.
+// DefaultText returns the key's default value in a file of Settings, as text: ""
+// for a required key, "none" for a zero value.
 func (k Key) DefaultText() string { return k.defaultTextFrom(Default()) }
 
-// defaultIn is the key's default among the given ones.
+// defaultTextFrom returns the key's value in a struct of defaults, as DefaultText
+// does.
 func (k Key) defaultTextFrom(defaults any) string {
 	field, ok := fieldByKey(reflect.ValueOf(defaults), strings.Split(k.Name, "."))
 	if !ok || k.required {
@@ -125,7 +127,7 @@
 	return fmt.Sprint(field.Interface())
 }
 
-// tables lists the tables' headers.
+// tableNames returns the names of the tables that the keys are in.
 func tableNames(keys []Key) []string {
 	var names []string
 	for _, k := range keys {
@@ -137,7 +139,8 @@
 	return names
 }
 
-// nearest says which keys stand in the table of an unknown one.
+// suggestKeys lists, for a finding, the valid keys in the table of an unknown key,
+// or the valid tables if that table is unknown too.
 func suggestKeys(keys []Key, name string) string {
 	table, _, _ := strings.Cut(name, ".")
 	var names []string
@@ -152,9 +155,10 @@
 	return "allowed in [" + table + "]: " + strings.Join(names, ", ")
 }
 
-// Reference returns the keys as a table in Markdown.
+// Reference returns the keys of Settings as a Markdown table.
 func Reference() string { return keyTable(Keys(), Default()) }
 
+// keyTable returns a Markdown table of keys with their defaults.
 func keyTable(keys []Key, defaults any) string {
 	var b strings.Builder
 	b.WriteString("| key | unit | default | allowed | what it does |\n| --- | --- | --- | --- | --- |\n")
--- a/internal/settings/parse.go
+++ b/internal/settings/parse.go
@@ -15,9 +15,9 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// Parse checks the text of a settings file; name stands for it in findings.
-// A returned error is Findings and holds everything wrong with the text, but
-// that a syntax error hides what comes after it.
+// Parse parses and checks the text of a settings file. The findings give name as
+// the file. An error is Findings and holds all errors in the text, except those
+// after a syntax error at which reading stops.
 func Parse(name string, data []byte) (Settings, error) {
 	s := Default()
 	p := newFileParser(name, &s, Keys())
@@ -28,23 +28,25 @@
 	return s, nil
 }
 
-// parse is the state of reading one file.
+// fileParser reads and checks one settings file.
 type fileParser struct {
 	file       string
-	root       reflect.Value // The struct that the file fills.
-	keys       []Key         // Of that struct.
-	crossCheck func()        // Checks what is right only together.
+	root       reflect.Value // The struct that the file's values are set in.
+	keys       []Key         // The keys of that struct.
+	crossCheck func()        // Checks rules that involve several keys.
 	findings   Findings
-	// lines holds the line of each key that the file sets.
+	// keyLines holds the line of each key and table in the file.
 	keyLines map[string]int
-	// wrong holds the keys with a finding already, so that none gets two.
+	// hasFinding holds the keys and tables that have a finding. They are not checked
+	// further, so that one mistake is reported once.
 	hasFinding map[string]bool
-	// broken says that the text after some line could not be read.
+	// isTruncated reports that a syntax error ended the reading before the end of the
+	// text.
 	isTruncated bool
 }
 
-// newParse returns a parse that fills the struct at target, which holds the
-// defaults.
+// newFileParser returns a fileParser that sets values in the struct that target
+// points to, which holds the defaults.
 func newFileParser(file string, target any, keys []Key) *fileParser {
 	return &fileParser{
 		file: file, root: reflect.ValueOf(target).Elem(), keys: keys, crossCheck: func() {},
@@ -52,7 +54,7 @@
 	}
 }
 
-// run reads and checks the text; an error is Findings.
+// run reads and checks the text. An error is Findings.
 func (p *fileParser) run(data []byte) error {
 	p.readExpressions(data)
 	p.checkSyntax(data)
@@ -64,13 +66,14 @@
 	return p.findings
 }
 
+// addFinding adds a finding. Line is 0 for a key that the text lacks.
 func (p *fileParser) addFinding(line int, key, format string, args ...any) {
 	p.hasFinding[key] = true
 	p.findings = append(p.findings, Finding{File: p.file, Line: line, Key: key, Problem: fmt.Sprintf(format, args...)})
 }
 
-// syntax reports what is not TOML at all, keys that are set twice included. A
-// line on which walk found something gets no second finding.
+// checkSyntax reports the first error of the TOML decoder, which also detects keys
+// that are set twice. It reports nothing for a line that has a finding already.
 func (p *fileParser) checkSyntax(data []byte) {
 	var document map[string]any
 	var decodeErr *toml.DecodeError
@@ -83,8 +86,8 @@
 	}
 }
 
-// walk sets every key that the text gives, and reports those that are unknown
-// or of the wrong type.
+// readExpressions sets the value of every key in the text, and reports keys that
+// are unknown or have a value of the wrong type.
 func (p *fileParser) readExpressions(data []byte) {
 	var reader unstable.Parser
 	reader.Reset(data)
@@ -106,7 +109,7 @@
 	p.reportParseError(&reader)
 }
 
-// unreadable reports the line from which on the text could not be read.
+// reportParseError reports the syntax error, if any, at which reading stopped.
 func (p *fileParser) reportParseError(reader *unstable.Parser) {
 	var parseErr *unstable.ParserError
 	if !errors.As(reader.Error(), &parseErr) {
@@ -117,7 +120,8 @@
 	p.addFinding(line, "toml", "%s; nothing after it was read", parseErr.Message)
 }
 
-// lineOf returns the line of an expression: that of its first key.
+// lineOfExpression returns the line, from 1, of the first key of an expression, or
+// 0 if it has none.
 func lineOfExpression(reader *unstable.Parser, data []byte, node *unstable.Node) int {
 	keys := node.Key()
 	if !keys.Next() {
@@ -127,6 +131,7 @@
 	return 1 + bytes.Count(reader.Data()[:min(int(start), len(data))], []byte("\n"))
 }
 
+// keyParts returns the parts of an expression's dotted key.
 func keyParts(node *unstable.Node) []string {
 	var key []string
 	parts := node.Key()
@@ -136,7 +141,7 @@
 	return key
 }
 
-// table checks a table's header.
+// checkTableHeader records the line of a table, or reports an unknown table.
 func (p *fileParser) checkTableHeader(line int, key []string) {
 	field, ok := fieldByKey(p.root, key)
 	if !ok || (field.Kind() != reflect.Struct && field.Kind() != reflect.Map) {
@@ -146,10 +151,12 @@
 	p.keyLines[strings.Join(key, ".")] = line
 }
 
+// setValue sets the value of a dotted key in its struct field or map, or reports
+// why it can't.
 func (p *fileParser) setValue(line int, key []string, value *unstable.Node) {
 	name := strings.Join(key, ".")
 	if p.hasFinding[strings.Join(key[:len(key)-1], ".")] {
-		return // The whole table has a finding already.
+		return // The table has a finding, which covers its keys.
 	}
 	if value.Kind == unstable.InlineTable {
 		p.setInlineTable(line, key, value)
@@ -178,7 +185,8 @@
 	parent.SetMapIndex(reflect.ValueOf(key[len(key)-1]), reflect.ValueOf(string(value.Data)))
 }
 
-// inline walks { a = 1, b = 2 } as if each key stood on its own.
+// setInlineTable sets each key of an inline table such as { a = 1, b = 2 } as if it
+// were on a line of its own.
 func (p *fileParser) setInlineTable(line int, key []string, value *unstable.Node) {
 	p.checkTableHeader(line, key)
 	children := value.Children()
@@ -188,7 +196,8 @@
 	}
 }
 
-// fieldOf finds the field of a dotted key by its toml tags.
+// fieldByKey returns the struct field for a dotted key, found by the toml tags. It
+// is false if there is none.
 func fieldByKey(v reflect.Value, key []string) (reflect.Value, bool) {
 	for _, part := range key {
 		if v.Kind() != reflect.Struct {
@@ -210,7 +219,8 @@
 
 var durationType = reflect.TypeFor[Duration]()
 
-// set decodes a value into a field; the error says what is wrong and allowed.
+// setField decodes a value into a field. The error is the text of a finding: what
+// is wrong and what is allowed.
 func setField(field reflect.Value, value *unstable.Node) error {
 	if field.Type() == durationType {
 		return setDuration(field, value)
@@ -250,8 +260,9 @@
 	return nil
 }
 
-// setInteger takes the whole part of a fraction: a platform that scales its figures
-// to the size of a fleet renders shares, and rounding up would exceed a bound.
+// setInteger decodes an integer, or rounds a fraction down: a platform that scales
+// limits to the size of the fleet renders fractions, and rounding up would exceed
+// the limit.
 func setInteger(field reflect.Value, value *unstable.Node) error {
 	if value.Kind == unstable.Float {
 		return setFloored(field, value)
@@ -267,6 +278,7 @@
 	return nil
 }
 
+// setFloored decodes a float into an integer field, rounded down.
 func setFloored(field reflect.Value, value *unstable.Node) error {
 	f, err := parseFloat(value)
 	if err != nil {
@@ -291,6 +303,7 @@
 	return nil
 }
 
+// parseFloat parses a TOML number, whose digits may be separated by underscores.
 func parseFloat(value *unstable.Node) (float64, error) {
 	f, err := strconv.ParseFloat(strings.ReplaceAll(string(value.Data), "_", ""), 64)
 	if err != nil {
@@ -315,7 +328,7 @@
 	return nil
 }
 
-// kindName names a value's type with its article.
+// describeKind returns the TOML type of a value with its indefinite article.
 func describeKind(value *unstable.Node) string {
 	name := strings.ToLower(value.Kind.String())
 	if strings.ContainsRune("aeiou", rune(name[0])) {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,10 +1,10 @@
-// Package settings reads an instance's static settings: what it needs before
-// it can read anything from the platform. They are TOML, strict, and all
-// findings are reported together with their place. Keys lists every key with
-// its unit, default and range.
+// Package settings reads an instance's static settings, which it needs before it
+// can connect to the platform. They are in a TOML file. Parsing is strict: an
+// unknown key is an error, and all errors are reported together, each with its
+// line. Keys lists every key with its unit, default and range.
 //
-// Settings that operators change while the fleet runs are values under paths
-// on the platform's log; see package config.
+// Settings that operators change while the fleet runs are values at paths on the
+// platform's log; see package config.
 package settings
 
 import (
@@ -16,7 +16,8 @@
 	"github.com/rotisserie/eris"
 )
 
-// Settings is the whole file. Keys documents each field.
+// Settings is the content of a settings file. Its fields are named after the keys
+// of the file; Keys documents each of them.
 type Settings struct {
 	Instance  Instance  `toml:"instance"`
 	Platform  Platform  `toml:"platform"`
@@ -29,7 +30,7 @@
 	TLS       TLS       `toml:"tls"`
 }
 
-// Instance says who and where the instance is.
+// Instance identifies the instance and holds its listen addresses (IP:port).
 type Instance struct {
 	Name      string `toml:"name"`
 	Zone      string `toml:"zone"`
@@ -38,24 +39,25 @@
 	Peers     string `toml:"peers"`
 }
 
-// Platform says where the platform is.
+// Platform configures the connection to the platform.
 type Platform struct {
 	URL     string   `toml:"url"`
 	Timeout Duration `toml:"timeout"`
 }
 
-// Snapshots sets when streams are written anew against the log's retention.
+// Snapshots configures the snapshots of the streams, which must be written before
+// the log's retention deletes the records that they cover.
 type Snapshots struct {
 	Every Duration `toml:"every"`
 }
 
-// Log sets the instance's own logs.
+// Log configures the instance's own log output.
 type Log struct {
 	Level  string `toml:"level"`
 	Format string `toml:"format"`
 }
 
-// Ledger sets budgets and group commit.
+// Ledger configures the ledger of budgets and the group commit of its records.
 type Ledger struct {
 	Partitions  int      `toml:"partitions"`
 	GrantTokens int64    `toml:"grant_tokens"`
@@ -63,7 +65,8 @@
 	Patience    Duration `toml:"patience"`
 }
 
-// Limits bound what callers may send and how long they wait.
+// Limits bounds the size of requests and responses, and how long a request waits
+// for its endpoint's response.
 type Limits struct {
 	BodyBytes           int64    `toml:"body_bytes"`
 	AnswerBytes         int64    `toml:"answer_bytes"`
@@ -74,19 +77,20 @@
 	Progress            Duration `toml:"progress"`
 }
 
-// Sessions holds the session signing keys, each in a file of its own.
+// Sessions names the files of the session signing keys, by key ID, and the key
+// that signs new sessions.
 type Sessions struct {
 	CurrentKey string            `toml:"current_key"`
 	KeyFiles   map[string]string `toml:"key_files"`
 }
 
-// Operator holds the fleet operators' credential, in a file of its own.
+// Operator names the file that holds the fleet operators' token.
 type Operator struct {
 	TokenFile string `toml:"token_file"`
 }
 
-// TLS says how connections are secured. An interface that is neither secured
-// nor named in Plain is a finding.
+// TLS names the certificate files, and in Plain the interfaces that do without
+// TLS. An interface that is not in Plain and lacks its certificates is an error.
 type TLS struct {
 	Certificate string   `toml:"certificate"`
 	Key         string   `toml:"key"`
@@ -95,7 +99,7 @@
 	Plain       []string `toml:"plain"`
 }
 
-// The interfaces that are secured, or named in TLS.Plain.
+// The interfaces that use TLS unless TLS.Plain names them.
 const (
 	InterfaceCallers   = "callers"
 	InterfaceOperators = "operators"
@@ -104,16 +108,16 @@
 	InterfaceEndpoints = "endpoints"
 )
 
-// RequiresTLS says whether an interface is not named in Plain.
+// RequiresTLS reports whether an interface must use TLS: Plain does not name it.
 func (t TLS) RequiresTLS(iface string) bool { return !slices.Contains(t.Plain, iface) }
 
-// Duration is a time.Duration written like "1.5s".
+// Duration is a time.Duration that the file gives as a string such as "1.5s".
 type Duration time.Duration
 
-// D returns the time.Duration.
+// D returns d as a time.Duration.
 func (d Duration) D() time.Duration { return time.Duration(d) }
 
-// Default returns the settings that hold where the file is silent.
+// Default returns the values of the keys that the file does not set.
 func Default() Settings {
 	return Settings{
 		Platform:  Platform{Timeout: Duration(time.Second)},
@@ -131,9 +135,9 @@
 	}
 }
 
-// Load reads and checks a file. The error is Findings if the file was read.
-// Secrets files that the settings name by a relative path are taken from the
-// settings file's directory.
+// Load reads and checks a settings file. If the file is readable, the error is
+// Findings. Relative paths of certificate, key and token files are resolved
+// against the directory of the settings file.
 func Load(path string) (Settings, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -147,6 +151,7 @@
 	return s, nil
 }
 
+// resolvePaths makes the relative file paths in the settings relative to dir.
 func (s *Settings) resolvePaths(dir string) {
 	resolve := func(file string) string {
 		if file == "" || filepath.IsAbs(file) {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -36,7 +36,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	const wantFiles = 1 + 2*4 // One complete file and two deployments of four zones.
+	const wantFiles = 1 + 2*4 // The complete file, and two deployments with a file for each of four zones.
 	files = append(files, zoneFiles...)
 	if len(files) != wantFiles {
 		t.Fatalf("%d example files, want %d", len(files), wantFiles)
@@ -48,12 +48,13 @@
 			continue
 		}
 		if dir := filepath.Base(filepath.Dir(file)); dir != "examples" && s.Instance.Zone+".toml" != filepath.Base(file) {
-			t.Errorf("%s is of zone %s", file, s.Instance.Zone)
+			t.Errorf("%s sets the zone %s; want the zone that the file is named after", file, s.Instance.Zone)
 		}
 	}
 }
 
-// The complete example names every key, and its comments show the defaults.
+// The complete example has every key, and the values of the keys that it comments
+// out are the defaults.
 func TestCompleteExample(t *testing.T) {
 	data, err := os.ReadFile("../../examples/guavapier.toml")
 	if err != nil {
@@ -72,9 +73,9 @@
 	}
 	want := settings.Default()
 	want.Instance, want.Platform.URL, want.Sessions, want.Operator = got.Instance, got.Platform.URL, got.Sessions, got.Operator
-	want.TLS = got.TLS // Its files have no default; the example names all as plain.
+	want.TLS = got.TLS // The files have no default, and the example lists all interfaces in tls.plain.
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("defaults shown:\n%+v\nin force:\n%+v", got, want)
+		t.Errorf("values in the example:\n%+v\ndefaults:\n%+v", got, want)
 	}
 	var tables map[string]map[string]any
 	if err := toml.Unmarshal([]byte(text), &tables); err != nil {
@@ -88,7 +89,7 @@
 	}
 }
 
-// Every field has its row in Keys and every row its field.
+// Keys has one entry for each field of Settings, in the same order.
 func TestKeysMatchTheType(t *testing.T) {
 	var fields []string
 	root := reflect.TypeFor[settings.Settings]()
@@ -102,7 +103,7 @@
 	for _, k := range settings.Keys() {
 		keys = append(keys, k.Name)
 		if k.Doc == "" || k.Unit == "" {
-			t.Errorf("%s lacks unit or text", k.Name)
+			t.Errorf("%s lacks a unit or a description", k.Name)
 		}
 	}
 	if !reflect.DeepEqual(fields, keys) {
@@ -120,7 +121,8 @@
 	}
 }
 
-// Whatever the text, Parse ends, and each finding is about a line of the text.
+// For arbitrary edits of a valid file, Parse returns no error other than Findings,
+// and each finding has a key, a problem and a line that is within the text.
 func TestFindingsHaveTheirPlace(t *testing.T) {
 	example, err := os.ReadFile("../../examples/guavapier.toml")
 	if err != nil {
@@ -137,12 +139,12 @@
 		_, err := settings.Parse("f.toml", text)
 		var findings settings.Findings
 		if err != nil && !errors.As(err, &findings) {
-			t.Fatalf("not findings: %v", err)
+			t.Fatalf("the error is not Findings: %v", err)
 		}
 		lines := strings.Count(string(text), "\n") + 1
 		for _, f := range findings {
 			if f.Line < 0 || f.Line > lines || f.Key == "" || f.Problem == "" {
-				t.Fatalf("finding %q in a text of %d lines", f, lines)
+				t.Fatalf("incomplete finding %q, or its line is not within the text of %d lines", f, lines)
 			}
 		}
 	})
