--- a/internal/tlsconf/tlsconf.go
+++ b/internal/tlsconf/tlsconf.go
@@ -1,7 +1,7 @@
-// Package tlsconf secures listeners and dialers by certificates from files.
-// The files are looked at again with each handshake, so a new certificate is
-// in use without a restart; a file that can't be used leaves the last good
-// certificate in force.
+// Package tlsconf configures TLS for listeners and dialers with certificates from
+// files. A handshake checks whether the files have changed, so that a renewed
+// certificate is used without a restart. If a changed file is unusable, the last
+// valid certificates stay in use.
 package tlsconf
 
 import (
@@ -16,21 +16,22 @@
 	"github.com/rotisserie/eris"
 )
 
-// ErrNoCACertificate says that a file holds no certificate of an authority.
-var ErrNoCACertificate = eris.New("tlsconf: no certificate of an authority in the file")
+// ErrNoCACertificate reports that a CA file contains no certificate in PEM.
+var ErrNoCACertificate = eris.New("tlsconf: no CA certificate in the file")
 
-// Files names PEM files. Certificate and Key are this side's own and may be
-// empty for a client that shows none; CA has the authorities that the other
-// side's certificate must be signed by, and may be empty for a server that
-// asks for none.
+// Files holds the paths of PEM files. Certificate and Key are this side's own, and
+// may be empty for a client that presents no certificate. CA has the certificate
+// authorities that must have signed the peer's certificate, and may be empty for a
+// server that requests none.
 type Files struct {
 	Certificate, Key, CA string
 }
 
-// lookEvery bounds how often the files' times are looked at.
+// fileCheckInterval is the minimum time between two checks for changed files.
 const fileCheckInterval = time.Second
 
-// Credentials holds what the files held last. It is safe for concurrent use.
+// Credentials holds the certificates last loaded from the files. It is safe for
+// concurrent use.
 type Credentials struct {
 	files   Files
 	onError func(error)
@@ -42,7 +43,8 @@
 	caPool      *x509.CertPool
 }
 
-// New reads the files. onError is told of files that later can't be used.
+// New loads the files, and returns an error if one is unusable. onError is called
+// with the error of a later reload; it must not call the Credentials.
 func New(files Files, onError func(error)) (*Credentials, error) {
 	c := &Credentials{files: files, onError: onError}
 	if err := c.loadFiles(); err != nil {
@@ -52,8 +54,8 @@
 	return c, nil
 }
 
-// ServerConfig returns the configuration of a listener. With mutual set a client
-// must show a certificate that the authorities signed.
+// ServerConfig returns the TLS configuration of a listener. If mutual is set, a
+// client must present a certificate signed by one of the authorities.
 func (c *Credentials) ServerConfig(mutual bool) *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
@@ -68,12 +70,12 @@
 	}
 }
 
-// Dial connects to IP:port and checks that the other side's certificate is for
-// that IP and signed by one of the authorities.
+// Dial connects to address, which is IP:port, and verifies that the server's
+// certificate is valid for that IP address and signed by one of the authorities.
 func (c *Credentials) Dial(ctx context.Context, network, address string) (net.Conn, error) {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
-		return nil, eris.Wrap(err, "tlsconf: address")
+		return nil, eris.Wrap(err, "tlsconf: dial address is not IP:port")
 	}
 	var dialer net.Dialer
 	conn, err := dialer.DialContext(ctx, network, address)
@@ -93,7 +95,8 @@
 	return tlsConn, nil
 }
 
-// current returns what is in force now.
+// currentCertificates returns this side's certificate, nil if there is none, and
+// the authorities. It reloads changed files first.
 func (c *Credentials) currentCertificates() (*tls.Certificate, *x509.CertPool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -104,7 +107,8 @@
 	return c.certificate, c.caPool
 }
 
-// refresh reads files that have changed. s.mu is held.
+// reloadIfChanged reloads the files if one of them has changed. The caller holds
+// c.mu.
 func (c *Credentials) reloadIfChanged() {
 	modTimes := c.fileModTimes()
 	if modTimes == c.modTimes {
@@ -112,12 +116,13 @@
 	}
 	if err := c.loadFiles(); err != nil {
 		c.onError(err)
-		return // Looked at again in lookEvery: the files may be half written.
+		return // Retried after fileCheckInterval: the files may be partially written.
 	}
 	c.modTimes = modTimes
 }
 
-// times returns when each file was changed last; zero for none.
+// fileModTimes returns the modification time of each file, or zero for one that
+// is not configured or can't be read.
 func (c *Credentials) fileModTimes() (modTimes [3]time.Time) {
 	for i, file := range []string{c.files.Certificate, c.files.Key, c.files.CA} {
 		if info, err := os.Stat(file); file != "" && err == nil {
@@ -127,13 +132,13 @@
 	return modTimes
 }
 
-// load reads all files, or changes nothing.
+// loadFiles loads all files. On an error it keeps the certificates as they were.
 func (c *Credentials) loadFiles() error {
 	var certificate *tls.Certificate
 	if c.files.Certificate != "" {
 		keyPair, err := tls.LoadX509KeyPair(c.files.Certificate, c.files.Key)
 		if err != nil {
-			return eris.Wrap(err, "tlsconf: certificate and key")
+			return eris.Wrap(err, "tlsconf: load certificate and key")
 		}
 		certificate = &keyPair
 	}
@@ -141,7 +146,7 @@
 	if c.files.CA != "" {
 		data, err := os.ReadFile(c.files.CA)
 		if err != nil {
-			return eris.Wrap(err, "tlsconf: authorities")
+			return eris.Wrap(err, "tlsconf: read CA file")
 		}
 		caPool = x509.NewCertPool()
 		if !caPool.AppendCertsFromPEM(data) {
--- a/internal/tlsconf/tlsconf_test.go
+++ b/internal/tlsconf/tlsconf_test.go
@@ -20,13 +20,14 @@
 	"guavapier/internal/tlsconf"
 )
 
-// authority signs certificates.
+// authority is a certificate authority that issues test certificates.
 type authority struct {
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
 	file string
 }
 
+// writePEM writes one PEM block of the given type to a file.
 func writePEM(t *testing.T, file, kind string, der []byte) {
 	t.Helper()
 	if err := os.WriteFile(file, pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der}), 0o600); err != nil {
@@ -57,7 +58,8 @@
 	return a
 }
 
-// issue writes a certificate for an IP over the files.
+// issue signs a certificate for an IP address and overwrites the certificate and
+// key files with it and its key.
 func (a authority) issue(t *testing.T, files tlsconf.Files, ip string, serial int64) {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -81,6 +83,8 @@
 	writePEM(t, files.Key, "EC PRIVATE KEY", keyDER)
 }
 
+// newFiles returns paths in a new directory, with the CA file of the authority. No
+// certificate is written.
 func newFiles(t *testing.T, a authority) tlsconf.Files {
 	dir := t.TempDir()
 	return tlsconf.Files{Certificate: filepath.Join(dir, "cert.pem"), Key: filepath.Join(dir, "key.pem"), CA: a.file}
@@ -95,7 +99,8 @@
 	return s
 }
 
-// serve answers each connection with one byte.
+// serve starts a TLS server that sends one byte on each connection and closes it.
+// It returns the server's address.
 func serve(t *testing.T, s *tlsconf.Credentials, mutual bool) string {
 	t.Helper()
 	plain, err := net.Listen("tcp", "127.0.0.1:0")
@@ -117,7 +122,8 @@
 	return plain.Addr().String()
 }
 
-// dial returns the serial of the certificate that the server showed.
+// dial connects and reads one byte. It returns the serial number of the server's
+// certificate.
 func dial(s *tlsconf.Credentials, address string) (int64, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
@@ -127,7 +133,7 @@
 	}
 	defer conn.Close()
 	if _, err := conn.Read(make([]byte, 1)); err != nil {
-		return 0, err // With TLS 1.3 a client learns here that it was refused.
+		return 0, err // In TLS 1.3 a server rejects a client's certificate after the client's handshake.
 	}
 	return conn.(*tls.Conn).ConnectionState().PeerCertificates[0].SerialNumber.Int64(), nil
 }
@@ -153,7 +159,7 @@
 	} {
 		address := serve(t, newCredentials(t, row.server, reportError), row.mutual)
 		if _, err := dial(newCredentials(t, row.client, reportError), address); (err == nil) != row.ok {
-			t.Errorf("%s: %v", row.name, err)
+			t.Errorf("%s: unexpected outcome of the connection, error %v", row.name, err)
 		}
 	}
 }
@@ -177,14 +183,14 @@
 				return
 			}
 			if time.Now().After(deadline) {
-				t.Fatalf("not in time: %s", what)
+				t.Fatalf("timeout waiting until %s", what)
 			}
 		}
 	}
 	if err := os.WriteFile(files.Certificate, []byte("half"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	waitUntil("the broken file is told of, and the old one serves", func(serial int64) bool { return serial == 1 && reloadErrors.Load() > 0 })
+	waitUntil("the malformed file is reported while the old certificate is served", func(serial int64) bool { return serial == 1 && reloadErrors.Load() > 0 })
 	ca.issue(t, files, "127.0.0.1", 2)
-	waitUntil("the new one is shown", func(serial int64) bool { return serial == 2 })
+	waitUntil("the new certificate is served", func(serial int64) bool { return serial == 2 })
 }
