--- a/internal/dial/dial.go
+++ b/internal/dial/dial.go
@@ -1,4 +1,4 @@
-// Package dial makes connections over links that lose or delay packets.
+// Package dial establishes connections over networks that lose or delay packets.
 package dial
 
 import (
@@ -7,19 +7,20 @@
 	"time"
 )
 
-// Func makes a connection, as net.Dialer.DialContext does.
+// Func establishes a connection, as net.Dialer.DialContext does.
 type Func func(ctx context.Context, network, address string) (net.Conn, error)
 
-// result is the end of one attempt.
+// dialResult is the outcome of one attempt.
 type dialResult struct {
 	conn net.Conn
 	err  error
 }
 
-// Hedged returns a Func that makes a second attempt where the first has brought
-// nothing after again, and takes the connection that is made first. A lost opening
-// packet is sent again only after a second, so that a new attempt is faster; on a slow
-// link the first one is, and must not be given up.
+// Hedged returns a Func that starts a second attempt if the first is still pending
+// after hedgeDelay. It returns the connection that is established first, or an error
+// once all attempts have failed. TCP retransmits a lost SYN only after a second, so a
+// second attempt is faster then; on a slow link the first attempt wins, which is why
+// it is not cancelled.
 func Hedged(dial Func, hedgeDelay time.Duration) Func {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		ctx, cancel := context.WithCancel(ctx)
@@ -49,7 +50,8 @@
 	}
 }
 
-// discard ends the attempts that are left over.
+// closeRemaining cancels the attempts that are still pending and closes connections
+// that they establish nevertheless.
 func closeRemaining(results <-chan dialResult, remaining int, cancel context.CancelFunc) {
 	cancel()
 	for range remaining {
--- a/internal/dial/dial_test.go
+++ b/internal/dial/dial_test.go
@@ -14,13 +14,14 @@
 
 var errRefused = errors.New("refused")
 
-// network answers the nth attempt after its delay; a zero one is refused at once.
+// network simulates dialing: the nth attempt connects after the nth delay, or is
+// refused at once if that is 0.
 type network struct {
 	delays []time.Duration
 
 	mu        sync.Mutex // Guards all below.
 	attempts  int
-	openConns int // Connections that nobody has closed.
+	openConns int // Established connections that have not been closed.
 }
 
 type conn struct {
@@ -36,7 +37,7 @@
 	n.openConns += change
 }
 
-// begin returns the delay of one more attempt.
+// nextDelay counts an attempt and returns its delay.
 func (n *network) nextDelay() time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -66,12 +67,12 @@
 		wantAttempts int
 		err          error
 	}{
-		"fast":                {[]time.Duration{3 * time.Millisecond}, 3 * time.Millisecond, 1, nil},
-		"slow link":           {[]time.Duration{600 * time.Millisecond, 600 * time.Millisecond}, 600 * time.Millisecond, 2, nil},
-		"opening packet lost": {[]time.Duration{1003 * time.Millisecond, 3 * time.Millisecond}, 403 * time.Millisecond, 2, nil},
-		"refused":             {[]time.Duration{0}, 0, 1, errRefused},
-		"second refused":      {[]time.Duration{600 * time.Millisecond, 0}, 600 * time.Millisecond, 2, nil},
-		"dark":                {[]time.Duration{time.Hour, time.Hour}, timeout, 2, context.DeadlineExceeded},
+		"fast":           {[]time.Duration{3 * time.Millisecond}, 3 * time.Millisecond, 1, nil},
+		"slow link":      {[]time.Duration{600 * time.Millisecond, 600 * time.Millisecond}, 600 * time.Millisecond, 2, nil},
+		"SYN lost":       {[]time.Duration{1003 * time.Millisecond, 3 * time.Millisecond}, 403 * time.Millisecond, 2, nil},
+		"refused":        {[]time.Duration{0}, 0, 1, errRefused},
+		"second refused": {[]time.Duration{600 * time.Millisecond, 0}, 600 * time.Millisecond, 2, nil},
+		"unreachable":    {[]time.Duration{time.Hour, time.Hour}, timeout, 2, context.DeadlineExceeded},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -81,7 +82,7 @@
 				start := time.Now()
 				conn, err := dial.Hedged(n.dial, hedgeDelay)(ctx, "tcp", "a")
 				if !errors.Is(err, c.err) || time.Since(start) != c.wantElapsed || n.attempts != c.wantAttempts {
-					t.Fatalf("%d attempts, %s: %v", n.attempts, time.Since(start), err)
+					t.Fatalf("%d attempts, returned after %s with error %v", n.attempts, time.Since(start), err)
 				}
 				synctest.Wait()
 				time.Sleep(2 * time.Second)
