--- a/internal/config/team.go
+++ b/internal/config/team.go
@@ -7,50 +7,53 @@
 	"guavapier/internal/record"
 )
 
-// TeamEndpoint is an endpoint that a team's operators added for it alone.
+// TeamEndpoint is an endpoint that a team's operators added and that serves only
+// this team.
 type TeamEndpoint struct {
-	Engine
+	EndpointCapacity
 	Team    record.Team
-	Name    string // Team and name, so that teams cannot take each other's names.
+	Name    string // team/name: qualified, so that names of two teams can't collide.
 	URL     string
 	Zone    record.Zone
 	Model   string
 	Service string
 }
 
-// TeamRows is what the settings say about the teams, as far as placement needs
-// it.
-type TeamRows struct {
-	// Weights has the teams whose share differs from 1.
+// PlacementSettings holds the settings of all teams that request placement
+// depends on.
+type PlacementSettings struct {
+	// Weights holds the teams with a weight set; the others have weight 1.
 	Weights   map[record.Team]float64
 	Endpoints []TeamEndpoint
 }
 
-// TeamRowsOf reads all teams' weights and endpoints. It costs a walk over the
-// teams' subtree, so callers read it again only after a change.
-func TeamRowsOf(c *fold.Config) TeamRows {
-	rows := TeamRows{Weights: map[record.Team]float64{}}
+// ReadPlacementSettings reads the weights and endpoints of all teams. It walks
+// the whole subtree of teams, so callers should cache the result until the
+// settings change.
+func ReadPlacementSettings(c *fold.Config) PlacementSettings {
+	placement := PlacementSettings{Weights: map[record.Team]float64{}}
 	for _, v := range c.List(TeamsPath) {
-		parts := strings.Split(v.Path, "/") // Empty, teams, team, ...
+		segments := strings.Split(v.Path, "/") // "", "teams", team name, ...
 		switch {
-		case len(parts) == 4 && parts[3] == "weight":
-			rows.Weights[record.Team(parts[2])] = float64(number(c, v.Path))
-		case len(parts) == 6 && parts[3] == "endpoints" && parts[5] == "url":
-			rows.Endpoints = append(rows.Endpoints, teamEndpoint(c, record.Team(parts[2]), parts[4], v.Value))
+		case len(segments) == 4 && segments[3] == "weight":
+			placement.Weights[record.Team(segments[2])] = float64(intAt(c, v.Path))
+		case len(segments) == 6 && segments[3] == "endpoints" && segments[5] == "url":
+			placement.Endpoints = append(placement.Endpoints, readTeamEndpoint(c, record.Team(segments[2]), segments[4], v.Value))
 		}
 	}
-	return rows
+	return placement
 }
 
-func teamEndpoint(c *fold.Config, team record.Team, name, url string) TeamEndpoint {
-	at := join(TeamPath(team), "endpoints", name)
+// readTeamEndpoint reads the settings of a team's endpoint other than its URL.
+func readTeamEndpoint(c *fold.Config, team record.Team, name, url string) TeamEndpoint {
+	base := joinPath(TeamPath(team), "endpoints", name)
 	return TeamEndpoint{
-		Engine:  Engine{Slots: number(c, join(at, "slots")), Weight: number(c, join(at, "weight"))},
-		Team:    team,
-		Name:    string(team) + "/" + name,
-		URL:     url,
-		Zone:    record.Zone(text(c, join(at, "zone"), "")),
-		Model:   text(c, join(at, "model"), ""),
-		Service: text(c, join(at, "service"), ""),
+		EndpointCapacity: EndpointCapacity{Slots: intAt(c, joinPath(base, "slots")), Weight: intAt(c, joinPath(base, "weight"))},
+		Team:             team,
+		Name:             string(team) + "/" + name,
+		URL:              url,
+		Zone:             record.Zone(stringAt(c, joinPath(base, "zone"), "")),
+		Model:            stringAt(c, joinPath(base, "model"), ""),
+		Service:          stringAt(c, joinPath(base, "service"), ""),
 	}
 }
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -9,25 +9,26 @@
 	"guavapier/internal/record"
 )
 
-// Finding is one thing wrong with a change.
+// Finding is one error in a change or another request of an operator.
 type Finding struct {
-	Path    string `json:"path"`
+	Path    string `json:"path"`    // Path or request field; empty for the whole change.
 	Problem string `json:"problem"` // What is wrong and what is allowed.
 }
 
-// Validate returns everything wrong with a change that has not been appended
-// yet. scope is the subtree that the operator may change; "" is all.
+// Validate returns all errors in a change before it is appended to the log.
+// scope is the root of the subtree that the operator may change; "" means all
+// paths.
 //
-// The fold does not validate: it must give the same tables in every version,
-// while the known paths grow from version to version.
+// The fold does not validate: it must build the same tables in every version of
+// the program, whereas the set of known paths grows from version to version.
 func Validate(ops []record.ChangeOp, scope string) []Finding {
-	var out []Finding
+	var findings []Finding
 	add := func(path, format string, args ...any) {
-		out = append(out, Finding{Path: path, Problem: fmt.Sprintf(format, args...)})
+		findings = append(findings, Finding{Path: path, Problem: fmt.Sprintf(format, args...)})
 	}
 	if len(ops) == 0 || len(ops) > MaxOps {
 		add("", "has %d operations; allowed: 1 to %d", len(ops), MaxOps)
-		return out
+		return findings
 	}
 	if size := changeBytes(ops); size > MaxChangeBytes {
 		add("", "is %d bytes long; allowed: %d, so split it", size, MaxChangeBytes)
@@ -40,9 +41,10 @@
 			add(op.Path, "stands twice in the change; allowed: once")
 		}
 	}
-	return out
+	return findings
 }
 
+// changeBytes returns the size of a change: the bytes of its paths and values.
 func changeBytes(ops []record.ChangeOp) int {
 	size := 0
 	for _, op := range ops {
@@ -51,7 +53,7 @@
 	return size
 }
 
-// validateOp returns what is wrong with one operation, or nothing.
+// validateOp returns the first error in an operation, or "" if it is valid.
 func validateOp(op record.ChangeOp, scope string) string {
 	if len(op.Path) > maxPathBytes {
 		return fmt.Sprintf("is a path of %d bytes; allowed: %d", len(op.Path), maxPathBytes)
@@ -59,10 +61,10 @@
 	if scope != "" && !fold.IsAtOrBelow(op.Path, scope) {
 		return "is outside of what this credential may change; allowed: paths below " + scope
 	}
-	path, known := Find(op.Path)
+	path, known := FindPath(op.Path)
 	switch {
 	case !known:
-		return "is not a known path; " + nearest(op.Path)
+		return "is not a known path; " + suggestPaths(op.Path)
 	case scope != "" && path.FleetOnly:
 		return "is for fleet operators to change; ask them"
 	case op.Delete && op.Value != "":
@@ -71,35 +73,38 @@
 		return ""
 	case len(op.Value) > MaxValueBytes:
 		return fmt.Sprintf("has a value of %d bytes; allowed: %d", len(op.Value), MaxValueBytes)
-	case !path.value.ok(op.Value):
+	case !path.value.isValid(op.Value):
 		return fmt.Sprintf("is %q; allowed: %s", op.Value, path.Allowed())
 	}
 	return ""
 }
 
-// nearest names the known paths with the same beginning.
-func nearest(path string) string {
-	parts := strings.Split(path, "/")
-	for depth := min(len(parts), 4); depth > 1; depth-- {
-		var same []string
+// suggestPaths lists, for a finding, the known paths that share the longest
+// prefix with an unknown one.
+func suggestPaths(path string) string {
+	segments := strings.Split(path, "/")
+	for depth := min(len(segments), 4); depth > 1; depth-- {
+		var candidates []string
 		for _, p := range Paths() {
-			if beginsLike(strings.Split(p.Pattern, "/"), parts[:depth]) {
-				same = append(same, p.Pattern)
+			if hasPatternPrefix(strings.Split(p.Pattern, "/"), segments[:depth]) {
+				candidates = append(candidates, p.Pattern)
 			}
 		}
-		if len(same) > 0 {
-			return "allowed there: " + strings.Join(same, ", ")
+		if len(candidates) > 0 {
+			return "allowed there: " + strings.Join(candidates, ", ")
 		}
 	}
 	return "allowed: paths below " + TeamsPath + "/{team} or " + FleetPath
 }
 
-func beginsLike(pattern, parts []string) bool {
-	if len(pattern) < len(parts) {
+// hasPatternPrefix reports whether the first segments of a pattern match the
+// given ones.
+func hasPatternPrefix(pattern, segments []string) bool {
+	if len(pattern) < len(segments) {
 		return false
 	}
-	for i, part := range parts {
-		if !matchPart(pattern[i], part) {
+	for i, segment := range segments {
+		if !matchSegment(pattern[i], segment) {
 			return false
 		}
 	}
--- a/internal/run/chat_test.go
+++ b/internal/run/chat_test.go
@@ -333,5 +333,5 @@
 type repeatRules []config.RepeatRule
 
 func (r repeatRules) Repeatable(_, method, path string) bool {
-	return config.AnyRepeats(r, method, path)
+	return config.IsRepeatable(r, method, path)
 }
--- a/internal/server/endpoints.go
+++ b/internal/server/endpoints.go
@@ -73,7 +73,7 @@
 		return false
 	}
 	rules, err := config.ParseRepeatRules(value.Value)
-	return err == nil && config.AnyRepeats(rules, method, path)
+	return err == nil && config.IsRepeatable(rules, method, path)
 }
 
 // endpointClients holds the clients of the endpoints and polls their load.
@@ -88,7 +88,7 @@
 	opts := endpoint.Options{
 		Connect: connectWithin, Silence: min(silentAfter, limits.Progress.D()), Control: controlWithin, AnswerBytes: limits.AnswerBytes,
 	}
-	if l.secured(settings.LinkEndpoints) {
+	if l.secured(settings.InterfaceEndpoints) {
 		opts.DialTLS = l.outside.Dial
 	}
 	e := &endpointClients{}
--- a/internal/settings/gateway.go
+++ b/internal/settings/gateway.go
@@ -8,8 +8,10 @@
 	"github.com/rotisserie/eris"
 )
 
-// Gateway is the settings file of an instance that serves an outside
-// platform's callers and endpoints. A file with a table [gateway] is one.
+// Gateway is the content of the settings file of an instance that serves the
+// callers and endpoints of an external platform. Such a file has a table
+// [gateway]. The fields are named after the keys of the file; GatewayKeys
+// documents each of them.
 type Gateway struct {
 	Gateway GatewayInstance `toml:"gateway"`
 	Store   Store           `toml:"store"`
@@ -18,7 +20,8 @@
 	Retries Retries         `toml:"retries"`
 }
 
-// GatewayInstance says who and where the instance is.
+// GatewayInstance identifies the instance and holds its listen addresses
+// (IP:port) and resources.
 type GatewayInstance struct {
 	Name      string `toml:"name"`
 	Zone      string `toml:"zone"`
@@ -27,47 +30,55 @@
 	Operators string `toml:"operators"`
 	Peers     string `toml:"peers"`
 	MemoryMB  int64  `toml:"memory_mb"`
-	// LinkMbps is the speed of the instance's link; 0 for unknown.
+	// LinkMbps is the bandwidth of the instance's network link in Mbit/s; 0 if
+	// unknown.
 	LinkMbps float64 `toml:"link_mbps"`
 }
 
-// Store says where the platform's store is.
+// Store configures the connection to the platform's store.
 type Store struct {
 	URL     string   `toml:"url"`
 	Timeout Duration `toml:"timeout"`
-	// StateWithin is the time within which a change of the desired state is to be in
-	// force, LeavingWithin that within which a leaving endpoint gets nothing more.
+	// StateWithin bounds the time until a change of the desired state takes effect,
+	// LeavingWithin the time until an endpoint that is leaving gets no new requests.
 	StateWithin   Duration `toml:"state_within"`
 	LeavingWithin Duration `toml:"leaving_within"`
 }
 
-// GatewayLog sets the instance's own logs.
+// GatewayLog configures the instance's own log output.
 type GatewayLog struct {
 	Level  string `toml:"level"`
 	Format string `toml:"format"`
-	// Buffer is how many lines wait for a slow reader of standard output.
+	// Buffer is the maximum number of lines that wait for a slow reader of standard
+	// output.
 	Buffer int `toml:"buffer"`
-	// Lines is how many lines a second are written of each level below error.
+	// Lines is the maximum number of lines per second of each level below error.
 	Lines int `toml:"lines"`
 }
 
-// Drain sets how an instance ends.
+// Drain configures how an instance shuts down. All its times start at the signal
+// to end, except LastCallers.
 type Drain struct {
-	Within  Duration `toml:"within"`
+	// Within is the time until the process is killed.
+	Within Duration `toml:"within"`
+	// Unready is how long new connections are still accepted, while the balancer
+	// notices that the instance is not ready.
 	Unready Duration `toml:"unready"`
-	// LastCallers is the end of Unready; whoever comes in it or later has other
-	// instances, and is not kept for longer than the drain lasts.
+	// LastCallers is the last part of Unready. A request that arrives in it or later
+	// can be sent to another instance, so it is refused if it may take longer than
+	// the drain lasts.
 	LastCallers Duration `toml:"last_callers"`
 }
 
-// Retries is the fleet's budget of repeated sends to one service.
+// Retries is the whole fleet's retry budget for one service: in each Window, Ratio
+// retries per request and Extra retries in addition.
 type Retries struct {
 	Ratio  float64  `toml:"ratio"`
 	Extra  int64    `toml:"extra"`
 	Window Duration `toml:"window"`
 }
 
-// DefaultGateway returns the settings that hold where the file is silent.
+// DefaultGateway returns the values of the keys that the file does not set.
 func DefaultGateway() Gateway {
 	return Gateway{
 		Gateway: GatewayInstance{MemoryMB: 256},
@@ -78,52 +89,53 @@
 	}
 }
 
-// GatewayKeys lists every key of a gateway's file in its order.
+// GatewayKeys returns every key of a gateway's file, in the order of the file.
 func GatewayKeys() []Key {
 	return []Key{
-		{Name: "gateway.name", Unit: "name", form: formName, required: true, Doc: "Name of the instance in logs and statements; a restarted one keeps it."},
-		{Name: "gateway.zone", Unit: "name", form: formName, required: true, Doc: "Availability zone that the instance runs in."},
-		{Name: "gateway.callers", Unit: "IP:port", form: formAddress, required: true, Doc: "Address for callers."},
-		{Name: "gateway.ready", Unit: "IP:port", form: formAddress, required: true, Doc: "Address on which the balancer asks whether the instance takes callers."},
-		{Name: "gateway.operators", Unit: "IP:port", form: formAddress, required: true, Doc: "Address for metrics and the state dump. Keep callers away from it."},
-		{Name: "gateway.peers", Unit: "IP:port", form: formAddress, required: true, Doc: "Address for the other instances of the fleet."},
-		{Name: "gateway.memory_mb", Unit: "MB", form: formCount, min: 64, max: 1 << 20, Doc: "Memory of the instance; above four fifths of it the collector works harder."},
-		{Name: "gateway.link_mbps", Unit: "Mbit/s", form: formText, Doc: "Speed of the instance's link. In a large fleet those with the fastest ones claim tokens for their zone; an instance whose link is nearly full sends callers to others. 0 for unknown, which switches the latter off."},
-		{Name: "store.url", Unit: "URL", form: formURL, required: true, Doc: "Base URL of the platform's store."},
-		{Name: "store.timeout", Unit: "duration", form: formDuration, min: int64(10 * time.Millisecond), max: int64(maxPlatformTimeout), Doc: "Longest wait for one answer of the store; a long poll may take its own wait more."},
-		{Name: "store.state_within", Unit: "duration", form: formDuration, min: int64(time.Second), max: int64(time.Hour), Doc: "Time within which a change of the desired state is to be in force; a longer one makes for fewer calls."},
-		{Name: "store.leaving_within", Unit: "duration", form: formDuration, min: int64(time.Second), max: int64(time.Hour), Doc: "Time within which a leaving endpoint is to get nothing more; a longer one makes for fewer calls."},
-		{Name: "log.level", Unit: "level", form: formChoice, choices: []string{"debug", "info", "warn", "error"}, Doc: "Lowest level that is logged."},
-		{Name: "log.format", Unit: "format", form: formChoice, choices: []string{"json", "console"}, Doc: "JSON for programs, console for people."},
-		{Name: "log.buffer", Unit: "lines", form: formCount, min: 16, max: 1 << 20, Doc: "Lines that wait for a slow reader of standard output; beyond that the oldest are dropped and counted."},
-		{Name: "log.lines", Unit: "lines", form: formCount, min: 1, max: 1 << 20, Doc: "Lines a second and level that are written; more are thinned and counted, errors and lines of its own life never."},
-		{Name: "drain.within", Unit: "duration", form: formDuration, min: int64(time.Second), max: int64(time.Hour), Doc: "Time from the signal to end until the process is killed."},
-		{Name: "drain.unready", Unit: "duration", form: formDuration, min: 0, max: int64(time.Minute), Doc: "How long new connections are still accepted after the signal: until the balancer has seen that the instance is not ready."},
-		{Name: "drain.last_callers", Unit: "duration", form: formDuration, min: 0, max: int64(time.Minute), Doc: "The end of drain.unready: a request that comes in it or later and may last longer than the drain is refused, not run."},
-		{Name: "retries.ratio", Unit: "share", form: formText, Doc: "Repeated sends that the whole fleet may add for each request to a service."},
-		{Name: "retries.extra", Unit: "sends", form: formCount, min: 0, max: 1_000_000, Doc: "Repeated sends of the whole fleet to a service beyond that, in each window."},
-		{Name: "retries.window", Unit: "duration", form: formDuration, min: int64(100 * time.Millisecond), max: int64(time.Hour), Doc: "The window in which retries.extra counts."},
+		{Name: "gateway.name", Unit: "name", kind: kindLabel, required: true, Doc: "Name of the instance in logs and statements; a restarted one keeps it."},
+		{Name: "gateway.zone", Unit: "name", kind: kindLabel, required: true, Doc: "Availability zone that the instance runs in."},
+		{Name: "gateway.callers", Unit: "IP:port", kind: kindAddress, required: true, Doc: "Address for callers."},
+		{Name: "gateway.ready", Unit: "IP:port", kind: kindAddress, required: true, Doc: "Address on which the balancer asks whether the instance takes callers."},
+		{Name: "gateway.operators", Unit: "IP:port", kind: kindAddress, required: true, Doc: "Address for metrics and the state dump. Keep callers away from it."},
+		{Name: "gateway.peers", Unit: "IP:port", kind: kindAddress, required: true, Doc: "Address for the other instances of the fleet."},
+		{Name: "gateway.memory_mb", Unit: "MB", kind: kindCount, min: 64, max: 1 << 20, Doc: "Memory of the instance; above four fifths of it the collector works harder."},
+		{Name: "gateway.link_mbps", Unit: "Mbit/s", kind: kindText, Doc: "Speed of the instance's link. In a large fleet those with the fastest ones claim tokens for their zone; an instance whose link is nearly full sends callers to others. 0 for unknown, which switches the latter off."},
+		{Name: "store.url", Unit: "URL", kind: kindURL, required: true, Doc: "Base URL of the platform's store."},
+		{Name: "store.timeout", Unit: "duration", kind: kindDuration, min: int64(10 * time.Millisecond), max: int64(maxPlatformTimeout), Doc: "Longest wait for one answer of the store; a long poll may take its own wait more."},
+		{Name: "store.state_within", Unit: "duration", kind: kindDuration, min: int64(time.Second), max: int64(time.Hour), Doc: "Time within which a change of the desired state is to be in force; a longer one makes for fewer calls."},
+		{Name: "store.leaving_within", Unit: "duration", kind: kindDuration, min: int64(time.Second), max: int64(time.Hour), Doc: "Time within which a leaving endpoint is to get nothing more; a longer one makes for fewer calls."},
+		{Name: "log.level", Unit: "level", kind: kindChoice, choices: []string{"debug", "info", "warn", "error"}, Doc: "Lowest level that is logged."},
+		{Name: "log.format", Unit: "format", kind: kindChoice, choices: []string{"json", "console"}, Doc: "JSON for programs, console for people."},
+		{Name: "log.buffer", Unit: "lines", kind: kindCount, min: 16, max: 1 << 20, Doc: "Lines that wait for a slow reader of standard output; beyond that the oldest are dropped and counted."},
+		{Name: "log.lines", Unit: "lines", kind: kindCount, min: 1, max: 1 << 20, Doc: "Lines a second and level that are written; more are thinned and counted, errors and lines of its own life never."},
+		{Name: "drain.within", Unit: "duration", kind: kindDuration, min: int64(time.Second), max: int64(time.Hour), Doc: "Time from the signal to end until the process is killed."},
+		{Name: "drain.unready", Unit: "duration", kind: kindDuration, min: 0, max: int64(time.Minute), Doc: "How long new connections are still accepted after the signal: until the balancer has seen that the instance is not ready."},
+		{Name: "drain.last_callers", Unit: "duration", kind: kindDuration, min: 0, max: int64(time.Minute), Doc: "The end of drain.unready: a request that comes in it or later and may last longer than the drain is refused, not run."},
+		{Name: "retries.ratio", Unit: "share", kind: kindText, Doc: "Repeated sends that the whole fleet may add for each request to a service."},
+		{Name: "retries.extra", Unit: "sends", kind: kindCount, min: 0, max: 1_000_000, Doc: "Repeated sends of the whole fleet to a service beyond that, in each window."},
+		{Name: "retries.window", Unit: "duration", kind: kindDuration, min: int64(100 * time.Millisecond), max: int64(time.Hour), Doc: "The window in which retries.extra counts."},
 	}
 }
 
-// ParseGateway checks the text of a gateway's settings file as Parse does.
+// ParseGateway parses and checks the text of a gateway's settings file. The
+// findings give name as the file. An error is Findings; see Parse.
 func ParseGateway(name string, data []byte) (Gateway, error) {
 	g := DefaultGateway()
-	p := newParse(name, &g, GatewayKeys())
-	p.together = func() {
-		in := g.Gateway
-		p.checkAddresses([]listener{{"gateway.callers", in.Callers}, {"gateway.ready", in.Ready}, {"gateway.operators", in.Operators}, {"gateway.peers", in.Peers}})
-		if allowed := g.Retries.Ratio >= 0 && g.Retries.Ratio <= 1; !allowed { // NaN is not.
-			p.add(p.place("retries.ratio"), "retries.ratio", "is %g; allowed: 0 to 1", g.Retries.Ratio)
+	p := newFileParser(name, &g, GatewayKeys())
+	p.crossCheck = func() {
+		instance := g.Gateway
+		p.checkAddressConflicts([]listenAddress{{"gateway.callers", instance.Callers}, {"gateway.ready", instance.Ready}, {"gateway.operators", instance.Operators}, {"gateway.peers", instance.Peers}})
+		if allowed := g.Retries.Ratio >= 0 && g.Retries.Ratio <= 1; !allowed { // NaN fails both comparisons.
+			p.addFinding(p.lineForKey("retries.ratio"), "retries.ratio", "is %g; allowed: 0 to 1", g.Retries.Ratio)
 		}
-		if allowed := in.LinkMbps >= 0; !allowed {
-			p.add(p.place("gateway.link_mbps"), "gateway.link_mbps", "is %g; allowed: 0 or more", in.LinkMbps)
+		if allowed := instance.LinkMbps >= 0; !allowed {
+			p.addFinding(p.lineForKey("gateway.link_mbps"), "gateway.link_mbps", "is %g; allowed: 0 or more", instance.LinkMbps)
 		}
 		if g.Drain.Unready >= g.Drain.Within {
-			p.add(p.place("drain.unready"), "drain.unready", "is %s; allowed: less than drain.within, which is %s", g.Drain.Unready.D(), g.Drain.Within.D())
+			p.addFinding(p.lineForKey("drain.unready"), "drain.unready", "is %s; allowed: less than drain.within, which is %s", g.Drain.Unready.D(), g.Drain.Within.D())
 		}
 		if g.Drain.LastCallers > g.Drain.Unready {
-			p.add(p.place("drain.last_callers"), "drain.last_callers", "is %s; allowed: at most drain.unready, which is %s", g.Drain.LastCallers.D(), g.Drain.Unready.D())
+			p.addFinding(p.lineForKey("drain.last_callers"), "drain.last_callers", "is %s; allowed: at most drain.unready, which is %s", g.Drain.LastCallers.D(), g.Drain.Unready.D())
 		}
 	}
 	if err := p.run(data); err != nil {
@@ -132,7 +144,8 @@
 	return g, nil
 }
 
-// LoadGateway reads and checks a gateway's file.
+// LoadGateway reads and checks a gateway's settings file. If the file is readable,
+// the error is Findings.
 func LoadGateway(path string) (Gateway, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -141,18 +154,19 @@
 	return ParseGateway(path, data)
 }
 
-// IsGateway says whether a file is meant to be a gateway's. One that can't be
-// read is not.
-func IsGateway(path string) bool {
+// IsGatewayFile reports whether a file is the settings file of a gateway, valid or
+// not. It is false for a file that can't be read.
+func IsGatewayFile(path string) bool {
 	data, err := os.ReadFile(path)
 	if err != nil {
 		return false
 	}
-	return gatewayTable.Match(data)
+	return gatewayTableHeader.Match(data)
 }
 
-// gatewayTable finds the table in a file that is wrong elsewhere too.
-var gatewayTable = regexp.MustCompile(`(?m)^\s*\[gateway\]`)
+// gatewayTableHeader matches the header of the table [gateway]. A regular
+// expression finds it also in a file that is not valid TOML.
+var gatewayTableHeader = regexp.MustCompile(`(?m)^\s*\[gateway\]`)
 
-// GatewayReference returns the keys of a gateway's file as a table in Markdown.
-func GatewayReference() string { return reference(GatewayKeys(), DefaultGateway()) }
+// GatewayReference returns the keys of a gateway's file as a Markdown table.
+func GatewayReference() string { return keyTable(GatewayKeys(), DefaultGateway()) }
--- a/internal/tlsconf/tlsconf.go
+++ b/internal/tlsconf/tlsconf.go
@@ -1,7 +1,7 @@
-// Package tlsconf secures listeners and dialers by certificates from files.
-// The files are looked at again with each handshake, so a new certificate is
-// in use without a restart; a file that can't be used leaves the last good
-// certificate in force.
+// Package tlsconf configures TLS for listeners and dialers with certificates from
+// files. A handshake checks whether the files have changed, so that a renewed
+// certificate is used without a restart. If a changed file is unusable, the last
+// valid certificates stay in use.
 package tlsconf
 
 import (
@@ -16,138 +16,143 @@
 	"github.com/rotisserie/eris"
 )
 
-// ErrNoAuthority says that a file holds no certificate of an authority.
-var ErrNoAuthority = eris.New("tlsconf: no certificate of an authority in the file")
+// ErrNoCACertificate reports that a CA file contains no certificate in PEM.
+var ErrNoCACertificate = eris.New("tlsconf: no CA certificate in the file")
 
-// Files names PEM files. Certificate and Key are this side's own and may be
-// empty for a client that shows none; CA has the authorities that the other
-// side's certificate must be signed by, and may be empty for a server that
-// asks for none.
+// Files holds the paths of PEM files. Certificate and Key are this side's own, and
+// may be empty for a client that presents no certificate. CA has the certificate
+// authorities that must have signed the peer's certificate, and may be empty for a
+// server that requests none.
 type Files struct {
 	Certificate, Key, CA string
 }
 
-// lookEvery bounds how often the files' times are looked at.
-const lookEvery = time.Second
+// fileCheckInterval is the minimum time between two checks for changed files.
+const fileCheckInterval = time.Second
 
-// Source holds what the files held last. It is safe for concurrent use.
-type Source struct {
+// Credentials holds the certificates last loaded from the files. It is safe for
+// concurrent use.
+type Credentials struct {
 	files   Files
 	onError func(error)
 
 	mu          sync.Mutex // Guards all below.
-	looked      time.Time
-	stamp       [3]time.Time
+	checkedAt   time.Time
+	modTimes    [3]time.Time
 	certificate *tls.Certificate
-	authorities *x509.CertPool
+	caPool      *x509.CertPool
 }
 
-// New reads the files. onError is told of files that later can't be used.
-func New(files Files, onError func(error)) (*Source, error) {
-	s := &Source{files: files, onError: onError}
-	if err := s.load(); err != nil {
+// New loads the files, and returns an error if one is unusable. onError is called
+// with the error of a later reload; it must not call the Credentials.
+func New(files Files, onError func(error)) (*Credentials, error) {
+	c := &Credentials{files: files, onError: onError}
+	if err := c.loadFiles(); err != nil {
 		return nil, err
 	}
-	s.stamp, s.looked = s.times(), time.Now()
-	return s, nil
+	c.modTimes, c.checkedAt = c.fileModTimes(), time.Now()
+	return c, nil
 }
 
-// Server returns the configuration of a listener. With mutual set a client
-// must show a certificate that the authorities signed.
-func (s *Source) Server(mutual bool) *tls.Config {
+// ServerConfig returns the TLS configuration of a listener. If mutual is set, a
+// client must present a certificate signed by one of the authorities.
+func (c *Credentials) ServerConfig(mutual bool) *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
-			certificate, authorities := s.current()
+			certificate, caPool := c.currentCertificates()
 			config := &tls.Config{MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{*certificate}}
 			if mutual {
-				config.ClientAuth, config.ClientCAs = tls.RequireAndVerifyClientCert, authorities
+				config.ClientAuth, config.ClientCAs = tls.RequireAndVerifyClientCert, caPool
 			}
 			return config, nil
 		},
 	}
 }
 
-// Dial connects to IP:port and checks that the other side's certificate is for
-// that IP and signed by one of the authorities.
-func (s *Source) Dial(ctx context.Context, network, address string) (net.Conn, error) {
+// Dial connects to address, which is IP:port, and verifies that the server's
+// certificate is valid for that IP address and signed by one of the authorities.
+func (c *Credentials) Dial(ctx context.Context, network, address string) (net.Conn, error) {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
-		return nil, eris.Wrap(err, "tlsconf: address")
+		return nil, eris.Wrap(err, "tlsconf: dial address is not IP:port")
 	}
 	var dialer net.Dialer
 	conn, err := dialer.DialContext(ctx, network, address)
 	if err != nil {
 		return nil, err
 	}
-	certificate, authorities := s.current()
-	config := &tls.Config{MinVersion: tls.VersionTLS13, RootCAs: authorities, ServerName: host}
+	certificate, caPool := c.currentCertificates()
+	config := &tls.Config{MinVersion: tls.VersionTLS13, RootCAs: caPool, ServerName: host}
 	if certificate != nil {
 		config.Certificates = []tls.Certificate{*certificate}
 	}
-	secured := tls.Client(conn, config)
-	if err := secured.HandshakeContext(ctx); err != nil {
+	tlsConn := tls.Client(conn, config)
+	if err := tlsConn.HandshakeContext(ctx); err != nil {
 		_ = conn.Close()
 		return nil, eris.Wrap(err, "tlsconf: handshake")
 	}
-	return secured, nil
+	return tlsConn, nil
 }
 
-// current returns what is in force now.
-func (s *Source) current() (*tls.Certificate, *x509.CertPool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if now := time.Now(); now.Sub(s.looked) >= lookEvery {
-		s.looked = now
-		s.refresh()
+// currentCertificates returns this side's certificate, nil if there is none, and
+// the authorities. It reloads changed files first.
+func (c *Credentials) currentCertificates() (*tls.Certificate, *x509.CertPool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if now := time.Now(); now.Sub(c.checkedAt) >= fileCheckInterval {
+		c.checkedAt = now
+		c.reloadIfChanged()
 	}
-	return s.certificate, s.authorities
+	return c.certificate, c.caPool
 }
 
-// refresh reads files that have changed. s.mu is held.
-func (s *Source) refresh() {
-	stamp := s.times()
-	if stamp == s.stamp {
+// reloadIfChanged reloads the files if one of them has changed. The caller holds
+// c.mu.
+func (c *Credentials) reloadIfChanged() {
+	modTimes := c.fileModTimes()
+	if modTimes == c.modTimes {
 		return
 	}
-	if err := s.load(); err != nil {
-		s.onError(err)
-		return // Looked at again in lookEvery: the files may be half written.
+	if err := c.loadFiles(); err != nil {
+		c.onError(err)
+		return // Retried after fileCheckInterval: the files may be partially written.
 	}
-	s.stamp = stamp
+	c.modTimes = modTimes
 }
 
-// times returns when each file was changed last; zero for none.
-func (s *Source) times() (stamp [3]time.Time) {
-	for i, file := range []string{s.files.Certificate, s.files.Key, s.files.CA} {
+// fileModTimes returns the modification time of each file, or zero for one that
+// is not configured or can't be read.
+func (c *Credentials) fileModTimes() (modTimes [3]time.Time) {
+	for i, file := range []string{c.files.Certificate, c.files.Key, c.files.CA} {
 		if info, err := os.Stat(file); file != "" && err == nil {
-			stamp[i] = info.ModTime()
+			modTimes[i] = info.ModTime()
 		}
 	}
-	return stamp
+	return modTimes
 }
 
-// load reads all files, or changes nothing.
-func (s *Source) load() error {
+// loadFiles loads all files. On an error it keeps the certificates as they were.
+func (c *Credentials) loadFiles() error {
 	var certificate *tls.Certificate
-	if s.files.Certificate != "" {
-		pair, err := tls.LoadX509KeyPair(s.files.Certificate, s.files.Key)
+	if c.files.Certificate != "" {
+		keyPair, err := tls.LoadX509KeyPair(c.files.Certificate, c.files.Key)
 		if err != nil {
-			return eris.Wrap(err, "tlsconf: certificate and key")
+			return eris.Wrap(err, "tlsconf: load certificate and key")
 		}
-		certificate = &pair
+		certificate = &keyPair
 	}
-	var authorities *x509.CertPool
-	if s.files.CA != "" {
-		data, err := os.ReadFile(s.files.CA)
+	var caPool *x509.CertPool
+	if c.files.CA != "" {
+		data, err := os.ReadFile(c.files.CA)
 		if err != nil {
-			return eris.Wrap(err, "tlsconf: authorities")
+			return eris.Wrap(err, "tlsconf: read CA file")
 		}
-		authorities = x509.NewCertPool()
-		if !authorities.AppendCertsFromPEM(data) {
-			return eris.Wrap(ErrNoAuthority, s.files.CA)
+		caPool = x509.NewCertPool()
+		if !caPool.AppendCertsFromPEM(data) {
+			return eris.Wrap(ErrNoCACertificate, c.files.CA)
 		}
 	}
-	s.certificate, s.authorities = certificate, authorities
+	c.certificate, c.caPool = certificate, caPool
 	return nil
 }
--- a/internal/tlsconf/tlsconf_test.go
+++ b/internal/tlsconf/tlsconf_test.go
@@ -20,14 +20,15 @@
 	"guavapier/internal/tlsconf"
 )
 
-// authority signs certificates.
+// authority is a certificate authority that issues test certificates.
 type authority struct {
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
 	file string
 }
 
-func write(t *testing.T, file, kind string, der []byte) {
+// writePEM writes one PEM block of the given type to a file.
+func writePEM(t *testing.T, file, kind string, der []byte) {
 	t.Helper()
 	if err := os.WriteFile(file, pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der}), 0o600); err != nil {
 		t.Fatal(err)
@@ -53,11 +54,12 @@
 		t.Fatal(err)
 	}
 	a := authority{cert: cert, key: key, file: filepath.Join(t.TempDir(), "ca.pem")}
-	write(t, a.file, "CERTIFICATE", der)
+	writePEM(t, a.file, "CERTIFICATE", der)
 	return a
 }
 
-// issue writes a certificate for an IP over the files.
+// issue signs a certificate for an IP address and overwrites the certificate and
+// key files with it and its key.
 func (a authority) issue(t *testing.T, files tlsconf.Files, ip string, serial int64) {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -77,16 +79,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	write(t, files.Certificate, "CERTIFICATE", der)
-	write(t, files.Key, "EC PRIVATE KEY", keyDER)
+	writePEM(t, files.Certificate, "CERTIFICATE", der)
+	writePEM(t, files.Key, "EC PRIVATE KEY", keyDER)
 }
 
+// newFiles returns paths in a new directory, with the CA file of the authority. No
+// certificate is written.
 func newFiles(t *testing.T, a authority) tlsconf.Files {
 	dir := t.TempDir()
 	return tlsconf.Files{Certificate: filepath.Join(dir, "cert.pem"), Key: filepath.Join(dir, "key.pem"), CA: a.file}
 }
 
-func newSource(t *testing.T, files tlsconf.Files, onError func(error)) *tlsconf.Source {
+func newCredentials(t *testing.T, files tlsconf.Files, onError func(error)) *tlsconf.Credentials {
 	t.Helper()
 	s, err := tlsconf.New(files, onError)
 	if err != nil {
@@ -95,15 +99,16 @@
 	return s
 }
 
-// serve answers each connection with one byte.
-func serve(t *testing.T, s *tlsconf.Source, mutual bool) string {
+// serve starts a TLS server that sends one byte on each connection and closes it.
+// It returns the server's address.
+func serve(t *testing.T, s *tlsconf.Credentials, mutual bool) string {
 	t.Helper()
 	plain, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = plain.Close() })
-	listener := tls.NewListener(plain, s.Server(mutual))
+	listener := tls.NewListener(plain, s.ServerConfig(mutual))
 	go func() {
 		for {
 			conn, err := listener.Accept()
@@ -117,8 +122,9 @@
 	return plain.Addr().String()
 }
 
-// dial returns the serial of the certificate that the server showed.
-func dial(s *tlsconf.Source, address string) (int64, error) {
+// dial connects and reads one byte. It returns the serial number of the server's
+// certificate.
+func dial(s *tlsconf.Credentials, address string) (int64, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
 	conn, err := s.Dial(ctx, "tcp", address)
@@ -127,33 +133,33 @@
 	}
 	defer conn.Close()
 	if _, err := conn.Read(make([]byte, 1)); err != nil {
-		return 0, err // With TLS 1.3 a client learns here that it was refused.
+		return 0, err // In TLS 1.3 a server rejects a client's certificate after the client's handshake.
 	}
 	return conn.(*tls.Conn).ConnectionState().PeerCertificates[0].SerialNumber.Int64(), nil
 }
 
 func TestOnlyTheRightCertificatesConnect(t *testing.T) {
-	ours, other := newAuthority(t), newAuthority(t)
-	mine, theirs, elsewhere := newFiles(t, ours), newFiles(t, other), newFiles(t, ours)
-	ours.issue(t, mine, "127.0.0.1", 1)
-	other.issue(t, theirs, "127.0.0.1", 2)
-	ours.issue(t, elsewhere, "127.0.0.9", 3)
-	fail := func(err error) { t.Error(err) }
+	ca, otherCA := newAuthority(t), newAuthority(t)
+	valid, untrusted, otherIP := newFiles(t, ca), newFiles(t, otherCA), newFiles(t, ca)
+	ca.issue(t, valid, "127.0.0.1", 1)
+	otherCA.issue(t, untrusted, "127.0.0.1", 2)
+	ca.issue(t, otherIP, "127.0.0.9", 3)
+	reportError := func(err error) { t.Error(err) }
 	for _, row := range []struct {
 		name           string
 		server, client tlsconf.Files
 		mutual, ok     bool
 	}{
-		{"one-sided", mine, tlsconf.Files{CA: ours.file}, false, true},
-		{"mutual", mine, mine, true, true},
-		{"server of another authority", theirs, tlsconf.Files{CA: ours.file}, false, false},
-		{"server of another IP", elsewhere, tlsconf.Files{CA: ours.file}, false, false},
-		{"client without certificate", mine, tlsconf.Files{CA: ours.file}, true, false},
-		{"client of another authority", mine, tlsconf.Files{Certificate: theirs.Certificate, Key: theirs.Key, CA: ours.file}, true, false},
+		{"one-sided", valid, tlsconf.Files{CA: ca.file}, false, true},
+		{"mutual", valid, valid, true, true},
+		{"server of another authority", untrusted, tlsconf.Files{CA: ca.file}, false, false},
+		{"server of another IP", otherIP, tlsconf.Files{CA: ca.file}, false, false},
+		{"client without certificate", valid, tlsconf.Files{CA: ca.file}, true, false},
+		{"client of another authority", valid, tlsconf.Files{Certificate: untrusted.Certificate, Key: untrusted.Key, CA: ca.file}, true, false},
 	} {
-		address := serve(t, newSource(t, row.server, fail), row.mutual)
-		if _, err := dial(newSource(t, row.client, fail), address); (err == nil) != row.ok {
-			t.Errorf("%s: %v", row.name, err)
+		address := serve(t, newCredentials(t, row.server, reportError), row.mutual)
+		if _, err := dial(newCredentials(t, row.client, reportError), address); (err == nil) != row.ok {
+			t.Errorf("%s: unexpected outcome of the connection, error %v", row.name, err)
 		}
 	}
 }
@@ -162,11 +168,11 @@
 	ca := newAuthority(t)
 	files := newFiles(t, ca)
 	ca.issue(t, files, "127.0.0.1", 1)
-	var complaints atomic.Int32
-	server := newSource(t, files, func(error) { complaints.Add(1) })
-	client := newSource(t, tlsconf.Files{CA: ca.file}, func(err error) { t.Error(err) })
+	var reloadErrors atomic.Int32
+	server := newCredentials(t, files, func(error) { reloadErrors.Add(1) })
+	client := newCredentials(t, tlsconf.Files{CA: ca.file}, func(err error) { t.Error(err) })
 	address := serve(t, server, false)
-	until := func(what string, ok func(serial int64) bool) {
+	waitUntil := func(what string, ok func(serial int64) bool) {
 		t.Helper()
 		for deadline := time.Now().Add(20 * time.Second); ; time.Sleep(50 * time.Millisecond) {
 			serial, err := dial(client, address)
@@ -177,14 +183,14 @@
 				return
 			}
 			if time.Now().After(deadline) {
-				t.Fatalf("not in time: %s", what)
+				t.Fatalf("timeout waiting until %s", what)
 			}
 		}
 	}
 	if err := os.WriteFile(files.Certificate, []byte("half"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	until("the broken file is told of, and the old one serves", func(serial int64) bool { return serial == 1 && complaints.Load() > 0 })
+	waitUntil("the malformed file is reported while the old certificate is served", func(serial int64) bool { return serial == 1 && reloadErrors.Load() > 0 })
 	ca.issue(t, files, "127.0.0.1", 2)
-	until("the new one is shown", func(serial int64) bool { return serial == 2 })
+	waitUntil("the new certificate is served", func(serial int64) bool { return serial == 2 })
 }
