--- a/internal/endpoint/endpoint.go
+++ b/internal/endpoint/endpoint.go
@@ -31,12 +31,12 @@
 	ErrUnreachable = eris.New("endpoint: unreachable")
 	// ErrRejected is an ErrRefused that every endpoint would give.
 	ErrRejected = eris.New("endpoint: order rejected")
-	// ErrNoRun is an ErrRefused of an endpoint that has no such run to resume.
-	ErrNoRun = eris.New("endpoint: no such run")
+	// ErrRunNotFound is an ErrRefused of an endpoint that has no such run to resume.
+	ErrRunNotFound = eris.New("endpoint: no such run")
 	// ErrLost says that the connection failed; the order may have run.
 	ErrLost = eris.New("endpoint: connection lost")
-	// ErrSilent says that nothing came for too long; the order may have run.
-	ErrSilent = eris.New("endpoint: no progress")
+	// ErrNoProgress says that nothing came for too long; the order may have run.
+	ErrNoProgress = eris.New("endpoint: no progress")
 	// ErrMismatch says that an answer was for another run or attempt.
 	ErrMismatch = eris.New("endpoint: answer for another run")
 	// ErrGap says that tokens are missing from an answer.
@@ -47,12 +47,12 @@
 
 // The headers between guavapier and its endpoints.
 const (
-	HeaderRun      = "X-Run-Id"
-	HeaderAttempt  = "X-Attempt"
-	HeaderFrom     = "X-Resume-From"
-	HeaderOnly     = "X-Resume-Only"
-	HeaderPriority = "X-Priority"
-	HeaderFence    = "X-Fencing-Token"
+	HeaderRunID        = "X-Run-Id"
+	HeaderAttempt      = "X-Attempt"
+	HeaderResumeFrom   = "X-Resume-From"
+	HeaderResumeOnly   = "X-Resume-Only"
+	HeaderPriority     = "X-Priority"
+	HeaderFencingToken = "X-Fencing-Token"
 	// HeaderNotRun marks a refusal that is the endpoint's own word that the
 	// order did not run. A proxy's 503 has no such mark.
 	HeaderNotRun = "X-Not-Run"
@@ -61,24 +61,24 @@
 	HeaderHeartbeat = "X-Heartbeat-Ms"
 )
 
-// Order asks an engine to run a request.
-type Order struct {
+// RunRequest asks an engine to run a request.
+type RunRequest struct {
 	Run      record.RunID
 	Attempt  int
 	Priority int
-	// From is the number of tokens that the caller already has: the engine
+	// ResumeFrom is the number of tokens that the caller already has: the engine
 	// resumes the run, or goes on from Prior, after them.
-	From int
-	// Prior holds those tokens' text, for an engine that has no such run.
-	Prior string
+	ResumeFrom int
+	// PriorText holds those tokens' text, for an engine that has no such run.
+	PriorText string
 	// ResumeOnly forbids the engine to begin a run: it has it, or ErrNoRun.
 	ResumeOnly bool
 	Model      string
 	Messages   json.RawMessage
-	// Params are further fields of the order's body. They never replace those
+	// ExtraFields are further fields of the order's body. They never replace those
 	// that the client sets.
-	Params    map[string]json.RawMessage
-	MaxTokens int
+	ExtraFields map[string]json.RawMessage
+	MaxTokens   int
 }
 
 // Token is one generated token. Index counts from 0 over the whole run.
@@ -97,8 +97,8 @@
 	Prior      int64 `json:"prior_tokens"`
 }
 
-// Answer returns the tokens of the whole answer.
-func (u Usage) Answer() int64 { return u.Completion + u.Prior }
+// AnswerTokens returns the tokens of the whole answer.
+func (u Usage) AnswerTokens() int64 { return u.Completion + u.Prior }
 
 // Stream is the running answer to an Order. It is not safe for concurrent use.
 type Stream interface {
@@ -111,8 +111,8 @@
 	Close() error
 }
 
-// Whole says whether an error of Next is the end of a whole answer.
-func Whole(err error) bool { return errors.Is(err, io.EOF) && !errors.Is(err, ErrLost) }
+// IsComplete says whether an error of Next is the end of a whole answer.
+func IsComplete(err error) bool { return errors.Is(err, io.EOF) && !errors.Is(err, ErrLost) }
 
 // RunState is what an engine says about a run.
 type RunState struct {
@@ -123,7 +123,7 @@
 
 // Engines starts, resumes and cancels runs on engines, addressed by base URL.
 type Engines interface {
-	Start(ctx context.Context, base string, order Order) (Stream, error)
+	Start(ctx context.Context, base string, req RunRequest) (Stream, error)
 	// Cancel stops a run's attempts up to and including one, also those whose
 	// order has not arrived yet. A later attempt may still go on from its tokens.
 	Cancel(ctx context.Context, base string, run record.RunID, attempt int) error
@@ -135,14 +135,14 @@
 type Options struct {
 	// DialTLS dials https addresses; nil is the client's own way.
 	DialTLS func(ctx context.Context, network, address string) (net.Conn, error)
-	// Connect bounds the making of a connection.
-	Connect time.Duration
-	// Silence is how long an open stream may bring nothing, not even a
+	// ConnectTimeout bounds the making of a connection.
+	ConnectTimeout time.Duration
+	// IdleTimeout is how long an open stream may bring nothing, not even a
 	// comment, before it is given up. An endpoint that announces heartbeats is
 	// given up after a few missed ones if that is sooner.
-	Silence time.Duration
-	// Control bounds each short call: cancel, state, load.
-	Control time.Duration
-	// AnswerBytes bounds a plain service's answer.
-	AnswerBytes int64
+	IdleTimeout time.Duration
+	// ControlTimeout bounds each short call: cancel, state, load.
+	ControlTimeout time.Duration
+	// MaxAnswerBytes bounds a plain service's answer.
+	MaxAnswerBytes int64
 }
--- a/internal/endpoint/poller.go
+++ b/internal/endpoint/poller.go
@@ -27,57 +27,57 @@
 	// Report takes each answer. An endpoint that does not answer gets none, so
 	// its last report grows old.
 	Report func(name string, load Load)
-	// Every is the mean time between two questions to one endpoint. Each pause
+	// Interval is the mean time between two questions to one endpoint. Each pause
 	// is drawn within half of it to either side, so that the instances that
 	// poll the same endpoint do not fall into step.
-	Every time.Duration
-	// PerSecond bounds the questions of this instance to all endpoints
+	Interval time.Duration
+	// MaxRequestsPerSecond bounds the questions of this instance to all endpoints
 	// together; with many endpoints each is asked less often. A question and
 	// its answer take about 400 bytes on the wire.
-	PerSecond float64
+	MaxRequestsPerSecond float64
 }
 
 // Run polls until ctx ends and all questions have ended.
 func (p *Poller) Run(ctx context.Context) {
-	var asked sync.WaitGroup
-	defer asked.Wait()
-	open := map[string]context.CancelFunc{}
+	var wg sync.WaitGroup
+	defer wg.Wait()
+	polls := map[string]context.CancelFunc{}
 	defer func() {
-		for _, stop := range open {
+		for _, stop := range polls {
 			stop()
 		}
 	}()
 	for {
-		p.follow(ctx, &asked, open)
-		if !pause(ctx, p.Every) {
+		p.updateTargets(ctx, &wg, polls)
+		if !sleep(ctx, p.Interval) {
 			return
 		}
 	}
 }
 
-// interval returns the mean time between two questions to one of n endpoints.
-func (p *Poller) interval(n int) time.Duration {
-	bounded := time.Duration(float64(n) / p.PerSecond * float64(time.Second))
-	return max(p.Every, bounded)
+// meanInterval returns the mean time between two questions to one of n endpoints.
+func (p *Poller) meanInterval(n int) time.Duration {
+	rateLimited := time.Duration(float64(n) / p.MaxRequestsPerSecond * float64(time.Second))
+	return max(p.Interval, rateLimited)
 }
 
-// follow starts a poll of each new target and stops those of targets gone.
-func (p *Poller) follow(ctx context.Context, asked *sync.WaitGroup, open map[string]context.CancelFunc) {
+// updateTargets starts a poll of each new target and stops those of targets gone.
+func (p *Poller) updateTargets(ctx context.Context, wg *sync.WaitGroup, polls map[string]context.CancelFunc) {
 	listed := map[string]bool{}
 	for _, target := range p.Targets() {
 		key := target.Name + " " + target.URL
 		listed[key] = true
-		if _, ok := open[key]; ok {
+		if _, ok := polls[key]; ok {
 			continue
 		}
-		polling, stop := context.WithCancel(ctx)
-		open[key] = stop
-		asked.Go(func() { p.poll(polling, target) })
+		pollCtx, stop := context.WithCancel(ctx)
+		polls[key] = stop
+		wg.Go(func() { p.poll(pollCtx, target) })
 	}
-	for key, stop := range open {
+	for key, stop := range polls {
 		if !listed[key] {
 			stop()
-			delete(open, key)
+			delete(polls, key)
 		}
 	}
 }
@@ -87,14 +87,14 @@
 		if load, err := p.Loader.Load(ctx, target.URL); err == nil {
 			p.Report(target.Name, load)
 		}
-		every := p.interval(len(p.Targets()))
-		if !pause(ctx, every/2+rand.N(every)) {
+		interval := p.meanInterval(len(p.Targets()))
+		if !sleep(ctx, interval/2+rand.N(interval)) {
 			return
 		}
 	}
 }
 
-func pause(ctx context.Context, d time.Duration) bool {
+func sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/internal/endpoint/service.go
+++ b/internal/endpoint/service.go
@@ -41,13 +41,13 @@
 type HTTPServices struct {
 	client *http.Client
 	opts   Options
-	counts *Counts
+	counts *Counters
 }
 
 var _ Services = (*HTTPServices)(nil)
 
 // NewHTTPServices returns a Services client that counts into counts.
-func NewHTTPServices(o Options, counts *Counts) *HTTPServices {
+func NewHTTPServices(o Options, counts *Counters) *HTTPServices {
 	return &HTTPServices{client: newClient(o), opts: o, counts: counts}
 }
 
@@ -55,9 +55,9 @@
 func (h *HTTPServices) Call(ctx context.Context, base string, call Call) (Answer, error) {
 	answer, err := h.call(ctx, base, call)
 	if err != nil && errors.Is(ctx.Err(), context.DeadlineExceeded) {
-		err = errors.Join(ErrSilent, err)
+		err = errors.Join(ErrNoProgress, err)
 	}
-	h.counts.add(err)
+	h.counts.countError(err)
 	return answer, err
 }
 
@@ -66,9 +66,9 @@
 	if err != nil {
 		return Answer{}, eris.Wrap(errors.Join(ErrRefused, ErrRejected, err), "endpoint: build call")
 	}
-	once(req, bytes.NewReader(call.Body), int64(len(call.Body)))
+	setNonReplayableBody(req, bytes.NewReader(call.Body), int64(len(call.Body)))
 	req.Header.Set("Content-Type", call.ContentType)
-	req.Header.Set(HeaderRun, string(call.Run))
+	req.Header.Set(HeaderRunID, string(call.Run))
 	req.Header.Set(HeaderAttempt, strconv.Itoa(call.Attempt))
 	resp, err := h.client.Do(req)
 	if err != nil {
@@ -76,7 +76,7 @@
 	}
 	defer resp.Body.Close()
 	if resp.Header.Get(HeaderNotRun) == "true" {
-		return Answer{}, refusal(resp)
+		return Answer{}, statusError(resp)
 	}
 	if err := checkIdentity(resp, call.Run, call.Attempt, h.counts); err != nil {
 		return Answer{}, err
@@ -85,11 +85,11 @@
 }
 
 func (h *HTTPServices) readAnswer(resp *http.Response) (Answer, error) {
-	body, err := io.ReadAll(io.LimitReader(resp.Body, h.opts.AnswerBytes+1))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, h.opts.MaxAnswerBytes+1))
 	if err != nil {
 		return Answer{}, eris.Wrap(errors.Join(ErrLost, err), "endpoint: read answer")
 	}
-	if int64(len(body)) > h.opts.AnswerBytes {
+	if int64(len(body)) > h.opts.MaxAnswerBytes {
 		return Answer{}, eris.Wrap(ErrLost, "endpoint: answer too large")
 	}
 	return Answer{Status: resp.StatusCode, ContentType: resp.Header.Get("Content-Type"), Body: body}, nil
--- a/internal/endpoint/stream.go
+++ b/internal/endpoint/stream.go
@@ -12,8 +12,8 @@
 	"github.com/rotisserie/eris"
 )
 
-// maxLineBytes bounds one line of an engine's stream.
-const maxLineBytes = 1 << 20
+// maxEventLineBytes bounds one line of an engine's stream.
+const maxEventLineBytes = 1 << 20
 
 const (
 	idPrefix        = "id:"
@@ -25,23 +25,23 @@
 // sseStream reads an engine's server-sent events. Content events are numbered
 // from 1 by their id; each number is taken once, in order.
 type sseStream struct {
-	ctx    context.Context
-	body   io.ReadCloser
-	lines  *bufio.Scanner
-	order  Order
-	dog    *watchdog
-	client *HTTPEngines
-
-	next   int // Index of the next token.
-	id     string
-	usage  Usage
-	finish string
+	ctx          context.Context
+	body         io.ReadCloser
+	lines        *bufio.Scanner
+	runReq       RunRequest
+	idleWatchdog *watchdog
+	client       *HTTPEngines
+
+	nextIndex    int // Index of the next token.
+	eventID      string
+	usage        Usage
+	finishReason string
 }
 
-func newSSEStream(ctx context.Context, body io.ReadCloser, order Order, dog *watchdog, client *HTTPEngines) *sseStream {
+func newSSEStream(ctx context.Context, body io.ReadCloser, runReq RunRequest, idleWatchdog *watchdog, client *HTTPEngines) *sseStream {
 	lines := bufio.NewScanner(body)
-	lines.Buffer(nil, maxLineBytes)
-	return &sseStream{ctx: ctx, body: body, lines: lines, order: order, dog: dog, client: client, next: order.From}
+	lines.Buffer(nil, maxEventLineBytes)
+	return &sseStream{ctx: ctx, body: body, lines: lines, runReq: runReq, idleWatchdog: idleWatchdog, client: client, nextIndex: runReq.ResumeFrom}
 }
 
 type engineChunk struct {
@@ -59,18 +59,18 @@
 func (s *sseStream) Next() (Token, error) {
 	token, err := s.read()
 	if err != nil && !errors.Is(err, io.EOF) {
-		err = explain(s.ctx, err)
-		s.client.count(err)
+		err = asNoProgress(s.ctx, err)
+		s.client.countError(err)
 	}
 	return token, err
 }
 
 func (s *sseStream) read() (Token, error) {
 	for s.lines.Scan() {
-		s.dog.heard()
+		s.idleWatchdog.reset()
 		line := s.lines.Text()
 		if id, ok := strings.CutPrefix(line, idPrefix); ok {
-			s.id = strings.TrimSpace(id)
+			s.eventID = strings.TrimSpace(id)
 			continue
 		}
 		data, ok := strings.CutPrefix(line, dataPrefix)
@@ -79,9 +79,9 @@
 		}
 		data = strings.TrimSpace(data)
 		if data == doneEvent {
-			return Token{}, s.close()
+			return Token{}, s.checkComplete()
 		}
-		token, ok, err := s.event(data)
+		token, ok, err := s.parseEvent(data)
 		if err != nil || ok {
 			return token, err
 		}
@@ -89,16 +89,16 @@
 	return Token{}, eris.Wrap(errors.Join(ErrLost, s.lines.Err()), "endpoint: stream ended without its closing event")
 }
 
-// event takes one event; ok says that it brought the next token.
-func (s *sseStream) event(data string) (token Token, ok bool, err error) {
-	id := s.id
-	s.id = ""
+// parseEvent takes one parseEvent; ok says that it brought the next token.
+func (s *sseStream) parseEvent(data string) (token Token, ok bool, err error) {
+	id := s.eventID
+	s.eventID = ""
 	var c engineChunk
 	if err := json.Unmarshal([]byte(data), &c); err != nil {
 		return Token{}, false, eris.Wrap(errors.Join(ErrLost, err), "endpoint: decode event")
 	}
-	if c.ID != string(s.order.Run) {
-		s.client.counts.Crossed.Add(1)
+	if c.ID != string(s.runReq.Run) {
+		s.client.counts.WrongRun.Add(1)
 		return Token{}, false, eris.Wrapf(ErrMismatch, "endpoint: event of run %q", c.ID)
 	}
 	if c.Usage != nil {
@@ -108,42 +108,42 @@
 		return Token{}, false, nil
 	}
 	if c.Choices[0].FinishReason != nil {
-		s.finish = *c.Choices[0].FinishReason
+		s.finishReason = *c.Choices[0].FinishReason
 	}
 	if c.Choices[0].Delta.Content == "" {
 		return Token{}, false, nil
 	}
-	return s.number(id, c.Choices[0].Delta.Content)
+	return s.acceptContent(id, c.Choices[0].Delta.Content)
 }
 
-// number checks a content event's number: a repeat is dropped, a gap is an
+// acceptContent checks a content event's acceptContent: a repeat is dropped, a gap is an
 // error, for what is missing can only come from another connection.
-func (s *sseStream) number(id, text string) (token Token, ok bool, err error) {
+func (s *sseStream) acceptContent(id, text string) (token Token, ok bool, err error) {
 	n, err := strconv.Atoi(id)
 	switch {
 	case err != nil:
 		return Token{}, false, eris.Wrapf(ErrLost, "endpoint: event number %q", id)
-	case n <= s.next:
-		s.client.counts.Duplicate.Add(1)
+	case n <= s.nextIndex:
+		s.client.counts.DuplicateEvents.Add(1)
 		return Token{}, false, nil
-	case n > s.next+1:
+	case n > s.nextIndex+1:
 		s.client.counts.Gaps.Add(1)
-		return Token{}, false, eris.Wrapf(errors.Join(ErrLost, ErrGap), "endpoint: event %d after %d", n, s.next)
+		return Token{}, false, eris.Wrapf(errors.Join(ErrLost, ErrGap), "endpoint: event %d after %d", n, s.nextIndex)
 	}
-	s.next = n
+	s.nextIndex = n
 	return Token{Index: n - 1, Text: text}, true, nil
 }
 
-// close checks that the closing event stands at the end of a whole answer.
-func (s *sseStream) close() error {
+// checkComplete checks that the closing event stands at the end of a whole answer.
+func (s *sseStream) checkComplete() error {
 	switch {
-	case s.finish == finishCancelled:
+	case s.finishReason == finishCancelled:
 		return eris.Wrap(errors.Join(ErrLost, ErrCancelled), "endpoint: closing event")
-	case s.finish == "":
+	case s.finishReason == "":
 		return eris.Wrap(ErrLost, "endpoint: no finish reason")
-	case s.usage.Answer() != int64(s.next):
+	case s.usage.AnswerTokens() != int64(s.nextIndex):
 		s.client.counts.Gaps.Add(1)
-		return eris.Wrapf(errors.Join(ErrLost, ErrGap), "endpoint: %d tokens of %d", s.next, s.usage.Answer())
+		return eris.Wrapf(errors.Join(ErrLost, ErrGap), "endpoint: %d tokens of %d", s.nextIndex, s.usage.AnswerTokens())
 	}
 	return io.EOF
 }
@@ -152,10 +152,10 @@
 func (s *sseStream) Usage() Usage { return s.usage }
 
 // Finish implements Stream.
-func (s *sseStream) Finish() string { return s.finish }
+func (s *sseStream) Finish() string { return s.finishReason }
 
 // Close implements Stream. It closes the connection.
 func (s *sseStream) Close() error {
-	s.dog.stop()
+	s.idleWatchdog.stop()
 	return s.body.Close()
 }
--- a/internal/endpoint/transport.go
+++ b/internal/endpoint/transport.go
@@ -9,13 +9,13 @@
 	"github.com/rotisserie/eris"
 )
 
-// maxHeaderBytes bounds the head of an endpoint's answer.
-const maxHeaderBytes = 64 << 10
+// maxResponseHeaderBytes bounds the head of an endpoint's answer.
+const maxResponseHeaderBytes = 64 << 10
 
 // newClient returns a client that makes one connection for each request, asks
 // no proxy and follows no redirect: either could run an order twice.
 func newClient(o Options) *http.Client {
-	dialer := &net.Dialer{Timeout: o.Connect}
+	dialer := &net.Dialer{Timeout: o.ConnectTimeout}
 	return &http.Client{
 		Transport: &http.Transport{
 			DialContext:    dialer.DialContext,
@@ -26,23 +26,23 @@
 			// the client has not received of a long answer is lost.
 			MaxIdleConnsPerHost:    -1,
 			DisableCompression:     true,
-			TLSHandshakeTimeout:    o.Connect,
-			MaxResponseHeaderBytes: maxHeaderBytes,
+			TLSHandshakeTimeout:    o.ConnectTimeout,
+			MaxResponseHeaderBytes: maxResponseHeaderBytes,
 		},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}
 }
 
-// onceBody is a body that net/http cannot read a second time, so that it
+// nonReplayableBody is a body that net/http cannot read a second time, so that it
 // cannot replay a request on a reused connection either, if one is ever used.
-type onceBody struct{ io.Reader }
+type nonReplayableBody struct{ io.Reader }
 
 // Close implements io.Closer.
-func (onceBody) Close() error { return nil }
+func (nonReplayableBody) Close() error { return nil }
 
-// once makes a request unrepeatable for net/http.
-func once(req *http.Request, body io.Reader, length int64) {
-	req.Body, req.GetBody, req.ContentLength = onceBody{body}, nil, length
+// setNonReplayableBody makes a request unrepeatable for net/http.
+func setNonReplayableBody(req *http.Request, body io.Reader, length int64) {
+	req.Body, req.GetBody, req.ContentLength = nonReplayableBody{body}, nil, length
 }
 
 // transportError returns what an error of the client means for the order.
@@ -54,11 +54,11 @@
 	return eris.Wrap(errors.Join(ErrLost, err), "endpoint: send")
 }
 
-// refusal returns the error of an answer that is not 200 OK. Without the
+// statusError returns the error of an answer that is not 200 OK. Without the
 // endpoint's own word the order may have run, whatever the status says.
-func refusal(resp *http.Response) error {
-	const shown = 256
-	text, _ := io.ReadAll(io.LimitReader(resp.Body, shown))
+func statusError(resp *http.Response) error {
+	const maxShownBytes = 256
+	text, _ := io.ReadAll(io.LimitReader(resp.Body, maxShownBytes))
 	if resp.Header.Get(HeaderNotRun) != "true" {
 		return eris.Wrapf(ErrLost, "endpoint: status %d: %s", resp.StatusCode, text)
 	}
@@ -67,7 +67,7 @@
 	case http.StatusServiceUnavailable:
 		err = errors.Join(ErrRefused, ErrLeaving)
 	case http.StatusNotFound:
-		err = errors.Join(ErrRefused, ErrNoRun)
+		err = errors.Join(ErrRefused, ErrRunNotFound)
 	case http.StatusConflict:
 		err = errors.Join(ErrRefused, ErrCancelled)
 	case http.StatusBadRequest:
--- a/internal/run/chat.go
+++ b/internal/run/chat.go
@@ -65,7 +65,7 @@
 type generation struct {
 	chat   Chat
 	caller *presence
-	order  endpoint.Order
+	order  endpoint.RunRequest
 	text   tokenText
 	result ChatResult
 	avoid  []string
@@ -87,10 +87,10 @@
 // runner's endpoints.
 func (g *generation) goOn(read *follower) {
 	g.started = read.taken
-	if read.order.From == 0 {
+	if read.order.ResumeFrom == 0 {
 		return
 	}
-	g.order.From, g.order.Attempt = read.order.From, read.order.Attempt
+	g.order.ResumeFrom, g.order.Attempt = read.order.ResumeFrom, read.order.Attempt
 	g.text.add(endpoint.Token{Text: read.text.String()})
 	g.moved = time.Now()
 	g.caller.late.Stop()
@@ -98,7 +98,7 @@
 
 // take passes a token on and moves the order's offset past it.
 func (g *generation) take(t endpoint.Token) {
-	g.order.From = t.Index + 1
+	g.order.ResumeFrom = t.Index + 1
 	g.moved = time.Now()
 	g.text.add(t)
 	g.caller.take(g.order.Run, t)
@@ -106,6 +106,6 @@
 
 // finish sets the closing of the whole answer.
 func (g *generation) finish(u endpoint.Usage, reason string) {
-	g.result.Usage = endpoint.Usage{Prompt: u.Prompt, Cached: u.Cached, Completion: int64(g.order.From)}
+	g.result.Usage = endpoint.Usage{Prompt: u.Prompt, Cached: u.Cached, Completion: int64(g.order.ResumeFrom)}
 	g.result.Finish = reason
 }
--- a/internal/run/failure.go
+++ b/internal/run/failure.go
@@ -116,7 +116,7 @@
 		return &Failure{Code: CodeRejected, Message: "The endpoint does not accept the request as it stands."}
 	case errors.Is(err, endpoint.ErrRefused):
 		return &Failure{Code: CodeEndpointRefused, Message: "The endpoints refused the request.", RetryAfter: comeBack}
-	case errors.Is(err, endpoint.ErrLost), errors.Is(err, endpoint.ErrSilent), errors.Is(err, endpoint.ErrMismatch), errors.Is(err, errStalled):
+	case errors.Is(err, endpoint.ErrLost), errors.Is(err, endpoint.ErrNoProgress), errors.Is(err, endpoint.ErrMismatch), errors.Is(err, errStalled):
 		return &Failure{Code: CodeEndpointFailed, Message: "The endpoint failed; the request may have run."}
 	}
 	return &Failure{Code: CodeInternal, Message: err.Error()}
--- a/internal/run/generate.go
+++ b/internal/run/generate.go
@@ -28,13 +28,13 @@
 			tries = -1
 			continue
 		}
-		before := g.order.From
+		before := g.order.ResumeFrom
 		last = r.atEndpoint(ctx, placement, g)
 		if last == nil || ctx.Err() != nil || errors.Is(last, endpoint.ErrRejected) {
 			return last
 		}
 		g.avoid = append(g.avoid, placement.Endpoint)
-		if g.order.From > before {
+		if g.order.ResumeFrom > before {
 			tries = -1
 		}
 	}
@@ -48,7 +48,7 @@
 // last token.
 func (r *Runner) holdOn(ctx context.Context, g *generation, err error) bool {
 	var refusal *dispatch.Refusal
-	if g.order.From == 0 || !errors.As(err, &refusal) {
+	if g.order.ResumeFrom == 0 || !errors.As(err, &refusal) {
 		return false
 	}
 	pause := max(refusal.RetryAfter, minHold)
@@ -81,7 +81,7 @@
 // patience is how long a begun answer may wait for its next endpoint; the
 // caller's wait is for the first token only.
 func (g *generation) patience() time.Duration {
-	if g.order.From == 0 {
+	if g.order.ResumeFrom == 0 {
 		return 0
 	}
 	return g.chat.Wait
@@ -99,7 +99,7 @@
 	r.Claims.Place(ctx, g.chat.Key, p.Endpoint)
 	begun := false
 	for misses := 0; misses <= r.Limits.Resumes; misses++ {
-		before := g.order.From
+		before := g.order.ResumeFrom
 		err = r.connect(ctx, base, g, meter)
 		if errors.Is(err, endpoint.ErrRefused) {
 			r.heed(p.Endpoint, err)
@@ -109,7 +109,7 @@
 		if err == nil || ctx.Err() != nil || errors.Is(err, errStalled) {
 			break
 		}
-		if g.order.From > before {
+		if g.order.ResumeFrom > before {
 			misses = 0
 		}
 	}
@@ -143,10 +143,10 @@
 // connect reads the answer over one connection, from the offset that the
 // caller is at.
 func (r *Runner) connect(ctx context.Context, base string, g *generation, m *meter) error {
-	ctx, progress := r.watchProgress(ctx, g.order.From > 0)
+	ctx, progress := r.watchProgress(ctx, g.order.ResumeFrom > 0)
 	defer progress.stop()
 	g.order.Attempt++
-	g.order.Prior = g.text.String()
+	g.order.PriorText = g.text.String()
 	stream, err := r.Engines.Start(ctx, base, g.order)
 	if !errors.Is(err, endpoint.ErrRefused) {
 		g.base, g.started = base, true
@@ -157,7 +157,7 @@
 	defer stream.Close()
 	for {
 		token, err := stream.Next()
-		if endpoint.Whole(err) {
+		if endpoint.IsComplete(err) {
 			g.finish(stream.Usage(), stream.Finish())
 			g.wholeAt = base
 			return nil
--- a/internal/run/join.go
+++ b/internal/run/join.go
@@ -32,7 +32,7 @@
 
 // follower reads a run that another request owns.
 type follower struct {
-	order  endpoint.Order
+	order  endpoint.RunRequest
 	sink   Sink
 	result ChatResult
 	// text is what was read, from the caller's offset on.
@@ -94,7 +94,7 @@
 // reserves nor bills: the run's owner or its witness does.
 func (r *Runner) joinChat(ctx context.Context, c Chat, ticket claim.Ticket, sink Sink, where locate) (ChatResult, error) {
 	f := &follower{order: c.order(ticket.Run), sink: sink, result: ChatResult{Run: ticket.Run}}
-	f.order.ResumeOnly, f.order.From = true, c.Have.Tokens
+	f.order.ResumeOnly, f.order.ResumeFrom = true, c.Have.Tokens
 	return r.joinRun(ctx, c, ticket, f, where)
 }
 
@@ -102,7 +102,7 @@
 func (r *Runner) joinRun(ctx context.Context, c Chat, ticket claim.Ticket, f *follower, where locate) (ChatResult, error) {
 	patience, asked := time.Now().Add(c.Wait), time.Now()
 	for {
-		before := f.order.From
+		before := f.order.ResumeFrom
 		err := r.follow(ctx, ticket, f)
 		if err == nil {
 			return f.result, nil
@@ -113,7 +113,7 @@
 		if ticket.Outcome == record.OutcomeUnknown {
 			return f.result, failure(claim.ErrUnknown, true)
 		}
-		if f.order.From > before {
+		if f.order.ResumeFrom > before {
 			patience, asked = time.Now().Add(c.Wait), time.Now()
 		}
 		if time.Now().After(patience) {
@@ -164,7 +164,7 @@
 	again := c.claim(true)
 	again.Lost = ticket.Run
 	taken, err := r.Claims.Begin(ctx, again)
-	if err == nil && taken.Run != ticket.Run && f.order.From > 0 {
+	if err == nil && taken.Run != ticket.Run && f.order.ResumeFrom > 0 {
 		if !taken.Join {
 			r.Claims.End(ctx, c.Key, claim.End{Outcome: record.OutcomeNotRun})
 		}
@@ -174,7 +174,7 @@
 }
 
 // again asks again where the run is, after a pause.
-func (r *Runner) again(ctx context.Context, c Chat, order endpoint.Order, where locate) (claim.Ticket, error) {
+func (r *Runner) again(ctx context.Context, c Chat, order endpoint.RunRequest, where locate) (claim.Ticket, error) {
 	timer := time.NewTimer(joinPause)
 	defer timer.Stop()
 	select {
@@ -186,7 +186,7 @@
 	if err != nil {
 		return ticket, err
 	}
-	if order.From > 0 && ticket.Run != order.Run {
+	if order.ResumeFrom > 0 && ticket.Run != order.Run {
 		if !ticket.Join {
 			r.Claims.End(ctx, c.Key, claim.End{Outcome: record.OutcomeNotRun})
 		}
@@ -214,9 +214,9 @@
 	defer stream.Close()
 	for {
 		token, err := stream.Next()
-		if endpoint.Whole(err) {
+		if endpoint.IsComplete(err) {
 			u := stream.Usage()
-			f.result.Usage = endpoint.Usage{Prompt: u.Prompt, Cached: u.Cached, Completion: u.Answer()}
+			f.result.Usage = endpoint.Usage{Prompt: u.Prompt, Cached: u.Cached, Completion: u.AnswerTokens()}
 			f.result.Finish = stream.Finish()
 			return nil
 		}
@@ -224,7 +224,7 @@
 			return progress.explain(err)
 		}
 		progress.token()
-		f.order.From = token.Index + 1
+		f.order.ResumeFrom = token.Index + 1
 		f.text.add(token)
 		if err := f.sink(f.order.Run, token); err != nil {
 			f.left = true
--- a/internal/run/meter.go
+++ b/internal/run/meter.go
@@ -35,7 +35,7 @@
 	m.result.Total = time.Since(m.began)
 	m.result.Failed = err != nil
 	m.result.Abandoned = err != nil && ctx.Err() != nil
-	m.result.Stalled = errors.Is(err, endpoint.ErrSilent) || errors.Is(err, errStalled)
+	m.result.Stalled = errors.Is(err, endpoint.ErrNoProgress) || errors.Is(err, errStalled)
 	m.placement.Done(m.result)
 }
 
--- a/internal/run/run.go
+++ b/internal/run/run.go
@@ -129,9 +129,9 @@
 	Have Position
 }
 
-func (c Chat) order(run record.RunID) endpoint.Order {
-	return endpoint.Order{
-		Run: run, Priority: int(c.Priority), Model: c.Model, Messages: c.Messages, Params: c.Params, MaxTokens: c.MaxTokens,
+func (c Chat) order(run record.RunID) endpoint.RunRequest {
+	return endpoint.RunRequest{
+		Run: run, Priority: int(c.Priority), Model: c.Model, Messages: c.Messages, ExtraFields: c.Params, MaxTokens: c.MaxTokens,
 	}
 }
 
--- a/internal/run/settle.go
+++ b/internal/run/settle.go
@@ -42,5 +42,5 @@
 	if err != nil {
 		return reserved.Tokens
 	}
-	return state.Prompt + max(state.Answer(), int64(g.order.From))
+	return state.Prompt + max(state.AnswerTokens(), int64(g.order.ResumeFrom))
 }
--- a/internal/server/endpoints.go
+++ b/internal/server/endpoints.go
@@ -78,7 +78,7 @@
 
 // endpointClients holds the clients of the endpoints and polls their load.
 type endpointClients struct {
-	counts   endpoint.Counts
+	counts   endpoint.Counters
 	engines  *endpoint.HTTPEngines
 	services *endpoint.HTTPServices
 	poller   *endpoint.Poller
@@ -86,7 +86,7 @@
 
 func newEndpointClients(limits settings.Limits, l links, table *endpointTable, d *dispatch.Dispatcher) *endpointClients {
 	opts := endpoint.Options{
-		Connect: connectWithin, Silence: min(silentAfter, limits.Progress.D()), Control: controlWithin, AnswerBytes: limits.AnswerBytes,
+		ConnectTimeout: connectWithin, IdleTimeout: min(silentAfter, limits.Progress.D()), ControlTimeout: controlWithin, MaxAnswerBytes: limits.AnswerBytes,
 	}
 	if l.secured(settings.LinkEndpoints) {
 		opts.DialTLS = l.outside.Dial
@@ -95,7 +95,7 @@
 	e.engines = endpoint.NewHTTPEngines(opts, &e.counts)
 	e.services = endpoint.NewHTTPServices(opts, &e.counts)
 	e.poller = &endpoint.Poller{
-		Loader: e.engines, Every: loadEvery, PerSecond: loadsPerSecond,
+		Loader: e.engines, Interval: loadEvery, MaxRequestsPerSecond: loadsPerSecond,
 		Targets: table.Targets,
 		Report:  func(name string, load endpoint.Load) { report(d, name, load) },
 	}
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -105,7 +105,7 @@
 	}
 	srv.subscriber = logstore.NewSubscriber(srv.relay, srv.startStream)
 	srv.clients = newEndpointClients(s.Limits, srv.links, srv.endpoints, srv.dispatcher)
-	srv.tables.Register("endpoint_answers", func() any { return srv.clients.counts.View() })
+	srv.tables.Register("endpoint_answers", func() any { return srv.clients.counts.Snapshot() })
 	if err := srv.joinBudgets(); err != nil {
 		return nil, err
 	}
--- a/internal/server/usages.go
+++ b/internal/server/usages.go
@@ -35,7 +35,7 @@
 	if !ok || !longest.state.Done {
 		return 0, false
 	}
-	return longest.state.Prompt + longest.state.Answer(), true
+	return longest.state.Prompt + longest.state.AnswerTokens(), true
 }
 
 // Find implements run.Finder.
@@ -67,7 +67,7 @@
 // longestOf returns the answer with the most tokens.
 func longestOf(answers []*found) (longest found, ok bool) {
 	for _, a := range answers {
-		if a != nil && (!ok || a.state.Answer() > longest.state.Answer()) {
+		if a != nil && (!ok || a.state.AnswerTokens() > longest.state.AnswerTokens()) {
 			longest, ok = *a, true
 		}
 	}
