--- a/internal/server/budgets.go
+++ b/internal/server/budgets.go
@@ -13,14 +13,14 @@
 	"guavapier/internal/replica"
 )
 
-// joinBudgets makes the ledger and registers its services with the peers.
-func (s *Server) joinBudgets() error {
+// initLedger makes the ledger and registers its services with the peers.
+func (s *Server) initLedger() error {
 	opts := ledger.DefaultOptions()
 	opts.InitialGrantTokens = s.settings.Ledger.GrantTokens
 	opts.GrantTimeout = s.settings.Ledger.Patience.D()
 	s.budgets = ledger.New(ledger.Config{
 		Self: s.id, Zone: record.Zone(s.settings.Instance.Zone), Log: s.publisher, Partitions: s.partitions,
-		Members: s.members, Peers: s.pool, Conservatism: s.lean, Usages: s.finder(), Options: opts,
+		Members: s.members, Peers: s.pool, Conservatism: s.conservatism, Usages: s.newRunFinder(), Options: opts,
 	})
 	s.tables.Register("grants", func() any { return s.budgets.State() })
 	if err := s.peerServer.Register(ledger.WitnessName, s.budgets.Witness()); err != nil {
@@ -29,19 +29,19 @@
 	return s.peerServer.Register(ledger.ServiceName, ledger.NewService(s.budgets))
 }
 
-// returnPatience is how long returning the grants is tried while nothing is
+// grantReturnTimeout is how long returning the grants is tried while nothing is
 // reserved in them any more. Harm prevented: an instance that cannot be replaced
 // during an outage of the platform. Limit: a few appends with lost answers take
 // less; after it, the witnesses know every use and close the grants.
-const returnPatience = 10 * time.Second
+const grantReturnTimeout = 10 * time.Second
 
-// leaveBudgets returns all grants to their budgets. It waits for reservations
+// returnGrants returns all grants to their budgets. It waits for reservations
 // of other instances' requests, as long as a drain may last, but not for a
 // platform that is away.
-func (s *Server) leaveBudgets() {
-	deadline := time.Now().Add(shutdownPatience)
+func (s *Server) returnGrants() {
+	deadline := time.Now().Add(drainTimeout)
 	for time.Now().Before(deadline) {
-		ctx, cancel := context.WithTimeout(context.Background(), returnPatience)
+		ctx, cancel := context.WithTimeout(context.Background(), grantReturnTimeout)
 		err := s.budgets.Close(ctx)
 		cancel()
 		if err == nil {
@@ -54,28 +54,28 @@
 	s.log.Warn().Msg("ledger: grants left to their witnesses, the platform does not answer")
 }
 
-// lean reads a budget's setting between fewer stranded tokens (0) and fewer
+// conservatism reads a budget's setting between fewer stranded tokens (0) and fewer
 // false refusals (1).
-func (s *Server) lean(budget record.BudgetID) float64 {
-	lean := ledger.DefaultConservatism
+func (s *Server) conservatism(budget record.BudgetID) float64 {
+	conservatism := ledger.DefaultConservatism
 	s.config.View(func(c *fold.Config) {
-		v, ok := c.Get(leanPath(budget))
+		v, ok := c.Get(conservatismPath(budget))
 		if !ok {
 			return
 		}
 		if x, err := strconv.ParseFloat(v.Value, 64); err == nil && x >= 0 && x <= 1 {
-			lean = x
+			conservatism = x
 		}
 	})
-	return lean
+	return conservatism
 }
 
-func leanPath(budget record.BudgetID) string {
+func conservatismPath(budget record.BudgetID) string {
 	return strings.Join([]string{config.TeamsPath, string(budget.Team), "budgets", budget.Name, "lean"}, "/")
 }
 
-// follows decides which ledger partitions this instance reads. An instance
+// followsPartition decides which ledger partitions this instance reads. An instance
 // draws on any budget that its callers bring, and it is witness wherever a
-// holder chose it, so it follows all of them today. docs/adr/0010 says what
+// holder chose it, so it followsPartition all of them today. docs/adr/0010 says what
 // following fewer needs.
-func (s *Server) follows(*replica.Replica[*fold.Ledger]) bool { return true }
+func (s *Server) followsPartition(*replica.Replica[*fold.Ledger]) bool { return true }
--- a/internal/server/claims.go
+++ b/internal/server/claims.go
@@ -10,12 +10,12 @@
 	"guavapier/internal/replica"
 )
 
-// handoverPatience bounds handing over the claim shards at a drain. The
+// handoverTimeout bounds handing over the claim shards at a drain. The
 // witnesses have the claims, so it must not hold up the end for long.
-const handoverPatience = 5 * time.Second
+const handoverTimeout = 5 * time.Second
 
-// joinClaims makes the parts that claim requests.
-func (s *Server) joinClaims() error {
+// initClaims makes the parts that claim requests.
+func (s *Server) initClaims() error {
 	s.holder = claim.NewHolder(claim.Parts{
 		Self: s.self(), Log: s.publisher, Caller: s.pool, Members: s.members, Partitions: s.partitions, Logger: s.log,
 	}, claim.Options{Modes: claimModes{s.config}})
@@ -27,10 +27,10 @@
 	return s.peerServer.Register(claim.WitnessServiceName, s.holder.Witness())
 }
 
-// leaveClaims hands the claim shards over, when no run is left here.
-func (s *Server) leaveClaims() {
+// handOverClaimShards hands the claim shards over, when no run is left here.
+func (s *Server) handOverClaimShards() {
 	s.claims.Close()
-	ctx, cancel := context.WithTimeout(context.Background(), handoverPatience)
+	ctx, cancel := context.WithTimeout(context.Background(), handoverTimeout)
 	defer cancel()
 	s.holder.Handover(ctx)
 }
--- a/internal/server/operators.go
+++ b/internal/server/operators.go
@@ -13,22 +13,22 @@
 	"guavapier/internal/snapshot"
 )
 
-// changePatience is how long an operator waits for the log. It leaves room
+// changeTimeout is how long an operator waits for the log. It leaves room
 // for two lost answers, and is below the 9 s in which an accepted change must
 // be in force everywhere.
-const changePatience = 5 * time.Second
+const changeTimeout = 5 * time.Second
 
 func (s *Server) operatorsHandler() http.Handler {
 	o := &operator.Interface{
 		Token: s.secrets.Operator, Log: s.publisher, Config: s.config, Ledgers: s.partitions,
-		State: s.tables, Metrics: s.metrics, Instances: s.instances, Patience: changePatience,
+		State: s.tables, Metrics: s.metrics, Instances: s.listInstances, Patience: changeTimeout,
 		CloseGrant: s.budgets.ForceClose, CloseShard: s.holder.ForceClose,
 	}
 	return s.metrics.Measure(metrics.OperatorsHTTP, o.Handler())
 }
 
-// instances returns the instance list with this instance's row as it is now.
-func (s *Server) instances() []logstore.Instance {
+// listInstances returns the instance list with this instance's row as it is now.
+func (s *Server) listInstances() []logstore.Instance {
 	rows := []logstore.Instance{s.self()}
 	for _, in := range s.members.List().Instances {
 		if in.ID != s.id {
@@ -51,7 +51,7 @@
 	s.tables.Register("instance", func() any {
 		return instanceRow{ID: s.id, Name: s.settings.Instance.Name, Zone: s.settings.Instance.Zone, Draining: s.draining.Load()}
 	})
-	s.tables.Register("applied", func() any { return s.applied() })
+	s.tables.Register("applied", func() any { return s.appliedOffsets() })
 	s.tables.Register("members", func() any { return s.members.List() })
 	s.tables.Register("live", func() any { return s.members.Live() })
 	s.tables.Register("budgets", func() any { return s.budgetRows() })
@@ -76,7 +76,7 @@
 
 func (s *Server) streamRows() []streamRow {
 	rows := []streamRow{}
-	for _, st := range s.streams() {
+	for _, st := range s.followedStreams() {
 		rows = append(rows, streamRow{
 			Stream: st.Stream(), Next: st.Next(), First: s.subscriber.First(st.Stream()),
 			Current: s.subscriber.Current(st.Stream()), Gap: st.Gap(), Snapshot: st.Newest(),
@@ -106,8 +106,8 @@
 	s.metrics.Gauge(metrics.HeapBytes, heapBytes)
 }
 
-// applied gives, for each stream, the offset after the last applied entry.
-func (s *Server) applied() map[record.Stream]uint64 {
+// appliedOffsets gives, for each stream, the offset after the last appliedOffsets entry.
+func (s *Server) appliedOffsets() map[record.Stream]uint64 {
 	next := map[record.Stream]uint64{record.ConfigStream: s.config.Next()}
 	for _, p := range s.partitions {
 		next[p.Stream()] = p.Next()
--- a/internal/server/operators_test.go
+++ b/internal/server/operators_test.go
@@ -53,7 +53,7 @@
 	return srv
 }
 
-func request(t *testing.T, method, url string) (status int, body map[string]json.RawMessage) {
+func sendOperatorRequest(t *testing.T, method, url string) (status int, body map[string]json.RawMessage) {
 	t.Helper()
 	req, err := http.NewRequest(method, url, nil)
 	if err != nil {
@@ -71,7 +71,7 @@
 
 func TestMetricsMatchTheCatalogue(t *testing.T) {
 	srv := startServer(t)
-	status, got := request(t, http.MethodGet, "http://"+srv.OperatorsAddr()+"/metrics")
+	status, got := sendOperatorRequest(t, http.MethodGet, "http://"+srv.OperatorsAddr()+"/metrics")
 	if status != http.StatusOK {
 		t.Fatalf("status %d", status)
 	}
@@ -101,7 +101,7 @@
 
 func TestStateDumpHasTheTables(t *testing.T) {
 	srv := startServer(t)
-	_, tables := request(t, http.MethodGet, "http://"+srv.OperatorsAddr()+"/state")
+	_, tables := sendOperatorRequest(t, http.MethodGet, "http://"+srv.OperatorsAddr()+"/state")
 	for _, name := range []string{"instance", "applied", "members", "live", "budgets", "config", "streams"} {
 		if _, ok := tables[name]; !ok {
 			t.Errorf("table %s is missing", name)
@@ -117,7 +117,7 @@
 	err := chi.Walk(routes, func(method, route string, _ http.Handler, _ ...func(http.Handler) http.Handler) error {
 		walked++
 		path := strings.NewReplacer("{team}", "dala", "{name}", "main", "{id}", "x").Replace(route)
-		if status, _ := request(t, method, "http://"+srv.CallersAddr()+path); status != http.StatusNotFound {
+		if status, _ := sendOperatorRequest(t, method, "http://"+srv.CallersAddr()+path); status != http.StatusNotFound {
 			t.Errorf("%s %s on the callers' address: %d", method, path, status)
 		}
 		return nil
--- a/internal/server/peers.go
+++ b/internal/server/peers.go
@@ -15,24 +15,24 @@
 // listenPeers binds the peers' address.
 func (s *Server) listenPeers() error {
 	var err error
-	if s.peers, err = net.Listen("tcp", s.settings.Instance.Peers); err != nil {
+	if s.peersListener, err = net.Listen("tcp", s.settings.Instance.Peers); err != nil {
 		return eris.Wrap(err, "server: listen for peers")
 	}
 	return nil
 }
 
 // PeersAddr returns the bound peers' address; it is announced to the platform.
-func (s *Server) PeersAddr() string { return s.peers.Addr().String() }
+func (s *Server) PeersAddr() string { return s.peersListener.Addr().String() }
 
-// joinPeers makes the parts that talk to other instances.
-func (s *Server) joinPeers() error {
+// initPeers makes the parts that talk to other instances.
+func (s *Server) initPeers() error {
 	s.members = membership.New(s.client, s.self, s.log)
 	s.endpoints = &endpointTable{config: s.config, dispatcher: s.dispatcher, links: s.links}
-	s.members.OnList(s.endpoints.take)
+	s.members.OnList(s.endpoints.update)
 	var opts peer.Options
-	if s.links.secured(settings.LinkPeers) {
+	if s.links.requiresTLS(settings.LinkPeers) {
 		opts.Dialer = func(ctx context.Context, address string) (net.Conn, error) {
-			return s.links.peers.Dial(ctx, "tcp", address)
+			return s.links.identity.Dial(ctx, "tcp", address)
 		}
 	}
 	s.pool = peer.NewPool(s.id, s.members, opts)
@@ -41,9 +41,9 @@
 	return s.peerServer.Register(relay.ServiceName, relay.NewService(s.relay))
 }
 
-// leavePeers ends all connections with other instances.
-func (s *Server) leavePeers() {
-	_ = s.peers.Close()
+// closePeers ends all connections with other instances.
+func (s *Server) closePeers() {
+	_ = s.peersListener.Close()
 	s.pool.Close()
 	s.peerServer.Close()
 }
--- a/internal/server/placement.go
+++ b/internal/server/placement.go
@@ -8,8 +8,8 @@
 	"guavapier/internal/settings"
 )
 
-// placement returns the options of this instance's decisions. The seed differs
+// placementOptions returns the options of this instance's decisions. The seed differs
 // between instances and between starts, as the identity does.
-func placement(s settings.Settings, id record.InstanceID) decide.Options {
+func placementOptions(s settings.Settings, id record.InstanceID) decide.Options {
 	return decide.Options{Seed: xxhash.Sum64String(string(id)), Zone: record.Zone(s.Instance.Zone)}
 }
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -38,9 +38,9 @@
 }
 
 const (
-	publisherRetry   = 50 * time.Millisecond
-	publisherRecords = 1000
-	shutdownPatience = 24 * time.Hour // Long reports are never cut off by a drain.
+	publishRetryInterval = 50 * time.Millisecond
+	maxRecordsPerBatch   = 1000
+	drainTimeout         = 24 * time.Hour // Long reports are never cut off by a drain.
 )
 
 // Server is one instance.
@@ -72,51 +72,51 @@
 	tables  *state.Registry
 	metrics *metrics.Registry
 
-	links     links
-	callers   *callers.Connections
-	operators net.Listener
-	peers     net.Listener
+	links             linkTLS
+	callers           *callers.Connections
+	operatorsListener net.Listener
+	peersListener     net.Listener
 }
 
 // New puts an instance together and binds its addresses.
 func New(s settings.Settings, secrets Secrets, log zerolog.Logger) (*Server, error) {
 	srv := &Server{id: record.NewInstanceID(s.Instance.Name), settings: s, secrets: secrets, log: log, tables: state.New(), metrics: metrics.New()}
 	var err error
-	if srv.links, err = srv.newLinks(); err != nil {
+	if srv.links, err = srv.newLinkTLS(); err != nil {
 		return nil, err
 	}
 	if err := srv.listen(); err != nil {
 		return nil, err
 	}
 	srv.client = logstore.NewClient(s.Platform.URL, s.Platform.Timeout.D())
-	if srv.links.secured(settings.LinkPlatform) {
-		srv.client.Secure(srv.links.outside.Dial)
+	if srv.links.requiresTLS(settings.LinkPlatform) {
+		srv.client.Secure(srv.links.outsideCA.Dial)
 	}
 	srv.publisher = logstore.NewPublisher(srv.client, srv.id, logstore.PublisherOptions{
-		Linger: s.Ledger.Linger.D(), RetryEvery: publisherRetry, MaxRecords: publisherRecords,
+		Linger: s.Ledger.Linger.D(), RetryEvery: publishRetryInterval, MaxRecords: maxRecordsPerBatch,
 	})
 	srv.config = replica.New(record.ConfigStream, fold.NewConfig())
 	for n := range s.Ledger.Partitions {
 		srv.partitions = append(srv.partitions, replica.New(record.LedgerStream(n), fold.NewLedger()))
 	}
-	srv.dispatcher = dispatch.NewWithOptions(placement(s, srv.id))
-	if err := srv.joinPeers(); err != nil {
+	srv.dispatcher = dispatch.NewWithOptions(placementOptions(s, srv.id))
+	if err := srv.initPeers(); err != nil {
 		return nil, err
 	}
-	srv.subscriber = logstore.NewSubscriber(srv.relay, srv.startStream)
+	srv.subscriber = logstore.NewSubscriber(srv.relay, srv.resumeOffset)
 	srv.clients = newEndpointClients(s.Limits, srv.links, srv.endpoints, srv.dispatcher)
 	srv.tables.Register("endpoint_answers", func() any { return srv.clients.counts.Snapshot() })
-	if err := srv.joinBudgets(); err != nil {
+	if err := srv.initLedger(); err != nil {
 		return nil, err
 	}
-	if err := srv.joinClaims(); err != nil {
+	if err := srv.initClaims(); err != nil {
 		return nil, err
 	}
 	srv.runner = &run.Runner{
 		Claims: srv.claims, Accounts: srv.budgets,
 		Placer: srv.dispatcher, Endpoints: srv.endpoints,
 		Engines: srv.clients.engines, Services: srv.clients.services,
-		Finder: srv.finder(), Repeats: repeatRules{srv.config}, Limits: runLimits(s.Limits), Leaving: srv.leaving,
+		Finder: srv.newRunFinder(), Repeats: repeatRules{srv.config}, Limits: runLimits(s.Limits), Leaving: srv.setEndpointLeaving,
 		OnError: func(err error) { log.Error().Err(err).Msg("run: background error") },
 	}
 	srv.registerTables()
@@ -129,7 +129,7 @@
 		return eris.Wrap(err, "server: listen for callers; give another address if this one is taken")
 	}
 	s.callers = callers.New(listener.(*net.TCPListener), 0, nil) // The server's own limit ends idle connections.
-	if s.operators, err = net.Listen("tcp", s.settings.Instance.Operators); err != nil {
+	if s.operatorsListener, err = net.Listen("tcp", s.settings.Instance.Operators); err != nil {
 		return eris.Wrap(err, "server: listen for operators; give another address if this one is taken")
 	}
 	return s.listenPeers()
@@ -139,35 +139,37 @@
 func (s *Server) CallersAddr() string { return s.callers.Addr().String() }
 
 // OperatorsAddr returns the bound operators' address.
-func (s *Server) OperatorsAddr() string { return s.operators.Addr().String() }
+func (s *Server) OperatorsAddr() string { return s.operatorsListener.Addr().String() }
 
 // Run serves until ctx ends, then drains: it finishes every request in flight.
 func (s *Server) Run(ctx context.Context) error {
 	background, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
-	entries := entry.NewServer(s.callersHandler())
-	entries.ConnState = s.callers.ConnState
-	operators := &http.Server{Handler: s.operatorsHandler(), ReadHeaderTimeout: 10 * time.Second}
+	callerServer := entry.NewServer(s.callersHandler())
+	callerServer.ConnState = s.callers.ConnState
+	operatorServer := &http.Server{Handler: s.operatorsHandler(), ReadHeaderTimeout: 10 * time.Second}
 	var group errgroup.Group
-	group.Go(func() error { return s.follow(background) })
+	group.Go(func() error { return s.followStreams(background) })
 	group.Go(func() error { s.snapshotWriter().Run(background); return nil })
 	group.Go(func() error { s.clients.poller.Run(background); return nil })
 	group.Go(func() error { s.members.Run(background, s.pool); return nil })
 	group.Go(func() error { s.holder.Run(background); return nil })
-	group.Go(func() error { return s.peerServer.Serve(s.links.listener(settings.LinkPeers, s.peers)) })
-	group.Go(func() error { return ignoreClosed(entries.Serve(s.links.listener(settings.LinkCallers, s.callers))) })
+	group.Go(func() error { return s.peerServer.Serve(s.links.wrapListener(settings.LinkPeers, s.peersListener)) })
 	group.Go(func() error {
-		return ignoreClosed(operators.Serve(s.links.listener(settings.LinkOperators, s.operators)))
+		return ignoreClosed(callerServer.Serve(s.links.wrapListener(settings.LinkCallers, s.callers)))
+	})
+	group.Go(func() error {
+		return ignoreClosed(operatorServer.Serve(s.links.wrapListener(settings.LinkOperators, s.operatorsListener)))
 	})
 	s.log.Info().Str("id", string(s.id)).Str("callers", s.CallersAddr()).Str("operators", s.OperatorsAddr()).
 		Str("peers", s.PeersAddr()).Msg("server: serving")
 	group.Go(func() error { return s.budgets.Run(background) })
 	<-ctx.Done()
-	s.drain(operators)
-	s.leaveClaims()
-	s.leaveBudgets()
+	s.drain(operatorServer)
+	s.handOverClaimShards()
+	s.returnGrants()
 	stop()
-	s.leavePeers()
+	s.closePeers()
 	s.holder.Close()
 	s.dispatcher.Close()
 	err := group.Wait()
@@ -176,17 +178,17 @@
 	return err
 }
 
-func (s *Server) drain(operators *http.Server) {
+func (s *Server) drain(operatorServer *http.Server) {
 	s.draining.Store(true)
 	s.log.Info().Msg("server: draining")
-	patience, cancel := context.WithTimeout(context.Background(), shutdownPatience)
+	drainCtx, cancel := context.WithTimeout(context.Background(), drainTimeout)
 	defer cancel()
 	// In place of the server's Shutdown, which drops what is read after its call.
-	if err := s.callers.Drain(patience); err != nil {
+	if err := s.callers.Drain(drainCtx); err != nil {
 		s.log.Warn().Err(err).Msg("server: requests cut off at the end of the drain")
 	}
 	s.runner.Close()
-	_ = operators.Shutdown(patience)
+	_ = operatorServer.Shutdown(drainCtx)
 }
 
 func (s *Server) self() logstore.Instance {
@@ -203,10 +205,10 @@
 		Ends: session.Ends{Log: s.publisher, Partitions: s.partitions},
 		Limits: entry.Limits{
 			BodyBytes: limits.BodyBytes, AnswerBytes: int(limits.AnswerBytes), MaxTokens: limits.MaxTokens,
-			BytesPerToken: limits.PromptBytesPerToken, Read: readWithin, Write: writeWithin, Heartbeat: callerHeartbeat,
+			BytesPerToken: limits.PromptBytesPerToken, Read: callerReadTimeout, Write: callerWriteTimeout, Heartbeat: callerHeartbeatInterval,
 			FirstToken: limits.FirstToken.D(), ServiceAnswer: limits.ServiceAnswer.D(),
 		},
-		Ready: func() bool { return !s.draining.Load() && s.members.Seen() && s.current() },
+		Ready: func() bool { return !s.draining.Load() && s.members.Seen() && s.isCurrent() },
 	}
 	return s.metrics.Measure(metrics.CallersHTTP, s.countInFlight(c.Handler()))
 }
--- a/internal/server/streams.go
+++ b/internal/server/streams.go
@@ -13,8 +13,8 @@
 	"guavapier/internal/snapshot"
 )
 
-// stream is a stream that this instance follows.
-type stream interface {
+// followedStream is a followedStream that this instance follows.
+type followedStream interface {
 	snapshot.Source
 	Handle(onError func(error)) message.NoPublishHandlerFunc
 	Restore(whole snapshot.Whole) error
@@ -22,34 +22,34 @@
 	Gap() bool
 }
 
-// streams lists the streams that this instance follows.
-func (s *Server) streams() []stream {
-	out := []stream{s.config}
+// followedStreams lists the followedStreams that this instance follows.
+func (s *Server) followedStreams() []followedStream {
+	out := []followedStream{s.config}
 	for _, p := range s.partitions {
-		if s.follows(p) {
+		if s.followsPartition(p) {
 			out = append(out, p)
 		}
 	}
 	return out
 }
 
-func (s *Server) follow(ctx context.Context) error {
+func (s *Server) followStreams(ctx context.Context) error {
 	onError := func(err error) {
 		s.metrics.Counter(metrics.BatchesPassed).Inc(1)
 		s.log.Error().Err(err).Msg("replica: batch passed over")
 	}
 	var sources []replica.Source
-	for _, st := range s.streams() {
+	for _, st := range s.followedStreams() {
 		sources = append(sources, replica.Source{Stream: st.Stream(), Handler: st.Handle(onError)})
 	}
 	return replica.Follow(ctx, s.subscriber, sources)
 }
 
-// current says whether every stream was read to its end since its start. Until
+// isCurrent says whether every stream was read to its end since its start. Until
 // then this instance is not ready: it knows neither all budgets nor all
 // credentials.
-func (s *Server) current() bool {
-	for _, st := range s.streams() {
+func (s *Server) isCurrent() bool {
+	for _, st := range s.followedStreams() {
 		if !s.subscriber.Current(st.Stream()) {
 			return false
 		}
@@ -57,18 +57,18 @@
 	return true
 }
 
-// startStream returns where to go on in a stream: after what was applied, if
+// resumeOffset returns where to go on in a stream: after what was applied, if
 // the log still has that; else from the newest whole snapshot.
-func (s *Server) startStream(ctx context.Context, name record.Stream) (uint64, error) {
-	for _, st := range s.streams() {
+func (s *Server) resumeOffset(ctx context.Context, name record.Stream) (uint64, error) {
+	for _, st := range s.followedStreams() {
 		if st.Stream() == name {
-			return s.start(ctx, st)
+			return s.resumeOrRestore(ctx, st)
 		}
 	}
 	return 0, nil
 }
 
-func (s *Server) start(ctx context.Context, st stream) (uint64, error) {
+func (s *Server) resumeOrRestore(ctx context.Context, st followedStream) (uint64, error) {
 	_, err := s.client.Read(ctx, st.Stream(), st.Next(), 0)
 	if err == nil && !st.Gap() {
 		return st.Next(), nil
@@ -78,18 +78,18 @@
 	}
 	st.SetGap()
 	s.metrics.Counter(metrics.RecordsLost).Inc(1)
-	whole, _, discarded, err := snapshot.Find(ctx, s.client, st.Stream())
+	found, _, discarded, err := snapshot.Find(ctx, s.client, st.Stream())
 	s.metrics.Counter(metrics.SnapshotsDiscarded).Inc(int64(discarded))
 	if err == nil {
-		err = st.Restore(whole)
+		err = st.Restore(found)
 	}
 	if err != nil {
 		s.log.Error().Err(err).Str("stream", string(st.Stream())).Uint64("applied", st.Next()).Msg("snapshot: records aged out unread and none can be used, not ready")
 		return 0, err
 	}
 	s.metrics.Counter(metrics.SnapshotsRestored).Inc(1)
-	s.log.Info().Str("stream", string(st.Stream())).Str("id", whole.ID).Uint64("covers", whole.Covers).Msg("snapshot: tables restored")
-	return whole.Covers, nil
+	s.log.Info().Str("stream", string(st.Stream())).Str("id", found.ID).Uint64("covers", found.Covers).Msg("snapshot: tables restored")
+	return found.Covers, nil
 }
 
 func (s *Server) snapshotWriter() *snapshot.Writer {
@@ -103,7 +103,7 @@
 			s.log.Error().Err(err).Str("stream", string(name)).Msg("snapshot: not written")
 		},
 	}
-	for _, st := range s.streams() {
+	for _, st := range s.followedStreams() {
 		w.Sources = append(w.Sources, st)
 	}
 	return w
--- a/internal/server/table.go
+++ b/internal/server/table.go
@@ -26,56 +26,56 @@
 	config     *replica.Replica[*fold.Config]
 	dispatcher *dispatch.Dispatcher
 	// links says whether endpoints without TLS may be used.
-	links links
+	links linkTLS
 
 	mu      sync.RWMutex // Guards all below.
 	targets []endpoint.Target
 	// weights are the team weights last handed over.
 	weights map[record.Team]float64
 	// teams is as of the settings' offset teamsAt.
-	teams   config.TeamRows
-	teamsAt uint64
+	teams       config.TeamRows
+	teamsOffset uint64
 }
 
-// take takes a newly read list.
-func (t *endpointTable) take(list logstore.List) {
+// update takes a newly read list.
+func (t *endpointTable) update(list logstore.List) {
 	rows := make([]decide.Endpoint, 0, len(list.Endpoints))
 	targets := make([]endpoint.Target, 0, len(list.Endpoints))
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.config.View(func(f *fold.Config) {
-		t.readTeams(f)
+		t.refreshTeams(f)
 		for _, e := range list.Endpoints {
-			if !t.links.mayUse(e.URL) {
+			if !t.links.allowsEndpointURL(e.URL) {
 				continue
 			}
-			rows = append(rows, listedRow(f, e))
+			rows = append(rows, platformEndpoint(f, e))
 			targets = append(targets, endpoint.Target{Name: e.Name, URL: e.URL})
 		}
 	})
 	for _, e := range t.teams.Endpoints {
-		if !t.links.mayUse(e.URL) {
+		if !t.links.allowsEndpointURL(e.URL) {
 			continue
 		}
-		rows = append(rows, teamRow(e))
+		rows = append(rows, teamEndpoint(e))
 		targets = append(targets, endpoint.Target{Name: e.Name, URL: e.URL})
 	}
 	t.targets = targets
 	t.dispatcher.Update(func(d *decide.Decider) {
 		d.SetEndpoints(rows)
-		t.handWeights(d)
+		t.applyTeamWeights(d)
 	})
 }
 
-// readTeams reads the teams' rows again after a change of the settings.
-func (t *endpointTable) readTeams(f *fold.Config) {
-	if t.teams.Weights != nil && f.Next() == t.teamsAt {
+// refreshTeams reads the teams' rows again after a change of the settings.
+func (t *endpointTable) refreshTeams(f *fold.Config) {
+	if t.teams.Weights != nil && f.Next() == t.teamsOffset {
 		return
 	}
-	t.teams, t.teamsAt = config.TeamRowsOf(f), f.Next()
+	t.teams, t.teamsOffset = config.TeamRowsOf(f), f.Next()
 }
 
-func (t *endpointTable) handWeights(d *decide.Decider) {
+func (t *endpointTable) applyTeamWeights(d *decide.Decider) {
 	for team := range t.weights {
 		if _, set := t.teams.Weights[team]; !set {
 			d.SetTeamWeight(team, 1)
@@ -87,20 +87,20 @@
 	t.weights = t.teams.Weights
 }
 
-func listedRow(f *fold.Config, e logstore.Endpoint) decide.Endpoint {
+func platformEndpoint(f *fold.Config, e logstore.Endpoint) decide.Endpoint {
 	row := decide.Endpoint{Name: e.Name, Zone: e.Zone, Service: e.Service, Leaving: e.Leaving}
-	return withCapacity(row, e.Model, config.EngineOf(f, e.Name))
+	return setCapacity(row, e.Model, config.EngineOf(f, e.Name))
 }
 
-func teamRow(e config.TeamEndpoint) decide.Endpoint {
+func teamEndpoint(e config.TeamEndpoint) decide.Endpoint {
 	row := decide.Endpoint{Name: e.Name, Zone: e.Zone, Service: e.Service, Team: e.Team}
-	return withCapacity(row, e.Model, e.Engine)
+	return setCapacity(row, e.Model, e.Engine)
 }
 
-// withCapacity sets slots and weight. Where no weight is set, the slots stand
+// setCapacity sets slots and weight. Where no weight is set, the slots stand
 // for the capacity: with equal weights a fleet of mixed sizes lost a fifth of
 // its goodput at 90 to 110 per cent (docs/measurements/decide.md).
-func withCapacity(row decide.Endpoint, model string, capacity config.Engine) decide.Endpoint {
+func setCapacity(row decide.Endpoint, model string, capacity config.Engine) decide.Endpoint {
 	if model != "" {
 		row.Models = []string{model}
 	}
--- a/internal/server/table_test.go
+++ b/internal/server/table_test.go
@@ -18,7 +18,7 @@
 		{config.Engine{Slots: 4, Weight: 9}, 4, 9},
 		{config.Engine{Weight: 9}, defaultSlots, 9},
 	} {
-		row := withCapacity(decide.Endpoint{}, "small", c.set)
+		row := setCapacity(decide.Endpoint{}, "small", c.set)
 		if row.Slots != c.slots || row.Weight != c.weight || len(row.Models) != 1 {
 			t.Errorf("%+v gives %+v", c.set, row)
 		}
--- a/internal/server/usages.go
+++ b/internal/server/usages.go
@@ -10,8 +10,8 @@
 	"guavapier/internal/record"
 )
 
-// askAtOnce bounds the questions about one run that are open at once.
-const askAtOnce = 32
+// maxConcurrentQueries bounds the questions about one run that are open at once.
+const maxConcurrentQueries = 32
 
 // runFinder asks the listed engines for runs whose instance or claim is gone. A
 // run that has moved is known to more than one engine; the one that has the
@@ -21,17 +21,19 @@
 	members *membership.Members
 }
 
-func (s *Server) finder() runFinder { return runFinder{engines: s.clients.engines, members: s.members} }
+func (s *Server) newRunFinder() runFinder {
+	return runFinder{engines: s.clients.engines, members: s.members}
+}
 
-// found is what one engine says of a run.
-type found struct {
+// engineRun is what one engine says of a run.
+type engineRun struct {
 	engine string
 	state  endpoint.RunState
 }
 
 // Usage implements ledger.Usages.
 func (f runFinder) Usage(ctx context.Context, run record.RunID) (tokens int64, known bool) {
-	longest, ok := longestOf(f.ask(ctx, run))
+	longest, ok := longestAnswer(f.queryEngines(ctx, run))
 	if !ok || !longest.state.Done {
 		return 0, false
 	}
@@ -40,32 +42,32 @@
 
 // Find implements run.Finder.
 func (f runFinder) Find(ctx context.Context, run record.RunID) (name string, ok bool) {
-	longest, ok := longestOf(f.ask(ctx, run))
+	longest, ok := longestAnswer(f.queryEngines(ctx, run))
 	return longest.engine, ok
 }
 
-func (f runFinder) ask(ctx context.Context, run record.RunID) []*found {
-	var asked errgroup.Group
-	asked.SetLimit(askAtOnce)
+func (f runFinder) queryEngines(ctx context.Context, run record.RunID) []*engineRun {
+	var group errgroup.Group
+	group.SetLimit(maxConcurrentQueries)
 	rows := f.members.List().Endpoints
-	answers := make([]*found, len(rows))
+	answers := make([]*engineRun, len(rows))
 	for i, e := range rows {
 		if e.Service != "" {
 			continue
 		}
-		asked.Go(func() error {
+		group.Go(func() error {
 			if state, err := f.engines.State(ctx, e.URL, run); err == nil {
-				answers[i] = &found{engine: e.Name, state: state}
+				answers[i] = &engineRun{engine: e.Name, state: state}
 			}
 			return nil
 		})
 	}
-	_ = asked.Wait()
+	_ = group.Wait()
 	return answers
 }
 
-// longestOf returns the answer with the most tokens.
-func longestOf(answers []*found) (longest found, ok bool) {
+// longestAnswer returns the answer with the most tokens.
+func longestAnswer(answers []*engineRun) (longest engineRun, ok bool) {
 	for _, a := range answers {
 		if a != nil && (!ok || a.state.AnswerTokens() > longest.state.AnswerTokens()) {
 			longest, ok = *a, true
