--- a/internal/endpoint/counts.go
+++ b/internal/endpoint/counts.go
@@ -2,22 +2,25 @@
 
 import "sync/atomic"
 
-// Counters counts what the clients dropped and gave up since the start.
+// Counters counts mismatched responses and failed requests since the process
+// started. It is safe for concurrent use.
 type Counters struct {
-	// WrongRun answers were for another run, Late ones for an earlier attempt.
+	// WrongRun counts responses and events with another run's ID, StaleAttempt
+	// responses with the right run ID but another attempt's number.
 	WrongRun     atomic.Int64
 	StaleAttempt atomic.Int64
-	// DuplicateEvents events repeated a token; Gaps left one out.
+	// DuplicateEvents counts events that repeat a token, Gaps streams in which a
+	// token is missing, in the middle or at the end.
 	DuplicateEvents atomic.Int64
 	Gaps            atomic.Int64
-	// NoProgress and Lost count connections that were given up, Refused orders
-	// that surely did not run.
+	// NoProgress counts requests that timed out, Lost other failed requests that
+	// may have run, and Refused requests that did not run.
 	NoProgress atomic.Int64
 	Lost       atomic.Int64
 	Refused    atomic.Int64
 }
 
-// CounterValues is Counts at one time, for the state dump.
+// CounterValues holds the values of Counters at one time, for the state dump.
 type CounterValues struct {
 	WrongRun        int64 `json:"crossed"`
 	StaleAttempt    int64 `json:"late"`
@@ -28,7 +31,8 @@
 	Refused         int64 `json:"refused"`
 }
 
-// Snapshot returns the counts.
+// Snapshot returns the current values. They are read one by one, not atomically
+// as a whole.
 func (c *Counters) Snapshot() CounterValues {
 	return CounterValues{
 		WrongRun: c.WrongRun.Load(), StaleAttempt: c.StaleAttempt.Load(), DuplicateEvents: c.DuplicateEvents.Load(), Gaps: c.Gaps.Load(),
--- a/internal/endpoint/endpoint.go
+++ b/internal/endpoint/endpoint.go
@@ -1,10 +1,10 @@
-// Package endpoint has the clients of the endpoints: model engines and plain
-// services. Every answer is checked against the run and attempt that it is
-// for; what does not match is dropped and counted.
+// Package endpoint contains HTTP clients for model engines and plain services.
+// Each response is checked against the run and attempt of its request; a
+// mismatch is counted and returned as ErrMismatch.
 //
-// Each order and each call goes over a connection of its own, which is closed
-// with it: no pool can hand out a connection that has gone silent, and
-// net/http has nothing to send a second time by itself.
+// Each request uses a new connection, which is closed after the response. A
+// connection pool could hand out a connection that no longer carries data, and
+// net/http resends certain requests by itself when a reused connection fails.
 package endpoint
 
 import (
@@ -20,32 +20,39 @@
 	"guavapier/internal/record"
 )
 
-// Errors of endpoints. Callers compare them with errors.Is.
+// Errors returned by the clients. One error can match several of them; compare
+// with errors.Is.
 var (
-	// ErrRefused says that the order surely did not run by this attempt: no
-	// connection came about, or the endpoint itself said so with HeaderNotRun.
-	ErrRefused = eris.New("endpoint: refused")
-	// ErrLeaving is an ErrRefused of an endpoint that is leaving.
-	ErrLeaving = eris.New("endpoint: leaving")
-	// ErrUnreachable is an ErrRefused because no connection came about.
-	ErrUnreachable = eris.New("endpoint: unreachable")
-	// ErrRejected is an ErrRefused that every endpoint would give.
-	ErrRejected = eris.New("endpoint: order rejected")
-	// ErrRunNotFound is an ErrRefused of an endpoint that has no such run to resume.
+	// ErrRefused means that this attempt did not run: the request was never
+	// sent, or the endpoint confirmed with HeaderNotRun that it didn't run it.
+	ErrRefused = eris.New("endpoint: request refused, not run")
+	// ErrLeaving is an ErrRefused from an endpoint that is leaving the fleet.
+	ErrLeaving = eris.New("endpoint: endpoint is leaving")
+	// ErrUnreachable is an ErrRefused because no connection was established.
+	ErrUnreachable = eris.New("endpoint: connection not established")
+	// ErrRejected is an ErrRefused because the request is invalid. Every endpoint
+	// would return it.
+	ErrRejected = eris.New("endpoint: request rejected as invalid")
+	// ErrRunNotFound is an ErrRefused from an endpoint that doesn't have the run.
 	ErrRunNotFound = eris.New("endpoint: no such run")
-	// ErrLost says that the connection failed; the order may have run.
-	ErrLost = eris.New("endpoint: connection lost")
-	// ErrNoProgress says that nothing came for too long; the order may have run.
+	// ErrLost means that the request may have run, but its response is missing,
+	// incomplete or not the endpoint's own.
+	ErrLost = eris.New("endpoint: response lost, request may have run")
+	// ErrNoProgress means that the request timed out: the engine sent no byte for
+	// the idle timeout, or the plain service did not answer by the deadline. The
+	// request may have run.
 	ErrNoProgress = eris.New("endpoint: no progress")
-	// ErrMismatch says that an answer was for another run or attempt.
-	ErrMismatch = eris.New("endpoint: answer for another run")
-	// ErrGap says that tokens are missing from an answer.
-	ErrGap = eris.New("endpoint: tokens missing")
-	// ErrCancelled says that the run was cancelled at the endpoint.
+	// ErrMismatch means that a response or an event carries the ID of another run
+	// or the number of another attempt.
+	ErrMismatch = eris.New("endpoint: response for another run or attempt")
+	// ErrGap is an ErrLost because tokens are missing from the stream.
+	ErrGap = eris.New("endpoint: tokens missing from the stream")
+	// ErrCancelled means that the run was cancelled at the endpoint. It comes with
+	// ErrRefused if the run did not start, else with ErrLost.
 	ErrCancelled = eris.New("endpoint: run cancelled")
 )
 
-// The headers between guavapier and its endpoints.
+// HTTP headers exchanged with endpoints.
 const (
 	HeaderRunID        = "X-Run-Id"
 	HeaderAttempt      = "X-Attempt"
@@ -53,43 +60,46 @@
 	HeaderResumeOnly   = "X-Resume-Only"
 	HeaderPriority     = "X-Priority"
 	HeaderFencingToken = "X-Fencing-Token"
-	// HeaderNotRun marks a refusal that is the endpoint's own word that the
-	// order did not run. A proxy's 503 has no such mark.
+	// HeaderNotRun is "true" in an error response by which the endpoint confirms
+	// that it did not run the request. A proxy's 503 does not have it.
 	HeaderNotRun = "X-Not-Run"
-	// HeaderHeartbeat announces the time between the comments that the
-	// endpoint sends while there are no tokens, in milliseconds.
+	// HeaderHeartbeat is the interval, in milliseconds, at which the engine sends
+	// comments while it has no tokens to send.
 	HeaderHeartbeat = "X-Heartbeat-Ms"
 )
 
-// RunRequest asks an engine to run a request.
+// RunRequest asks an engine to start or resume a run.
 type RunRequest struct {
 	Run      record.RunID
 	Attempt  int
 	Priority int
-	// ResumeFrom is the number of tokens that the caller already has: the engine
-	// resumes the run, or goes on from Prior, after them.
+	// ResumeFrom is the number of tokens that the caller already has. The engine
+	// resumes the run after them, or continues from PriorText.
 	ResumeFrom int
-	// PriorText holds those tokens' text, for an engine that has no such run.
+	// PriorText is the text of those tokens, for an engine that doesn't have the
+	// run.
 	PriorText string
-	// ResumeOnly forbids the engine to begin a run: it has it, or ErrNoRun.
+	// ResumeOnly forbids the engine to start a run. Start returns ErrRunNotFound
+	// if the engine doesn't have it.
 	ResumeOnly bool
 	Model      string
 	Messages   json.RawMessage
-	// ExtraFields are further fields of the order's body. They never replace those
-	// that the client sets.
+	// ExtraFields are additional top-level fields of the JSON body. They don't
+	// override the fields that the client sets itself.
 	ExtraFields map[string]json.RawMessage
 	MaxTokens   int
 }
 
-// Token is one generated token. Index counts from 0 over the whole run.
+// Token is one generated token. Index is its position in the run's answer,
+// starting at 0.
 type Token struct {
 	Index int
 	Text  string
 }
 
-// Usage counts tokens as the engine reports them. Completion counts those
-// generated at this engine, Prior those taken over from another one; their sum
-// is the length of the answer.
+// Usage is the token usage that an engine reports. Completion counts the tokens
+// generated by this engine, Prior those continued from another engine's run;
+// their sum is the length of the answer.
 type Usage struct {
 	Prompt     int64 `json:"prompt_tokens"`
 	Completion int64 `json:"completion_tokens"`
@@ -97,52 +107,57 @@
 	Prior      int64 `json:"prior_tokens"`
 }
 
-// AnswerTokens returns the tokens of the whole answer.
+// AnswerTokens returns the number of tokens in the complete answer.
 func (u Usage) AnswerTokens() int64 { return u.Completion + u.Prior }
 
-// Stream is the running answer to an Order. It is not safe for concurrent use.
+// Stream reads the answer to a RunRequest token by token. It is not safe for
+// concurrent use.
 type Stream interface {
-	// Next returns the next token. Whole tells the end of a whole answer from a
-	// failure.
+	// Next returns the next token. At the end of a complete answer it returns
+	// io.EOF; after a failure, an error for which IsComplete is false.
 	Next() (Token, error)
-	// Usage and Finish are valid after io.EOF.
+	// Usage returns the token usage and Finish the finish reason. Both are valid
+	// after io.EOF.
 	Usage() Usage
 	Finish() string
 	Close() error
 }
 
-// IsComplete says whether an error of Next is the end of a whole answer.
+// IsComplete reports whether an error of Next marks the end of a complete answer.
 func IsComplete(err error) bool { return errors.Is(err, io.EOF) && !errors.Is(err, ErrLost) }
 
-// RunState is what an engine says about a run.
+// RunState is the state of a run that an engine reports.
 type RunState struct {
 	Usage
 	Done   bool   `json:"done"`
 	Finish string `json:"finish_reason"`
 }
 
-// Engines starts, resumes and cancels runs on engines, addressed by base URL.
+// Engines is a client for model engines, addressed by base URL.
 type Engines interface {
+	// Start starts or resumes a run. Cancelling ctx closes the stream.
 	Start(ctx context.Context, base string, req RunRequest) (Stream, error)
-	// Cancel stops a run's attempts up to and including one, also those whose
-	// order has not arrived yet. A later attempt may still go on from its tokens.
+	// Cancel stops a run's attempts up to and including the given one, also those
+	// whose request has not arrived yet. A later attempt may still resume the run.
 	Cancel(ctx context.Context, base string, run record.RunID, attempt int) error
-	// State asks for a run's usage; ErrNoRun if the engine has no such run.
+	// State returns a run's state, or ErrRunNotFound if the engine doesn't have
+	// the run.
 	State(ctx context.Context, base string, run record.RunID) (RunState, error)
 }
 
-// Options bound the time that an endpoint may take.
+// Options configures the clients.
 type Options struct {
-	// DialTLS dials https addresses; nil is the client's own way.
+	// DialTLS dials https addresses. If nil, net/http dials them.
 	DialTLS func(ctx context.Context, network, address string) (net.Conn, error)
-	// ConnectTimeout bounds the making of a connection.
+	// ConnectTimeout bounds the TCP connect and, separately, the TLS handshake. It
+	// does not apply to DialTLS, which must have its own bounds.
 	ConnectTimeout time.Duration
-	// IdleTimeout is how long an open stream may bring nothing, not even a
-	// comment, before it is given up. An endpoint that announces heartbeats is
-	// given up after a few missed ones if that is sooner.
+	// IdleTimeout is the longest time that an engine may send nothing, not even a
+	// comment, before the request fails with ErrNoProgress. For an engine that
+	// announces heartbeats the bound is three heartbeat intervals if that is less.
 	IdleTimeout time.Duration
-	// ControlTimeout bounds each short call: cancel, state, load.
+	// ControlTimeout bounds each cancel, state and load request.
 	ControlTimeout time.Duration
-	// MaxAnswerBytes bounds a plain service's answer.
+	// MaxAnswerBytes bounds the body of a plain service's response.
 	MaxAnswerBytes int64
 }
--- a/internal/endpoint/engine.go
+++ b/internal/endpoint/engine.go
@@ -14,8 +14,8 @@
 	"guavapier/internal/record"
 )
 
-// HTTPEngines is Engines over HTTP in the shape of OpenAI's chat completions.
-// It is safe for concurrent use.
+// HTTPEngines implements Engines over HTTP with the format of OpenAI's chat
+// completions API. It is safe for concurrent use.
 type HTTPEngines struct {
 	client *http.Client
 	opts   Options
@@ -24,7 +24,7 @@
 
 var _ Engines = (*HTTPEngines)(nil)
 
-// NewHTTPEngines returns an Engines client that counts into counts.
+// NewHTTPEngines returns a client that records failures in counts.
 func NewHTTPEngines(o Options, counts *Counters) *HTTPEngines {
 	return &HTTPEngines{client: newClient(o), opts: o, counts: counts}
 }
@@ -80,7 +80,7 @@
 func newStartRequest(ctx context.Context, base string, runReq RunRequest) (*http.Request, error) {
 	body, err := json.Marshal(requestBody(runReq))
 	if err != nil {
-		return nil, eris.Wrap(errors.Join(ErrRefused, ErrRejected, err), "endpoint: encode order")
+		return nil, eris.Wrap(errors.Join(ErrRefused, ErrRejected, err), "endpoint: encode request body")
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, base+"/v1/chat/completions", nil)
 	if err != nil {
@@ -105,26 +105,29 @@
 	return checkIdentity(resp, runReq.Run, runReq.Attempt, h.counts)
 }
 
-// checkIdentity compares an answer's run and attempt with those it is for.
+// checkIdentity compares a response's run and attempt with those of its request.
+// It returns ErrLost if the response has no run ID, else ErrMismatch if they
+// differ.
 func checkIdentity(resp *http.Response, run record.RunID, attempt int, counts *Counters) error {
 	got := resp.Header.Get(HeaderRunID)
 	if got == "" {
-		return eris.Wrapf(ErrLost, "endpoint: status %d without a run id", resp.StatusCode)
+		return eris.Wrapf(ErrLost, "endpoint: status %d without an X-Run-Id header", resp.StatusCode)
 	}
 	if got != string(run) {
 		counts.WrongRun.Add(1)
-		return eris.Wrapf(ErrMismatch, "endpoint: run %q", got)
+		return eris.Wrapf(ErrMismatch, "endpoint: response carries run ID %q", got)
 	}
 	if got := resp.Header.Get(HeaderAttempt); got != strconv.Itoa(attempt) {
 		counts.StaleAttempt.Add(1)
-		return eris.Wrapf(ErrMismatch, "endpoint: attempt %q", got)
+		return eris.Wrapf(ErrMismatch, "endpoint: response carries attempt %q", got)
 	}
 	return nil
 }
 
 func (h *HTTPEngines) countError(err error) { h.counts.countError(err) }
 
-// countError counts an error of one request.
+// countError increments the counter for a request's error, if it has one. Mismatches
+// and gaps are counted where they are detected.
 func (c *Counters) countError(err error) {
 	switch {
 	case errors.Is(err, ErrNoProgress):
@@ -160,7 +163,8 @@
 	return state, nil
 }
 
-// Load is an endpoint's own, lagging word about its load.
+// Load is the load that an endpoint reports about itself. AgeMs is the age of
+// the report in milliseconds.
 type Load struct {
 	Running int   `json:"running"`
 	Queued  int   `json:"queued"`
@@ -168,7 +172,7 @@
 	AgeMs   int64 `json:"age_ms"`
 }
 
-// Load asks an engine or a plain service for its load.
+// Load returns the load report of an engine or a plain service.
 func (h *HTTPEngines) Load(ctx context.Context, base string) (Load, error) {
 	var load Load
 	status, err := h.doControl(ctx, http.MethodGet, base+"/load", &load)
@@ -178,9 +182,11 @@
 	return load, err
 }
 
+// maxControlResponseBytes bounds the body of a response to doControl.
 const maxControlResponseBytes = 1 << 20
 
-// doControl makes a short call and decodes a 200 answer into out.
+// doControl sends a request without a body, bounded by ControlTimeout. It decodes
+// the JSON body of a 200 response into out, unless out is nil.
 func (h *HTTPEngines) doControl(ctx context.Context, method, url string, out any) (status int, err error) {
 	ctx, cancel := context.WithTimeout(ctx, h.opts.ControlTimeout)
 	defer cancel()
@@ -198,7 +204,7 @@
 	}
 	dec := json.NewDecoder(http.MaxBytesReader(nil, resp.Body, maxControlResponseBytes))
 	if err := dec.Decode(out); err != nil {
-		return resp.StatusCode, eris.Wrap(errors.Join(ErrLost, err), "endpoint: decode")
+		return resp.StatusCode, eris.Wrap(errors.Join(ErrLost, err), "endpoint: decode control response")
 	}
 	return resp.StatusCode, nil
 }
--- a/internal/endpoint/engine_test.go
+++ b/internal/endpoint/engine_test.go
@@ -24,16 +24,18 @@
 	return Options{ConnectTimeout: time.Second, IdleTimeout: testIdleTimeout, ControlTimeout: 5 * time.Second, MaxAnswerBytes: 1 << 10}
 }
 
-// contentEvent is a content event; closing a closing event, of run r1.
+// contentEvent returns a content event of run r1 with the given event id.
 func contentEvent(id any, text string) string {
 	return fmt.Sprintf("id: %v\ndata: {\"id\":\"r1\",\"choices\":[{\"delta\":{\"content\":%q}}]}\n\n", id, text)
 }
 
+// closingEvents returns the last events of run r1: finish reason and usage, then
+// [DONE].
 func closingEvents(finish string, completion int) string {
 	return fmt.Sprintf("data: {\"id\":\"r1\",\"choices\":[{\"delta\":{},\"finish_reason\":%q}],\"usage\":{\"completion_tokens\":%d}}\n\ndata: [DONE]\n\n", finish, completion)
 }
 
-// respondWith returns a handler that writes head and events as r1, attempt 1.
+// respondWith returns a handler that writes the events as run r1, attempt 1.
 func respondWith(events ...string) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set(HeaderRunID, "r1")
@@ -42,6 +44,8 @@
 	}
 }
 
+// respondStatus returns a handler that responds with an error status and the
+// given value of HeaderNotRun.
 func respondStatus(code int, notRun string) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set(HeaderNotRun, notRun)
@@ -49,13 +53,13 @@
 	}
 }
 
-// neverRespond answers nothing until the client is gone.
+// neverRespond reads the request and blocks until the client disconnects.
 func neverRespond(_ http.ResponseWriter, r *http.Request) {
 	_, _ = io.Copy(io.Discard, r.Body)
 	<-r.Context().Done()
 }
 
-// readAnswer starts an order of run r1 and reads its answer to the end.
+// readAnswer starts run r1, attempt 1, and reads its answer to the end.
 func readAnswer(base string, counts *Counters) (text string, err error) {
 	h := NewHTTPEngines(testOptions(), counts)
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
@@ -83,33 +87,33 @@
 		counts  CounterValues
 	}{
 		"whole": {respondWith(contentEvent(1, "a"), ": ping\n\n", contentEvent(2, "b"), closingEvents("stop", 2)), "ab", io.EOF, ErrLost, CounterValues{}},
-		"crossed head": {func(w http.ResponseWriter, _ *http.Request) {
+		"wrong run in the header": {func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set(HeaderRunID, "r2")
 			w.Header().Set(HeaderAttempt, "1")
 		}, "", ErrMismatch, ErrRefused, CounterValues{WrongRun: 1}},
-		"late attempt": {func(w http.ResponseWriter, _ *http.Request) {
+		"wrong attempt in the header": {func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set(HeaderRunID, "r1")
 			w.Header().Set(HeaderAttempt, "7")
 		}, "", ErrMismatch, ErrRefused, CounterValues{StaleAttempt: 1}},
-		"crossed event": {
+		"wrong run in an event": {
 			respondWith(contentEvent(1, "a"), strings.Replace(contentEvent(2, "b"), "r1", "r2", 1), closingEvents("stop", 2)),
 			"a", ErrMismatch, io.EOF, CounterValues{WrongRun: 1},
 		},
-		"repeat": {respondWith(contentEvent(1, "a"), contentEvent(1, "a"), contentEvent(2, "b"), closingEvents("stop", 2)), "ab", io.EOF, ErrLost, CounterValues{DuplicateEvents: 1}},
-		"gap":    {respondWith(contentEvent(1, "a"), contentEvent(3, "c"), closingEvents("stop", 3)), "a", ErrGap, io.EOF, CounterValues{Gaps: 1, Lost: 1}},
+		"repeated event": {respondWith(contentEvent(1, "a"), contentEvent(1, "a"), contentEvent(2, "b"), closingEvents("stop", 2)), "ab", io.EOF, ErrLost, CounterValues{DuplicateEvents: 1}},
+		"gap":            {respondWith(contentEvent(1, "a"), contentEvent(3, "c"), closingEvents("stop", 3)), "a", ErrGap, io.EOF, CounterValues{Gaps: 1, Lost: 1}},
 		"gap at the end": {
 			respondWith(contentEvent(1, "a"), closingEvents("stop", 2)), "a", ErrGap, io.EOF, CounterValues{Gaps: 1, Lost: 1},
 		},
-		"no number":   {respondWith(contentEvent("", "a"), closingEvents("stop", 1)), "", ErrLost, io.EOF, CounterValues{Lost: 1}},
-		"no closing":  {respondWith(contentEvent(1, "a")), "a", ErrLost, io.EOF, CounterValues{Lost: 1}},
-		"no finish":   {respondWith(contentEvent(1, "a"), "data: [DONE]\n\n"), "a", ErrLost, io.EOF, CounterValues{Lost: 1}},
-		"cancelled":   {respondWith(contentEvent(1, "a"), closingEvents("cancelled", 1)), "a", ErrCancelled, io.EOF, CounterValues{Lost: 1}},
-		"own leaving": {respondStatus(503, "true"), "", ErrLeaving, ErrLost, CounterValues{Refused: 1}},
-		"own refusal": {respondStatus(429, "true"), "", ErrRefused, ErrLeaving, CounterValues{Refused: 1}},
-		"rejected":    {respondStatus(400, "true"), "", ErrRejected, ErrLost, CounterValues{Refused: 1}},
-		"no run":      {respondStatus(404, "true"), "", ErrRunNotFound, ErrLost, CounterValues{Refused: 1}},
-		"proxy's 503": {respondStatus(503, ""), "", ErrLost, ErrRefused, CounterValues{Lost: 1}},
-		"proxy's 429": {respondStatus(429, ""), "", ErrLost, ErrRefused, CounterValues{Lost: 1}},
+		"no event id":      {respondWith(contentEvent("", "a"), closingEvents("stop", 1)), "", ErrLost, io.EOF, CounterValues{Lost: 1}},
+		"no [DONE] event":  {respondWith(contentEvent(1, "a")), "a", ErrLost, io.EOF, CounterValues{Lost: 1}},
+		"no finish reason": {respondWith(contentEvent(1, "a"), "data: [DONE]\n\n"), "a", ErrLost, io.EOF, CounterValues{Lost: 1}},
+		"cancelled":        {respondWith(contentEvent(1, "a"), closingEvents("cancelled", 1)), "a", ErrCancelled, io.EOF, CounterValues{Lost: 1}},
+		"endpoint's 503":   {respondStatus(503, "true"), "", ErrLeaving, ErrLost, CounterValues{Refused: 1}},
+		"endpoint's 429":   {respondStatus(429, "true"), "", ErrRefused, ErrLeaving, CounterValues{Refused: 1}},
+		"endpoint's 400":   {respondStatus(400, "true"), "", ErrRejected, ErrLost, CounterValues{Refused: 1}},
+		"endpoint's 404":   {respondStatus(404, "true"), "", ErrRunNotFound, ErrLost, CounterValues{Refused: 1}},
+		"proxy's 503":      {respondStatus(503, ""), "", ErrLost, ErrRefused, CounterValues{Lost: 1}},
+		"proxy's 429":      {respondStatus(429, ""), "", ErrLost, ErrRefused, CounterValues{Lost: 1}},
 		"redirect": {func(w http.ResponseWriter, r *http.Request) {
 			if r.URL.Path == "/elsewhere" {
 				respondWith(contentEvent(1, "a"), closingEvents("stop", 1))(w, r)
@@ -117,13 +121,13 @@
 			}
 			http.Redirect(w, r, "/elsewhere", http.StatusFound)
 		}, "", ErrLost, io.EOF, CounterValues{Lost: 1}},
-		"silent from start": {neverRespond, "", ErrNoProgress, ErrRefused, CounterValues{NoProgress: 1}},
-		"silent in between": {func(w http.ResponseWriter, r *http.Request) {
+		"no response": {neverRespond, "", ErrNoProgress, ErrRefused, CounterValues{NoProgress: 1}},
+		"no data after the first token": {func(w http.ResponseWriter, r *http.Request) {
 			respondWith(contentEvent(1, "a"))(w, r)
 			_ = http.NewResponseController(w).Flush()
 			neverRespond(w, r)
 		}, "a", ErrNoProgress, ErrRefused, CounterValues{NoProgress: 1}},
-		"lost": {func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, "", ErrLost, ErrRefused, CounterValues{Lost: 1}},
+		"connection closed without a response": {func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, "", ErrLost, ErrRefused, CounterValues{Lost: 1}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			server := httptest.NewServer(c.handler)
@@ -161,7 +165,8 @@
 			fmt.Fprint(w, closingEvents("stop", 1))
 		}
 	}
-	// More than the silence that is allowed, but never without a comment.
+	// The stream stays open for about three idle timeouts but sends a comment
+	// every 40 ms.
 	server := httptest.NewServer(sendHeartbeats(3 * int(testIdleTimeout/(40*time.Millisecond))))
 	defer server.Close()
 	if text, err := readAnswer(server.URL, &Counters{}); text != "a" || !errors.Is(err, io.EOF) {
@@ -169,8 +174,9 @@
 	}
 }
 
-// startHangUpServer accepts connections, answers the first request on each, and closes
-// the connection as soon as it has read a second one. It counts requests.
+// startHangUpServer starts a server that responds to the first request on each
+// connection, and closes the connection without a response after it has read a
+// second one. requests returns the number of requests received.
 func startHangUpServer(t *testing.T) (base string, requests func() int) {
 	t.Helper()
 	seen := make(chan struct{}, 100)
@@ -203,8 +209,9 @@
 	return "http://" + l.Addr().String(), func() int { return len(seen) }
 }
 
-// TestNothingIsReplayed sends two calls; the endpoint hangs up on the second
-// one if it comes over the first one's connection.
+// net/http resends a request by itself if a reused connection fails. A call must
+// not be sent twice that way: calls use separate connections, and a request made
+// with setNonReplayableBody isn't resent on a reused one either.
 func TestNothingIsReplayed(t *testing.T) {
 	pooled := &http.Client{Transport: &http.Transport{}}
 	defer pooled.CloseIdleConnections()
@@ -220,7 +227,7 @@
 		}
 		return err
 	}
-	// The checker itself: net/http replays a plain GET, so 3 requests arrive.
+	// Check of the test itself: net/http replays a plain GET, so 3 requests arrive.
 	base, requests := startHangUpServer(t)
 	if first, second := get(base, false), get(base, false); first != nil || second != nil || requests() != 3 {
 		t.Fatalf("net/http no longer replays: %v, %v, %d requests", first, second, requests())
--- a/internal/endpoint/poller.go
+++ b/internal/endpoint/poller.go
@@ -7,37 +7,37 @@
 	"time"
 )
 
-// Target is an endpoint whose load is asked for.
+// Target is an endpoint whose load is polled. URL is its base URL.
 type Target struct {
 	Name string
 	URL  string
 }
 
-// Loader asks an endpoint for its load; see HTTPEngines.
+// Loader requests an endpoint's load report. HTTPEngines implements it.
 type Loader interface {
 	Load(ctx context.Context, base string) (Load, error)
 }
 
-// Poller asks every endpoint for its load, each on its own time. A silent
-// endpoint delays no other one's report.
+// Poller polls the load of all endpoints, each in its own goroutine, so that an
+// endpoint that doesn't respond doesn't delay the others.
 type Poller struct {
 	Loader Loader
-	// Targets returns the endpoints to ask now.
+	// Targets returns the endpoints to poll. It is called repeatedly.
 	Targets func() []Target
-	// Report takes each answer. An endpoint that does not answer gets none, so
-	// its last report grows old.
+	// Report is called with each load report. It isn't called for a failed poll,
+	// so the endpoint's last report becomes stale.
 	Report func(name string, load Load)
-	// Interval is the mean time between two questions to one endpoint. Each pause
-	// is drawn within half of it to either side, so that the instances that
-	// poll the same endpoint do not fall into step.
+	// Interval is the mean pause between two polls of one endpoint. Each pause is
+	// drawn uniformly from 50 to 150 per cent of it, so that the instances that
+	// poll the same endpoint do not synchronise.
 	Interval time.Duration
-	// MaxRequestsPerSecond bounds the questions of this instance to all endpoints
-	// together; with many endpoints each is asked less often. A question and
-	// its answer take about 400 bytes on the wire.
+	// MaxRequestsPerSecond bounds the rate of polls to all endpoints together.
+	// With many endpoints each is polled less often than Interval. A poll takes
+	// about 400 bytes on the wire, request and response together.
 	MaxRequestsPerSecond float64
 }
 
-// Run polls until ctx ends and all questions have ended.
+// Run polls until ctx is done. It returns after all polls have ended.
 func (p *Poller) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
@@ -55,13 +55,14 @@
 	}
 }
 
-// meanInterval returns the mean time between two questions to one of n endpoints.
+// meanInterval returns the mean pause between two polls of one of n endpoints.
 func (p *Poller) meanInterval(n int) time.Duration {
 	rateLimited := time.Duration(float64(n) / p.MaxRequestsPerSecond * float64(time.Second))
 	return max(p.Interval, rateLimited)
 }
 
-// updateTargets starts a poll of each new target and stops those of targets gone.
+// updateTargets starts polling new targets and stops polling removed ones. polls
+// maps a target's name and URL to the function that stops its polling.
 func (p *Poller) updateTargets(ctx context.Context, wg *sync.WaitGroup, polls map[string]context.CancelFunc) {
 	listed := map[string]bool{}
 	for _, target := range p.Targets() {
@@ -94,6 +95,7 @@
 	}
 }
 
+// sleep waits for d and reports whether it elapsed before ctx was done.
 func sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/endpoint/service.go
+++ b/internal/endpoint/service.go
@@ -13,7 +13,8 @@
 	"guavapier/internal/record"
 )
 
-// Call is one call of a plain service.
+// Call is one HTTP request to a plain service. Path is appended to the base URL
+// and may contain a query.
 type Call struct {
 	Run         record.RunID
 	Attempt     int
@@ -23,21 +24,21 @@
 	Body        []byte
 }
 
-// Answer is a plain service's whole answer.
+// Answer is a plain service's complete response.
 type Answer struct {
 	Status      int
 	ContentType string
 	Body        []byte
 }
 
-// Services calls plain services, addressed by base URL.
+// Services is a client for plain services, addressed by base URL.
 type Services interface {
-	// Call returns the whole answer. ErrRefused says that the call did not
-	// run; every other error leaves that open.
+	// Call returns the complete response. With ErrRefused the call did not run;
+	// with any other error it may have run.
 	Call(ctx context.Context, base string, call Call) (Answer, error)
 }
 
-// HTTPServices is Services over HTTP. It is safe for concurrent use.
+// HTTPServices implements Services over HTTP. It is safe for concurrent use.
 type HTTPServices struct {
 	client *http.Client
 	opts   Options
@@ -46,12 +47,13 @@
 
 var _ Services = (*HTTPServices)(nil)
 
-// NewHTTPServices returns a Services client that counts into counts.
+// NewHTTPServices returns a client that records failures in counts.
 func NewHTTPServices(o Options, counts *Counters) *HTTPServices {
 	return &HTTPServices{client: newClient(o), opts: o, counts: counts}
 }
 
-// Call implements Services. ctx bounds the wait for the answer.
+// Call implements Services. Only ctx bounds the time until the response is
+// complete; its deadline causes ErrNoProgress.
 func (h *HTTPServices) Call(ctx context.Context, base string, call Call) (Answer, error) {
 	answer, err := h.call(ctx, base, call)
 	if err != nil && errors.Is(ctx.Err(), context.DeadlineExceeded) {
@@ -64,7 +66,7 @@
 func (h *HTTPServices) call(ctx context.Context, base string, call Call) (Answer, error) {
 	req, err := http.NewRequestWithContext(ctx, call.Method, base+call.Path, nil)
 	if err != nil {
-		return Answer{}, eris.Wrap(errors.Join(ErrRefused, ErrRejected, err), "endpoint: build call")
+		return Answer{}, eris.Wrap(errors.Join(ErrRefused, ErrRejected, err), "endpoint: build service call")
 	}
 	setNonReplayableBody(req, bytes.NewReader(call.Body), int64(len(call.Body)))
 	req.Header.Set("Content-Type", call.ContentType)
@@ -87,10 +89,10 @@
 func (h *HTTPServices) readAnswer(resp *http.Response) (Answer, error) {
 	body, err := io.ReadAll(io.LimitReader(resp.Body, h.opts.MaxAnswerBytes+1))
 	if err != nil {
-		return Answer{}, eris.Wrap(errors.Join(ErrLost, err), "endpoint: read answer")
+		return Answer{}, eris.Wrap(errors.Join(ErrLost, err), "endpoint: read response body")
 	}
 	if int64(len(body)) > h.opts.MaxAnswerBytes {
-		return Answer{}, eris.Wrap(ErrLost, "endpoint: answer too large")
+		return Answer{}, eris.Wrap(ErrLost, "endpoint: response body exceeds the size limit")
 	}
 	return Answer{Status: resp.StatusCode, ContentType: resp.Header.Get("Content-Type"), Body: body}, nil
 }
--- a/internal/endpoint/service_test.go
+++ b/internal/endpoint/service_test.go
@@ -15,13 +15,13 @@
 		handler http.HandlerFunc
 		is, not error
 	}{
-		"own answer":     {respondWith("ok"), nil, ErrLost},
-		"crossed":        {func(w http.ResponseWriter, _ *http.Request) { w.Header().Set(HeaderRunID, "r2") }, ErrMismatch, ErrRefused},
-		"too large":      {respondWith(strings.Repeat("x", 1<<10+1)), ErrLost, ErrRefused},
-		"own leaving":    {respondStatus(503, "true"), ErrLeaving, ErrLost},
-		"proxy's 503":    {respondStatus(503, ""), ErrLost, ErrRefused},
-		"lost after run": {func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, ErrLost, ErrRefused},
-		"silent":         {neverRespond, ErrNoProgress, ErrRefused},
+		"complete":                             {respondWith("ok"), nil, ErrLost},
+		"wrong run":                            {func(w http.ResponseWriter, _ *http.Request) { w.Header().Set(HeaderRunID, "r2") }, ErrMismatch, ErrRefused},
+		"too large":                            {respondWith(strings.Repeat("x", 1<<10+1)), ErrLost, ErrRefused},
+		"endpoint's 503":                       {respondStatus(503, "true"), ErrLeaving, ErrLost},
+		"proxy's 503":                          {respondStatus(503, ""), ErrLost, ErrRefused},
+		"connection closed without a response": {func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, ErrLost, ErrRefused},
+		"no response":                          {neverRespond, ErrNoProgress, ErrRefused},
 	} {
 		t.Run(name, func(t *testing.T) {
 			server := httptest.NewServer(c.handler)
@@ -36,8 +36,9 @@
 	}
 }
 
-// TestLongAnswerOfAServerThatDoesNotReadTheBody wants it whole: such a server,
-// told that the connection ends, would reset it with half the answer under way.
+// The request must not announce the end of the connection: a server that has not
+// read the request body would then reset the connection after its response, and
+// the part of a long response still in transit would be lost.
 func TestLongAnswerOfAServerThatDoesNotReadTheBody(t *testing.T) {
 	const size = 4 << 20
 	server := httptest.NewServer(respondWith(strings.Repeat("x", size)))
@@ -54,7 +55,7 @@
 	}
 }
 
-// fakeLoader answers each base URL in its own way.
+// fakeLoader implements Loader with one function per base URL.
 type fakeLoader map[string]func(ctx context.Context) (Load, error)
 
 func (l fakeLoader) Load(ctx context.Context, base string) (Load, error) { return l[base](ctx) }
@@ -76,12 +77,12 @@
 	go func() { p.Run(ctx); close(ended) }()
 	for range 3 {
 		if name := <-reports; name != "q" {
-			t.Fatalf("report of %s", name)
+			t.Fatalf("report of %s, want only q", name)
 		}
 	}
 	cancel()
 	<-ended
 	if interval := (&Poller{Interval: time.Second, MaxRequestsPerSecond: 10}).meanInterval(640); interval != 64*time.Second {
-		t.Fatalf("640 endpoints are asked every %v", interval)
+		t.Fatalf("640 endpoints are polled every %v, want 64s", interval)
 	}
 }
--- a/internal/endpoint/stream.go
+++ b/internal/endpoint/stream.go
@@ -12,7 +12,7 @@
 	"github.com/rotisserie/eris"
 )
 
-// maxEventLineBytes bounds one line of an engine's stream.
+// maxEventLineBytes bounds one line of an engine's event stream.
 const maxEventLineBytes = 1 << 20
 
 const (
@@ -22,8 +22,8 @@
 	finishCancelled = "cancelled"
 )
 
-// sseStream reads an engine's server-sent events. Content events are numbered
-// from 1 by their id; each number is taken once, in order.
+// sseStream implements Stream over an engine's server-sent events. The ids of
+// content events count from 1 over the run; each is accepted once, in order.
 type sseStream struct {
 	ctx          context.Context
 	body         io.ReadCloser
@@ -32,8 +32,8 @@
 	idleWatchdog *watchdog
 	client       *HTTPEngines
 
-	nextIndex    int // Index of the next token.
-	eventID      string
+	nextIndex    int    // Index of the next token; equals the number of tokens before it.
+	eventID      string // The id of the event being read; empty if it has none so far.
 	usage        Usage
 	finishReason string
 }
@@ -44,6 +44,7 @@
 	return &sseStream{ctx: ctx, body: body, lines: lines, runReq: runReq, idleWatchdog: idleWatchdog, client: client, nextIndex: runReq.ResumeFrom}
 }
 
+// engineChunk is the JSON data of one event.
 type engineChunk struct {
 	ID      string `json:"id"`
 	Choices []struct {
@@ -65,6 +66,8 @@
 	return token, err
 }
 
+// read returns the next token, or io.EOF after the [DONE] event of a complete
+// answer. Each line resets the watchdog, so comments count as progress.
 func (s *sseStream) read() (Token, error) {
 	for s.lines.Scan() {
 		s.idleWatchdog.reset()
@@ -75,7 +78,7 @@
 		}
 		data, ok := strings.CutPrefix(line, dataPrefix)
 		if !ok {
-			continue // A comment, a blank line or a field without use here.
+			continue // A comment, a blank line or an unused field.
 		}
 		data = strings.TrimSpace(data)
 		if data == doneEvent {
@@ -86,10 +89,11 @@
 			return token, err
 		}
 	}
-	return Token{}, eris.Wrap(errors.Join(ErrLost, s.lines.Err()), "endpoint: stream ended without its closing event")
+	return Token{}, eris.Wrap(errors.Join(ErrLost, s.lines.Err()), "endpoint: stream ended without a [DONE] event")
 }
 
-// parseEvent takes one parseEvent; ok says that it brought the next token.
+// parseEvent processes the data of one event. ok reports whether it contained the
+// next token.
 func (s *sseStream) parseEvent(data string) (token Token, ok bool, err error) {
 	id := s.eventID
 	s.eventID = ""
@@ -99,7 +103,7 @@
 	}
 	if c.ID != string(s.runReq.Run) {
 		s.client.counts.WrongRun.Add(1)
-		return Token{}, false, eris.Wrapf(ErrMismatch, "endpoint: event of run %q", c.ID)
+		return Token{}, false, eris.Wrapf(ErrMismatch, "endpoint: event carries run ID %q", c.ID)
 	}
 	if c.Usage != nil {
 		s.usage = *c.Usage
@@ -116,34 +120,36 @@
 	return s.acceptContent(id, c.Choices[0].Delta.Content)
 }
 
-// acceptContent checks a content event's acceptContent: a repeat is dropped, a gap is an
-// error, for what is missing can only come from another connection.
+// acceptContent checks the id of a content event. A repeated event is dropped. A
+// gap is an error, since the missing tokens can only be read by resuming the run
+// on another connection.
 func (s *sseStream) acceptContent(id, text string) (token Token, ok bool, err error) {
 	n, err := strconv.Atoi(id)
 	switch {
 	case err != nil:
-		return Token{}, false, eris.Wrapf(ErrLost, "endpoint: event number %q", id)
+		return Token{}, false, eris.Wrapf(ErrLost, "endpoint: invalid event id %q", id)
 	case n <= s.nextIndex:
 		s.client.counts.DuplicateEvents.Add(1)
 		return Token{}, false, nil
 	case n > s.nextIndex+1:
 		s.client.counts.Gaps.Add(1)
-		return Token{}, false, eris.Wrapf(errors.Join(ErrLost, ErrGap), "endpoint: event %d after %d", n, s.nextIndex)
+		return Token{}, false, eris.Wrapf(errors.Join(ErrLost, ErrGap), "endpoint: event %d follows event %d", n, s.nextIndex)
 	}
 	s.nextIndex = n
 	return Token{Index: n - 1, Text: text}, true, nil
 }
 
-// checkComplete checks that the closing event stands at the end of a whole answer.
+// checkComplete checks, at the [DONE] event, that the answer was neither cancelled
+// nor cut short. It returns io.EOF for a complete answer.
 func (s *sseStream) checkComplete() error {
 	switch {
 	case s.finishReason == finishCancelled:
-		return eris.Wrap(errors.Join(ErrLost, ErrCancelled), "endpoint: closing event")
+		return eris.Wrap(errors.Join(ErrLost, ErrCancelled), "endpoint: stream closed by a cancellation")
 	case s.finishReason == "":
-		return eris.Wrap(ErrLost, "endpoint: no finish reason")
+		return eris.Wrap(ErrLost, "endpoint: [DONE] event without a finish reason")
 	case s.usage.AnswerTokens() != int64(s.nextIndex):
 		s.client.counts.Gaps.Add(1)
-		return eris.Wrapf(errors.Join(ErrLost, ErrGap), "endpoint: %d tokens of %d", s.nextIndex, s.usage.AnswerTokens())
+		return eris.Wrapf(errors.Join(ErrLost, ErrGap), "endpoint: received %d of %d tokens", s.nextIndex, s.usage.AnswerTokens())
 	}
 	return io.EOF
 }
@@ -154,7 +160,8 @@
 // Finish implements Stream.
 func (s *sseStream) Finish() string { return s.finishReason }
 
-// Close implements Stream. It closes the connection.
+// Close implements Stream. It closes the connection, which does not stop the run
+// at the engine.
 func (s *sseStream) Close() error {
 	s.idleWatchdog.stop()
 	return s.body.Close()
--- a/internal/endpoint/stream_bench_test.go
+++ b/internal/endpoint/stream_bench_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// BenchmarkStreamTokens reads answers of three lengths from a local server that
-// sends them at once: the cost of one token on the engines' side.
+// BenchmarkStreamTokens reports the time to read one token, for answers of three
+// lengths that a local server sends at once.
 func BenchmarkStreamTokens(b *testing.B) {
 	for _, tokens := range []int{100, 1_000, 10_000} {
 		b.Run(fmt.Sprint(tokens), func(b *testing.B) {
@@ -32,8 +32,8 @@
 	}
 }
 
-// BenchmarkOpenStreams holds streams open that bring nothing, and reports the
-// memory and goroutines of each, those of the local server included.
+// BenchmarkOpenStreams reports the memory and goroutines of each open idle stream,
+// including those of the local server.
 func BenchmarkOpenStreams(b *testing.B) {
 	for _, open := range []int{100, 1_000, 4_000} {
 		b.Run(fmt.Sprint(open), func(b *testing.B) {
@@ -69,7 +69,7 @@
 	}
 }
 
-// heapInUse returns the bytes in use after a collection.
+// heapInUse returns the bytes of heap and stack in use after a garbage collection.
 func heapInUse() int64 {
 	runtime.GC()
 	var m runtime.MemStats
--- a/internal/endpoint/transport.go
+++ b/internal/endpoint/transport.go
@@ -9,21 +9,21 @@
 	"github.com/rotisserie/eris"
 )
 
-// maxResponseHeaderBytes bounds the head of an endpoint's answer.
+// maxResponseHeaderBytes bounds the header of an endpoint's response.
 const maxResponseHeaderBytes = 64 << 10
 
-// newClient returns a client that makes one connection for each request, asks
-// no proxy and follows no redirect: either could run an order twice.
+// newClient returns a client that opens one connection per request, uses no proxy
+// and follows no redirects. A proxy or a redirect could run a request twice.
 func newClient(o Options) *http.Client {
 	dialer := &net.Dialer{Timeout: o.ConnectTimeout}
 	return &http.Client{
 		Transport: &http.Transport{
 			DialContext:    dialer.DialContext,
 			DialTLSContext: o.DialTLS,
-			// No connection is kept for another request. DisableKeepAlives would
-			// say so to the endpoint as well; a server that closes by itself
-			// without having read the whole body resets the connection, and what
-			// the client has not received of a long answer is lost.
+			// Connections are not reused. DisableKeepAlives would do the same but
+			// also send "Connection: close". A server that then closes the
+			// connection without having read the whole request body resets it, and
+			// the part of a long response still in transit is lost.
 			MaxIdleConnsPerHost:    -1,
 			DisableCompression:     true,
 			TLSHandshakeTimeout:    o.ConnectTimeout,
@@ -33,29 +33,33 @@
 	}
 }
 
-// nonReplayableBody is a body that net/http cannot read a second time, so that it
-// cannot replay a request on a reused connection either, if one is ever used.
+// nonReplayableBody wraps a request body so that net/http can't rewind it and
+// therefore can't replay the request, should a connection ever be reused.
 type nonReplayableBody struct{ io.Reader }
 
 // Close implements io.Closer.
 func (nonReplayableBody) Close() error { return nil }
 
-// setNonReplayableBody makes a request unrepeatable for net/http.
+// setNonReplayableBody sets a request's body, of the given length in bytes, so that
+// net/http can't send the request a second time.
 func setNonReplayableBody(req *http.Request, body io.Reader, length int64) {
 	req.Body, req.GetBody, req.ContentLength = nonReplayableBody{body}, nil, length
 }
 
-// transportError returns what an error of the client means for the order.
+// transportError classifies an error of the HTTP client. A request whose
+// connection was not established did not run: ErrRefused and ErrUnreachable. Any
+// other error is ErrLost.
 func transportError(err error) error {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
 		return eris.Wrap(errors.Join(ErrRefused, ErrUnreachable, err), "endpoint: connect")
 	}
-	return eris.Wrap(errors.Join(ErrLost, err), "endpoint: send")
+	return eris.Wrap(errors.Join(ErrLost, err), "endpoint: send request or receive response header")
 }
 
-// statusError returns the error of an answer that is not 200 OK. Without the
-// endpoint's own word the order may have run, whatever the status says.
+// statusError classifies a response that is not 200 OK or that has HeaderNotRun.
+// Without HeaderNotRun the request may have run, whatever the status, and the
+// error is ErrLost.
 func statusError(resp *http.Response) error {
 	const maxShownBytes = 256
 	text, _ := io.ReadAll(io.LimitReader(resp.Body, maxShownBytes))
--- a/internal/endpoint/watchdog.go
+++ b/internal/endpoint/watchdog.go
@@ -6,19 +6,21 @@
 	"time"
 )
 
-// maxMissedHeartbeats is after how many announced heartbeats a stream counts as
-// silent: one may be late and one be lost in a retransmission.
+// maxMissedHeartbeats is the number of announced heartbeat intervals without data
+// after which a stream times out. One heartbeat may be late and one delayed by a
+// retransmission.
 const maxMissedHeartbeats = 3
 
-// watchdog cancels a request that brings nothing for too long. Cancelling
-// closes the request's own connection.
+// watchdog cancels a request that has received nothing for the timeout.
+// Cancelling closes the request's connection.
 type watchdog struct {
 	cancel  context.CancelCauseFunc
 	timeout time.Duration
 	timer   *time.Timer
 }
 
-// startWatchdog starts a watchdog over the returned context.
+// startWatchdog returns a context that the watchdog cancels with the cause
+// ErrNoProgress after timeout.
 func startWatchdog(ctx context.Context, timeout time.Duration) (context.Context, *watchdog) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	w := &watchdog{cancel: cancel, timeout: timeout}
@@ -26,10 +28,11 @@
 	return ctx, w
 }
 
-// reset starts the time anew.
+// reset restarts the timeout. It is called when data is received.
 func (w *watchdog) reset() { w.timer.Reset(w.timeout) }
 
-// limitToHeartbeats shortens the limit to a few of the announced heartbeats.
+// limitToHeartbeats shortens the timeout to maxMissedHeartbeats intervals of the
+// announced heartbeat, if there is one, and restarts it.
 func (w *watchdog) limitToHeartbeats(heartbeat time.Duration) {
 	if heartbeat > 0 {
 		w.timeout = min(w.timeout, maxMissedHeartbeats*heartbeat)
@@ -37,12 +40,14 @@
 	w.reset()
 }
 
+// stop ends the watchdog and cancels its context.
 func (w *watchdog) stop() {
 	w.timer.Stop()
 	w.cancel(context.Canceled)
 }
 
-// asNoProgress returns err, as ErrSilent where the watchdog caused it.
+// asNoProgress returns err, joined with ErrNoProgress if the watchdog cancelled
+// ctx.
 func asNoProgress(ctx context.Context, err error) error {
 	if errors.Is(context.Cause(ctx), ErrNoProgress) {
 		return errors.Join(ErrNoProgress, err)
