--- a/internal/server/budgets.go
+++ b/internal/server/budgets.go
@@ -13,7 +13,7 @@
 	"guavapier/internal/replica"
 )
 
-// initLedger makes the ledger and registers its services with the peers.
+// initLedger creates the ledger and registers its services for peers.
 func (s *Server) initLedger() error {
 	opts := ledger.DefaultOptions()
 	opts.InitialGrantTokens = s.settings.Ledger.GrantTokens
@@ -29,15 +29,15 @@
 	return s.peerServer.Register(ledger.ServiceName, ledger.NewService(s.budgets))
 }
 
-// grantReturnTimeout is how long returning the grants is tried while nothing is
-// reserved in them any more. Harm prevented: an instance that cannot be replaced
-// during an outage of the platform. Limit: a few appends with lost answers take
-// less; after it, the witnesses know every use and close the grants.
+// grantReturnTimeout bounds one attempt to return all grants. After a failed attempt
+// without unsettled reservations the shutdown continues, so that instances can be
+// replaced during an outage of the platform. A few appends with lost responses
+// take less. Grants that are not returned are closed by their witnesses, which
+// know every use.
 const grantReturnTimeout = 10 * time.Second
 
-// returnGrants returns all grants to their budgets. It waits for reservations
-// of other instances' requests, as long as a drain may last, but not for a
-// platform that is away.
+// returnGrants returns all grants to their budgets. It waits up to drainTimeout for
+// reservations of other instances' requests, but not for an unavailable platform.
 func (s *Server) returnGrants() {
 	deadline := time.Now().Add(drainTimeout)
 	for time.Now().Before(deadline) {
@@ -51,11 +51,12 @@
 			break
 		}
 	}
-	s.log.Warn().Msg("ledger: grants left to their witnesses, the platform does not answer")
+	s.log.Warn().Msg("ledger: grants not returned in time, the platform may be unavailable; their witnesses will close them")
 }
 
-// conservatism reads a budget's setting between fewer stranded tokens (0) and fewer
-// false refusals (1).
+// conservatism returns a budget's conservatism, from 0 (fewer stranded tokens) to 1
+// (fewer refusals while the budget still has tokens). It returns the default if
+// the setting is missing or invalid.
 func (s *Server) conservatism(budget record.BudgetID) float64 {
 	conservatism := ledger.DefaultConservatism
 	s.config.View(func(c *fold.Config) {
@@ -74,8 +75,7 @@
 	return strings.Join([]string{config.TeamsPath, string(budget.Team), "budgets", budget.Name, "lean"}, "/")
 }
 
-// followsPartition decides which ledger partitions this instance reads. An instance
-// draws on any budget that its callers bring, and it is witness wherever a
-// holder chose it, so it followsPartition all of them today. docs/adr/0010 says what
-// following fewer needs.
+// followsPartition reports whether this instance reads a ledger partition. It
+// reads all of them: its callers' requests can use any budget, and any holder can
+// choose it as witness. docs/adr/0010 describes what following fewer would need.
 func (s *Server) followsPartition(*replica.Replica[*fold.Ledger]) bool { return true }
--- a/internal/server/claims.go
+++ b/internal/server/claims.go
@@ -10,11 +10,12 @@
 	"guavapier/internal/replica"
 )
 
-// handoverTimeout bounds handing over the claim shards at a drain. The
-// witnesses have the claims, so it must not hold up the end for long.
+// handoverTimeout bounds the handover of claim shards during shutdown. It is short
+// because the witnesses have the claims too.
 const handoverTimeout = 5 * time.Second
 
-// initClaims makes the parts that claim requests.
+// initClaims creates the holder of claim shards and the claims of the fleet, and
+// registers their services for peers.
 func (s *Server) initClaims() error {
 	s.holder = claim.NewHolder(claim.Parts{
 		Self: s.self(), Log: s.publisher, Caller: s.pool, Members: s.members, Partitions: s.partitions, Logger: s.log,
@@ -27,7 +28,8 @@
 	return s.peerServer.Register(claim.WitnessServiceName, s.holder.Witness())
 }
 
-// handOverClaimShards hands the claim shards over, when no run is left here.
+// handOverClaimShards closes the claims and hands the claim shards over to other
+// instances. Call it when no run is left on this instance.
 func (s *Server) handOverClaimShards() {
 	s.claims.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), handoverTimeout)
@@ -35,7 +37,7 @@
 	s.holder.Handover(ctx)
 }
 
-// claimModes reads the teams' modes out of the settings.
+// claimModes implements claim.Modes with the teams' settings.
 type claimModes struct {
 	config *replica.Replica[*fold.Config]
 }
--- a/internal/server/endpoints.go
+++ b/internal/server/endpoints.go
@@ -15,56 +15,65 @@
 
 const (
 	connectTimeout = time.Second
-	// streamIdleTimeout bounds a stream without any byte. It is short because giving
-	// up a connection costs little: the run is resumed on a new one and
-	// nothing is generated anew.
+	// streamIdleTimeout bounds the time without data on an engine's stream. It is
+	// short because abandoning a connection costs little: the run is resumed on a
+	// new one and no token is generated twice.
 	streamIdleTimeout = 2 * time.Second
 	controlTimeout    = 2 * time.Second
-	// loadPollInterval and loadsPerSecond bound the load polls: an endpoint leaves
-	// the placement within 3 s of its own word, and the polls of one instance
-	// take about 4 KB/s at most.
+	// With loadPollInterval and maxLoadPollsPerSecond, placement stops using an
+	// endpoint within 3 s of its announcement that it is leaving, and the polls of
+	// one instance take at most about 4 KB/s.
 	loadPollInterval      = 500 * time.Millisecond
 	maxLoadPollsPerSecond = 10
 )
 
 const (
-	// maxEndpointsPerRun bounds how much of the fleet one bad request can touch.
+	// maxEndpointsPerRun bounds the number of endpoints at which one run is tried,
+	// and so the part of the fleet that one harmful request can affect.
 	maxEndpointsPerRun = 3
-	// maxResumesPerEndpoint allows one connection that a middlebox has lost track of; an
-	// endpoint that is silent on a new one as well is given up.
+	// maxResumesPerEndpoint allows for one connection that a middlebox has lost
+	// track of. If the new connection brings no token either, the endpoint is given
+	// up.
 	maxResumesPerEndpoint = 1
-	// detachedRunTimeout is longer than the longest answer takes: 16,384 tokens at 38 ms.
+	// detachedRunTimeout bounds how long a run with an Idempotency-Key continues
+	// after its caller has disconnected. The longest answer takes less: 16,384
+	// tokens at 38 ms each are 10.4 minutes.
 	detachedRunTimeout = 15 * time.Minute
-	// runCleanupTimeout bounds the work after a run's end, and so the end of a drain.
+	// runCleanupTimeout bounds the work that follows a run's end, and so the last
+	// phase of a drain.
 	runCleanupTimeout = 10 * time.Second
 )
 
 const (
 	callerReadTimeout  = time.Minute
 	callerWriteTimeout = 30 * time.Second
-	// callerHeartbeatInterval is below the usual idle limits of middleboxes (30 s and
-	// more). It also bounds how late a refusal can still have its status.
+	// callerHeartbeatInterval is the interval of comments on a stream without
+	// tokens. It is below the usual idle timeouts of middleboxes (30 s and more). A
+	// refusal later than this can no longer set the HTTP status.
 	callerHeartbeatInterval = 10 * time.Second
 )
 
+// runLimits returns the limits of runs, from constants and the settings.
 func runLimits(limits settings.Limits) run.Limits {
 	return run.Limits{
 		Endpoints: maxEndpointsPerRun, Resumes: maxResumesPerEndpoint, Progress: limits.Progress.D(), Linger: detachedRunTimeout, Control: runCleanupTimeout,
 	}
 }
 
-// setEndpointLeaving takes an endpoint out of placement at its own word.
+// setEndpointLeaving removes an endpoint from placement after it has announced that
+// it is leaving.
 func (s *Server) setEndpointLeaving(name string) {
-	s.log.Info().Str("endpoint", name).Msg("run: endpoint refuses, it is leaving")
+	s.log.Info().Str("endpoint", name).Msg("run: endpoint refused a request because it is leaving")
 	s.dispatcher.Update(func(d *decide.Decider) { d.SetLeaving(name) })
 }
 
-// repeatRules reads the rules for repeatable calls from the settings.
+// repeatRules implements run.RepeatRules with the services' settings.
 type repeatRules struct {
 	config *replica.Replica[*fold.Config]
 }
 
-// Repeatable implements run.RepeatRules.
+// Repeatable implements run.RepeatRules. Without valid rules for the service it
+// returns false.
 func (r repeatRules) Repeatable(service, method, path string) bool {
 	var value fold.Value
 	configured := false
@@ -76,7 +85,8 @@
 	return err == nil && config.AnyRepeats(rules, method, path)
 }
 
-// endpointClients holds the clients of the endpoints and polls their load.
+// endpointClients holds the clients for endpoints, their counters and the poller
+// of endpoint load.
 type endpointClients struct {
 	counts   endpoint.Counters
 	engines  *endpoint.HTTPEngines
@@ -102,8 +112,8 @@
 	return e
 }
 
-// applyLoadReport hands an endpoint's load applyLoadReport to the decisions. Its time is when
-// the endpoint took it, so that a late applyLoadReport is known to be old.
+// applyLoadReport passes an endpoint's load report to the Decider, with the time
+// at which the endpoint took it, so that a delayed report counts as old.
 func applyLoadReport(d *dispatch.Dispatcher, name string, load endpoint.Load) {
 	sampledAt := d.Now() - time.Duration(load.AgeMs)*time.Millisecond
 	d.Update(func(decider *decide.Decider) {
--- a/internal/server/operators.go
+++ b/internal/server/operators.go
@@ -13,11 +13,12 @@
 	"guavapier/internal/snapshot"
 )
 
-// changeTimeout is how long an operator waits for the log. It leaves room
-// for two lost answers, and is below the 9 s in which an accepted change must
-// be in force everywhere.
+// changeTimeout bounds the time that an operator's change waits for the log. It
+// allows for two lost responses, and is below the 9 s within which an accepted
+// change must be in force on all instances.
 const changeTimeout = 5 * time.Second
 
+// operatorsHandler returns the handler of the operators' interface.
 func (s *Server) operatorsHandler() http.Handler {
 	o := &operator.Interface{
 		Token: s.secrets.Operator, Log: s.publisher, Config: s.config, Ledgers: s.partitions,
@@ -27,7 +28,8 @@
 	return s.metrics.Measure(metrics.OperatorsHTTP, o.Handler())
 }
 
-// listInstances returns the instance list with this instance's row as it is now.
+// listInstances returns the platform's instance list with this instance's row
+// replaced by its current state.
 func (s *Server) listInstances() []logstore.Instance {
 	rows := []logstore.Instance{s.self()}
 	for _, in := range s.members.List().Instances {
@@ -38,7 +40,7 @@
 	return rows
 }
 
-// instanceRow is the state dump's table about the instance itself.
+// instanceRow is the table "instance" of the state dump.
 type instanceRow struct {
 	ID       record.InstanceID `json:"id"`
 	Name     string            `json:"name"`
@@ -46,7 +48,8 @@
 	Draining bool              `json:"draining"`
 }
 
-// registerTables adds the tables and gauges that belong to no other part.
+// registerTables registers the state tables and metrics that no other component
+// registers.
 func (s *Server) registerTables() {
 	s.tables.Register("instance", func() any {
 		return instanceRow{ID: s.id, Name: s.settings.Instance.Name, Zone: s.settings.Instance.Zone, Draining: s.draining.Load()}
@@ -64,7 +67,9 @@
 	s.registerMetrics()
 }
 
-// streamRow is one row of the state dump's table of streams.
+// streamRow is a row of the table "streams" of the state dump. Next is the offset
+// after the last applied entry, First the oldest offset that the log was seen to
+// keep.
 type streamRow struct {
 	Stream   record.Stream `json:"stream"`
 	Next     uint64        `json:"next"`
@@ -85,6 +90,8 @@
 	return rows
 }
 
+// registerMetrics registers the gauges of this package and creates the counters, so
+// that they are published before their first event.
 func (s *Server) registerMetrics() {
 	s.metrics.Gauge(metrics.ConfigNext, func() int64 { return int64(s.config.Next()) })
 	s.metrics.Gauge(metrics.ConfigValues, func() (n int64) {
@@ -106,7 +113,8 @@
 	s.metrics.Gauge(metrics.HeapBytes, heapBytes)
 }
 
-// appliedOffsets gives, for each stream, the offset after the last appliedOffsets entry.
+// appliedOffsets returns, for each stream, the offset after the last applied
+// entry.
 func (s *Server) appliedOffsets() map[record.Stream]uint64 {
 	next := map[record.Stream]uint64{record.ConfigStream: s.config.Next()}
 	for _, p := range s.partitions {
--- a/internal/server/operators_test.go
+++ b/internal/server/operators_test.go
@@ -24,7 +24,8 @@
 
 const operatorToken = "operator-secret"
 
-// startServer runs an instance on a platform stand-in until the test ends.
+// startServer runs an instance with a stand-in for the platform until the test
+// ends.
 func startServer(t *testing.T) *server.Server {
 	t.Helper()
 	p := httptest.NewServer(standin.NewPlatform(standin.PlatformOptions{AppendsPerSecond: 300, InstanceTTL: 5 * time.Second}).Handler())
@@ -53,6 +54,8 @@
 	return srv
 }
 
+// sendOperatorRequest sends a request with the operators' token. body is nil if the
+// response is not a JSON object.
 func sendOperatorRequest(t *testing.T, method, url string) (status int, body map[string]json.RawMessage) {
 	t.Helper()
 	req, err := http.NewRequest(method, url, nil)
@@ -65,7 +68,7 @@
 		t.Fatal(err)
 	}
 	defer resp.Body.Close()
-	_ = json.NewDecoder(resp.Body).Decode(&body) // An answer that is no object has no tables.
+	_ = json.NewDecoder(resp.Body).Decode(&body) // Ignored: not every response is a JSON object.
 	return resp.StatusCode, body
 }
 
@@ -79,15 +82,15 @@
 	for _, m := range metrics.Catalogue() {
 		want = append(want, m.Name)
 		if m.Unit == "" || m.Help == "" || m.Kind == "" {
-			t.Errorf("%s is not documented whole", m.Name)
+			t.Errorf("metric %s lacks its unit, help text or kind", m.Name)
 		}
 		if _, ok := got[m.Name]; !ok {
-			t.Errorf("%s is in the catalogue but not published", m.Name)
+			t.Errorf("metric %s is in the catalogue but not published", m.Name)
 		}
 	}
 	for name := range got {
 		if !slices.Contains(want, name) {
-			t.Errorf("%s is published but not in the catalogue", name)
+			t.Errorf("metric %s is published but not in the catalogue", name)
 		}
 	}
 	page, err := os.ReadFile("../../docs/OPERATIONS.md")
@@ -104,12 +107,13 @@
 	_, tables := sendOperatorRequest(t, http.MethodGet, "http://"+srv.OperatorsAddr()+"/state")
 	for _, name := range []string{"instance", "applied", "members", "live", "budgets", "config", "streams"} {
 		if _, ok := tables[name]; !ok {
-			t.Errorf("table %s is missing", name)
+			t.Errorf("the state dump lacks the table %s", name)
 		}
 	}
 }
 
-// Nothing of the operators' interface answers on the callers' address.
+// Callers must not reach any route of the operators' interface, not even with the
+// operators' token.
 func TestCallersAddressHasNoOperatorsRoute(t *testing.T) {
 	srv := startServer(t)
 	routes := (&operator.Interface{Metrics: metrics.New()}).Handler().(chi.Routes)
@@ -118,7 +122,7 @@
 		walked++
 		path := strings.NewReplacer("{team}", "dala", "{name}", "main", "{id}", "x").Replace(route)
 		if status, _ := sendOperatorRequest(t, method, "http://"+srv.CallersAddr()+path); status != http.StatusNotFound {
-			t.Errorf("%s %s on the callers' address: %d", method, path, status)
+			t.Errorf("%s %s on the callers' address: status %d, want 404", method, path, status)
 		}
 		return nil
 	})
--- a/internal/server/peers.go
+++ b/internal/server/peers.go
@@ -12,7 +12,7 @@
 	"guavapier/internal/settings"
 )
 
-// listenPeers binds the peers' address.
+// listenPeers binds the address for peers.
 func (s *Server) listenPeers() error {
 	var err error
 	if s.peersListener, err = net.Listen("tcp", s.settings.Instance.Peers); err != nil {
@@ -21,10 +21,12 @@
 	return nil
 }
 
-// PeersAddr returns the bound peers' address; it is announced to the platform.
+// PeersAddr returns the bound address for peers, which is announced to the
+// platform.
 func (s *Server) PeersAddr() string { return s.peersListener.Addr().String() }
 
-// initPeers makes the parts that talk to other instances.
+// initPeers creates the components that communicate with other instances, and
+// registers the relay's service for peers.
 func (s *Server) initPeers() error {
 	s.members = membership.New(s.client, s.self, s.log)
 	s.endpoints = &endpointTable{config: s.config, dispatcher: s.dispatcher, links: s.links}
@@ -41,7 +43,7 @@
 	return s.peerServer.Register(relay.ServiceName, relay.NewService(s.relay))
 }
 
-// closePeers ends all connections with other instances.
+// closePeers closes the listener for peers and all connections with peers.
 func (s *Server) closePeers() {
 	_ = s.peersListener.Close()
 	s.pool.Close()
--- a/internal/server/placement.go
+++ b/internal/server/placement.go
@@ -8,8 +8,9 @@
 	"guavapier/internal/settings"
 )
 
-// placementOptions returns the options of this instance's decisions. The seed differs
-// between instances and between starts, as the identity does.
+// placementOptions returns the options of this instance's Decider. The seed is
+// derived from the instance ID, so it differs between instances and changes with
+// each restart.
 func placementOptions(s settings.Settings, id record.InstanceID) decide.Options {
 	return decide.Options{Seed: xxhash.Sum64String(string(id)), Zone: record.Zone(s.Instance.Zone)}
 }
--- a/internal/server/secure.go
+++ b/internal/server/secure.go
@@ -9,17 +9,19 @@
 	"guavapier/internal/tlsconf"
 )
 
-// linkTLS holds the certificates of the interfaces that are secured; a nil one
-// is not used.
+// linkTLS holds the TLS configuration of the instance's network interfaces. A nil
+// Source is not configured: its interfaces are plain.
 type linkTLS struct {
-	// identity shows this instance's certificate and asks for the identity'; outsideCA
-	// shows none.
+	// identity has this instance's certificate and verifies the peers'. It serves
+	// all listeners and dials peers. outsideCA has no certificate of its own; it
+	// verifies the platform's and the endpoints'.
 	identity, outsideCA *tlsconf.Source
 	settings            settings.TLS
 }
 
-// newLinkTLS reads the certificates. Settings that were not read from a file
-// have no certificate and name no plain interface: then all is plain.
+// newLinkTLS reads the certificates named in the settings. Settings that were not
+// read from a file name neither certificates nor plain interfaces; then all
+// interfaces are plain.
 func (s *Server) newLinkTLS() (linkTLS, error) {
 	t := s.settings.TLS
 	l := linkTLS{settings: t}
@@ -36,7 +38,8 @@
 	return l, err
 }
 
-// wrapListener secures a wrapListener unless its interface is plain.
+// wrapListener wraps a listener with TLS unless its interface is plain. Peers must
+// present a certificate.
 func (l linkTLS) wrapListener(link string, plain net.Listener) net.Listener {
 	if l.identity == nil || !l.settings.Secured(link) {
 		return plain
@@ -44,13 +47,14 @@
 	return tls.NewListener(plain, l.identity.Server(link == settings.LinkPeers))
 }
 
-// allowsEndpointURL says whether an endpoint's address fits: with TLS, or endpoints may be
-// plain. An endpoint that may not be used is left out of the placement.
+// allowsEndpointURL reports whether the instance may connect to an endpoint's URL: it
+// is an https URL, or endpoints may be plain. Other endpoints are excluded from
+// placement.
 func (l linkTLS) allowsEndpointURL(url string) bool {
 	return !l.requiresTLS(settings.LinkEndpoints) || strings.HasPrefix(url, "https://")
 }
 
-// requiresTLS says whether an interface may only be used with TLS.
+// requiresTLS reports whether an interface may only be used with TLS.
 func (l linkTLS) requiresTLS(link string) bool {
 	source := l.identity
 	if link == settings.LinkPlatform || link == settings.LinkEndpoints {
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -1,4 +1,5 @@
-// Package server puts one instance together, starts it and drains it.
+// Package server assembles an instance from its components, runs it and shuts it
+// down.
 package server
 
 import (
@@ -31,7 +32,8 @@
 	"guavapier/internal/state"
 )
 
-// Secrets are the contents of the secrets files.
+// Secrets holds the contents of the secret files: the keys that sign sessions and
+// the operators' token.
 type Secrets struct {
 	Sessions session.Keyring
 	Operator string
@@ -40,10 +42,10 @@
 const (
 	publishRetryInterval = 50 * time.Millisecond
 	maxRecordsPerBatch   = 1000
-	drainTimeout         = 24 * time.Hour // Long reports are never cut off by a drain.
+	drainTimeout         = 24 * time.Hour // Shutdown must not interrupt even the longest answers.
 )
 
-// Server is one instance.
+// Server is one instance. Create it with New and call Run once.
 type Server struct {
 	id       record.InstanceID
 	settings settings.Settings
@@ -67,8 +69,8 @@
 	claims     *claim.Fleet
 	runner     *run.Runner
 	draining   atomic.Bool
-	inFlight   atomic.Int64 // Callers' requests that have no whole answer yet.
-	// tables and metrics are where each part registers what it shows.
+	inFlight   atomic.Int64 // Callers' requests that are not completely answered.
+	// The components register their state tables and metrics here.
 	tables  *state.Registry
 	metrics *metrics.Registry
 
@@ -78,7 +80,8 @@
 	peersListener     net.Listener
 }
 
-// New puts an instance together and binds its addresses.
+// New assembles an instance and binds its addresses. It returns the error of an
+// unusable certificate file or address.
 func New(s settings.Settings, secrets Secrets, log zerolog.Logger) (*Server, error) {
 	srv := &Server{id: record.NewInstanceID(s.Instance.Name), settings: s, secrets: secrets, log: log, tables: state.New(), metrics: metrics.New()}
 	var err error
@@ -123,25 +126,28 @@
 	return srv, nil
 }
 
+// listen binds the addresses for callers, operators and peers.
 func (s *Server) listen() error {
 	listener, err := net.Listen("tcp", s.settings.Instance.Callers)
 	if err != nil {
 		return eris.Wrap(err, "server: listen for callers; give another address if this one is taken")
 	}
-	s.callers = callers.New(listener.(*net.TCPListener), 0, nil) // The server's own limit ends idle connections.
+	s.callers = callers.New(listener.(*net.TCPListener), 0, nil) // http.Server's IdleTimeout closes idle connections.
 	if s.operatorsListener, err = net.Listen("tcp", s.settings.Instance.Operators); err != nil {
 		return eris.Wrap(err, "server: listen for operators; give another address if this one is taken")
 	}
 	return s.listenPeers()
 }
 
-// CallersAddr returns the bound callers' address.
+// CallersAddr returns the bound address for callers.
 func (s *Server) CallersAddr() string { return s.callers.Addr().String() }
 
-// OperatorsAddr returns the bound operators' address.
+// OperatorsAddr returns the bound address for operators.
 func (s *Server) OperatorsAddr() string { return s.operatorsListener.Addr().String() }
 
-// Run serves until ctx ends, then drains: it finishes every request in flight.
+// Run serves until ctx is done, then drains: it answers the requests in flight,
+// hands over claim shards and returns grants. It returns nil after a regular
+// shutdown.
 func (s *Server) Run(ctx context.Context) error {
 	background, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
@@ -178,19 +184,24 @@
 	return err
 }
 
+// drain stops accepting connections from callers and waits, up to drainTimeout,
+// until the open ones are answered and closed. Then it waits for the cleanup of
+// their runs and stops the operators' interface.
 func (s *Server) drain(operatorServer *http.Server) {
 	s.draining.Store(true)
 	s.log.Info().Msg("server: draining")
 	drainCtx, cancel := context.WithTimeout(context.Background(), drainTimeout)
 	defer cancel()
-	// In place of the server's Shutdown, which drops what is read after its call.
+	// Not http.Server.Shutdown, which drops requests that are read after its call.
 	if err := s.callers.Drain(drainCtx); err != nil {
-		s.log.Warn().Err(err).Msg("server: requests cut off at the end of the drain")
+		s.log.Warn().Err(err).Msg("server: connections still open at the end of the drain, their requests are cut off")
 	}
 	s.runner.Close()
 	_ = operatorServer.Shutdown(drainCtx)
 }
 
+// self returns this instance's row of the instance list, as announced to the
+// platform.
 func (s *Server) self() logstore.Instance {
 	return logstore.Instance{
 		ID: s.id, Zone: record.Zone(s.settings.Instance.Zone), Peer: s.PeersAddr(), Leaving: s.draining.Load(),
@@ -198,6 +209,7 @@
 	}
 }
 
+// callersHandler returns the handler of the callers' interface.
 func (s *Server) callersHandler() http.Handler {
 	limits := s.settings.Limits
 	c := &entry.Callers{
@@ -213,6 +225,7 @@
 	return s.metrics.Measure(metrics.CallersHTTP, s.countInFlight(c.Handler()))
 }
 
+// countInFlight wraps a handler so that InFlight counts its requests.
 func (s *Server) countInFlight(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		s.inFlight.Add(1)
@@ -221,9 +234,11 @@
 	})
 }
 
-// InFlight returns how many callers' requests have no whole answer yet.
+// InFlight returns the number of callers' requests that are not completely
+// answered.
 func (s *Server) InFlight() int64 { return s.inFlight.Load() }
 
+// ignoreClosed returns nil for http.ErrServerClosed, else err.
 func ignoreClosed(err error) error {
 	if eris.Is(err, http.ErrServerClosed) {
 		return nil
--- a/internal/server/streams.go
+++ b/internal/server/streams.go
@@ -13,7 +13,7 @@
 	"guavapier/internal/snapshot"
 )
 
-// followedStream is a followedStream that this instance follows.
+// followedStream is the replica of a stream that this instance follows.
 type followedStream interface {
 	snapshot.Source
 	Handle(onError func(error)) message.NoPublishHandlerFunc
@@ -22,7 +22,8 @@
 	Gap() bool
 }
 
-// followedStreams lists the followedStreams that this instance follows.
+// followedStreams returns the replicas of the config stream and of the followed
+// ledger partitions.
 func (s *Server) followedStreams() []followedStream {
 	out := []followedStream{s.config}
 	for _, p := range s.partitions {
@@ -33,6 +34,8 @@
 	return out
 }
 
+// followStreams applies the entries of all followed streams until ctx is done. A
+// batch that can't be applied is counted, logged and skipped.
 func (s *Server) followStreams(ctx context.Context) error {
 	onError := func(err error) {
 		s.metrics.Counter(metrics.BatchesPassed).Inc(1)
@@ -45,9 +48,9 @@
 	return replica.Follow(ctx, s.subscriber, sources)
 }
 
-// isCurrent says whether every stream was read to its end since its start. Until
-// then this instance is not ready: it knows neither all budgets nor all
-// credentials.
+// isCurrent reports whether every followed stream was read to its end since this
+// process started. Until then the instance is not ready, since it may lack budgets
+// and credentials.
 func (s *Server) isCurrent() bool {
 	for _, st := range s.followedStreams() {
 		if !s.subscriber.Current(st.Stream()) {
@@ -57,8 +60,8 @@
 	return true
 }
 
-// resumeOffset returns where to go on in a stream: after what was applied, if
-// the log still has that; else from the newest whole snapshot.
+// resumeOffset returns the offset at which to continue reading a stream; see
+// resumeOrRestore. A stream that isn't followed starts at 0.
 func (s *Server) resumeOffset(ctx context.Context, name record.Stream) (uint64, error) {
 	for _, st := range s.followedStreams() {
 		if st.Stream() == name {
@@ -68,6 +71,10 @@
 	return 0, nil
 }
 
+// resumeOrRestore returns the offset after the last applied entry, if the log still
+// keeps the entries from there. Otherwise it restores the newest complete snapshot
+// and returns the first offset that the snapshot does not cover. It returns an
+// error if the log can't be read or no snapshot is usable.
 func (s *Server) resumeOrRestore(ctx context.Context, st followedStream) (uint64, error) {
 	_, err := s.client.Read(ctx, st.Stream(), st.Next(), 0)
 	if err == nil && !st.Gap() {
@@ -92,6 +99,7 @@
 	return found.Covers, nil
 }
 
+// snapshotWriter returns the writer of snapshots of all followed streams.
 func (s *Server) snapshotWriter() *snapshot.Writer {
 	w := &snapshot.Writer{
 		Log: s.publisher, First: s.subscriber.First, Every: s.settings.Snapshots.Every.D(),
--- a/internal/server/table.go
+++ b/internal/server/table.go
@@ -15,29 +15,29 @@
 	"guavapier/internal/replica"
 )
 
-// defaultSlots is how many requests an endpoint runs at once where the
-// settings are silent.
+// defaultSlots is the number of requests that an endpoint without the setting runs
+// concurrently.
 const defaultSlots = 16
 
-// endpointTable joins the platform's list of endpoints with the settings, and
-// hands the result to the decisions. It is read again with each list, so a
-// changed setting is in force with the next one.
+// endpointTable combines the platform's endpoint list with the settings and passes
+// the result to the Decider. It is recomputed with each list, so a changed setting
+// takes effect with the next list.
 type endpointTable struct {
 	config     *replica.Replica[*fold.Config]
 	dispatcher *dispatch.Dispatcher
-	// links says whether endpoints without TLS may be used.
+	// links decides whether endpoints without TLS may be used.
 	links linkTLS
 
 	mu      sync.RWMutex // Guards all below.
 	targets []endpoint.Target
-	// weights are the team weights last handed over.
+	// weights are the team weights last passed to the Decider.
 	weights map[record.Team]float64
-	// teams is as of the settings' offset teamsAt.
+	// teams holds the teams' settings as of the config stream's offset teamsOffset.
 	teams       config.TeamRows
 	teamsOffset uint64
 }
 
-// update takes a newly read list.
+// update recomputes the endpoints and team weights from a newly read list.
 func (t *endpointTable) update(list logstore.List) {
 	rows := make([]decide.Endpoint, 0, len(list.Endpoints))
 	targets := make([]endpoint.Target, 0, len(list.Endpoints))
@@ -67,7 +67,7 @@
 	})
 }
 
-// refreshTeams reads the teams' rows again after a change of the settings.
+// refreshTeams reads the teams' settings again if the config stream has advanced.
 func (t *endpointTable) refreshTeams(f *fold.Config) {
 	if t.teams.Weights != nil && f.Next() == t.teamsOffset {
 		return
@@ -75,6 +75,8 @@
 	t.teams, t.teamsOffset = config.TeamRowsOf(f), f.Next()
 }
 
+// applyTeamWeights passes the team weights to the Decider. A team whose weight was
+// removed from the settings returns to the default of 1.
 func (t *endpointTable) applyTeamWeights(d *decide.Decider) {
 	for team := range t.weights {
 		if _, set := t.teams.Weights[team]; !set {
@@ -87,19 +89,22 @@
 	t.weights = t.teams.Weights
 }
 
+// platformEndpoint returns the Decider's row for an endpoint of the platform's list.
 func platformEndpoint(f *fold.Config, e logstore.Endpoint) decide.Endpoint {
 	row := decide.Endpoint{Name: e.Name, Zone: e.Zone, Service: e.Service, Leaving: e.Leaving}
 	return setCapacity(row, e.Model, config.EngineOf(f, e.Name))
 }
 
+// teamEndpoint returns the Decider's row for an endpoint that a team has configured.
 func teamEndpoint(e config.TeamEndpoint) decide.Endpoint {
 	row := decide.Endpoint{Name: e.Name, Zone: e.Zone, Service: e.Service, Team: e.Team}
 	return setCapacity(row, e.Model, e.Engine)
 }
 
-// setCapacity sets slots and weight. Where no weight is set, the slots stand
-// for the capacity: with equal weights a fleet of mixed sizes lost a fifth of
-// its goodput at 90 to 110 per cent (docs/measurements/decide.md).
+// setCapacity sets a row's model, slots and weight. Without a configured weight
+// the number of slots is the weight: with equal weights, a fleet of endpoints of
+// different sizes lost a fifth of its goodput at 90 to 110 per cent load
+// (docs/measurements/decide.md).
 func setCapacity(row decide.Endpoint, model string, capacity config.Engine) decide.Endpoint {
 	if model != "" {
 		row.Models = []string{model}
@@ -109,14 +114,15 @@
 	return row
 }
 
-// Targets returns all endpoints' names and addresses.
+// Targets returns the names and URLs of all usable endpoints. The slice must not
+// be modified.
 func (t *endpointTable) Targets() []endpoint.Target {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	return t.targets
 }
 
-// URL implements run.Endpoints.
+// URL implements run.Endpoints. It returns false for an unknown endpoint.
 func (t *endpointTable) URL(name string) (string, bool) {
 	targets := t.Targets()
 	i := slices.IndexFunc(targets, func(e endpoint.Target) bool { return e.Name == name })
--- a/internal/server/table_test.go
+++ b/internal/server/table_test.go
@@ -20,7 +20,7 @@
 	} {
 		row := setCapacity(decide.Endpoint{}, "small", c.set)
 		if row.Slots != c.slots || row.Weight != c.weight || len(row.Models) != 1 {
-			t.Errorf("%+v gives %+v", c.set, row)
+			t.Errorf("capacity %+v gives row %+v", c.set, row)
 		}
 	}
 }
--- a/internal/server/usages.go
+++ b/internal/server/usages.go
@@ -10,12 +10,12 @@
 	"guavapier/internal/record"
 )
 
-// maxConcurrentQueries bounds the questions about one run that are open at once.
+// maxConcurrentQueries bounds the concurrent requests for the state of one run.
 const maxConcurrentQueries = 32
 
-// runFinder asks the listed engines for runs whose instance or claim is gone. A
-// run that has moved is known to more than one engine; the one that has the
-// most of its answer has the whole.
+// runFinder finds, by querying the listed engines, runs whose instance or claim is
+// gone. Several engines know a run that was moved between them; the one with the
+// longest answer has the complete one.
 type runFinder struct {
 	engines *endpoint.HTTPEngines
 	members *membership.Members
@@ -25,13 +25,13 @@
 	return runFinder{engines: s.clients.engines, members: s.members}
 }
 
-// engineRun is what one engine says of a run.
+// engineRun is the state of a run that one engine reports.
 type engineRun struct {
 	engine string
 	state  endpoint.RunState
 }
 
-// Usage implements ledger.Usages.
+// Usage implements ledger.Usages. The usage is known only if the run has ended.
 func (f runFinder) Usage(ctx context.Context, run record.RunID) (tokens int64, known bool) {
 	longest, ok := longestAnswer(f.queryEngines(ctx, run))
 	if !ok || !longest.state.Done {
@@ -40,12 +40,15 @@
 	return longest.state.Prompt + longest.state.AnswerTokens(), true
 }
 
-// Find implements run.Finder.
+// Find implements run.Finder. It returns the name of the engine with the longest
+// answer.
 func (f runFinder) Find(ctx context.Context, run record.RunID) (name string, ok bool) {
 	longest, ok := longestAnswer(f.queryEngines(ctx, run))
 	return longest.engine, ok
 }
 
+// queryEngines requests a run's state from all listed engines. The result has a
+// nil entry for each plain service and each engine without an answer.
 func (f runFinder) queryEngines(ctx context.Context, run record.RunID) []*engineRun {
 	var group errgroup.Group
 	group.SetLimit(maxConcurrentQueries)
@@ -66,7 +69,8 @@
 	return answers
 }
 
-// longestAnswer returns the answer with the most tokens.
+// longestAnswer returns the run state with the most answer tokens. ok is false if
+// there is none.
 func longestAnswer(answers []*engineRun) (longest engineRun, ok bool) {
 	for _, a := range answers {
 		if a != nil && (!ok || a.state.AnswerTokens() > longest.state.AnswerTokens()) {
