--- a/internal/endpoint/counts.go
+++ b/internal/endpoint/counts.go
@@ -2,36 +2,40 @@
 
 import "sync/atomic"
 
-// Counts counts what the clients dropped and gave up since the start.
-type Counts struct {
-	// Crossed answers were for another run, Late ones for an earlier attempt.
-	Crossed atomic.Int64
-	Late    atomic.Int64
-	// Duplicate events repeated a token; Gaps left one out.
-	Duplicate atomic.Int64
-	Gaps      atomic.Int64
-	// Silent and Lost count connections that were given up, Refused orders
-	// that surely did not run.
-	Silent  atomic.Int64
-	Lost    atomic.Int64
-	Refused atomic.Int64
+// Counters counts mismatched responses and failed requests since the process
+// started. It is safe for concurrent use.
+type Counters struct {
+	// WrongRun counts responses and events with another run's ID, StaleAttempt
+	// responses with the right run ID but another attempt's number.
+	WrongRun     atomic.Int64
+	StaleAttempt atomic.Int64
+	// DuplicateEvents counts events that repeat a token, Gaps streams in which a
+	// token is missing, in the middle or at the end.
+	DuplicateEvents atomic.Int64
+	Gaps            atomic.Int64
+	// NoProgress counts requests that timed out, Lost other failed requests that
+	// may have run, and Refused requests that did not run.
+	NoProgress atomic.Int64
+	Lost       atomic.Int64
+	Refused    atomic.Int64
 }
 
-// CountsView is Counts at one time, for the state dump.
-type CountsView struct {
-	Crossed   int64 `json:"crossed"`
-	Late      int64 `json:"late"`
-	Duplicate int64 `json:"duplicate"`
-	Gaps      int64 `json:"gaps"`
-	Silent    int64 `json:"silent"`
-	Lost      int64 `json:"lost"`
-	Refused   int64 `json:"refused"`
+// CounterValues holds the values of Counters at one time, for the state dump.
+type CounterValues struct {
+	WrongRun        int64 `json:"crossed"`
+	StaleAttempt    int64 `json:"late"`
+	DuplicateEvents int64 `json:"duplicate"`
+	Gaps            int64 `json:"gaps"`
+	NoProgress      int64 `json:"silent"`
+	Lost            int64 `json:"lost"`
+	Refused         int64 `json:"refused"`
 }
 
-// View returns the counts.
-func (c *Counts) View() CountsView {
-	return CountsView{
-		Crossed: c.Crossed.Load(), Late: c.Late.Load(), Duplicate: c.Duplicate.Load(), Gaps: c.Gaps.Load(),
-		Silent: c.Silent.Load(), Lost: c.Lost.Load(), Refused: c.Refused.Load(),
+// Snapshot returns the current values. They are read one by one, not atomically
+// as a whole.
+func (c *Counters) Snapshot() CounterValues {
+	return CounterValues{
+		WrongRun: c.WrongRun.Load(), StaleAttempt: c.StaleAttempt.Load(), DuplicateEvents: c.DuplicateEvents.Load(), Gaps: c.Gaps.Load(),
+		NoProgress: c.NoProgress.Load(), Lost: c.Lost.Load(), Refused: c.Refused.Load(),
 	}
 }
--- a/internal/endpoint/stream.go
+++ b/internal/endpoint/stream.go
@@ -12,8 +12,8 @@
 	"github.com/rotisserie/eris"
 )
 
-// maxLineBytes bounds one line of an engine's stream.
-const maxLineBytes = 1 << 20
+// maxEventLineBytes bounds one line of an engine's event stream.
+const maxEventLineBytes = 1 << 20
 
 const (
 	idPrefix        = "id:"
@@ -22,28 +22,29 @@
 	finishCancelled = "cancelled"
 )
 
-// sseStream reads an engine's server-sent events. Content events are numbered
-// from 1 by their id; each number is taken once, in order.
+// sseStream implements Stream over an engine's server-sent events. The ids of
+// content events count from 1 over the run; each is accepted once, in order.
 type sseStream struct {
-	ctx    context.Context
-	body   io.ReadCloser
-	lines  *bufio.Scanner
-	order  Order
-	dog    *watchdog
-	client *HTTPEngines
-
-	next   int // Index of the next token.
-	id     string
-	usage  Usage
-	finish string
+	ctx          context.Context
+	body         io.ReadCloser
+	lines        *bufio.Scanner
+	runReq       RunRequest
+	idleWatchdog *watchdog
+	client       *HTTPEngines
+
+	nextIndex    int    // Index of the next token; equals the number of tokens before it.
+	eventID      string // The id of the event being read; empty if it has none so far.
+	usage        Usage
+	finishReason string
 }
 
-func newSSEStream(ctx context.Context, body io.ReadCloser, order Order, dog *watchdog, client *HTTPEngines) *sseStream {
+func newSSEStream(ctx context.Context, body io.ReadCloser, runReq RunRequest, idleWatchdog *watchdog, client *HTTPEngines) *sseStream {
 	lines := bufio.NewScanner(body)
-	lines.Buffer(nil, maxLineBytes)
-	return &sseStream{ctx: ctx, body: body, lines: lines, order: order, dog: dog, client: client, next: order.From}
+	lines.Buffer(nil, maxEventLineBytes)
+	return &sseStream{ctx: ctx, body: body, lines: lines, runReq: runReq, idleWatchdog: idleWatchdog, client: client, nextIndex: runReq.ResumeFrom}
 }
 
+// engineChunk is the JSON data of one event.
 type engineChunk struct {
 	ID      string `json:"id"`
 	Choices []struct {
@@ -59,47 +60,50 @@
 func (s *sseStream) Next() (Token, error) {
 	token, err := s.read()
 	if err != nil && !errors.Is(err, io.EOF) {
-		err = explain(s.ctx, err)
-		s.client.count(err)
+		err = asNoProgress(s.ctx, err)
+		s.client.countError(err)
 	}
 	return token, err
 }
 
+// read returns the next token, or io.EOF after the [DONE] event of a complete
+// answer. Each line resets the watchdog, so comments count as progress.
 func (s *sseStream) read() (Token, error) {
 	for s.lines.Scan() {
-		s.dog.heard()
+		s.idleWatchdog.reset()
 		line := s.lines.Text()
 		if id, ok := strings.CutPrefix(line, idPrefix); ok {
-			s.id = strings.TrimSpace(id)
+			s.eventID = strings.TrimSpace(id)
 			continue
 		}
 		data, ok := strings.CutPrefix(line, dataPrefix)
 		if !ok {
-			continue // A comment, a blank line or a field without use here.
+			continue // A comment, a blank line or an unused field.
 		}
 		data = strings.TrimSpace(data)
 		if data == doneEvent {
-			return Token{}, s.close()
+			return Token{}, s.checkComplete()
 		}
-		token, ok, err := s.event(data)
+		token, ok, err := s.parseEvent(data)
 		if err != nil || ok {
 			return token, err
 		}
 	}
-	return Token{}, eris.Wrap(errors.Join(ErrLost, s.lines.Err()), "endpoint: stream ended without its closing event")
+	return Token{}, eris.Wrap(errors.Join(ErrLost, s.lines.Err()), "endpoint: stream ended without a [DONE] event")
 }
 
-// event takes one event; ok says that it brought the next token.
-func (s *sseStream) event(data string) (token Token, ok bool, err error) {
-	id := s.id
-	s.id = ""
+// parseEvent processes the data of one event. ok reports whether it contained the
+// next token.
+func (s *sseStream) parseEvent(data string) (token Token, ok bool, err error) {
+	id := s.eventID
+	s.eventID = ""
 	var c engineChunk
 	if err := json.Unmarshal([]byte(data), &c); err != nil {
 		return Token{}, false, eris.Wrap(errors.Join(ErrLost, err), "endpoint: decode event")
 	}
-	if c.ID != string(s.order.Run) {
-		s.client.counts.Crossed.Add(1)
-		return Token{}, false, eris.Wrapf(ErrMismatch, "endpoint: event of run %q", c.ID)
+	if c.ID != string(s.runReq.Run) {
+		s.client.counts.WrongRun.Add(1)
+		return Token{}, false, eris.Wrapf(ErrMismatch, "endpoint: event carries run ID %q", c.ID)
 	}
 	if c.Usage != nil {
 		s.usage = *c.Usage
@@ -108,42 +112,44 @@
 		return Token{}, false, nil
 	}
 	if c.Choices[0].FinishReason != nil {
-		s.finish = *c.Choices[0].FinishReason
+		s.finishReason = *c.Choices[0].FinishReason
 	}
 	if c.Choices[0].Delta.Content == "" {
 		return Token{}, false, nil
 	}
-	return s.number(id, c.Choices[0].Delta.Content)
+	return s.acceptContent(id, c.Choices[0].Delta.Content)
 }
 
-// number checks a content event's number: a repeat is dropped, a gap is an
-// error, for what is missing can only come from another connection.
-func (s *sseStream) number(id, text string) (token Token, ok bool, err error) {
+// acceptContent checks the id of a content event. A repeated event is dropped. A
+// gap is an error, since the missing tokens can only be read by resuming the run
+// on another connection.
+func (s *sseStream) acceptContent(id, text string) (token Token, ok bool, err error) {
 	n, err := strconv.Atoi(id)
 	switch {
 	case err != nil:
-		return Token{}, false, eris.Wrapf(ErrLost, "endpoint: event number %q", id)
-	case n <= s.next:
-		s.client.counts.Duplicate.Add(1)
+		return Token{}, false, eris.Wrapf(ErrLost, "endpoint: invalid event id %q", id)
+	case n <= s.nextIndex:
+		s.client.counts.DuplicateEvents.Add(1)
 		return Token{}, false, nil
-	case n > s.next+1:
+	case n > s.nextIndex+1:
 		s.client.counts.Gaps.Add(1)
-		return Token{}, false, eris.Wrapf(errors.Join(ErrLost, ErrGap), "endpoint: event %d after %d", n, s.next)
+		return Token{}, false, eris.Wrapf(errors.Join(ErrLost, ErrGap), "endpoint: event %d follows event %d", n, s.nextIndex)
 	}
-	s.next = n
+	s.nextIndex = n
 	return Token{Index: n - 1, Text: text}, true, nil
 }
 
-// close checks that the closing event stands at the end of a whole answer.
-func (s *sseStream) close() error {
+// checkComplete checks, at the [DONE] event, that the answer was neither cancelled
+// nor cut short. It returns io.EOF for a complete answer.
+func (s *sseStream) checkComplete() error {
 	switch {
-	case s.finish == finishCancelled:
-		return eris.Wrap(errors.Join(ErrLost, ErrCancelled), "endpoint: closing event")
-	case s.finish == "":
-		return eris.Wrap(ErrLost, "endpoint: no finish reason")
-	case s.usage.Answer() != int64(s.next):
+	case s.finishReason == finishCancelled:
+		return eris.Wrap(errors.Join(ErrLost, ErrCancelled), "endpoint: stream closed by a cancellation")
+	case s.finishReason == "":
+		return eris.Wrap(ErrLost, "endpoint: [DONE] event without a finish reason")
+	case s.usage.AnswerTokens() != int64(s.nextIndex):
 		s.client.counts.Gaps.Add(1)
-		return eris.Wrapf(errors.Join(ErrLost, ErrGap), "endpoint: %d tokens of %d", s.next, s.usage.Answer())
+		return eris.Wrapf(errors.Join(ErrLost, ErrGap), "endpoint: received %d of %d tokens", s.nextIndex, s.usage.AnswerTokens())
 	}
 	return io.EOF
 }
@@ -152,10 +158,11 @@
 func (s *sseStream) Usage() Usage { return s.usage }
 
 // Finish implements Stream.
-func (s *sseStream) Finish() string { return s.finish }
+func (s *sseStream) Finish() string { return s.finishReason }
 
-// Close implements Stream. It closes the connection.
+// Close implements Stream. It closes the connection, which does not stop the run
+// at the engine.
 func (s *sseStream) Close() error {
-	s.dog.stop()
+	s.idleWatchdog.stop()
 	return s.body.Close()
 }
--- a/internal/run/chat.go
+++ b/internal/run/chat.go
@@ -68,7 +68,7 @@
 type generation struct {
 	chat    Chat
 	binding *callerBinding
-	order   endpoint.Order
+	order   endpoint.RunRequest
 	text    answerText
 	result  ChatResult
 	// excluded names the endpoints that failed, which are not tried again.
@@ -91,10 +91,10 @@
 // then, so the limit on the wait for it is lifted.
 func (g *generation) continueFrom(joined *joinedRun) {
 	g.mayHaveRun = joined.takenOver
-	if joined.order.From == 0 {
+	if joined.order.ResumeFrom == 0 {
 		return
 	}
-	g.order.From, g.order.Attempt = joined.order.From, joined.order.Attempt
+	g.order.ResumeFrom, g.order.Attempt = joined.order.ResumeFrom, joined.order.Attempt
 	g.text.add(endpoint.Token{Text: joined.text.String()})
 	g.lastTokenTime = time.Now()
 	g.binding.firstTokenTimer.Stop()
@@ -102,7 +102,7 @@
 
 // deliver passes a token to the caller and advances the order's offset past it.
 func (g *generation) deliver(t endpoint.Token) {
-	g.order.From = t.Index + 1
+	g.order.ResumeFrom = t.Index + 1
 	g.lastTokenTime = time.Now()
 	g.text.add(t)
 	g.binding.deliver(g.order.Run, t)
@@ -111,6 +111,6 @@
 // setResult sets the usage and finish reason of the completed answer. Completion
 // counts the tokens of the whole answer, whichever endpoints generated them.
 func (g *generation) setResult(u endpoint.Usage, reason string) {
-	g.result.Usage = endpoint.Usage{Prompt: u.Prompt, Cached: u.Cached, Completion: int64(g.order.From)}
+	g.result.Usage = endpoint.Usage{Prompt: u.Prompt, Cached: u.Cached, Completion: int64(g.order.ResumeFrom)}
 	g.result.FinishReason = reason
 }
--- a/internal/run/chat_test.go
+++ b/internal/run/chat_test.go
@@ -111,7 +111,7 @@
 		})
 	}
 	wait.Wait()
-	if crossed := b.counts.Crossed.Load(); crossed != 2 {
+	if crossed := b.counts.WrongRun.Load(); crossed != 2 {
 		t.Fatalf("%d answers counted as crossed, want 2", crossed)
 	}
 }
@@ -257,7 +257,7 @@
 // unboundedEngines has engines generate 100 times the ordered maximum.
 type unboundedEngines struct{ endpoint.Engines }
 
-func (e unboundedEngines) Start(ctx context.Context, base string, o endpoint.Order) (endpoint.Stream, error) {
+func (e unboundedEngines) Start(ctx context.Context, base string, o endpoint.RunRequest) (endpoint.Stream, error) {
 	o.MaxTokens *= 100
 	return e.Engines.Start(ctx, base, o)
 }
--- a/internal/run/generate.go
+++ b/internal/run/generate.go
@@ -28,13 +28,13 @@
 			tries = -1
 			continue
 		}
-		before := g.order.From
+		before := g.order.ResumeFrom
 		lastErr = r.generateAt(ctx, placement, g)
 		if lastErr == nil || ctx.Err() != nil || errors.Is(lastErr, endpoint.ErrRejected) {
 			return lastErr
 		}
 		g.excluded = append(g.excluded, placement.Endpoint)
-		if g.order.From > before {
+		if g.order.ResumeFrom > before {
 			tries = -1
 		}
 	}
@@ -48,7 +48,7 @@
 // answer without tokens is refused at once.
 func (r *Runner) awaitEndpoint(ctx context.Context, g *generation, err error) bool {
 	var refusal *dispatch.Refusal
-	if g.order.From == 0 || !errors.As(err, &refusal) {
+	if g.order.ResumeFrom == 0 || !errors.As(err, &refusal) {
 		return false
 	}
 	pause := max(refusal.RetryAfter, minPlacementRetryInterval)
@@ -84,7 +84,7 @@
 // and 0 for an answer without tokens: MaxWait counts from the start of the
 // request only until the first token.
 func (g *generation) continuationTimeout() time.Duration {
-	if g.order.From == 0 {
+	if g.order.ResumeFrom == 0 {
 		return 0
 	}
 	return g.chat.MaxWait
@@ -104,7 +104,7 @@
 	r.Claims.Place(ctx, g.chat.Key, p.Endpoint)
 	mayBeRunning := false
 	for emptyConnections := 0; emptyConnections <= r.Limits.MaxResumes; emptyConnections++ {
-		before := g.order.From
+		before := g.order.ResumeFrom
 		err = r.streamFrom(ctx, base, g, meter)
 		if errors.Is(err, endpoint.ErrRefused) {
 			r.reportLeaving(p.Endpoint, err)
@@ -114,7 +114,7 @@
 		if err == nil || ctx.Err() != nil || errors.Is(err, errStalled) {
 			break
 		}
-		if g.order.From > before {
+		if g.order.ResumeFrom > before {
 			emptyConnections = 0
 		}
 	}
@@ -149,10 +149,10 @@
 // streamFrom reads the answer over one connection to the endpoint at base,
 // starting after the tokens that the caller has.
 func (r *Runner) streamFrom(ctx context.Context, base string, g *generation, m *attemptMeter) error {
-	ctx, progress := r.watchProgress(ctx, g.order.From > 0)
+	ctx, progress := r.watchProgress(ctx, g.order.ResumeFrom > 0)
 	defer progress.stop()
 	g.order.Attempt++
-	g.order.Prior = g.text.String()
+	g.order.PriorText = g.text.String()
 	stream, err := r.Engines.Start(ctx, base, g.order)
 	if !errors.Is(err, endpoint.ErrRefused) {
 		g.lastBase, g.mayHaveRun = base, true
@@ -163,7 +163,7 @@
 	defer stream.Close()
 	for {
 		token, err := stream.Next()
-		if endpoint.Whole(err) {
+		if endpoint.IsComplete(err) {
 			g.setResult(stream.Usage(), stream.Finish())
 			g.completingBase = base
 			return nil
--- a/internal/run/join.go
+++ b/internal/run/join.go
@@ -33,7 +33,7 @@
 
 // joinedRun is the state of reading a run that another request owns.
 type joinedRun struct {
-	order  endpoint.Order
+	order  endpoint.RunRequest
 	sink   TokenSink
 	result ChatResult
 	// text is the answer's text as read so far. It starts at the position that the
@@ -99,7 +99,7 @@
 // the reservation's witness if the owner is gone.
 func (r *Runner) joinChat(ctx context.Context, c Chat, ticket claim.Ticket, sink TokenSink, locate locator) (ChatResult, error) {
 	j := &joinedRun{order: c.newOrder(ticket.Run), sink: sink, result: ChatResult{Run: ticket.Run}}
-	j.order.ResumeOnly, j.order.From = true, c.ResumeFrom.Tokens
+	j.order.ResumeOnly, j.order.ResumeFrom = true, c.ResumeFrom.Tokens
 	return r.followRun(ctx, c, ticket, j, locate)
 }
 
@@ -108,7 +108,7 @@
 func (r *Runner) followRun(ctx context.Context, c Chat, ticket claim.Ticket, j *joinedRun, locate locator) (ChatResult, error) {
 	deadline, lastSearch := time.Now().Add(c.MaxWait), time.Now()
 	for {
-		before := j.order.From
+		before := j.order.ResumeFrom
 		err := r.streamJoined(ctx, ticket, j)
 		if err == nil {
 			return j.result, nil
@@ -119,7 +119,7 @@
 		if ticket.Outcome == record.OutcomeUnknown {
 			return j.result, newFailure(claim.ErrUnknown, true)
 		}
-		if j.order.From > before {
+		if j.order.ResumeFrom > before {
 			deadline, lastSearch = time.Now().Add(c.MaxWait), time.Now()
 		}
 		if time.Now().After(deadline) {
@@ -176,7 +176,7 @@
 	request := c.claimRequest(true)
 	request.Lost = ticket.Run
 	newTicket, err := r.Claims.Begin(ctx, request)
-	if err == nil && newTicket.Run != ticket.Run && j.order.From > 0 {
+	if err == nil && newTicket.Run != ticket.Run && j.order.ResumeFrom > 0 {
 		if !newTicket.Join {
 			r.Claims.End(ctx, c.Key, claim.End{Outcome: record.OutcomeNotRun})
 		}
@@ -187,7 +187,7 @@
 
 // relocate looks up the run again after locateInterval. The error is errRunGone if
 // the key belongs to another run by then and tokens of this one have been read.
-func (r *Runner) relocate(ctx context.Context, c Chat, order endpoint.Order, locate locator) (claim.Ticket, error) {
+func (r *Runner) relocate(ctx context.Context, c Chat, order endpoint.RunRequest, locate locator) (claim.Ticket, error) {
 	timer := time.NewTimer(locateInterval)
 	defer timer.Stop()
 	select {
@@ -199,7 +199,7 @@
 	if err != nil {
 		return ticket, err
 	}
-	if order.From > 0 && ticket.Run != order.Run {
+	if order.ResumeFrom > 0 && ticket.Run != order.Run {
 		if !ticket.Join {
 			r.Claims.End(ctx, c.Key, claim.End{Outcome: record.OutcomeNotRun})
 		}
@@ -228,9 +228,9 @@
 	defer stream.Close()
 	for {
 		token, err := stream.Next()
-		if endpoint.Whole(err) {
+		if endpoint.IsComplete(err) {
 			u := stream.Usage()
-			j.result.Usage = endpoint.Usage{Prompt: u.Prompt, Cached: u.Cached, Completion: u.Answer()}
+			j.result.Usage = endpoint.Usage{Prompt: u.Prompt, Cached: u.Cached, Completion: u.AnswerTokens()}
 			j.result.FinishReason = stream.Finish()
 			return nil
 		}
@@ -238,7 +238,7 @@
 			return progress.withCause(err)
 		}
 		progress.onToken()
-		j.order.From = token.Index + 1
+		j.order.ResumeFrom = token.Index + 1
 		j.text.add(token)
 		if err := j.sink(j.order.Run, token); err != nil {
 			j.callerLeft = true
--- a/internal/run/meter.go
+++ b/internal/run/meter.go
@@ -41,7 +41,7 @@
 	m.result.Total = time.Since(m.startTime)
 	m.result.Failed = err != nil
 	m.result.Abandoned = err != nil && ctx.Err() != nil
-	m.result.Stalled = errors.Is(err, endpoint.ErrSilent) || errors.Is(err, errStalled)
+	m.result.Stalled = errors.Is(err, endpoint.ErrNoProgress) || errors.Is(err, errStalled)
 	m.placement.Done(m.result)
 }
 
--- a/internal/run/run.go
+++ b/internal/run/run.go
@@ -150,9 +150,9 @@
 }
 
 // newOrder returns the order for an engine, from the start of the answer.
-func (c Chat) newOrder(run record.RunID) endpoint.Order {
-	return endpoint.Order{
-		Run: run, Priority: int(c.Priority), Model: c.Model, Messages: c.Messages, Params: c.Params, MaxTokens: c.MaxTokens,
+func (c Chat) newOrder(run record.RunID) endpoint.RunRequest {
+	return endpoint.RunRequest{
+		Run: run, Priority: int(c.Priority), Model: c.Model, Messages: c.Messages, ExtraFields: c.Params, MaxTokens: c.MaxTokens,
 	}
 }
 
--- a/internal/run/run_test.go
+++ b/internal/run/run_test.go
@@ -56,7 +56,7 @@
 	services         []*standin.Service
 	servers          []*httptest.Server
 	urls             map[string]string
-	counts           endpoint.Counts
+	counts           endpoint.Counters
 	recordingBudgets *recordingBudgets
 	// mu guards leaving, the names passed to OnEndpointLeaving.
 	mu      sync.Mutex
@@ -94,7 +94,7 @@
 		rows = append(rows, b.serve(name, s.Handler(), decide.Endpoint{Service: "rig"}))
 	}
 	d.Update(func(decider *decide.Decider) { decider.SetEndpoints(rows) })
-	opts := endpoint.Options{Connect: time.Second, Silence: testSilence, Control: time.Second, AnswerBytes: 1 << 16}
+	opts := endpoint.Options{ConnectTimeout: time.Second, IdleTimeout: testSilence, ControlTimeout: time.Second, MaxAnswerBytes: 1 << 16}
 	b.Runner = &Runner{
 		Claims: &memoryClaims{rows: map[record.RequestKey]*claimRow{}}, Budgets: b.recordingBudgets, Placer: d, Endpoints: b,
 		Engines: endpoint.NewHTTPEngines(opts, &b.counts), Services: endpoint.NewHTTPServices(opts, &b.counts),
--- a/internal/server/budgets.go
+++ b/internal/server/budgets.go
@@ -13,14 +13,14 @@
 	"guavapier/internal/replica"
 )
 
-// joinBudgets makes the ledger and registers its services with the peers.
-func (s *Server) joinBudgets() error {
+// initLedger creates the ledger and registers its services for peers.
+func (s *Server) initLedger() error {
 	opts := ledger.DefaultOptions()
 	opts.InitialGrantTokens = s.settings.Ledger.GrantTokens
 	opts.GrantTimeout = s.settings.Ledger.Patience.D()
 	s.budgets = ledger.New(ledger.Config{
 		Self: s.id, Zone: record.Zone(s.settings.Instance.Zone), Log: s.publisher, Partitions: s.partitions,
-		Members: s.members, Peers: s.pool, Conservatism: s.lean, Usages: s.finder(), Options: opts,
+		Members: s.members, Peers: s.pool, Conservatism: s.conservatism, Usages: s.newRunFinder(), Options: opts,
 	})
 	s.tables.Register("grants", func() any { return s.budgets.State() })
 	if err := s.peerServer.Register(ledger.WitnessName, s.budgets.Witness()); err != nil {
@@ -29,19 +29,19 @@
 	return s.peerServer.Register(ledger.ServiceName, ledger.NewService(s.budgets))
 }
 
-// returnPatience is how long returning the grants is tried while nothing is
-// reserved in them any more. Harm prevented: an instance that cannot be replaced
-// during an outage of the platform. Limit: a few appends with lost answers take
-// less; after it, the witnesses know every use and close the grants.
-const returnPatience = 10 * time.Second
+// grantReturnTimeout bounds one attempt to return all grants. After a failed attempt
+// without unsettled reservations the shutdown continues, so that instances can be
+// replaced during an outage of the platform. A few appends with lost responses
+// take less. Grants that are not returned are closed by their witnesses, which
+// know every use.
+const grantReturnTimeout = 10 * time.Second
 
-// leaveBudgets returns all grants to their budgets. It waits for reservations
-// of other instances' requests, as long as a drain may last, but not for a
-// platform that is away.
-func (s *Server) leaveBudgets() {
-	deadline := time.Now().Add(shutdownPatience)
+// returnGrants returns all grants to their budgets. It waits up to drainTimeout for
+// reservations of other instances' requests, but not for an unavailable platform.
+func (s *Server) returnGrants() {
+	deadline := time.Now().Add(drainTimeout)
 	for time.Now().Before(deadline) {
-		ctx, cancel := context.WithTimeout(context.Background(), returnPatience)
+		ctx, cancel := context.WithTimeout(context.Background(), grantReturnTimeout)
 		err := s.budgets.Close(ctx)
 		cancel()
 		if err == nil {
@@ -51,31 +51,31 @@
 			break
 		}
 	}
-	s.log.Warn().Msg("ledger: grants left to their witnesses, the platform does not answer")
+	s.log.Warn().Msg("ledger: grants not returned in time, the platform may be unavailable; their witnesses will close them")
 }
 
-// lean reads a budget's setting between fewer stranded tokens (0) and fewer
-// false refusals (1).
-func (s *Server) lean(budget record.BudgetID) float64 {
-	lean := ledger.DefaultConservatism
+// conservatism returns a budget's conservatism, from 0 (fewer stranded tokens) to 1
+// (fewer refusals while the budget still has tokens). It returns the default if
+// the setting is missing or invalid.
+func (s *Server) conservatism(budget record.BudgetID) float64 {
+	conservatism := ledger.DefaultConservatism
 	s.config.View(func(c *fold.Config) {
-		v, ok := c.Get(leanPath(budget))
+		v, ok := c.Get(conservatismPath(budget))
 		if !ok {
 			return
 		}
 		if x, err := strconv.ParseFloat(v.Value, 64); err == nil && x >= 0 && x <= 1 {
-			lean = x
+			conservatism = x
 		}
 	})
-	return lean
+	return conservatism
 }
 
-func leanPath(budget record.BudgetID) string {
+func conservatismPath(budget record.BudgetID) string {
 	return strings.Join([]string{config.TeamsPath, string(budget.Team), "budgets", budget.Name, "lean"}, "/")
 }
 
-// follows decides which ledger partitions this instance reads. An instance
-// draws on any budget that its callers bring, and it is witness wherever a
-// holder chose it, so it follows all of them today. docs/adr/0010 says what
-// following fewer needs.
-func (s *Server) follows(*replica.Replica[*fold.Ledger]) bool { return true }
+// followsPartition reports whether this instance reads a ledger partition. It
+// reads all of them: its callers' requests can use any budget, and any holder can
+// choose it as witness. docs/adr/0010 describes what following fewer would need.
+func (s *Server) followsPartition(*replica.Replica[*fold.Ledger]) bool { return true }
--- a/internal/server/claims.go
+++ b/internal/server/claims.go
@@ -10,12 +10,13 @@
 	"guavapier/internal/replica"
 )
 
-// handoverPatience bounds handing over the claim shards at a drain. The
-// witnesses have the claims, so it must not hold up the end for long.
-const handoverPatience = 5 * time.Second
+// handoverTimeout bounds the handover of claim shards during shutdown. It is short
+// because the witnesses have the claims too.
+const handoverTimeout = 5 * time.Second
 
-// joinClaims makes the parts that claim requests.
-func (s *Server) joinClaims() error {
+// initClaims creates the holder of claim shards and the claims of the fleet, and
+// registers their services for peers.
+func (s *Server) initClaims() error {
 	s.holder = claim.NewHolder(claim.Dependencies{
 		Self: s.self(), Log: s.publisher, Caller: s.pool, Members: s.members, Partitions: s.partitions, Logger: s.log,
 	}, claim.Options{Modes: claimModes{s.config}})
@@ -27,15 +28,16 @@
 	return s.peerServer.Register(claim.WitnessServiceName, s.holder.Witness())
 }
 
-// leaveClaims hands the claim shards over, when no run is left here.
-func (s *Server) leaveClaims() {
+// handOverClaimShards closes the claims and hands the claim shards over to other
+// instances. Call it when no run is left on this instance.
+func (s *Server) handOverClaimShards() {
 	s.claims.Close()
-	ctx, cancel := context.WithTimeout(context.Background(), handoverPatience)
+	ctx, cancel := context.WithTimeout(context.Background(), handoverTimeout)
 	defer cancel()
 	s.holder.HandOver(ctx)
 }
 
-// claimModes reads the teams' modes out of the settings.
+// claimModes implements claim.Modes with the teams' settings.
 type claimModes struct {
 	config *replica.Replica[*fold.Config]
 }
--- a/internal/server/operators.go
+++ b/internal/server/operators.go
@@ -13,22 +13,24 @@
 	"guavapier/internal/snapshot"
 )
 
-// changePatience is how long an operator waits for the log. It leaves room
-// for two lost answers, and is below the 9 s in which an accepted change must
-// be in force everywhere.
-const changePatience = 5 * time.Second
+// changeTimeout bounds the time that an operator's change waits for the log. It
+// allows for two lost responses, and is below the 9 s within which an accepted
+// change must be in force on all instances.
+const changeTimeout = 5 * time.Second
 
+// operatorsHandler returns the handler of the operators' interface.
 func (s *Server) operatorsHandler() http.Handler {
 	o := &operator.API{
 		FleetToken: s.secrets.Operator, Log: s.publisher, Config: s.config, Ledgers: s.partitions,
-		State: s.tables, Metrics: s.metrics, Instances: s.instances, ConfirmTimeout: changePatience,
+		State: s.tables, Metrics: s.metrics, Instances: s.listInstances, ConfirmTimeout: changeTimeout,
 		CloseGrant: s.budgets.ForceClose, CloseShard: s.holder.ForceClose,
 	}
 	return s.metrics.Measure(metrics.OperatorsHTTP, o.Handler())
 }
 
-// instances returns the instance list with this instance's row as it is now.
-func (s *Server) instances() []logstore.Instance {
+// listInstances returns the platform's instance list with this instance's row
+// replaced by its current state.
+func (s *Server) listInstances() []logstore.Instance {
 	rows := []logstore.Instance{s.self()}
 	for _, in := range s.members.List().Instances {
 		if in.ID != s.id {
@@ -38,7 +40,7 @@
 	return rows
 }
 
-// instanceRow is the state dump's table about the instance itself.
+// instanceRow is the table "instance" of the state dump.
 type instanceRow struct {
 	ID       record.InstanceID `json:"id"`
 	Name     string            `json:"name"`
@@ -46,12 +48,13 @@
 	Draining bool              `json:"draining"`
 }
 
-// registerTables adds the tables and gauges that belong to no other part.
+// registerTables registers the state tables and metrics that no other component
+// registers.
 func (s *Server) registerTables() {
 	s.tables.Register("instance", func() any {
 		return instanceRow{ID: s.id, Name: s.settings.Instance.Name, Zone: s.settings.Instance.Zone, Draining: s.draining.Load()}
 	})
-	s.tables.Register("applied", func() any { return s.applied() })
+	s.tables.Register("applied", func() any { return s.appliedOffsets() })
 	s.tables.Register("members", func() any { return s.members.List() })
 	s.tables.Register("live", func() any { return s.members.Live() })
 	s.tables.Register("budgets", func() any { return s.budgetRows() })
@@ -64,7 +67,9 @@
 	s.registerMetrics()
 }
 
-// streamRow is one row of the state dump's table of streams.
+// streamRow is a row of the table "streams" of the state dump. Next is the offset
+// after the last applied entry, First the oldest offset that the log was seen to
+// keep.
 type streamRow struct {
 	Stream   record.Stream    `json:"stream"`
 	Next     uint64           `json:"next"`
@@ -76,7 +81,7 @@
 
 func (s *Server) streamRows() []streamRow {
 	rows := []streamRow{}
-	for _, st := range s.streams() {
+	for _, st := range s.followedStreams() {
 		rows = append(rows, streamRow{
 			Stream: st.Stream(), Next: st.Next(), First: s.subscriber.First(st.Stream()),
 			Current: s.subscriber.Current(st.Stream()), Gap: st.HasGap(), Snapshot: st.NewestSnapshot(),
@@ -85,6 +90,8 @@
 	return rows
 }
 
+// registerMetrics registers the gauges of this package and creates the counters, so
+// that they are published before their first event.
 func (s *Server) registerMetrics() {
 	s.metrics.Gauge(metrics.ConfigNext, func() int64 { return int64(s.config.Next()) })
 	s.metrics.Gauge(metrics.ConfigValues, func() (n int64) {
@@ -106,8 +113,9 @@
 	s.metrics.Gauge(metrics.HeapBytes, heapBytes)
 }
 
-// applied gives, for each stream, the offset after the last applied entry.
-func (s *Server) applied() map[record.Stream]uint64 {
+// appliedOffsets returns, for each stream, the offset after the last applied
+// entry.
+func (s *Server) appliedOffsets() map[record.Stream]uint64 {
 	next := map[record.Stream]uint64{record.ConfigStream: s.config.Next()}
 	for _, p := range s.partitions {
 		next[p.Stream()] = p.Next()
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -1,4 +1,5 @@
-// Package server puts one instance together, starts it and drains it.
+// Package server assembles an instance from its components, runs it and shuts it
+// down.
 package server
 
 import (
@@ -31,19 +32,20 @@
 	"guavapier/internal/state"
 )
 
-// Secrets are the contents of the secrets files.
+// Secrets holds the contents of the secret files: the keys that sign sessions and
+// the operators' token.
 type Secrets struct {
 	Sessions session.Keyring
 	Operator string
 }
 
 const (
-	publisherRetry   = 50 * time.Millisecond
-	publisherRecords = 1000
-	shutdownPatience = 24 * time.Hour // Long reports are never cut off by a drain.
+	publishRetryInterval = 50 * time.Millisecond
+	maxRecordsPerBatch   = 1000
+	drainTimeout         = 24 * time.Hour // Shutdown must not interrupt even the longest answers.
 )
 
-// Server is one instance.
+// Server is one instance. Create it with New and call Run once.
 type Server struct {
 	id       record.InstanceID
 	settings settings.Settings
@@ -67,109 +69,113 @@
 	claims     *claim.Client
 	runner     *run.Runner
 	draining   atomic.Bool
-	inFlight   atomic.Int64 // Callers' requests that have no whole answer yet.
-	// tables and metrics are where each part registers what it shows.
+	inFlight   atomic.Int64 // Callers' requests that are not completely answered.
+	// The components register their state tables and metrics here.
 	tables  *state.Registry
 	metrics *metrics.Registry
 
-	links     links
-	callers   *callers.Connections
-	operators net.Listener
-	peers     net.Listener
+	links             linkTLS
+	callers           *callers.Connections
+	operatorsListener net.Listener
+	peersListener     net.Listener
 }
 
-// New puts an instance together and binds its addresses.
+// New assembles an instance and binds its addresses. It returns the error of an
+// unusable certificate file or address.
 func New(s settings.Settings, secrets Secrets, log zerolog.Logger) (*Server, error) {
 	srv := &Server{id: record.NewInstanceID(s.Instance.Name), settings: s, secrets: secrets, log: log, tables: state.New(), metrics: metrics.New()}
 	var err error
-	if srv.links, err = srv.newLinks(); err != nil {
+	if srv.links, err = srv.newLinkTLS(); err != nil {
 		return nil, err
 	}
 	if err := srv.listen(); err != nil {
 		return nil, err
 	}
 	srv.client = logstore.NewClient(s.Platform.URL, s.Platform.Timeout.D())
-	if srv.links.secured(settings.InterfacePlatform) {
-		srv.client.Secure(srv.links.outside.Dial)
+	if srv.links.requiresTLS(settings.InterfacePlatform) {
+		srv.client.Secure(srv.links.outsideCA.Dial)
 	}
 	srv.publisher = logstore.NewPublisher(srv.client, srv.id, logstore.PublisherOptions{
-		Linger: s.Ledger.Linger.D(), RetryEvery: publisherRetry, MaxRecords: publisherRecords,
+		Linger: s.Ledger.Linger.D(), RetryEvery: publishRetryInterval, MaxRecords: maxRecordsPerBatch,
 	})
 	srv.config = replica.New(record.ConfigStream, fold.NewConfig())
 	for n := range s.Ledger.Partitions {
 		srv.partitions = append(srv.partitions, replica.New(record.LedgerStream(n), fold.NewLedger()))
 	}
-	srv.dispatcher = dispatch.NewWithOptions(placement(s, srv.id))
-	if err := srv.joinPeers(); err != nil {
+	srv.dispatcher = dispatch.NewWithOptions(placementOptions(s, srv.id))
+	if err := srv.initPeers(); err != nil {
 		return nil, err
 	}
-	srv.subscriber = logstore.NewSubscriber(srv.relay, srv.startStream)
+	srv.subscriber = logstore.NewSubscriber(srv.relay, srv.resumeOffset)
 	srv.clients = newEndpointClients(s.Limits, srv.links, srv.endpoints, srv.dispatcher)
-	srv.tables.Register("endpoint_answers", func() any { return srv.clients.counts.View() })
-	if err := srv.joinBudgets(); err != nil {
+	srv.tables.Register("endpoint_answers", func() any { return srv.clients.counts.Snapshot() })
+	if err := srv.initLedger(); err != nil {
 		return nil, err
 	}
-	if err := srv.joinClaims(); err != nil {
+	if err := srv.initClaims(); err != nil {
 		return nil, err
 	}
 	srv.runner = &run.Runner{
 		Claims: srv.claims, Budgets: srv.budgets,
 		Placer: srv.dispatcher, Endpoints: srv.endpoints,
 		Engines: srv.clients.engines, Services: srv.clients.services,
-		RunFinder: srv.finder(), RepeatRules: repeatRules{srv.config}, Limits: runLimits(s.Limits), OnEndpointLeaving: srv.leaving,
+		RunFinder: srv.newRunFinder(), RepeatRules: repeatRules{srv.config}, Limits: runLimits(s.Limits), OnEndpointLeaving: srv.setEndpointLeaving,
 		OnError: func(err error) { log.Error().Err(err).Msg("run: background error") },
 	}
 	srv.registerTables()
 	return srv, nil
 }
 
+// listen binds the addresses for callers, operators and peers.
 func (s *Server) listen() error {
 	listener, err := net.Listen("tcp", s.settings.Instance.Callers)
 	if err != nil {
 		return eris.Wrap(err, "server: listen for callers; give another address if this one is taken")
 	}
-	s.callers = callers.New(listener.(*net.TCPListener), 0, nil) // The server's own limit ends idle connections.
-	if s.operators, err = net.Listen("tcp", s.settings.Instance.Operators); err != nil {
+	s.callers = callers.New(listener.(*net.TCPListener), 0, nil) // http.Server's IdleTimeout closes idle connections.
+	if s.operatorsListener, err = net.Listen("tcp", s.settings.Instance.Operators); err != nil {
 		return eris.Wrap(err, "server: listen for operators; give another address if this one is taken")
 	}
 	return s.listenPeers()
 }
 
-// CallersAddr returns the bound callers' address.
+// CallersAddr returns the bound address for callers.
 func (s *Server) CallersAddr() string { return s.callers.Addr().String() }
 
-// OperatorsAddr returns the bound operators' address.
-func (s *Server) OperatorsAddr() string { return s.operators.Addr().String() }
+// OperatorsAddr returns the bound address for operators.
+func (s *Server) OperatorsAddr() string { return s.operatorsListener.Addr().String() }
 
-// Run serves until ctx ends, then drains: it finishes every request in flight.
+// Run serves until ctx is done, then drains: it answers the requests in flight,
+// hands over claim shards and returns grants. It returns nil after a regular
+// shutdown.
 func (s *Server) Run(ctx context.Context) error {
 	background, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
-	entries := entry.NewServer(s.callersHandler())
-	entries.ConnState = s.callers.ConnState
-	operators := &http.Server{Handler: s.operatorsHandler(), ReadHeaderTimeout: 10 * time.Second}
+	callerServer := entry.NewServer(s.callersHandler())
+	callerServer.ConnState = s.callers.ConnState
+	operatorServer := &http.Server{Handler: s.operatorsHandler(), ReadHeaderTimeout: 10 * time.Second}
 	var group errgroup.Group
-	group.Go(func() error { return s.follow(background) })
+	group.Go(func() error { return s.followStreams(background) })
 	group.Go(func() error { s.snapshotWriter().Run(background); return nil })
 	group.Go(func() error { s.clients.poller.Run(background); return nil })
 	group.Go(func() error { s.members.Run(background, s.pool); return nil })
 	group.Go(func() error { s.holder.Run(background); return nil })
-	group.Go(func() error { return s.peerServer.Serve(s.links.listener(settings.InterfacePeers, s.peers)) })
+	group.Go(func() error { return s.peerServer.Serve(s.links.wrapListener(settings.InterfacePeers, s.peersListener)) })
 	group.Go(func() error {
-		return ignoreClosed(entries.Serve(s.links.listener(settings.InterfaceCallers, s.callers)))
+		return ignoreClosed(callerServer.Serve(s.links.wrapListener(settings.InterfaceCallers, s.callers)))
 	})
 	group.Go(func() error {
-		return ignoreClosed(operators.Serve(s.links.listener(settings.InterfaceOperators, s.operators)))
+		return ignoreClosed(operatorServer.Serve(s.links.wrapListener(settings.InterfaceOperators, s.operatorsListener)))
 	})
 	s.log.Info().Str("id", string(s.id)).Str("callers", s.CallersAddr()).Str("operators", s.OperatorsAddr()).
 		Str("peers", s.PeersAddr()).Msg("server: serving")
 	group.Go(func() error { return s.budgets.Run(background) })
 	<-ctx.Done()
-	s.drain(operators)
-	s.leaveClaims()
-	s.leaveBudgets()
+	s.drain(operatorServer)
+	s.handOverClaimShards()
+	s.returnGrants()
 	stop()
-	s.leavePeers()
+	s.closePeers()
 	s.holder.Close()
 	s.dispatcher.Close()
 	err := group.Wait()
@@ -178,19 +184,24 @@
 	return err
 }
 
-func (s *Server) drain(operators *http.Server) {
+// drain stops accepting connections from callers and waits, up to drainTimeout,
+// until the open ones are answered and closed. Then it waits for the cleanup of
+// their runs and stops the operators' interface.
+func (s *Server) drain(operatorServer *http.Server) {
 	s.draining.Store(true)
 	s.log.Info().Msg("server: draining")
-	patience, cancel := context.WithTimeout(context.Background(), shutdownPatience)
+	drainCtx, cancel := context.WithTimeout(context.Background(), drainTimeout)
 	defer cancel()
-	// In place of the server's Shutdown, which drops what is read after its call.
-	if err := s.callers.Drain(patience); err != nil {
-		s.log.Warn().Err(err).Msg("server: requests cut off at the end of the drain")
+	// Not http.Server.Shutdown, which drops requests that are read after its call.
+	if err := s.callers.Drain(drainCtx); err != nil {
+		s.log.Warn().Err(err).Msg("server: connections still open at the end of the drain, their requests are cut off")
 	}
 	s.runner.Close()
-	_ = operators.Shutdown(patience)
+	_ = operatorServer.Shutdown(drainCtx)
 }
 
+// self returns this instance's row of the instance list, as announced to the
+// platform.
 func (s *Server) self() logstore.Instance {
 	return logstore.Instance{
 		ID: s.id, Zone: record.Zone(s.settings.Instance.Zone), Peer: s.PeersAddr(), Leaving: s.draining.Load(),
@@ -198,6 +209,7 @@
 	}
 }
 
+// callersHandler returns the handler of the callers' interface.
 func (s *Server) callersHandler() http.Handler {
 	limits := s.settings.Limits
 	c := &entry.API{
@@ -205,14 +217,15 @@
 		SessionRegistry: session.Registry{Log: s.publisher, Partitions: s.partitions},
 		Limits: entry.Limits{
 			MaxBodyBytes: limits.BodyBytes, MaxAnswerBytes: int(limits.AnswerBytes), MaxTokens: limits.MaxTokens,
-			MinPromptBytesPerToken: limits.PromptBytesPerToken, BodyReadTimeout: readWithin, WriteTimeout: writeWithin, HeartbeatInterval: callerHeartbeat,
+			MinPromptBytesPerToken: limits.PromptBytesPerToken, BodyReadTimeout: callerReadTimeout, WriteTimeout: callerWriteTimeout, HeartbeatInterval: callerHeartbeatInterval,
 			FirstTokenTimeout: limits.FirstToken.D(), ServiceAnswerTimeout: limits.ServiceAnswer.D(),
 		},
-		IsReady: func() bool { return !s.draining.Load() && s.members.HasList() && s.current() },
+		IsReady: func() bool { return !s.draining.Load() && s.members.HasList() && s.isCurrent() },
 	}
 	return s.metrics.Measure(metrics.CallersHTTP, s.countInFlight(c.Handler()))
 }
 
+// countInFlight wraps a handler so that InFlight counts its requests.
 func (s *Server) countInFlight(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		s.inFlight.Add(1)
@@ -221,9 +234,11 @@
 	})
 }
 
-// InFlight returns how many callers' requests have no whole answer yet.
+// InFlight returns the number of callers' requests that are not completely
+// answered.
 func (s *Server) InFlight() int64 { return s.inFlight.Load() }
 
+// ignoreClosed returns nil for http.ErrServerClosed, else err.
 func ignoreClosed(err error) error {
 	if eris.Is(err, http.ErrServerClosed) {
 		return nil
--- a/internal/server/table_test.go
+++ b/internal/server/table_test.go
@@ -18,9 +18,9 @@
 		{config.EndpointCapacity{Slots: 4, Weight: 9}, 4, 9},
 		{config.EndpointCapacity{Weight: 9}, defaultSlots, 9},
 	} {
-		row := withCapacity(decide.Endpoint{}, "small", c.set)
+		row := setCapacity(decide.Endpoint{}, "small", c.set)
 		if row.Slots != c.slots || row.Weight != c.weight || len(row.Models) != 1 {
-			t.Errorf("%+v gives %+v", c.set, row)
+			t.Errorf("capacity %+v gives row %+v", c.set, row)
 		}
 	}
 }
--- a/internal/server/usages.go
+++ b/internal/server/usages.go
@@ -10,64 +10,70 @@
 	"guavapier/internal/record"
 )
 
-// askAtOnce bounds the questions about one run that are open at once.
-const askAtOnce = 32
+// maxConcurrentQueries bounds the concurrent requests for the state of one run.
+const maxConcurrentQueries = 32
 
-// runFinder asks the listed engines for runs whose instance or claim is gone. A
-// run that has moved is known to more than one engine; the one that has the
-// most of its answer has the whole.
+// runFinder finds, by querying the listed engines, runs whose instance or claim is
+// gone. Several engines know a run that was moved between them; the one with the
+// longest answer has the complete one.
 type runFinder struct {
 	engines *endpoint.HTTPEngines
 	members *membership.Members
 }
 
-func (s *Server) finder() runFinder { return runFinder{engines: s.clients.engines, members: s.members} }
+func (s *Server) newRunFinder() runFinder {
+	return runFinder{engines: s.clients.engines, members: s.members}
+}
 
-// found is what one engine says of a run.
-type found struct {
+// engineRun is the state of a run that one engine reports.
+type engineRun struct {
 	engine string
 	state  endpoint.RunState
 }
 
-// Usage implements ledger.Usages.
+// Usage implements ledger.Usages. The usage is known only if the run has ended.
 func (f runFinder) Usage(ctx context.Context, run record.RunID) (tokens int64, known bool) {
-	longest, ok := longestOf(f.ask(ctx, run))
+	longest, ok := longestAnswer(f.queryEngines(ctx, run))
 	if !ok || !longest.state.Done {
 		return 0, false
 	}
-	return longest.state.Prompt + longest.state.Answer(), true
+	return longest.state.Prompt + longest.state.AnswerTokens(), true
 }
 
-// Find implements run.Finder.
+// Find implements run.Finder. It returns the name of the engine with the longest
+// answer.
 func (f runFinder) Find(ctx context.Context, run record.RunID) (name string, ok bool) {
-	longest, ok := longestOf(f.ask(ctx, run))
+	longest, ok := longestAnswer(f.queryEngines(ctx, run))
 	return longest.engine, ok
 }
 
-func (f runFinder) ask(ctx context.Context, run record.RunID) []*found {
-	var asked errgroup.Group
-	asked.SetLimit(askAtOnce)
+// queryEngines requests a run's state from all listed engines. The result has a
+// nil entry for each plain service and each engine without an answer.
+func (f runFinder) queryEngines(ctx context.Context, run record.RunID) []*engineRun {
+	var group errgroup.Group
+	group.SetLimit(maxConcurrentQueries)
 	rows := f.members.List().Endpoints
-	answers := make([]*found, len(rows))
+	answers := make([]*engineRun, len(rows))
 	for i, e := range rows {
 		if e.Service != "" {
 			continue
 		}
-		asked.Go(func() error {
+		group.Go(func() error {
 			if state, err := f.engines.State(ctx, e.URL, run); err == nil {
-				answers[i] = &found{engine: e.Name, state: state}
+				answers[i] = &engineRun{engine: e.Name, state: state}
 			}
 			return nil
 		})
 	}
-	_ = asked.Wait()
+	_ = group.Wait()
 	return answers
 }
 
-// longestOf returns the answer with the most tokens.
-func longestOf(answers []*found) (longest found, ok bool) {
+// longestAnswer returns the run state with the most answer tokens. ok is false if
+// there is none.
+func longestAnswer(answers []*engineRun) (longest engineRun, ok bool) {
 	for _, a := range answers {
-		if a != nil && (!ok || a.state.Answer() > longest.state.Answer()) {
+		if a != nil && (!ok || a.state.AnswerTokens() > longest.state.AnswerTokens()) {
 			longest, ok = *a, true
 		}
 	}
