--- a/internal/cli/load.go
+++ b/internal/cli/load.go
@@ -26,7 +26,7 @@
 		example: "guavapier load -standin -trace examples/traces/dala-vibro.jsonl -targets http://127.0.1.1:8080,http://127.0.1.2:8080",
 		flags:   fs,
 		run: func(ctx context.Context, _ []string) error {
-			options := load.Options{Trace: *trace, Speed: *speed, Direct: *direct, StandIn: *standIn}
+			options := load.Options{TracePath: *trace, Speed: *speed, Direct: *direct, StandIn: *standIn}
 			switch {
 			case *trace == "":
 				return usagef("-trace FILE is missing")
@@ -37,7 +37,7 @@
 			if options.Targets, err = targetURLs(*targets, *c.addr); err != nil {
 				return err
 			}
-			if options.Key, err = c.secret(); err != nil {
+			if options.APIKey, err = c.secret(); err != nil {
 				return err
 			}
 			report, err := load.Run(ctx, options)
@@ -76,8 +76,8 @@
 				round(k.FirstP50), round(k.FirstP99), round(k.WholeP50), round(k.WholeP99))
 		}
 	})
-	if err == nil && len(r.Broken) > 0 {
-		err = fmt.Errorf("stated outcomes not met:\n%s", strings.Join(r.Broken, "\n"))
+	if err == nil && len(r.Violations) > 0 {
+		err = fmt.Errorf("stated outcomes not met:\n%s", strings.Join(r.Violations, "\n"))
 	}
 	return err
 }
--- a/internal/load/answer.go
+++ b/internal/load/answer.go
@@ -9,53 +9,53 @@
 	"time"
 )
 
-// answer collects one request's answer over its attempts.
-type answer struct {
-	request Request
-	class   ClassSpec
-	standIn bool
-	began   time.Time
-	first   time.Duration
-	text    strings.Builder
-	last    string // The last event's id.
-	run     string
+// responseReader collects one request's answer over its attempts.
+type responseReader struct {
+	request     Request
+	class       ClassSpec
+	standIn     bool
+	startedAt   time.Time
+	firstToken  time.Duration
+	text        strings.Builder
+	lastEventID string // The last event's id.
+	runID       string
 }
 
-func newAnswer(r Request, class ClassSpec, standIn bool) *answer {
-	return &answer{request: r, class: class, standIn: standIn, began: time.Now()}
+func newResponseReader(r Request, class ClassSpec, standIn bool) *responseReader {
+	return &responseReader{request: r, class: class, standIn: standIn, startedAt: time.Now()}
 }
 
-func (a *answer) read(body io.Reader) outcome {
+func (a *responseReader) read(body io.Reader) outcome {
 	switch a.class.Kind {
 	case KindStream:
 		return a.readStream(body)
 	case KindWhole:
-		return a.readWhole(body)
+		return a.readCompletion(body)
 	}
 	return a.readCall(body)
 }
 
-// done returns the outcome of an answer that has come to its closing.
-func (a *answer) done() outcome {
+// checkCompletion returns the outcome of an answer that has come to its closing.
+func (a *responseReader) checkCompletion() outcome {
 	if a.standIn {
-		want := standInText(a.request.Tokens)
+		want := standInCompletion(a.request.Tokens)
 		if got := a.text.String(); got != want {
-			return outcome{kind: wrong, note: fmt.Sprintf("%d bytes of text, want %d", len(got), len(want))}
+			return outcome{kind: wrong, detail: fmt.Sprintf("%d bytes of text, want %d", len(got), len(want))}
 		}
 	}
-	return a.timed()
+	return a.answeredNow()
 }
 
-func (a *answer) timed() outcome {
-	whole := time.Since(a.began)
-	if a.first == 0 {
-		a.first = whole
+func (a *responseReader) answeredNow() outcome {
+	total := time.Since(a.startedAt)
+	if a.firstToken == 0 {
+		a.firstToken = total
 	}
-	return outcome{kind: answered, first: a.first, whole: whole}
+	return outcome{kind: answered, firstToken: a.firstToken, total: total}
 }
 
-// standInText is the stand-in engine's whole answer of n tokens.
-func standInText(n int) string {
+// standInCompletion is the stand-in engine's whole answer of n tokens.
+func standInCompletion(n int) string {
 	var b strings.Builder
 	for i := range n {
 		fmt.Fprintf(&b, "w%d ", i)
@@ -63,7 +63,7 @@
 	return b.String()
 }
 
-type chunk struct {
+type chatResponse struct {
 	ID      string `json:"id"`
 	Choices []struct {
 		Delta struct {
@@ -76,11 +76,11 @@
 	Error json.RawMessage `json:"error"`
 }
 
-func (a *answer) readStream(body io.Reader) outcome {
+func (a *responseReader) readStream(body io.Reader) outcome {
 	lines := bufio.NewScanner(body)
 	for lines.Scan() {
 		if id, ok := strings.CutPrefix(lines.Text(), "id: "); ok {
-			a.last = id
+			a.lastEventID = id
 			continue
 		}
 		data, ok := strings.CutPrefix(lines.Text(), "data: ")
@@ -88,65 +88,65 @@
 			continue
 		}
 		if data == "[DONE]" {
-			return a.done()
+			return a.checkCompletion()
 		}
-		if o := a.take(data); o.kind != "" {
+		if o := a.applyEvent(data); o.kind != "" {
 			return o
 		}
 	}
-	return outcome{kind: partial, note: fmt.Sprintf("stream ended after %q", a.last)}
+	return outcome{kind: partial, detail: fmt.Sprintf("stream ended after %q", a.lastEventID)}
 }
 
-// take takes one event; its outcome is empty while the answer goes on.
-func (a *answer) take(data string) outcome {
-	var c chunk
+// applyEvent takes one event; its outcome is empty while the answer goes on.
+func (a *responseReader) applyEvent(data string) outcome {
+	var c chatResponse
 	if err := json.Unmarshal([]byte(data), &c); err != nil {
-		return outcome{kind: wrong, note: err.Error()}
+		return outcome{kind: wrong, detail: err.Error()}
 	}
 	if c.Error != nil {
-		return outcome{kind: partial, note: string(c.Error)}
+		return outcome{kind: partial, detail: string(c.Error)}
 	}
-	if a.run == "" {
-		a.run = c.ID
+	if a.runID == "" {
+		a.runID = c.ID
 	}
-	if c.ID != a.run {
-		return outcome{kind: wrong, note: "event of run " + c.ID}
+	if c.ID != a.runID {
+		return outcome{kind: wrong, detail: "event of run " + c.ID}
 	}
 	if len(c.Choices) > 0 && c.Choices[0].Delta.Content != "" {
-		if a.first == 0 {
-			a.first = time.Since(a.began)
+		if a.firstToken == 0 {
+			a.firstToken = time.Since(a.startedAt)
 		}
 		a.text.WriteString(c.Choices[0].Delta.Content)
 	}
 	return outcome{}
 }
 
-func (a *answer) readWhole(body io.Reader) outcome {
-	var c chunk
+func (a *responseReader) readCompletion(body io.Reader) outcome {
+	var c chatResponse
 	if err := json.NewDecoder(body).Decode(&c); err != nil || len(c.Choices) == 0 {
-		return outcome{kind: partial, note: fmt.Sprintf("whole answer: %v", err)}
+		return outcome{kind: partial, detail: fmt.Sprintf("whole answer: %v", err)}
 	}
 	a.text.Reset()
 	a.text.WriteString(c.Choices[0].Message.Content)
-	return a.done()
+	return a.checkCompletion()
 }
 
-func (a *answer) readCall(data io.Reader) outcome {
-	text, err := io.ReadAll(data)
+func (a *responseReader) readCall(responseBody io.Reader) outcome {
+	text, err := io.ReadAll(responseBody)
 	if err != nil {
-		return outcome{kind: partial, note: err.Error()}
+		return outcome{kind: partial, detail: err.Error()}
 	}
 	if !a.standIn {
-		return a.timed()
+		return a.answeredNow()
 	}
 	var got struct {
 		Path  string `json:"path"`
 		Count int    `json:"count"`
 		Bytes int    `json:"bytes"`
 	}
-	want := len(body(a.request, a.class))
+	want := len(requestBody(a.request, a.class))
 	if err := json.Unmarshal(text, &got); err != nil || got.Count != 1 || got.Bytes != want || !strings.HasSuffix(got.Path, a.class.Path) {
-		return outcome{kind: wrong, note: string(text)}
+		return outcome{kind: wrong, detail: string(text)}
 	}
-	return a.timed()
+	return a.answeredNow()
 }
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -19,12 +19,12 @@
 
 // Options set a replay.
 type Options struct {
-	// Trace is the file of the trace, JSON lines; see ReadTrace.
-	Trace string
+	// TracePath is the file of the trace, JSON lines; see ReadTrace.
+	TracePath string
 	// Targets are the instances' base URLs, used in turn.
 	Targets []string
-	// Key is the team's API key.
-	Key string
+	// APIKey is the team's API key.
+	APIKey string
 	// Speed divides the trace's times; 1 replays as recorded, 0 means 1.
 	Speed float64
 	// Direct sends chat requests straight to engines at Targets, to measure
@@ -37,7 +37,7 @@
 
 // Run replays a trace. It returns when every request has its outcome.
 func Run(ctx context.Context, o Options) (Report, error) {
-	trace, err := ReadTrace(o.Trace)
+	trace, err := ReadTrace(o.TracePath)
 	if err != nil {
 		return Report{}, err
 	}
@@ -52,26 +52,26 @@
 	if o.Speed <= 0 {
 		o.Speed = 1
 	}
-	p := newPlayer(o)
+	p := newReplayer(o)
 	defer p.close()
 	if err := p.openSessions(ctx, trace); err != nil {
 		return Report{}, err
 	}
-	tallies := newTallies(trace)
-	began := time.Now()
+	classes := newStatsByClass(trace)
+	startedAt := time.Now()
 	var callers sync.WaitGroup
-	for n, r := range trace.Requests {
-		class := trace.class(r.Class)
+	for index, r := range trace.Requests {
+		class := trace.classSpec(r.Class)
 		if o.Direct && class.Kind == KindCall {
 			continue
 		}
-		if !sleepUntil(ctx, began.Add(time.Duration(float64(r.at())/o.Speed))) {
+		if !sleepUntil(ctx, startedAt.Add(time.Duration(float64(r.start())/o.Speed))) {
 			break
 		}
-		callers.Go(func() { tallies.add(r, p.send(ctx, n, r, class)) })
+		callers.Go(func() { classes.record(r, p.sendWithDuplicate(ctx, index, r, class)) })
 	}
 	callers.Wait()
-	return tallies.report(time.Since(began)), ctx.Err()
+	return classes.report(time.Since(startedAt)), ctx.Err()
 }
 
 func sleepUntil(ctx context.Context, at time.Time) bool {
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -40,7 +40,7 @@
 	}
 }
 
-func event(id, run, text string) string {
+func streamEvent(id, run, text string) string {
 	return "id: " + id + "\ndata: {\"id\":\"" + run + "\",\"choices\":[{\"delta\":{\"content\":\"" + text + "\"}}]}\n\n"
 }
 
@@ -52,21 +52,21 @@
 		kind   Kind
 		status int
 		body   string
-		want   Class
+		want   ClassReport
 	}{
-		"whole":            {KindStream, 200, event("r.1", "r", "w0 ") + event("r.2", "r", "w1 ") + done, Class{Answered: 1}},
-		"too short":        {KindStream, 200, event("r.1", "r", "w0 ") + done, Class{Wrong: 1}},
-		"repeated":         {KindStream, 200, event("r.1", "r", "w0 ") + event("r.1", "r", "w0 ") + event("r.2", "r", "w1 ") + done, Class{Wrong: 1}},
-		"another run's":    {KindStream, 200, event("r.1", "r", "w0 ") + event("s.2", "s", "w1 ") + done, Class{Wrong: 1}},
-		"no closing":       {KindStream, 200, "data: {\"error\":{}}\n\n", Class{Partial: 1}},
-		"empty":            {KindStream, 200, "", Class{Partial: 1}},
-		"whole answer":     {KindWhole, 200, `{"choices":[{"message":{"content":"w0 w1 "}}]}`, Class{Answered: 1}},
-		"cut whole answer": {KindWhole, 200, `{"choices":[{"mess`, Class{Partial: 1}},
-		"call":             {KindCall, 200, `{"path":"/call/x","count":1,"bytes":25}`, Class{Answered: 1}},
-		"second run":       {KindCall, 200, `{"path":"/call/x","count":2,"bytes":25}`, Class{Wrong: 1}},
-		"another call's":   {KindCall, 200, `{"path":"/call/y","count":1,"bytes":25}`, Class{Wrong: 1}},
-		"refused":          {KindCall, 402, `{"error":{"outcome":"not_run"}}`, Class{NotRun: 1}},
-		"unknown":          {KindCall, 409, `{"error":{"outcome":"unknown"}}`, Class{Unknown: 1}},
+		"whole":            {KindStream, 200, streamEvent("r.1", "r", "w0 ") + streamEvent("r.2", "r", "w1 ") + done, ClassReport{Answered: 1}},
+		"too short":        {KindStream, 200, streamEvent("r.1", "r", "w0 ") + done, ClassReport{Wrong: 1}},
+		"repeated":         {KindStream, 200, streamEvent("r.1", "r", "w0 ") + streamEvent("r.1", "r", "w0 ") + streamEvent("r.2", "r", "w1 ") + done, ClassReport{Wrong: 1}},
+		"another run's":    {KindStream, 200, streamEvent("r.1", "r", "w0 ") + streamEvent("s.2", "s", "w1 ") + done, ClassReport{Wrong: 1}},
+		"no closing":       {KindStream, 200, "data: {\"error\":{}}\n\n", ClassReport{Partial: 1}},
+		"empty":            {KindStream, 200, "", ClassReport{Partial: 1}},
+		"whole answer":     {KindWhole, 200, `{"choices":[{"message":{"content":"w0 w1 "}}]}`, ClassReport{Answered: 1}},
+		"cut whole answer": {KindWhole, 200, `{"choices":[{"mess`, ClassReport{Partial: 1}},
+		"call":             {KindCall, 200, `{"path":"/call/x","count":1,"bytes":25}`, ClassReport{Answered: 1}},
+		"second run":       {KindCall, 200, `{"path":"/call/x","count":2,"bytes":25}`, ClassReport{Wrong: 1}},
+		"another call's":   {KindCall, 200, `{"path":"/call/y","count":1,"bytes":25}`, ClassReport{Wrong: 1}},
+		"refused":          {KindCall, 402, `{"error":{"outcome":"not_run"}}`, ClassReport{NotRun: 1}},
+		"unknown":          {KindCall, 409, `{"error":{"outcome":"unknown"}}`, ClassReport{Unknown: 1}},
 	} {
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			if r.URL.Path == "/v1/sessions" {
@@ -78,7 +78,7 @@
 			_, _ = w.Write([]byte(c.body))
 		}))
 		trace := Trace{
-			Classes:  []ClassSpec{{Name: "a", Kind: c.kind, Service: "s", Path: "/x", Answered: 1}},
+			Classes:  []ClassSpec{{Name: "a", Kind: c.kind, Service: "s", Path: "/x", MinAnswered: 1}},
 			Requests: []Request{{Class: "a", ID: "one", Session: "sess", Bytes: 5, Tokens: 2}},
 		}
 		report, err := Replay(t.Context(), trace, Options{Targets: []string{server.URL}, StandIn: true})
@@ -88,9 +88,9 @@
 			continue
 		}
 		got := report.Classes[0]
-		counts := Class{Answered: got.Answered, NotRun: got.NotRun, Unknown: got.Unknown, Partial: got.Partial, Wrong: got.Wrong}
-		if counts != c.want || (len(report.Broken) == 0) != (c.want.Answered == 1) {
-			t.Errorf("%s: %+v, broken %q", name, counts, report.Broken)
+		counts := ClassReport{Answered: got.Answered, NotRun: got.NotRun, Unknown: got.Unknown, Partial: got.Partial, Wrong: got.Wrong}
+		if counts != c.want || (len(report.Violations) == 0) != (c.want.Answered == 1) {
+			t.Errorf("%s: %+v, broken %q", name, counts, report.Violations)
 		}
 	}
 }
--- a/internal/load/player.go
+++ b/internal/load/player.go
@@ -27,55 +27,55 @@
 
 // outcome is one request's, over all its attempts.
 type outcome struct {
-	kind         outcomeKind
-	note         string
-	first, whole time.Duration
+	kind              outcomeKind
+	detail            string
+	firstToken, total time.Duration
 }
 
 const (
-	maxAttempts  = 5
-	maxAnswer    = 64 << 20
-	answerWithin = 10 * time.Minute
-	betweenTries = 50 * time.Millisecond
+	maxAttempts      = 5
+	maxResponseBytes = 64 << 20
+	requestTimeout   = 10 * time.Minute
+	retryDelay       = 50 * time.Millisecond
 )
 
-// player sends requests. It is safe for concurrent use.
-type player struct {
-	opts     Options
-	client   *http.Client
-	sessions map[string]string // Tokens by name; written before the replay.
+// replayer sends requests. It is safe for concurrent use.
+type replayer struct {
+	opts          Options
+	client        *http.Client
+	sessionTokens map[string]string // Tokens by name; written before the replay.
 }
 
-func newPlayer(o Options) *player {
+func newReplayer(o Options) *replayer {
 	transport := &http.Transport{MaxIdleConnsPerHost: 64}
-	return &player{opts: o, client: &http.Client{Transport: transport, Timeout: answerWithin}, sessions: map[string]string{}}
+	return &replayer{opts: o, client: &http.Client{Transport: transport, Timeout: requestTimeout}, sessionTokens: map[string]string{}}
 }
 
-func (p *player) close() { p.client.CloseIdleConnections() }
+func (p *replayer) close() { p.client.CloseIdleConnections() }
 
-func (p *player) openSessions(ctx context.Context, t Trace) error {
+func (p *replayer) openSessions(ctx context.Context, t Trace) error {
 	if p.opts.Direct {
 		return nil
 	}
 	for _, r := range t.Requests {
-		if _, ok := p.sessions[r.Session]; ok || r.Session == "" {
+		if _, ok := p.sessionTokens[r.Session]; ok || r.Session == "" {
 			continue
 		}
 		token, err := p.openSession(ctx)
 		if err != nil {
 			return err
 		}
-		p.sessions[r.Session] = token
+		p.sessionTokens[r.Session] = token
 	}
 	return nil
 }
 
-func (p *player) openSession(ctx context.Context) (string, error) {
+func (p *replayer) openSession(ctx context.Context) (string, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, p.opts.Targets[0]+"/v1/sessions", nil)
 	if err != nil {
 		return "", eris.Wrap(err, "load: open session")
 	}
-	req.Header.Set("Authorization", "Bearer "+p.opts.Key)
+	req.Header.Set("Authorization", "Bearer "+p.opts.APIKey)
 	resp, err := p.client.Do(req)
 	if err != nil {
 		return "", eris.Wrap(err, "load: open session")
@@ -90,31 +90,31 @@
 	return opened.Token, nil
 }
 
-// send sends a request, a second time at another target if the trace says so,
+// sendWithDuplicate sends a request, a second time at another target if the trace says so,
 // and compares the two.
-func (p *player) send(ctx context.Context, n int, r Request, class ClassSpec) outcome {
-	if r.AgainMs == 0 || p.opts.Direct {
-		return p.attempts(ctx, n, r, class)
+func (p *replayer) sendWithDuplicate(ctx context.Context, index int, r Request, class ClassSpec) outcome {
+	if r.DuplicateAfterMs == 0 || p.opts.Direct {
+		return p.sendWithRetries(ctx, index, r, class)
 	}
-	again := make(chan outcome, 1)
+	duplicate := make(chan outcome, 1)
 	go func() {
-		sleepUntil(ctx, time.Now().Add(time.Duration(r.AgainMs)*time.Millisecond))
-		again <- p.attempts(ctx, n+1, r, class)
+		sleepUntil(ctx, time.Now().Add(time.Duration(r.DuplicateAfterMs)*time.Millisecond))
+		duplicate <- p.sendWithRetries(ctx, index+1, r, class)
 	}()
-	first, second := p.attempts(ctx, n, r, class), <-again
+	first, second := p.sendWithRetries(ctx, index, r, class), <-duplicate
 	if first.kind == answered && second.kind == wrong {
 		return second
 	}
 	return first
 }
 
-// attempts tries until the request has a final outcome.
-func (p *player) attempts(ctx context.Context, n int, r Request, class ClassSpec) outcome {
-	a := newAnswer(r, class, p.opts.StandIn)
+// sendWithRetries tries until the request has a final outcome.
+func (p *replayer) sendWithRetries(ctx context.Context, firstTarget int, r Request, class ClassSpec) outcome {
+	a := newResponseReader(r, class, p.opts.StandIn)
 	var last outcome
 	for try := range maxAttempts {
 		var wait time.Duration
-		last, wait = p.attempt(ctx, p.opts.Targets[(n+try)%len(p.opts.Targets)], r, class, a)
+		last, wait = p.sendOnce(ctx, p.opts.Targets[(firstTarget+try)%len(p.opts.Targets)], r, class, a)
 		final := last.kind == answered || last.kind == wrong || wait < 0
 		if final || !sleepUntil(ctx, time.Now().Add(wait)) {
 			break
@@ -123,33 +123,33 @@
 	return last
 }
 
-// attempt sends the request once. wait is when to try again, negative for never.
-func (p *player) attempt(ctx context.Context, target string, r Request, class ClassSpec, a *answer) (o outcome, wait time.Duration) {
-	req, err := p.request(ctx, target, r, class, a)
+// sendOnce sends the request once. wait is when to try again, negative for never.
+func (p *replayer) sendOnce(ctx context.Context, target string, r Request, class ClassSpec, a *responseReader) (o outcome, wait time.Duration) {
+	req, err := p.newRequest(ctx, target, r, class, a)
 	if err != nil {
-		return outcome{kind: notRun, note: err.Error()}, -1
+		return outcome{kind: notRun, detail: err.Error()}, -1
 	}
 	resp, err := p.client.Do(req)
 	if err != nil {
-		return outcome{kind: unknown, note: err.Error()}, betweenTries
+		return outcome{kind: unknown, detail: err.Error()}, retryDelay
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return refused(resp)
+		return readRefusal(resp)
 	}
-	o = a.read(io.LimitReader(resp.Body, maxAnswer))
+	o = a.read(io.LimitReader(resp.Body, maxResponseBytes))
 	if o.kind == partial {
-		return o, betweenTries
+		return o, retryDelay
 	}
 	return o, -1
 }
 
-func (p *player) request(ctx context.Context, target string, r Request, class ClassSpec, a *answer) (*http.Request, error) {
+func (p *replayer) newRequest(ctx context.Context, target string, r Request, class ClassSpec, a *responseReader) (*http.Request, error) {
 	path := "/v1/chat/completions"
 	if class.Kind == KindCall {
 		path = "/v1/services/" + class.Service + class.Path
 	}
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, target+path, bytes.NewReader(body(r, class)))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, target+path, bytes.NewReader(requestBody(r, class)))
 	if err != nil {
 		return nil, eris.Wrap(err, "load: build request")
 	}
@@ -159,23 +159,23 @@
 		req.Header.Set("X-Attempt", "1")
 		return req, nil
 	}
-	req.Header.Set("Authorization", "Bearer "+p.opts.Key)
+	req.Header.Set("Authorization", "Bearer "+p.opts.APIKey)
 	req.Header.Set("Idempotency-Key", r.ID)
-	if token := p.sessions[r.Session]; token != "" {
+	if token := p.sessionTokens[r.Session]; token != "" {
 		req.Header.Set("X-Session", token)
 	}
 	if class.Priority > 0 {
 		req.Header.Set("X-Priority", strconv.Itoa(class.Priority))
 	}
-	if a.last != "" {
-		req.Header.Set("Last-Event-ID", a.last)
+	if a.lastEventID != "" {
+		req.Header.Set("Last-Event-ID", a.lastEventID)
 	}
 	return req, nil
 }
 
-// body is the same in all attempts. The session's name comes first, so that
+// requestBody is the same in all attempts. The session's name comes first, so that
 // the prompts of a session share a prefix.
-func body(r Request, class ClassSpec) []byte {
+func requestBody(r Request, class ClassSpec) []byte {
 	text := r.Session + ":" + strings.Repeat("x", r.Bytes) + ":" + r.ID
 	if class.Kind == KindCall {
 		return []byte(fmt.Sprintf("{%q:%q}", "text", text))
@@ -187,7 +187,7 @@
 	return data
 }
 
-func refused(resp *http.Response) (outcome, time.Duration) {
+func readRefusal(resp *http.Response) (outcome, time.Duration) {
 	data, _ := io.ReadAll(io.LimitReader(resp.Body, 1<<16))
 	var body struct {
 		Error struct {
@@ -196,7 +196,7 @@
 		} `json:"error"`
 	}
 	_ = json.Unmarshal(data, &body)
-	o := outcome{kind: unknown, note: fmt.Sprintf("status %d, %s", resp.StatusCode, body.Error.Code)}
+	o := outcome{kind: unknown, detail: fmt.Sprintf("status %d, %s", resp.StatusCode, body.Error.Code)}
 	if body.Error.Outcome == "not_run" {
 		o.kind = notRun
 	}
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -11,13 +11,13 @@
 // Report is the outcome of a replay.
 type Report struct {
 	Took    time.Duration `json:"took"`
-	Classes []Class       `json:"classes"`
-	// Broken lists the stated outcomes that were not met; empty if all were.
-	Broken []string `json:"broken"`
+	Classes []ClassReport `json:"classes"`
+	// Violations lists the stated outcomes that were not met; empty if all were.
+	Violations []string `json:"broken"`
 }
 
-// Class is the outcome for one class of requests.
-type Class struct {
+// ClassReport is the outcome for one class of requests.
+type ClassReport struct {
 	Name     string `json:"name"`
 	Sent     int    `json:"sent"`
 	Answered int    `json:"answered"` // Whole answers.
@@ -36,114 +36,114 @@
 
 // The range of the histograms in microseconds, and their precision.
 const (
-	lowest  = 1
-	highest = int64(time.Hour / time.Microsecond)
-	digits  = 3
+	minLatencyMicros  = 1
+	maxLatencyMicros  = int64(time.Hour / time.Microsecond)
+	significantDigits = 3
 )
 
-// tally counts one class. Tallies.mu guards it.
-type tally struct {
-	spec         ClassSpec
-	class        Class
-	first, whole *hdrhistogram.Histogram
-	notes        []string
+// classStats counts one class. Tallies.mu guards it.
+type classStats struct {
+	spec              ClassSpec
+	report            ClassReport
+	firstToken, total *hdrhistogram.Histogram
+	details           []string
 }
 
-type tallies struct {
-	mu    sync.Mutex
-	order []*tally
-	by    map[string]*tally
+type statsByClass struct {
+	mu     sync.Mutex
+	order  []*classStats
+	byName map[string]*classStats
 }
 
-func newTallies(t Trace) *tallies {
-	out := &tallies{by: map[string]*tally{}}
+func newStatsByClass(t Trace) *statsByClass {
+	out := &statsByClass{byName: map[string]*classStats{}}
 	for _, spec := range t.Classes {
-		row := &tally{
-			spec: spec, class: Class{Name: spec.Name},
-			first: hdrhistogram.New(lowest, highest, digits), whole: hdrhistogram.New(lowest, highest, digits),
+		row := &classStats{
+			spec: spec, report: ClassReport{Name: spec.Name},
+			firstToken: hdrhistogram.New(minLatencyMicros, maxLatencyMicros, significantDigits), total: hdrhistogram.New(minLatencyMicros, maxLatencyMicros, significantDigits),
 		}
 		out.order = append(out.order, row)
-		out.by[spec.Name] = row
+		out.byName[spec.Name] = row
 	}
 	return out
 }
 
-func (t *tallies) add(r Request, o outcome) {
+func (t *statsByClass) record(r Request, o outcome) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	row := t.by[r.Class]
-	row.class.Sent++
+	row := t.byName[r.Class]
+	row.report.Sent++
 	switch o.kind {
 	case answered:
-		row.class.Answered++
-		row.time(o)
+		row.report.Answered++
+		row.recordLatency(o)
 	case notRun:
-		row.class.NotRun++
+		row.report.NotRun++
 	case partial:
-		row.class.Partial++
+		row.report.Partial++
 	case wrong:
-		row.class.Wrong++
+		row.report.Wrong++
 	default:
-		row.class.Unknown++
+		row.report.Unknown++
 	}
 	if o.kind != answered {
-		row.notes = append(row.notes, fmt.Sprintf("%s: %s: %s", r.ID, o.kind, o.note))
+		row.details = append(row.details, fmt.Sprintf("%s: %s: %s", r.ID, o.kind, o.detail))
 	}
 }
 
-func (row *tally) time(o outcome) {
-	_ = row.first.RecordValue(max(o.first.Microseconds(), lowest))
-	_ = row.whole.RecordValue(max(o.whole.Microseconds(), lowest))
-	over := func(took time.Duration, ms int64) bool { return ms > 0 && took > time.Duration(ms)*time.Millisecond }
-	if over(o.first, row.spec.FirstMs) || over(o.whole, row.spec.WholeMs) {
-		row.class.Late++
+func (row *classStats) recordLatency(o outcome) {
+	_ = row.firstToken.RecordValue(max(o.firstToken.Microseconds(), minLatencyMicros))
+	_ = row.total.RecordValue(max(o.total.Microseconds(), minLatencyMicros))
+	exceeds := func(took time.Duration, ms int64) bool { return ms > 0 && took > time.Duration(ms)*time.Millisecond }
+	if exceeds(o.firstToken, row.spec.MaxFirstTokenMs) || exceeds(o.total, row.spec.MaxTotalMs) {
+		row.report.Late++
 	}
 }
 
-func (t *tallies) report(took time.Duration) Report {
-	out := Report{Took: took, Broken: []string{}}
+func (t *statsByClass) report(took time.Duration) Report {
+	out := Report{Took: took, Violations: []string{}}
 	for _, row := range t.order {
-		if row.class.Sent == 0 {
+		if row.report.Sent == 0 {
 			continue
 		}
-		out.Classes = append(out.Classes, row.close())
-		out.Broken = append(out.Broken, row.broken()...)
+		out.Classes = append(out.Classes, row.result())
+		out.Violations = append(out.Violations, row.violations()...)
 	}
 	return out
 }
 
-func (row *tally) close() Class {
+func (row *classStats) result() ClassReport {
 	at := func(h *hdrhistogram.Histogram, q float64) time.Duration {
 		return time.Duration(h.ValueAtQuantile(q)) * time.Microsecond
 	}
-	c := row.class
-	c.FirstP50, c.FirstP99 = at(row.first, 50), at(row.first, 99)
-	c.WholeP50, c.WholeP99 = at(row.whole, 50), at(row.whole, 99)
+	c := row.report
+	c.FirstP50, c.FirstP99 = at(row.firstToken, 50), at(row.firstToken, 99)
+	c.WholeP50, c.WholeP99 = at(row.total, 50), at(row.total, 99)
 	return c
 }
 
-// maxNotes bounds the examples that are given for a broken outcome.
-const maxNotes = 3
+// maxDetails bounds the examples that are given for a broken outcome.
+const maxDetails = 3
 
-// broken compares a class with its stated outcomes.
-func (row *tally) broken() (out []string) {
-	c, s := row.class, row.spec
-	find := func(format string, args ...any) { out = append(out, c.Name+": "+fmt.Sprintf(format, args...)) }
+// violations compares a class with its stated outcomes.
+func (row *classStats) violations() (out []string) {
+	c, s := row.report, row.spec
+	addf := func(format string, args ...any) { out = append(out, c.Name+": "+fmt.Sprintf(format, args...)) }
 	share := func(n, of int) float64 { return float64(n) / float64(max(of, 1)) }
 	if c.Partial+c.Wrong > 0 {
-		find("%d partial and %d wrong answers; none allowed", c.Partial, c.Wrong)
+		addf("%d partial and %d wrong answers; none allowed", c.Partial, c.Wrong)
 	}
-	if share(c.Answered, c.Sent) < s.Answered {
-		find("%d of %d answered; stated: %v", c.Answered, c.Sent, s.Answered)
+	if share(c.Answered, c.Sent) < s.MinAnswered {
+		addf("%d of %d answered; stated: %v", c.Answered, c.Sent, s.MinAnswered)
 	}
-	if share(c.Late, c.Answered) > s.Late {
-		find("%d of %d late; stated: %v", c.Late, c.Answered, s.Late)
+	if share(c.Late, c.Answered) > s.MaxLate {
+		addf("%d of %d late; stated: %v", c.Late, c.Answered, s.MaxLate)
 	}
-	if share(c.Unknown, c.Sent) > s.Unknown {
-		find("%d of %d unknown; stated: %v", c.Unknown, c.Sent, s.Unknown)
+	if share(c.Unknown, c.Sent) > s.MaxUnknown {
+		addf("%d of %d unknown; stated: %v", c.Unknown, c.Sent, s.MaxUnknown)
 	}
 	if len(out) > 0 {
-		out = append(out, row.notes[:min(maxNotes, len(row.notes))]...)
+		out = append(out, row.details[:min(maxDetails, len(row.details))]...)
 	}
 	return out
 }
--- a/internal/load/trace.go
+++ b/internal/load/trace.go
@@ -30,32 +30,32 @@
 	Priority int    `json:"priority,omitempty"`
 	Service  string `json:"service,omitempty"` // For calls.
 	Path     string `json:"path,omitempty"`    // For calls, below the service.
-	// FirstMs and WholeMs bound the time to the first token and to the whole
+	// MaxFirstTokenMs and WholeMs bound the time to the first token and to the whole
 	// answer; 0 is no bound. An answer outside is late.
-	FirstMs int64 `json:"first_ms,omitempty"`
-	WholeMs int64 `json:"whole_ms,omitempty"`
-	// Answered is the least share of whole answers, Late the largest share of
+	MaxFirstTokenMs int64 `json:"first_ms,omitempty"`
+	MaxTotalMs      int64 `json:"whole_ms,omitempty"`
+	// MinAnswered is the least share of whole answers, Late the largest share of
 	// late ones among them. Unknown is the largest share of unknown outcomes.
-	Answered float64 `json:"answered"`
-	Late     float64 `json:"late"`
-	Unknown  float64 `json:"unknown"`
+	MinAnswered float64 `json:"answered"`
+	MaxLate     float64 `json:"late"`
+	MaxUnknown  float64 `json:"unknown"`
 }
 
 // Request is a line {"request": ...}.
 type Request struct {
-	AtMs  int64  `json:"at_ms"`
-	Class string `json:"class"`
+	StartMs int64  `json:"at_ms"`
+	Class   string `json:"class"`
 	// ID is the Idempotency-Key, unique in the trace.
 	ID      string `json:"id"`
 	Session string `json:"session"`
 	Bytes   int    `json:"bytes"`            // Size of the prompt or of the call's body.
 	Tokens  int    `json:"tokens,omitempty"` // Length of the answer of a chat request.
-	// AgainMs is after how long the caller sends the request a second time, to
+	// DuplicateAfterMs is after how long the caller sends the request a second time, to
 	// another instance, while the first one may still run; 0 is never.
-	AgainMs int64 `json:"again_ms,omitempty"`
+	DuplicateAfterMs int64 `json:"again_ms,omitempty"`
 }
 
-func (r Request) at() time.Duration { return time.Duration(r.AtMs) * time.Millisecond }
+func (r Request) start() time.Duration { return time.Duration(r.StartMs) * time.Millisecond }
 
 // Trace is a trace file, the requests in the order of their times.
 type Trace struct {
@@ -63,7 +63,7 @@
 	Requests []Request
 }
 
-func (t Trace) class(name string) ClassSpec {
+func (t Trace) classSpec(name string) ClassSpec {
 	for _, c := range t.Classes {
 		if c.Name == name {
 			return c
@@ -78,7 +78,7 @@
 // Error implements error.
 func (f Findings) Error() string { return strings.Join(f, "\n") }
 
-type line struct {
+type traceLine struct {
 	Class   *ClassSpec `json:"class"`
 	Request *Request   `json:"request"`
 }
@@ -95,19 +95,19 @@
 
 func parseTrace(name string, data []byte) (Trace, error) {
 	var t Trace
-	c := checker{trace: &t, ids: map[string]bool{}}
+	c := traceParser{trace: &t, ids: map[string]bool{}}
 	lines := bufio.NewScanner(bytes.NewReader(data))
 	for n := 1; lines.Scan(); n++ {
-		c.place = fmt.Sprintf("%s:%d", name, n)
+		c.location = fmt.Sprintf("%s:%d", name, n)
 		if text := bytes.TrimSpace(lines.Bytes()); len(text) > 0 {
-			c.line(text)
+			c.parseLine(text)
 		}
 	}
 	if err := lines.Err(); err != nil {
-		c.find("%v", err)
+		c.addf("%v", err)
 	}
 	if len(t.Requests) == 0 {
-		c.find("no requests")
+		c.addf("no requests")
 	}
 	if len(c.findings) > 0 {
 		return Trace{}, c.findings
@@ -115,75 +115,75 @@
 	return t, nil
 }
 
-// checker collects what is wrong with a trace.
-type checker struct {
-	trace    *Trace
-	place    string
-	ids      map[string]bool
-	last     int64
-	findings Findings
+// traceParser collects what is wrong with a trace.
+type traceParser struct {
+	trace       *Trace
+	location    string
+	ids         map[string]bool
+	lastStartMs int64
+	findings    Findings
 }
 
-func (c *checker) find(format string, args ...any) {
-	c.findings = append(c.findings, c.place+": "+fmt.Sprintf(format, args...))
+func (c *traceParser) addf(format string, args ...any) {
+	c.findings = append(c.findings, c.location+": "+fmt.Sprintf(format, args...))
 }
 
-func (c *checker) line(text []byte) {
-	var l line
+func (c *traceParser) parseLine(text []byte) {
+	var parsed traceLine
 	dec := json.NewDecoder(bytes.NewReader(text))
 	dec.DisallowUnknownFields()
-	if err := dec.Decode(&l); err != nil {
-		c.find("%v", err)
+	if err := dec.Decode(&parsed); err != nil {
+		c.addf("%v", err)
 		return
 	}
 	switch {
-	case l.Class != nil && l.Request == nil:
-		c.class(*l.Class)
-	case l.Request != nil && l.Class == nil:
-		c.request(*l.Request)
+	case parsed.Class != nil && parsed.Request == nil:
+		c.addClass(*parsed.Class)
+	case parsed.Request != nil && parsed.Class == nil:
+		c.addRequest(*parsed.Request)
 	default:
-		c.find("a line has either a class or a request")
+		c.addf("a line has either a class or a request")
 	}
 }
 
-func (c *checker) class(s ClassSpec) {
-	if s.Name == "" || c.trace.class(s.Name).Name != "" {
-		c.find("class: name %q is missing or stands twice", s.Name)
+func (c *traceParser) addClass(s ClassSpec) {
+	if s.Name == "" || c.trace.classSpec(s.Name).Name != "" {
+		c.addf("class: name %q is missing or stands twice", s.Name)
 	}
 	switch s.Kind {
 	case KindStream, KindWhole:
 	case KindCall:
 		if s.Service == "" || !strings.HasPrefix(s.Path, "/") {
-			c.find("class: a call needs a service and a path with a slash in front")
+			c.addf("class: a call needs a service and a path with a slash in front")
 		}
 	default:
-		c.find("class: kind %q; allowed: stream, whole, call", s.Kind)
+		c.addf("class: kind %q; allowed: stream, whole, call", s.Kind)
 	}
-	for _, share := range []float64{s.Answered, s.Late, s.Unknown} {
+	for _, share := range []float64{s.MinAnswered, s.MaxLate, s.MaxUnknown} {
 		if share < 0 || share > 1 {
-			c.find("class: share %v; allowed: 0 to 1", share)
+			c.addf("class: share %v; allowed: 0 to 1", share)
 		}
 	}
 	c.trace.Classes = append(c.trace.Classes, s)
 }
 
-func (c *checker) request(r Request) {
-	class := c.trace.class(r.Class)
+func (c *traceParser) addRequest(r Request) {
+	class := c.trace.classSpec(r.Class)
 	if class.Name == "" {
-		c.find("request: no class %q above", r.Class)
+		c.addf("request: no class %q above", r.Class)
 	}
 	if r.ID == "" || c.ids[r.ID] {
-		c.find("request: id %q is missing or stands twice", r.ID)
+		c.addf("request: id %q is missing or stands twice", r.ID)
 	}
-	if r.AtMs < c.last {
-		c.find("request: at_ms %d is before the line above", r.AtMs)
+	if r.StartMs < c.lastStartMs {
+		c.addf("request: at_ms %d is before the line above", r.StartMs)
 	}
 	if class.Kind != KindCall && r.Tokens < 1 {
-		c.find("request: tokens must be at least 1")
+		c.addf("request: tokens must be at least 1")
 	}
-	if r.Bytes < 0 || r.AgainMs < 0 {
-		c.find("request: bytes and again_ms must not be negative")
+	if r.Bytes < 0 || r.DuplicateAfterMs < 0 {
+		c.addf("request: bytes and again_ms must not be negative")
 	}
-	c.ids[r.ID], c.last = true, r.AtMs
+	c.ids[r.ID], c.lastStartMs = true, r.StartMs
 	c.trace.Requests = append(c.trace.Requests, r)
 }
--- a/test/process/replay_test.go
+++ b/test/process/replay_test.go
@@ -39,15 +39,15 @@
 		time.AfterFunc(4*time.Second, func() { f.engines[2].signal(syscall.SIGKILL) })
 	}
 	time.Sleep(time.Second) // The list with the new service's name.
-	report, err := load.Replay(t.Context(), trace, load.Options{Targets: targets, Key: f.key, StandIn: true})
+	report, err := load.Replay(t.Context(), trace, load.Options{Targets: targets, APIKey: f.key, StandIn: true})
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, c := range report.Classes {
 		t.Logf("%+v", c)
 	}
-	if len(report.Broken) > 0 {
-		t.Errorf("stated outcomes not met:\n%s", strings.Join(report.Broken, "\n"))
+	if len(report.Violations) > 0 {
+		t.Errorf("stated outcomes not met:\n%s", strings.Join(report.Violations, "\n"))
 	}
 	for run, count := range f.calls() {
 		if count > 1 {
@@ -64,9 +64,9 @@
 // are stated for the undisturbed replay only.
 func allowUnknownCalls(classes []load.ClassSpec) {
 	for i := range classes {
-		classes[i].Late = 1
+		classes[i].MaxLate = 1
 		if classes[i].Kind == load.KindCall {
-			classes[i].Answered, classes[i].Unknown = 0.9, 0.1
+			classes[i].MinAnswered, classes[i].MaxUnknown = 0.9, 0.1
 		}
 	}
 }
