--- a/internal/cli/standin.go
+++ b/internal/cli/standin.go
@@ -30,7 +30,7 @@
 	lag := fs.Duration("lag", time.Second, "lag of the instance list")
 	return standinLeaf(fs, "platform", "Run the log and the instance list.", func(ctx context.Context) error {
 		p := standin.NewPlatform(standin.PlatformOptions{
-			AppendsPerSecond: *rate, Retain: *retain, RetainFor: *retainFor, ListLag: *lag, InstanceTTL: 5 * time.Second,
+			AppendsPerSecond: *rate, MaxEntries: *retain, EntryTTL: *retainFor, ListLag: *lag, InstanceTTL: 5 * time.Second,
 		})
 		return serveHTTP(ctx, o, *listen, p.Handler())
 	})
@@ -47,7 +47,7 @@
 	ignoreFence := fs.Bool("ignore-fence", false, "obey orders with an old fencing number")
 	return standinLeaf(fs, "engine", "Run a model engine.", func(ctx context.Context) error {
 		return serveHTTP(ctx, o, *listen, standin.NewEngine(standin.EngineOptions{
-			Model: *model, Step: *step, Slots: *slots, CacheTokens: *cache, Heartbeat: *heartbeat, IgnoreFence: *ignoreFence,
+			Model: *model, Step: *step, Slots: *slots, CacheTokens: *cache, Heartbeat: *heartbeat, IgnoreFencingToken: *ignoreFence,
 		}).Handler())
 	})
 }
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -259,7 +259,7 @@
 	for deadline := time.Now().Add(20 * time.Second); ; time.Sleep(10 * time.Millisecond) {
 		runs := s.engine.Runs()
 		if len(runs) == 1 && runs[0].Done {
-			if runs[0].Finish != "cancelled" {
+			if runs[0].FinishReason != "cancelled" {
 				t.Fatalf("run was not cancelled: %+v", runs[0])
 			}
 			return
--- a/internal/prepaid/keeper_test.go
+++ b/internal/prepaid/keeper_test.go
@@ -145,7 +145,7 @@
 	log := standin.NewKeyed()
 	a, _ := runController(t, log, "a", 100_000)
 	waitFor(t, "a claim", func() bool { return a.Accounts.Spendable(team, sinceOrigin()) > 0 })
-	log.Forget("budgets")
+	log.Compact("budgets")
 	b, _ := runController(t, log, "b", 100_000)
 	if sum := spendAll(t, 500, a, b); sum > 100_000 {
 		t.Errorf("spent %d of 100000", sum)
--- a/internal/run/chat_test.go
+++ b/internal/run/chat_test.go
@@ -24,7 +24,7 @@
 		moved  bool           // The run must go on at e2.
 	}{
 		"no fault":              {},
-		"cut, again and again":  {before: standin.EngineFaults{CutAfter: 7}},
+		"cut, again and again":  {before: standin.EngineFaults{CutAfterTokens: 7}},
 		"dead in mid-stream":    {during: func(b *bench) { b.kill(0) }, moved: true},
 		"dead from the start":   {before: standin.EngineFaults{}, moved: true, during: nil},
 		"silent in mid-stream":  {during: func(b *bench) { b.engines[0].SetFaults(standin.EngineFaults{Silent: true}) }, moved: true},
@@ -32,7 +32,7 @@
 		"leaving":               {before: standin.EngineFaults{Leaving: true}, moved: true},
 		"leaving in mid-stream": {during: func(b *bench) { b.engines[0].SetFaults(standin.EngineFaults{Leaving: true}) }},
 		"refusing":              {before: standin.EngineFaults{Refuse: true}, moved: true},
-		"masked":                {before: standin.EngineFaults{Masked: true}, moved: true},
+		"masked":                {before: standin.EngineFaults{ProxyError: true}, moved: true},
 		"late head":             {before: standin.EngineFaults{AnswerDelayMs: int(testSilence/time.Millisecond) * 3}, moved: true},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -94,7 +94,7 @@
 
 func TestCrossedAnswersAreDroppedAndReadAgain(t *testing.T) {
 	b := newBench(t)
-	b.engines[0].SetFaults(standin.EngineFaults{Crossed: 1})
+	b.engines[0].SetFaults(standin.EngineFaults{SwapPairs: 1})
 	var wait sync.WaitGroup
 	for _, n := range []int{10, 20} {
 		wait.Go(func() {
@@ -276,14 +276,14 @@
 		"no fault":                  {standin.ServiceFaults{}, post, "/setpoint", record.OutcomeAnswered, [2]int{1, 0}},
 		"refused":                   {standin.ServiceFaults{Refuse: true}, post, "/setpoint", record.OutcomeAnswered, [2]int{0, 1}},
 		"leaving":                   {standin.ServiceFaults{Leaving: true}, post, "/setpoint", record.OutcomeAnswered, [2]int{0, 1}},
-		"lost after running":        {standin.ServiceFaults{Lose: 1}, post, "/setpoint", record.OutcomeUnknown, [2]int{1, 0}},
-		"masked":                    {standin.ServiceFaults{Masked: true}, post, "/setpoint", record.OutcomeUnknown, [2]int{1, 0}},
+		"lost after running":        {standin.ServiceFaults{LoseAnswers: 1}, post, "/setpoint", record.OutcomeUnknown, [2]int{1, 0}},
+		"masked":                    {standin.ServiceFaults{ProxyError: true}, post, "/setpoint", record.OutcomeUnknown, [2]int{1, 0}},
 		"late":                      {standin.ServiceFaults{SlowMs: 2000}, post, "/setpoint", record.OutcomeUnknown, [2]int{1, 0}},
-		"lost, repeatable":          {standin.ServiceFaults{Lose: 1}, get, "/status", record.OutcomeAnswered, [2]int{1, 1}},
+		"lost, repeatable":          {standin.ServiceFaults{LoseAnswers: 1}, get, "/status", record.OutcomeAnswered, [2]int{1, 1}},
 		"late, repeatable":          {standin.ServiceFaults{SlowMs: 2000}, get, "/status/x", record.OutcomeAnswered, [2]int{1, 1}},
-		"lost, other method":        {standin.ServiceFaults{Lose: 1}, post, "/status", record.OutcomeUnknown, [2]int{1, 0}},
-		"lost, path with dots":      {standin.ServiceFaults{Lose: 1}, get, "/status/../setpoint", record.OutcomeUnknown, [2]int{1, 0}},
-		"lost, only a like segment": {standin.ServiceFaults{Lose: 1}, get, "/statusx", record.OutcomeUnknown, [2]int{1, 0}},
+		"lost, other method":        {standin.ServiceFaults{LoseAnswers: 1}, post, "/status", record.OutcomeUnknown, [2]int{1, 0}},
+		"lost, path with dots":      {standin.ServiceFaults{LoseAnswers: 1}, get, "/status/../setpoint", record.OutcomeUnknown, [2]int{1, 0}},
+		"lost, only a like segment": {standin.ServiceFaults{LoseAnswers: 1}, get, "/statusx", record.OutcomeUnknown, [2]int{1, 0}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := newBench(t)
@@ -302,7 +302,7 @@
 					t.Fatalf("outcome %v: %v", outcome, err)
 				}
 			}
-			if runs := [2]int{b.services[0].Total(), b.services[1].Total()}; runs != c.runs {
+			if runs := [2]int{b.services[0].TotalRuns(), b.services[1].TotalRuns()}; runs != c.runs {
 				t.Fatalf("runs %v", runs)
 			}
 		})
--- a/internal/run/run_test.go
+++ b/internal/run/run_test.go
@@ -203,7 +203,7 @@
 		n := 0
 		for _, row := range e.Runs() {
 			if row.ID == string(run) {
-				n = row.Completion
+				n = row.CompletionTokens
 			}
 		}
 		out = append(out, n)
--- a/internal/standin/crossing.go
+++ b/internal/standin/crossing.go
@@ -6,75 +6,75 @@
 	"time"
 )
 
-// crossWait is how long an answer waits for another one to be swapped with.
-const crossWait = 2 * time.Second
+// answerSwapTimeout is how long an answer waits for another one to be swapped with.
+const answerSwapTimeout = 2 * time.Second
 
-// crossing swaps the answers of pairs of requests, so that each connection
+// answerSwapper swaps the answers of pairs of requests, so that each connection
 // gets the other's answer. It is safe for concurrent use.
-type crossing[T any] struct {
-	mu    sync.Mutex
-	pairs int // Still to be swapped.
-	open  *crossed[T]
+type answerSwapper[T any] struct {
+	mu             sync.Mutex
+	remainingPairs int // Still to be swapped.
+	pending        *pendingSwap[T]
 }
 
-// crossed is the first half of a pair.
-type crossed[T any] struct {
-	answer T
-	other  chan T
+// pendingSwap is the first half of a pair.
+type pendingSwap[T any] struct {
+	answer  T
+	partner chan T
 }
 
-func (c *crossing[T]) set(pairs int) {
+func (c *answerSwapper[T]) setPairs(pairs int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.pairs = pairs
+	c.remainingPairs = pairs
 }
 
-// pass returns the answer that goes out in place of mine: another's while
+// swap returns the answer that goes out in place of mine: another's while
 // pairs are left and a second answer comes in time, else mine.
-func (c *crossing[T]) pass(ctx context.Context, mine T) T {
-	half, other, swapped := c.enter(mine)
+func (c *answerSwapper[T]) swap(ctx context.Context, mine T) T {
+	pending, other, swapped := c.offer(mine)
 	if swapped {
 		return other
 	}
-	if half == nil {
+	if pending == nil {
 		return mine
 	}
-	timer := time.NewTimer(crossWait)
+	timer := time.NewTimer(answerSwapTimeout)
 	defer timer.Stop()
 	select {
-	case other := <-half.other:
+	case other := <-pending.partner:
 		return other
 	case <-timer.C:
 	case <-ctx.Done():
 	}
-	return c.leave(half)
+	return c.withdraw(pending)
 }
 
-// enter swaps with an open half, opens one, or does nothing.
-func (c *crossing[T]) enter(mine T) (half *crossed[T], other T, swapped bool) {
+// offer swaps with an open half, opens one, or does nothing.
+func (c *answerSwapper[T]) offer(mine T) (pending *pendingSwap[T], partner T, swapped bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.open != nil {
-		other = c.open.answer
-		c.open.other <- mine
-		c.open = nil
-		return nil, other, true
+	if c.pending != nil {
+		partner = c.pending.answer
+		c.pending.partner <- mine
+		c.pending = nil
+		return nil, partner, true
 	}
-	if c.pairs == 0 {
-		return nil, other, false
+	if c.remainingPairs == 0 {
+		return nil, partner, false
 	}
-	c.pairs--
-	c.open = &crossed[T]{answer: mine, other: make(chan T, 1)}
-	return c.open, other, false
+	c.remainingPairs--
+	c.pending = &pendingSwap[T]{answer: mine, partner: make(chan T, 1)}
+	return c.pending, partner, false
 }
 
-// leave closes a half that found no other one in time.
-func (c *crossing[T]) leave(half *crossed[T]) T {
+// withdraw closes a half that found no other one in time.
+func (c *answerSwapper[T]) withdraw(pending *pendingSwap[T]) T {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.open == half {
-		c.open = nil
-		return half.answer
+	if c.pending == pending {
+		c.pending = nil
+		return pending.answer
 	}
-	return <-half.other
+	return <-pending.partner
 }
--- a/internal/standin/directory.go
+++ b/internal/standin/directory.go
@@ -29,43 +29,43 @@
 	Leaving bool   `json:"leaving"`
 }
 
-type directoryList struct {
+type instanceList struct {
 	Instances []listedInstance `json:"instances"`
 	Endpoints []ListedEndpoint `json:"endpoints"`
 }
 
 type announcement struct {
 	listedInstance
-	at time.Time
+	announcedAt time.Time
 }
 
-// directory is the instance list. Readers see it as it was up to lag ago.
-type directory struct {
-	lag, ttl  time.Duration
-	instances map[string]announcement
-	endpoints []ListedEndpoint
-	shown     directoryList
-	shownAt   time.Time
+// instanceDirectory is the instance list. Readers see it as it was up to lag ago.
+type instanceDirectory struct {
+	lag, ttl   time.Duration
+	instances  map[string]announcement
+	endpoints  []ListedEndpoint
+	snapshot   instanceList
+	snapshotAt time.Time
 }
 
-func newDirectory(opts PlatformOptions) directory {
-	return directory{lag: opts.ListLag, ttl: opts.InstanceTTL, instances: map[string]announcement{}}
+func newInstanceDirectory(opts PlatformOptions) instanceDirectory {
+	return instanceDirectory{lag: opts.ListLag, ttl: opts.InstanceTTL, instances: map[string]announcement{}}
 }
 
-func (d *directory) view(now time.Time) directoryList {
-	if now.Sub(d.shownAt) < d.lag {
-		return d.shown
+func (d *instanceDirectory) view(now time.Time) instanceList {
+	if now.Sub(d.snapshotAt) < d.lag {
+		return d.snapshot
 	}
-	list := directoryList{Instances: []listedInstance{}, Endpoints: append([]ListedEndpoint{}, d.endpoints...)}
+	list := instanceList{Instances: []listedInstance{}, Endpoints: append([]ListedEndpoint{}, d.endpoints...)}
 	for id, a := range d.instances {
-		if now.Sub(a.at) > d.ttl {
+		if now.Sub(a.announcedAt) > d.ttl {
 			delete(d.instances, id)
 			continue
 		}
 		list.Instances = append(list.Instances, a.listedInstance)
 	}
 	sort.Slice(list.Instances, func(i, j int) bool { return list.Instances[i].ID < list.Instances[j].ID })
-	d.shown, d.shownAt = list, now
+	d.snapshot, d.snapshotAt = list, now
 	return list
 }
 
@@ -74,17 +74,17 @@
 	if !readJSON(w, r, &a.listedInstance) {
 		return
 	}
-	a.at = time.Now()
+	a.announcedAt = time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.list.instances[a.ID] = a
+	p.directory.instances[a.ID] = a
 	writeJSON(w, a.listedInstance)
 }
 
-// handleList answers a conditional GET with 304 while the list stands.
-func (p *Platform) handleList(w http.ResponseWriter, r *http.Request) {
+// handleListInstances answers a conditional GET with 304 while the list stands.
+func (p *Platform) handleListInstances(w http.ResponseWriter, r *http.Request) {
 	p.mu.Lock()
-	list := p.list.view(time.Now())
+	list := p.directory.view(time.Now())
 	p.mu.Unlock()
 	data, err := json.Marshal(list)
 	if err != nil {
@@ -101,7 +101,7 @@
 	_, _ = w.Write(data)
 }
 
-func (p *Platform) handleEndpoints(w http.ResponseWriter, r *http.Request) {
+func (p *Platform) handlePutEndpoints(w http.ResponseWriter, r *http.Request) {
 	var endpoints []ListedEndpoint
 	if !readJSON(w, r, &endpoints) {
 		return
@@ -114,5 +114,5 @@
 func (p *Platform) SetEndpoints(endpoints []ListedEndpoint) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.list.endpoints = endpoints
+	p.directory.endpoints = endpoints
 }
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -13,14 +13,14 @@
 
 // The headers between guavapier and its endpoints, from the endpoint's side.
 const (
-	headerRun       = "X-Run-Id"
-	headerAttempt   = "X-Attempt"
-	headerFrom      = "X-Resume-From"
-	headerOnly      = "X-Resume-Only"
-	headerPriority  = "X-Priority"
-	headerFence     = "X-Fencing-Token"
-	headerNotRun    = "X-Not-Run"
-	headerHeartbeat = "X-Heartbeat-Ms"
+	headerRunID        = "X-Run-Id"
+	headerAttempt      = "X-Attempt"
+	headerResumeFrom   = "X-Resume-From"
+	headerResumeOnly   = "X-Resume-Only"
+	headerPriority     = "X-Priority"
+	headerFencingToken = "X-Fencing-Token"
+	headerNotRun       = "X-Not-Run"
+	headerHeartbeatMs  = "X-Heartbeat-Ms"
 )
 
 // EngineFaults are the switchable faults of the engine stand-in.
@@ -37,13 +37,13 @@
 	Silent bool `json:"silent"`
 	// AnswerDelayMs holds back the head of each new answer.
 	AnswerDelayMs int `json:"answer_delay_ms"`
-	// Crossed is how many pairs of answers are still to be swapped.
-	Crossed int `json:"crossed"`
-	// CutAfter closes each connection after that many tokens; 0 never.
-	CutAfter int `json:"cut_after"`
-	// Masked answers 503 without X-Not-Run after the run has begun, as a
+	// SwapPairs is how many pairs of answers are still to be swapped.
+	SwapPairs int `json:"crossed"`
+	// CutAfterTokens closes each connection after that many tokens; 0 never.
+	CutAfterTokens int `json:"cut_after"`
+	// ProxyError answers 503 without X-Not-Run after the run has begun, as a
 	// proxy between the two ends does.
-	Masked bool `json:"masked"`
+	ProxyError bool `json:"masked"`
 }
 
 // EngineOptions set the engine stand-in. Zero values get a default.
@@ -59,8 +59,8 @@
 	Slots int
 	// CacheTokens bounds the prefix cache.
 	CacheTokens int
-	// IgnoreFence obeys orders with an old fencing number.
-	IgnoreFence bool
+	// IgnoreFencingToken obeys orders with an old fencing number.
+	IgnoreFencingToken bool
 	// LoadLag and CacheLag are how late load reports and cache events are.
 	LoadLag  time.Duration
 	CacheLag time.Duration
@@ -89,15 +89,15 @@
 // EngineRun is what the engine did for one run. Completion counts the tokens
 // that were generated here; Prior those taken over from another engine.
 type EngineRun struct {
-	ID         string `json:"id"`
-	Prompt     int    `json:"prompt_tokens"`
-	Completion int    `json:"completion_tokens"`
-	Cached     int    `json:"cached_tokens"`
-	Prior      int    `json:"prior_tokens"`
-	// Earlier counts tokens that attempts which were cancelled here generated.
-	Earlier int    `json:"earlier_tokens,omitempty"`
-	Done    bool   `json:"done"`
-	Finish  string `json:"finish_reason,omitempty"`
+	ID               string `json:"id"`
+	PromptTokens     int    `json:"prompt_tokens"`
+	CompletionTokens int    `json:"completion_tokens"`
+	CachedTokens     int    `json:"cached_tokens"`
+	PriorTokens      int    `json:"prior_tokens"`
+	// CancelledTokens counts tokens that attempts which were cancelled here generated.
+	CancelledTokens int    `json:"earlier_tokens,omitempty"`
+	Done            bool   `json:"done"`
+	FinishReason    string `json:"finish_reason,omitempty"`
 }
 
 // Engine is the stand-in for a model engine. Token i of every answer is
@@ -108,25 +108,25 @@
 	opts EngineOptions
 
 	// mu guards everything below, and the fields of each run.
-	mu      sync.Mutex
-	runs    map[string]*engineRun
-	ended   []string // Ended runs, the oldest first.
-	batch   batch
-	cache   *prefixCache
-	faults  EngineFaults
-	crossed crossing[*engineRun]
-	report  lagged[LoadReport]
-	orders  orders
-	refused Refusals
+	mu         sync.Mutex
+	runs       map[string]*engineRun
+	endedRuns  []string // Ended runs, the oldest first.
+	batch      batch
+	cache      *prefixCache
+	faults     EngineFaults
+	swapper    answerSwapper[*engineRun]
+	loadReport lagged[LoadReport]
+	commands   commandState
+	refusals   Refusals
 }
 
 // Refusals counts the orders that the engine refused because it was leaving.
 // Times are Unix milliseconds.
 type Refusals struct {
-	Count int   `json:"count"`
-	Last  int64 `json:"last"`
-	// LastBegun is when the engine last began a run.
-	LastBegun int64 `json:"last_begun"`
+	Count       int   `json:"count"`
+	LastRefusal int64 `json:"last"`
+	// LastRunStart is when the engine last began a run.
+	LastRunStart int64 `json:"last_begun"`
 }
 
 // NewEngine returns an idle engine.
@@ -134,8 +134,8 @@
 	opts = opts.withDefaults()
 	return &Engine{
 		opts: opts, runs: map[string]*engineRun{},
-		cache: newPrefixCache(opts.CacheTokens), report: lagged[LoadReport]{lag: opts.LoadLag},
-		orders: orders{loaded: []string{opts.Model}, ignoreFence: opts.IgnoreFence},
+		cache: newPrefixCache(opts.CacheTokens), loadReport: lagged[LoadReport]{lag: opts.LoadLag},
+		commands: commandState{loadedModels: []string{opts.Model}, ignoreFencingToken: opts.IgnoreFencingToken},
 	}
 }
 
@@ -143,16 +143,16 @@
 func (e *Engine) Handler() http.Handler {
 	r := chi.NewRouter()
 	r.Post("/v1/chat/completions", e.handleChat)
-	r.Get("/runs", e.handleRuns)
-	r.Get("/runs/{run}", e.handleRun)
-	r.Delete("/runs/{run}", e.handleCancel)
-	r.Get("/refusals", e.handleRefusals)
+	r.Get("/runs", e.handleListRuns)
+	r.Get("/runs/{run}", e.handleGetRun)
+	r.Delete("/runs/{run}", e.handleCancelRun)
+	r.Get("/refusals", e.handleGetRefusals)
 	r.Get("/load", e.handleLoad)
-	r.Get("/cache/events", e.handleCacheEvents)
-	r.Get("/orders", e.handleOrders)
-	r.Post("/orders", e.handleOrder)
-	r.Get("/faults", e.handleFaultsRead)
-	r.Put("/faults", e.handleFaults)
+	r.Get("/cache/events", e.handleListCacheEvents)
+	r.Get("/orders", e.handleListCommands)
+	r.Post("/orders", e.handlePostCommand)
+	r.Get("/faults", e.handleGetFaults)
+	r.Put("/faults", e.handlePutFaults)
 	return r
 }
 
@@ -163,8 +163,8 @@
 // TokenText returns token i of every stand-in answer.
 func TokenText(i int) string { return "w" + strconv.Itoa(i) + " " }
 
-// textBetween returns the tokens from..to-1 as one text.
-func textBetween(from, to int) string {
+// tokenRangeText returns the tokens from..to-1 as one text.
+func tokenRangeText(from, to int) string {
 	var text strings.Builder
 	for i := from; i < to; i++ {
 		text.WriteString(TokenText(i))
@@ -183,14 +183,14 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.faults = f
-	e.crossed.set(f.Crossed)
+	e.swapper.setPairs(f.SwapPairs)
 }
 
-func (e *Engine) handleFaultsRead(w http.ResponseWriter, _ *http.Request) {
+func (e *Engine) handleGetFaults(w http.ResponseWriter, _ *http.Request) {
 	writeJSON(w, e.currentFaults())
 }
 
-func (e *Engine) handleFaults(w http.ResponseWriter, r *http.Request) {
+func (e *Engine) handlePutFaults(w http.ResponseWriter, r *http.Request) {
 	var f EngineFaults
 	if !readJSON(w, r, &f) {
 		return
@@ -210,33 +210,33 @@
 	return runs
 }
 
-func (e *Engine) handleRefusals(w http.ResponseWriter, _ *http.Request) {
+func (e *Engine) handleGetRefusals(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
-	refused := e.refused
+	refusals := e.refusals
 	e.mu.Unlock()
-	writeJSON(w, refused)
+	writeJSON(w, refusals)
 }
 
-func (e *Engine) handleRuns(w http.ResponseWriter, _ *http.Request) { writeJSON(w, e.Runs()) }
+func (e *Engine) handleListRuns(w http.ResponseWriter, _ *http.Request) { writeJSON(w, e.Runs()) }
 
-func (e *Engine) handleRun(w http.ResponseWriter, r *http.Request) {
+func (e *Engine) handleGetRun(w http.ResponseWriter, r *http.Request) {
 	e.mu.Lock()
 	run, ok := e.runs[chi.URLParam(r, "run")]
-	var row EngineRun
+	var state EngineRun
 	if ok {
-		row = run.EngineRun
+		state = run.EngineRun
 	}
 	e.mu.Unlock()
 	if !ok {
-		refuse(w, http.StatusNotFound, "no such run")
+		refuseUnexecuted(w, http.StatusNotFound, "no such run")
 		return
 	}
-	writeJSON(w, row)
+	writeJSON(w, state)
 }
 
-// handleCancel stops a run. One that is not known yet is marked, so that an
+// handleCancelRun stops a run. One that is not known yet is marked, so that an
 // order which arrives after its cancel does not run.
-func (e *Engine) handleCancel(w http.ResponseWriter, r *http.Request) {
+func (e *Engine) handleCancelRun(w http.ResponseWriter, r *http.Request) {
 	id := chi.URLParam(r, "run")
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -250,16 +250,16 @@
 	if err != nil {
 		attempt = math.MaxInt
 	}
-	run.cancelled = max(run.cancelled, attempt)
+	run.cancelledAttempt = max(run.cancelledAttempt, attempt)
 	if !run.Done {
 		e.batch.remove(run)
-		e.end(run, finishCancelled)
+		e.endRun(run, finishCancelled)
 	}
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// refuse answers an order that surely did not run.
-func refuse(w http.ResponseWriter, status int, text string) {
+// refuseUnexecuted answers an order that surely did not run.
+func refuseUnexecuted(w http.ResponseWriter, status int, text string) {
 	w.Header().Set(headerNotRun, "true")
 	http.Error(w, text, status)
 }
--- a/internal/standin/engine_batch.go
+++ b/internal/standin/engine_batch.go
@@ -12,24 +12,24 @@
 )
 
 const (
-	// keepEnded bounds how many ended runs stay for a resume.
-	keepEnded = 20_000
-	// prefillChunk bounds the prompt tokens that one step prefills, so that a
+	// maxEndedRuns bounds how many ended runs stay for a resume.
+	maxEndedRuns = 20_000
+	// maxPrefillPerStep bounds the prompt tokens that one step prefills, so that a
 	// long prompt does not hold up the decoding sequences.
-	prefillChunk = 512
-	// hangPoll is how often a hanging loop looks whether it may go on.
-	hangPoll = 5 * time.Millisecond
+	maxPrefillPerStep = 512
+	// faultPollInterval is how often a hanging loop looks whether it may go on.
+	faultPollInterval = 5 * time.Millisecond
 )
 
 // engineRun is one run in the engine. Its fields are guarded by Engine.mu.
 type engineRun struct {
 	EngineRun
 	priority int
-	// cancelled is the last attempt that was cancelled.
-	cancelled int
-	max       int // Tokens of the whole answer, those of Prior included.
-	prefill   int // Prompt tokens still to be prefilled.
-	blocks    []uint64
+	// cancelledAttempt is the last attempt that was cancelled.
+	cancelledAttempt int
+	maxTokens        int // Tokens of the whole answer, those of Prior included.
+	remainingPrefill int // Prompt tokens still to be prefilled.
+	promptBlocks     []uint64
 	// changed closes with the next token or the run's end.
 	changed chan struct{}
 }
@@ -38,8 +38,8 @@
 	return &engineRun{EngineRun: EngineRun{ID: id}, changed: make(chan struct{})}
 }
 
-// tokens returns how many tokens of the whole answer there are so far.
-func (r *engineRun) tokens() int { return r.Prior + r.Completion }
+// totalTokens returns how many tokens of the whole answer there are so far.
+func (r *engineRun) totalTokens() int { return r.PriorTokens + r.CompletionTokens }
 
 func (r *engineRun) notify() {
 	close(r.changed)
@@ -48,9 +48,9 @@
 
 // batch is the continuous batch: runs in slots, and runs that wait for one.
 type batch struct {
-	active  []*engineRun
-	waiting []*engineRun // The highest priority first, then by arrival.
-	looping bool
+	active      []*engineRun
+	waiting     []*engineRun // The highest priority first, then by arrival.
+	loopRunning bool
 }
 
 func (b *batch) enqueue(run *engineRun) {
@@ -62,12 +62,12 @@
 }
 
 func (b *batch) remove(run *engineRun) {
-	same := func(r *engineRun) bool { return r == run }
-	b.active = slices.DeleteFunc(b.active, same)
-	b.waiting = slices.DeleteFunc(b.waiting, same)
+	isRun := func(r *engineRun) bool { return r == run }
+	b.active = slices.DeleteFunc(b.active, isRun)
+	b.waiting = slices.DeleteFunc(b.waiting, isRun)
 }
 
-func (b *batch) fill(slots int) {
+func (b *batch) fillSlots(slots int) {
 	n := min(slots-len(b.active), len(b.waiting))
 	if n <= 0 {
 		return
@@ -79,15 +79,15 @@
 // submit queues a run and wakes the loop. e.mu is held.
 func (e *Engine) submit(run *engineRun) {
 	e.batch.enqueue(run)
-	if e.batch.looping {
+	if e.batch.loopRunning {
 		return
 	}
-	e.batch.looping = true
-	go e.loop()
+	e.batch.loopRunning = true
+	go e.runBatchLoop()
 }
 
-// loop steps the batch until it is empty.
-func (e *Engine) loop() {
+// runBatchLoop steps the batch until it is empty.
+func (e *Engine) runBatchLoop() {
 	for {
 		pause, busy := e.step()
 		if !busy {
@@ -98,44 +98,44 @@
 }
 
 // step runs one step of the batch and returns how long it takes.
-func (e *Engine) step() (pause time.Duration, busy bool) {
+func (e *Engine) step() (duration time.Duration, busy bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.batch.fill(e.opts.Slots)
+	e.batch.fillSlots(e.opts.Slots)
 	if len(e.batch.active) == 0 {
-		e.batch.looping = false
+		e.batch.loopRunning = false
 		return 0, false
 	}
 	if e.faults.Hang {
-		return hangPoll, true
+		return faultPollInterval, true
 	}
-	prefilled, decoded := e.stepRuns()
+	prefilled, decoded := e.advanceRuns()
 	base := e.opts.Step
 	if e.faults.StepMs > 0 {
 		base = time.Duration(e.faults.StepMs) * time.Millisecond
 	}
-	pause = base + time.Duration(prefilled)*e.opts.StepPerPrefill + time.Duration(decoded)*e.opts.StepPerSequence
-	return pause, true
+	duration = base + time.Duration(prefilled)*e.opts.StepPerPrefill + time.Duration(decoded)*e.opts.StepPerSequence
+	return duration, true
 }
 
-func (e *Engine) stepRuns() (prefilled, decoded int) {
+func (e *Engine) advanceRuns() (prefilled, decoded int) {
 	for _, run := range slices.Clone(e.batch.active) {
-		if run.prefill > 0 {
-			chunk := min(run.prefill, prefillChunk-prefilled)
-			run.prefill -= chunk
+		if run.remainingPrefill > 0 {
+			chunk := min(run.remainingPrefill, maxPrefillPerStep-prefilled)
+			run.remainingPrefill -= chunk
 			prefilled += chunk
-			if run.prefill == 0 {
-				e.cache.add(run.blocks)
+			if run.remainingPrefill == 0 {
+				e.cache.add(run.promptBlocks)
 			}
 			continue
 		}
 		decoded++
-		if run.tokens() < run.max {
-			run.Completion++
+		if run.totalTokens() < run.maxTokens {
+			run.CompletionTokens++
 		}
-		if run.tokens() >= run.max {
+		if run.totalTokens() >= run.maxTokens {
 			e.batch.remove(run)
-			e.end(run, finishLength)
+			e.endRun(run, finishLength)
 			continue
 		}
 		run.notify()
@@ -143,13 +143,13 @@
 	return prefilled, decoded
 }
 
-// end closes a run and forgets the oldest ended ones. e.mu is held.
-func (e *Engine) end(run *engineRun, finish string) {
-	run.Done, run.Finish = true, finish
+// endRun closes a run and forgets the oldest ended ones. e.mu is held.
+func (e *Engine) endRun(run *engineRun, finish string) {
+	run.Done, run.FinishReason = true, finish
 	run.notify()
-	e.ended = append(e.ended, run.ID)
-	for len(e.ended) > keepEnded {
-		delete(e.runs, e.ended[0])
-		e.ended = e.ended[1:]
+	e.endedRuns = append(e.endedRuns, run.ID)
+	for len(e.endedRuns) > maxEndedRuns {
+		delete(e.runs, e.endedRuns[0])
+		e.endedRuns = e.endedRuns[1:]
 	}
 }
--- a/internal/standin/engine_cache.go
+++ b/internal/standin/engine_cache.go
@@ -11,11 +11,11 @@
 
 const (
 	// blockBytes of a prompt make one block of the prefix cache.
-	blockBytes  = 64
-	blockTokens = blockBytes / 4
-	keepEvents  = 4096
-	// everyLost is which cache events get lost: each one whose number it divides.
-	everyLost = 7
+	blockBytes     = 64
+	blockTokens    = blockBytes / 4
+	maxCacheEvents = 4096
+	// lostEventInterval is which cache events get lost: each one whose number it divides.
+	lostEventInterval = 7
 )
 
 // CacheEvent tells that a block came into the prefix cache or left it.
@@ -28,21 +28,21 @@
 
 type timedEvent struct {
 	CacheEvent
-	at time.Time
+	recordedAt time.Time
 }
 
 // prefixCache holds hashes of prompt prefixes, the least recently used block
 // leaves first. It is guarded by Engine.mu.
 type prefixCache struct {
-	limit  int // In blocks.
-	order  *list.List
-	at     map[uint64]*list.Element
-	events []timedEvent
-	seq    uint64
+	maxBlocks int // In blocks.
+	lru       *list.List
+	elements  map[uint64]*list.Element
+	events    []timedEvent
+	seq       uint64
 }
 
 func newPrefixCache(tokens int) *prefixCache {
-	return &prefixCache{limit: max(tokens/blockTokens, 1), order: list.New(), at: map[uint64]*list.Element{}}
+	return &prefixCache{maxBlocks: max(tokens/blockTokens, 1), lru: list.New(), elements: map[uint64]*list.Element{}}
 }
 
 // prefixBlocks returns one hash for each whole block of a prompt; each covers
@@ -57,49 +57,49 @@
 	return out
 }
 
-// cached returns how many leading tokens of a prompt are in the cache.
-func (c *prefixCache) cached(blocks []uint64) int {
+// cachedTokens returns how many leading tokens of a prompt are in the cache.
+func (c *prefixCache) cachedTokens(blocks []uint64) int {
 	for n, block := range blocks {
-		element, ok := c.at[block]
+		element, ok := c.elements[block]
 		if !ok {
 			return n * blockTokens
 		}
-		c.order.MoveToFront(element)
+		c.lru.MoveToFront(element)
 	}
 	return len(blocks) * blockTokens
 }
 
 func (c *prefixCache) add(blocks []uint64) {
 	for _, block := range blocks {
-		if element, ok := c.at[block]; ok {
-			c.order.MoveToFront(element)
+		if element, ok := c.elements[block]; ok {
+			c.lru.MoveToFront(element)
 			continue
 		}
-		c.at[block] = c.order.PushFront(block)
-		c.tell("stored", block)
+		c.elements[block] = c.lru.PushFront(block)
+		c.recordEvent("stored", block)
 	}
-	for c.order.Len() > c.limit {
-		oldest := c.order.Back()
-		block, _ := c.order.Remove(oldest).(uint64)
-		delete(c.at, block)
-		c.tell("removed", block)
+	for c.lru.Len() > c.maxBlocks {
+		oldest := c.lru.Back()
+		block, _ := c.lru.Remove(oldest).(uint64)
+		delete(c.elements, block)
+		c.recordEvent("removed", block)
 	}
 }
 
-func (c *prefixCache) tell(kind string, block uint64) {
+func (c *prefixCache) recordEvent(kind string, block uint64) {
 	c.seq++
 	c.events = append(c.events, timedEvent{CacheEvent{Seq: c.seq, Kind: kind, Block: block, Tokens: blockTokens}, time.Now()})
-	if len(c.events) > keepEvents {
-		c.events = c.events[len(c.events)-keepEvents:]
+	if len(c.events) > maxCacheEvents {
+		c.events = c.events[len(c.events)-maxCacheEvents:]
 	}
 }
 
-// since returns the events after a number that are older than lag, less the
+// eventsAfter returns the events after a number that are older than lag, less the
 // ones that get lost.
-func (c *prefixCache) since(after uint64, now time.Time, lag time.Duration) []CacheEvent {
+func (c *prefixCache) eventsAfter(after uint64, now time.Time, lag time.Duration) []CacheEvent {
 	out := []CacheEvent{}
 	for _, event := range c.events {
-		if event.Seq <= after || event.Seq%everyLost == 0 || now.Sub(event.at) < lag {
+		if event.Seq <= after || event.Seq%lostEventInterval == 0 || now.Sub(event.recordedAt) < lag {
 			continue
 		}
 		out = append(out, event.CacheEvent)
@@ -107,10 +107,10 @@
 	return out
 }
 
-func (e *Engine) handleCacheEvents(w http.ResponseWriter, r *http.Request) {
+func (e *Engine) handleListCacheEvents(w http.ResponseWriter, r *http.Request) {
 	after, _ := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
 	e.mu.Lock()
-	events := e.cache.since(after, time.Now(), e.opts.CacheLag)
+	events := e.cache.eventsAfter(after, time.Now(), e.opts.CacheLag)
 	e.mu.Unlock()
 	writeJSON(w, events)
 }
--- a/internal/standin/engine_load.go
+++ b/internal/standin/engine_load.go
@@ -19,21 +19,21 @@
 
 // lagged shows a value as it was up to lag ago.
 type lagged[T any] struct {
-	lag     time.Duration
-	shown   T
-	shownAt time.Time
+	lag       time.Duration
+	sample    T
+	sampledAt time.Time
 }
 
 func (l *lagged[T]) view(now time.Time, current func() T) (value T, age time.Duration) {
-	if now.Sub(l.shownAt) >= l.lag {
-		l.shown, l.shownAt = current(), now
+	if now.Sub(l.sampledAt) >= l.lag {
+		l.sample, l.sampledAt = current(), now
 	}
-	return l.shown, now.Sub(l.shownAt)
+	return l.sample, now.Sub(l.sampledAt)
 }
 
 func (e *Engine) handleLoad(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
-	report, age := e.report.view(time.Now(), func() LoadReport {
+	report, age := e.loadReport.view(time.Now(), func() LoadReport {
 		return LoadReport{
 			Running: len(e.batch.active), Queued: len(e.batch.waiting), Slots: e.opts.Slots, Leaving: e.faults.Leaving,
 		}
@@ -43,65 +43,65 @@
 	writeJSON(w, report)
 }
 
-// EngineOrder asks an engine to load something or to change its role.
-type EngineOrder struct {
+// EngineCommand asks an engine to load something or to change its role.
+type EngineCommand struct {
 	Kind string `json:"kind"` // model, adapter, version or role.
 	Name string `json:"name"`
 }
 
-// EngineOrders is what the engine obeyed.
-type EngineOrders struct {
-	Fence  uint64        `json:"fencing_token"`
-	Loaded []string      `json:"loaded"`
-	Orders []EngineOrder `json:"orders"`
+// EngineCommands is what the engine obeyed.
+type EngineCommands struct {
+	FencingToken uint64          `json:"fencing_token"`
+	LoadedModels []string        `json:"loaded"`
+	Applied      []EngineCommand `json:"orders"`
 }
 
-type orders struct {
-	ignoreFence bool
-	fence       uint64
-	loaded      []string
-	obeyed      []EngineOrder
+type commandState struct {
+	ignoreFencingToken bool
+	fencingToken       uint64
+	loadedModels       []string
+	applied            []EngineCommand
 }
 
-// obey takes an order unless its fencing number is older than the newest seen.
-func (o *orders) obey(order EngineOrder, fence uint64) bool {
-	if fence < o.fence && !o.ignoreFence {
+// apply takes an order unless its fencing number is older than the newest seen.
+func (o *commandState) apply(command EngineCommand, fencingToken uint64) bool {
+	if fencingToken < o.fencingToken && !o.ignoreFencingToken {
 		return false
 	}
-	o.fence = max(o.fence, fence)
-	o.obeyed = append(o.obeyed, order)
-	if order.Kind == "model" && !slices.Contains(o.loaded, order.Name) {
-		o.loaded = append(o.loaded, order.Name)
+	o.fencingToken = max(o.fencingToken, fencingToken)
+	o.applied = append(o.applied, command)
+	if command.Kind == "model" && !slices.Contains(o.loadedModels, command.Name) {
+		o.loadedModels = append(o.loadedModels, command.Name)
 	}
 	return true
 }
 
-func (o *orders) view() EngineOrders {
-	return EngineOrders{Fence: o.fence, Loaded: slices.Clone(o.loaded), Orders: slices.Clone(o.obeyed)}
+func (o *commandState) snapshot() EngineCommands {
+	return EngineCommands{FencingToken: o.fencingToken, LoadedModels: slices.Clone(o.loadedModels), Applied: slices.Clone(o.applied)}
 }
 
-func (e *Engine) handleOrders(w http.ResponseWriter, _ *http.Request) {
+func (e *Engine) handleListCommands(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
-	view := e.orders.view()
+	commands := e.commands.snapshot()
 	e.mu.Unlock()
-	writeJSON(w, view)
+	writeJSON(w, commands)
 }
 
-func (e *Engine) handleOrder(w http.ResponseWriter, r *http.Request) {
-	var order EngineOrder
-	if !readJSON(w, r, &order) {
+func (e *Engine) handlePostCommand(w http.ResponseWriter, r *http.Request) {
+	var command EngineCommand
+	if !readJSON(w, r, &command) {
 		return
 	}
-	fence, err := strconv.ParseUint(r.Header.Get(headerFence), 10, 64)
-	if err != nil || !slices.Contains([]string{"model", "adapter", "version", "role"}, order.Kind) {
+	fencingToken, err := strconv.ParseUint(r.Header.Get(headerFencingToken), 10, 64)
+	if err != nil || !slices.Contains([]string{"model", "adapter", "version", "role"}, command.Kind) {
 		http.Error(w, "an order needs a fencing number and a kind: model, adapter, version, role", http.StatusBadRequest)
 		return
 	}
 	e.mu.Lock()
-	obeyed := e.orders.obey(order, fence)
-	view := e.orders.view()
+	applied := e.commands.apply(command, fencingToken)
+	view := e.commands.snapshot()
 	e.mu.Unlock()
-	if !obeyed {
+	if !applied {
 		w.WriteHeader(http.StatusConflict)
 	}
 	writeJSON(w, view)
--- a/internal/standin/engine_test.go
+++ b/internal/standin/engine_test.go
@@ -17,8 +17,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// engineUnder is an engine with fast steps behind a test server.
-func engineUnder(t *testing.T, opts EngineOptions) (*Engine, string) {
+// startEngine is an engine with fast steps behind a test server.
+func startEngine(t *testing.T, opts EngineOptions) (*Engine, string) {
 	t.Helper()
 	opts.Model = "small"
 	if opts.Step == 0 {
@@ -33,7 +33,7 @@
 		eventually(t, "loop ends", func() bool {
 			e.mu.Lock()
 			defer e.mu.Unlock()
-			return !e.batch.looping
+			return !e.batch.loopRunning
 		})
 	})
 	return e, server.URL
@@ -48,38 +48,38 @@
 	}
 }
 
-type got struct {
+type response struct {
 	status int
 	header http.Header
 	body   string
 	err    error
 }
 
-// send posts an order; headers are pairs.
-func send(ctx context.Context, url, run string, order map[string]any, headers ...string) got {
+// postChat posts an order; headers are pairs.
+func postChat(ctx context.Context, url, run string, order map[string]any, headers ...string) response {
 	if order["messages"] == nil {
 		order["messages"] = []string{"hello"}
 	}
 	data, _ := json.Marshal(order)
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url+"/v1/chat/completions", bytes.NewReader(data))
 	if err != nil {
-		return got{err: err}
+		return response{err: err}
 	}
-	req.Header.Set(headerRun, run)
+	req.Header.Set(headerRunID, run)
 	for i := 0; i+1 < len(headers); i += 2 {
 		req.Header.Set(headers[i], headers[i+1])
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return got{err: err}
+		return response{err: err}
 	}
 	defer resp.Body.Close()
 	body, err := io.ReadAll(resp.Body)
-	return got{status: resp.StatusCode, header: resp.Header, body: string(body), err: err}
+	return response{status: resp.StatusCode, header: resp.Header, body: string(body), err: err}
 }
 
-// tokensOf joins a stream's tokens and says how it ended.
-func tokensOf(body string) (text string, usage engineUsage, done bool) {
+// parseStream joins a stream's tokens and says how it ended.
+func parseStream(body string) (text string, usage engineUsage, done bool) {
 	var b strings.Builder
 	for line := range strings.Lines(body) {
 		data, ok := strings.CutPrefix(strings.TrimSpace(line), "data: ")
@@ -109,47 +109,47 @@
 }
 
 func TestEngineRunGoesOnAndIsResumedWithoutGeneratingAnew(t *testing.T) {
-	e, url := engineUnder(t, EngineOptions{})
-	e.SetFaults(EngineFaults{CutAfter: 5})
-	cut := send(t.Context(), url, "r1", map[string]any{"max_tokens": 30, "stream": true})
-	if text, _, done := tokensOf(cut.body); done || text != textBetween(0, 5) {
+	e, url := startEngine(t, EngineOptions{})
+	e.SetFaults(EngineFaults{CutAfterTokens: 5})
+	cut := postChat(t.Context(), url, "r1", map[string]any{"max_tokens": 30, "stream": true})
+	if text, _, done := parseStream(cut.body); done || text != tokenRangeText(0, 5) {
 		t.Fatalf("cut stream gave %q, done %v", text, done)
 	}
 	e.SetFaults(EngineFaults{})
-	rest := send(t.Context(), url, "r1", map[string]any{"max_tokens": 30, "stream": true}, headerFrom, "5")
-	text, usage, done := tokensOf(rest.body)
-	if !done || text != textBetween(5, 30) || usage.Completion != 30 {
+	rest := postChat(t.Context(), url, "r1", map[string]any{"max_tokens": 30, "stream": true}, headerResumeFrom, "5")
+	text, usage, done := parseStream(rest.body)
+	if !done || text != tokenRangeText(5, 30) || usage.CompletionTokens != 30 {
 		t.Fatalf("resumed stream gave %q, usage %+v, done %v", text, usage, done)
 	}
-	if runs := e.Runs(); len(runs) != 1 || runs[0].Completion != 30 || !runs[0].Done {
+	if runs := e.Runs(); len(runs) != 1 || runs[0].CompletionTokens != 30 || !runs[0].Done {
 		t.Fatalf("runs %+v", runs)
 	}
 }
 
 func TestEngineGoesOnFromPriorTokens(t *testing.T) {
-	_, url := engineUnder(t, EngineOptions{})
+	_, url := startEngine(t, EngineOptions{})
 	order := func(prior string) map[string]any {
 		return map[string]any{"max_tokens": 10, "stream": true, "prior": prior}
 	}
-	if wrong := send(t.Context(), url, "r1", order("else"), headerFrom, "4"); wrong.status != http.StatusBadRequest {
+	if wrong := postChat(t.Context(), url, "r1", order("else"), headerResumeFrom, "4"); wrong.status != http.StatusBadRequest {
 		t.Fatalf("wrong prior text: status %d", wrong.status)
 	}
-	if missing := send(t.Context(), url, "r1", order(""), headerFrom, "4", headerOnly, "true"); missing.status != http.StatusNotFound {
+	if missing := postChat(t.Context(), url, "r1", order(""), headerResumeFrom, "4", headerResumeOnly, "true"); missing.status != http.StatusNotFound {
 		t.Fatalf("resume of no run: status %d", missing.status)
 	}
-	text, usage, done := tokensOf(send(t.Context(), url, "r1", order(textBetween(0, 4)), headerFrom, "4").body)
-	if !done || text != textBetween(4, 10) || usage.Completion != 6 || usage.Prior != 4 {
+	text, usage, done := parseStream(postChat(t.Context(), url, "r1", order(tokenRangeText(0, 4)), headerResumeFrom, "4").body)
+	if !done || text != tokenRangeText(4, 10) || usage.CompletionTokens != 6 || usage.PriorTokens != 4 {
 		t.Fatalf("text %q, usage %+v, done %v", text, usage, done)
 	}
 }
 
 func TestEngineCancelStopsARunAndForbidsItsLateOrder(t *testing.T) {
-	e, url := engineUnder(t, EngineOptions{})
-	answer := make(chan got, 1)
+	e, url := startEngine(t, EngineOptions{})
+	answer := make(chan response, 1)
 	go func() {
-		answer <- send(context.Background(), url, "r1", map[string]any{"max_tokens": 100_000, "stream": true})
+		answer <- postChat(context.Background(), url, "r1", map[string]any{"max_tokens": 100_000, "stream": true})
 	}()
-	eventually(t, "tokens", func() bool { runs := e.Runs(); return len(runs) == 1 && runs[0].Completion > 3 })
+	eventually(t, "tokens", func() bool { runs := e.Runs(); return len(runs) == 1 && runs[0].CompletionTokens > 3 })
 	for _, run := range []string{"r1", "never-sent"} {
 		req, _ := http.NewRequest(http.MethodDelete, url+"/runs/"+run, nil)
 		resp, err := http.DefaultClient.Do(req)
@@ -167,26 +167,26 @@
 		attempt string
 		status  int
 	}{{"2", http.StatusConflict}, {"3", http.StatusOK}, {"2", http.StatusConflict}} {
-		if got := send(t.Context(), url, "superseded", map[string]any{"max_tokens": 5}, headerAttempt, c.attempt); got.status != c.status {
+		if got := postChat(t.Context(), url, "superseded", map[string]any{"max_tokens": 5}, headerAttempt, c.attempt); got.status != c.status {
 			t.Fatalf("attempt %s after the cancel of 2: status %d", c.attempt, got.status)
 		}
 	}
-	late := send(t.Context(), url, "never-sent", map[string]any{"max_tokens": 5})
+	late := postChat(t.Context(), url, "never-sent", map[string]any{"max_tokens": 5})
 	if late.status != http.StatusConflict || late.header.Get(headerNotRun) != "true" {
 		t.Fatalf("late order: %d %v", late.status, late.header)
 	}
 	for _, run := range after {
-		if !run.Done || run.Finish != finishCancelled || run.Completion > 50_000 {
+		if !run.Done || run.FinishReason != finishCancelled || run.CompletionTokens > 50_000 {
 			t.Fatalf("run %+v", run)
 		}
 	}
 }
 
 func TestEnginePrioritiesGoFirstIntoSlots(t *testing.T) {
-	e, url := engineUnder(t, EngineOptions{Slots: 1})
+	e, url := startEngine(t, EngineOptions{Slots: 1})
 	order := make(chan string, 3)
 	post := func(run, priority string, tokens int) {
-		send(context.Background(), url, run, map[string]any{"max_tokens": tokens}, headerPriority, priority)
+		postChat(context.Background(), url, run, map[string]any{"max_tokens": tokens}, headerPriority, priority)
 		order <- run
 	}
 	go post("first", "1", 200)
@@ -200,20 +200,20 @@
 }
 
 func TestEnginePrefixCacheIsBoundedAndReported(t *testing.T) {
-	e, url := engineUnder(t, EngineOptions{CacheTokens: 64, CacheLag: time.Nanosecond})
+	e, url := startEngine(t, EngineOptions{CacheTokens: 64, CacheLag: time.Nanosecond})
 	prompt := func(fill string) []string { return []string{strings.Repeat(fill, 4*blockBytes)} }
-	ask := func(run, fill string) engineUsage {
-		_, usage, _ := tokensOf(send(t.Context(), url, run, map[string]any{"max_tokens": 1, "stream": true, "messages": prompt(fill)}).body)
+	usageFor := func(run, fill string) engineUsage {
+		_, usage, _ := parseStream(postChat(t.Context(), url, run, map[string]any{"max_tokens": 1, "stream": true, "messages": prompt(fill)}).body)
 		return usage
 	}
-	if first, again := ask("r1", "a"), ask("r2", "a"); first.Cached != 0 || again.Cached != 64 {
-		t.Fatalf("cached %d, then %d", first.Cached, again.Cached)
+	if first, again := usageFor("r1", "a"), usageFor("r2", "a"); first.CachedTokens != 0 || again.CachedTokens != 64 {
+		t.Fatalf("cached %d, then %d", first.CachedTokens, again.CachedTokens)
 	}
-	ask("r3", "b")
-	if evicted := ask("r4", "a"); evicted.Cached != 0 {
-		t.Fatalf("cached %d after eviction", evicted.Cached)
+	usageFor("r3", "b")
+	if evicted := usageFor("r4", "a"); evicted.CachedTokens != 0 {
+		t.Fatalf("cached %d after eviction", evicted.CachedTokens)
 	}
-	events := e.cache.since(0, time.Now().Add(time.Second), 0)
+	events := e.cache.eventsAfter(0, time.Now().Add(time.Second), 0)
 	if len(events) == 0 || len(events) >= int(e.cache.seq) {
 		t.Fatalf("%d of %d events: gaps expected", len(events), e.cache.seq)
 	}
@@ -221,9 +221,9 @@
 
 func TestEngineStepTimeGrowsWithTheBatch(t *testing.T) {
 	e := NewEngine(EngineOptions{Step: 100, StepPerSequence: 10, StepPerPrefill: 1, Slots: 3})
-	e.batch.looping = true // The test steps by itself.
+	e.batch.loopRunning = true // The test steps by itself.
 	for n := range 3 {
-		e.beginRun(chatOrder{run: strconv.Itoa(n), chatRequest: chatRequest{Messages: make([]byte, 39), MaxTokens: 9}})
+		e.startRun(chatAttempt{runID: strconv.Itoa(n), chatRequest: chatRequest{Messages: make([]byte, 39), MaxTokens: 9}})
 	}
 	if pause, _ := e.step(); pause != 100+3*10 {
 		t.Fatalf("prefill step took %d", pause)
@@ -241,36 +241,36 @@
 	}{
 		"leaving": {EngineFaults{Leaving: true}, http.StatusServiceUnavailable, "true"},
 		"refuse":  {EngineFaults{Refuse: true}, http.StatusTooManyRequests, "true"},
-		"masked":  {EngineFaults{Masked: true}, http.StatusServiceUnavailable, ""},
+		"masked":  {EngineFaults{ProxyError: true}, http.StatusServiceUnavailable, ""},
 	} {
-		e, url := engineUnder(t, EngineOptions{})
+		e, url := startEngine(t, EngineOptions{})
 		e.SetFaults(c.faults)
-		a := send(t.Context(), url, "r1", map[string]any{"max_tokens": 2})
+		a := postChat(t.Context(), url, "r1", map[string]any{"max_tokens": 2})
 		ran := len(e.Runs()) == 1
 		if a.status != c.status || a.header.Get(headerNotRun) != c.notRun || ran != (c.notRun == "") {
 			t.Errorf("%s: status %d, header %q, ran %v", name, a.status, a.header.Get(headerNotRun), ran)
 		}
 	}
-	order := EngineOrder{Kind: "model", Name: "large"}
-	respects, ignores := orders{}, orders{ignoreFence: true}
-	if !respects.obey(order, 7) || respects.obey(order, 6) || !respects.obey(order, 7) {
+	command := EngineCommand{Kind: "model", Name: "large"}
+	enforcing, ignoring := commandState{}, commandState{ignoreFencingToken: true}
+	if !enforcing.apply(command, 7) || enforcing.apply(command, 6) || !enforcing.apply(command, 7) {
 		t.Error("fencing number not respected")
 	}
-	if !ignores.obey(order, 7) || !ignores.obey(order, 6) {
+	if !ignoring.apply(command, 7) || !ignoring.apply(command, 6) {
 		t.Error("fencing number not ignored")
 	}
 }
 
 func TestCrossedAnswersSwapInPairs(t *testing.T) {
-	var c crossing[string]
-	c.set(1)
+	var s answerSwapper[string]
+	s.setPairs(1)
 	first := make(chan string, 1)
-	go func() { first <- c.pass(t.Context(), "a") }()
-	eventually(t, "first half", func() bool { c.mu.Lock(); defer c.mu.Unlock(); return c.open != nil })
-	if second := c.pass(t.Context(), "b"); second != "a" || <-first != "b" {
+	go func() { first <- s.swap(t.Context(), "a") }()
+	eventually(t, "first half", func() bool { s.mu.Lock(); defer s.mu.Unlock(); return s.pending != nil })
+	if second := s.swap(t.Context(), "b"); second != "a" || <-first != "b" {
 		t.Fatal("not swapped")
 	}
-	if third := c.pass(t.Context(), "c"); third != "c" {
+	if third := s.swap(t.Context(), "c"); third != "c" {
 		t.Fatalf("third answer swapped for %s", third)
 	}
 }
--- a/internal/standin/keyed.go
+++ b/internal/standin/keyed.go
@@ -11,15 +11,15 @@
 // Keyed is an in-memory log of keyed topics, with the faults of a real one. It
 // implements logstore.Keyed. The zero value is not ready; use NewKeyed.
 type Keyed struct {
-	mu      sync.Mutex
-	topics  map[logstore.Topic]*keyedTopic
-	writers map[writerOf]keyedWriter // Each partition counts by itself.
-	down    bool
-	lose    int // So many answers of writes still get lost.
-	grown   chan struct{}
-	writes  int
-	reads   int
-	newest  map[logstore.Topic]int // Whole reads, by topic.
+	mu          sync.Mutex
+	topics      map[logstore.Topic]*keyedTopic
+	writers     map[writerKey]writerState // Each partition counts by itself.
+	unavailable bool
+	lostAnswers int // So many answers of writes still get lost.
+	changed     chan struct{}
+	writes      int
+	reads       int
+	newestReads map[logstore.Topic]int // Whole reads, by topic.
 }
 
 type keyedTopic struct {
@@ -28,35 +28,35 @@
 	newest  map[string]logstore.KeyedRecord
 }
 
-type writerOf struct {
+type writerKey struct {
 	topic  logstore.Topic
 	writer string
 }
 
-type keyedWriter struct{ epoch, sequence uint64 }
+type writerState struct{ epoch, sequence uint64 }
 
 // NewKeyed returns an empty log.
 func NewKeyed() *Keyed {
-	return &Keyed{topics: map[logstore.Topic]*keyedTopic{}, writers: map[writerOf]keyedWriter{}, newest: map[logstore.Topic]int{}, grown: make(chan struct{})}
+	return &Keyed{topics: map[logstore.Topic]*keyedTopic{}, writers: map[writerKey]writerState{}, newestReads: map[logstore.Topic]int{}, changed: make(chan struct{})}
 }
 
 // SetDown makes every call fail, or ends that.
 func (k *Keyed) SetDown(down bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.down = down
-	k.wake()
+	k.unavailable = down
+	k.notifyReaders()
 }
 
 // LoseAnswers makes the next n writes take effect without an answer.
 func (k *Keyed) LoseAnswers(n int) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.lose = n
+	k.lostAnswers = n
 }
 
-// Forget drops the topic's history; the newest record of each key stays.
-func (k *Keyed) Forget(topic logstore.Topic) {
+// Compact drops the topic's history; the newest record of each key stays.
+func (k *Keyed) Compact(topic logstore.Topic) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	t := k.topic(topic)
@@ -75,7 +75,7 @@
 func (k *Keyed) NewestReads(topic logstore.Topic) int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.newest[topic]
+	return k.newestReads[topic]
 }
 
 // Set appends a record as an operator or an endpoint would.
@@ -90,8 +90,8 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.reads++
-	k.newest[topic]++
-	if k.down {
+	k.newestReads[topic]++
+	if k.unavailable {
 		return logstore.KeyedPage{}, logstore.ErrUnavailable
 	}
 	t := k.topic(topic)
@@ -105,16 +105,16 @@
 
 // Follow implements logstore.Keyed.
 func (k *Keyed) Follow(ctx context.Context, topic logstore.Topic, from uint64, wait time.Duration) (logstore.KeyedPage, error) {
-	limit := time.NewTimer(wait)
-	defer limit.Stop()
+	timer := time.NewTimer(wait)
+	defer timer.Stop()
 	for {
-		page, grown, err := k.after(topic, from)
+		page, changed, err := k.readFrom(topic, from)
 		if err != nil || len(page.Records) > 0 {
 			return page, err
 		}
 		select {
-		case <-grown:
-		case <-limit.C:
+		case <-changed:
+		case <-timer.C:
 			return page, nil
 		case <-ctx.Done():
 			return page, ctx.Err()
@@ -122,13 +122,13 @@
 	}
 }
 
-func (k *Keyed) after(topic logstore.Topic, from uint64) (logstore.KeyedPage, <-chan struct{}, error) {
+func (k *Keyed) readFrom(topic logstore.Topic, from uint64) (logstore.KeyedPage, <-chan struct{}, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.reads++
 	t := k.topic(topic)
 	switch {
-	case k.down:
+	case k.unavailable:
 		return logstore.KeyedPage{}, nil, logstore.ErrUnavailable
 	case from < t.first:
 		return logstore.KeyedPage{}, nil, logstore.ErrTrimmed
@@ -136,7 +136,7 @@
 	rest := t.records[from-t.first:]
 	records := append([]logstore.KeyedRecord(nil), rest...)
 	end := from + uint64(len(rest))
-	return logstore.KeyedPage{Records: records, Next: end, End: end}, k.grown, nil
+	return logstore.KeyedPage{Records: records, Next: end, End: end}, k.changed, nil
 }
 
 // Put implements logstore.Keyed.
@@ -144,10 +144,10 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.writes++
-	if k.down {
+	if k.unavailable {
 		return logstore.ErrUnavailable
 	}
-	last, known := k.writers[writerOf{topic, w.Writer}]
+	last, known := k.writers[writerKey{topic, w.Writer}]
 	switch {
 	case known && w.Epoch < last.epoch:
 		return logstore.ErrFenced
@@ -156,10 +156,10 @@
 	case known && w.Epoch == last.epoch && w.Sequence != last.sequence+1:
 		return logstore.ErrSequence
 	}
-	k.writers[writerOf{topic, w.Writer}] = keyedWriter{w.Epoch, w.Sequence}
+	k.writers[writerKey{topic, w.Writer}] = writerState{w.Epoch, w.Sequence}
 	k.append(topic, records)
-	if k.lose > 0 {
-		k.lose--
+	if k.lostAnswers > 0 {
+		k.lostAnswers--
 		return logstore.ErrUnavailable
 	}
 	return nil
@@ -175,12 +175,12 @@
 		}
 		t.newest[r.Key] = r
 	}
-	k.wake()
+	k.notifyReaders()
 }
 
-func (k *Keyed) wake() {
-	close(k.grown)
-	k.grown = make(chan struct{})
+func (k *Keyed) notifyReaders() {
+	close(k.changed)
+	k.changed = make(chan struct{})
 }
 
 func (k *Keyed) topic(name logstore.Topic) *keyedTopic {
--- a/internal/standin/log.go
+++ b/internal/standin/log.go
@@ -16,7 +16,7 @@
 	"golang.org/x/time/rate"
 )
 
-const maxEntryBytes = 1 << 20
+const maxBodyBytes = 1 << 20
 
 // PlatformFaults are the switchable faults of the platform stand-in.
 type PlatformFaults struct {
@@ -32,10 +32,10 @@
 type PlatformOptions struct {
 	// AppendsPerSecond is the append rate limit over all streams.
 	AppendsPerSecond float64
-	// Retain is how many entries each stream keeps; 0 keeps all.
-	Retain int
-	// RetainFor is how long each entry is kept; 0 keeps all.
-	RetainFor time.Duration
+	// MaxEntries is how many entries each stream keeps; 0 keeps all.
+	MaxEntries int
+	// EntryTTL is how long each entry is kept; 0 keeps all.
+	EntryTTL time.Duration
 	// ListLag is how far the instance list lags behind.
 	ListLag time.Duration
 	// InstanceTTL is how long an instance stays listed without renewal.
@@ -43,9 +43,9 @@
 }
 
 type logEntry struct {
-	Offset uint64 `json:"offset"`
-	Data   []byte `json:"data"`
-	at     time.Time
+	Offset     uint64 `json:"offset"`
+	Data       []byte `json:"data"`
+	appendedAt time.Time
 }
 
 type logStream struct {
@@ -56,22 +56,22 @@
 
 // Platform is the stand-in for the platform's log and instance list.
 type Platform struct {
-	opts  PlatformOptions
-	limit *rate.Limiter
+	opts    PlatformOptions
+	limiter *rate.Limiter
 
-	mu      sync.Mutex
-	streams map[string]*logStream
-	faults  PlatformFaults
-	list    directory
+	mu        sync.Mutex
+	streams   map[string]*logStream
+	faults    PlatformFaults
+	directory instanceDirectory
 }
 
 // NewPlatform returns an empty platform.
 func NewPlatform(opts PlatformOptions) *Platform {
 	return &Platform{
-		opts:    opts,
-		limit:   rate.NewLimiter(rate.Limit(opts.AppendsPerSecond), int(opts.AppendsPerSecond)),
-		streams: map[string]*logStream{},
-		list:    newDirectory(opts),
+		opts:      opts,
+		limiter:   rate.NewLimiter(rate.Limit(opts.AppendsPerSecond), int(opts.AppendsPerSecond)),
+		streams:   map[string]*logStream{},
+		directory: newInstanceDirectory(opts),
 	}
 }
 
@@ -83,10 +83,10 @@
 		r.Post("/log/{stream}", p.handleAppend)
 		r.Get("/log/{stream}", p.handleRead)
 		r.Post("/instances", p.handleAnnounce)
-		r.Get("/instances", p.handleList)
+		r.Get("/instances", p.handleListInstances)
 	})
-	r.Put("/endpoints", p.handleEndpoints)
-	r.Put("/faults", p.handleFaults)
+	r.Put("/endpoints", p.handlePutEndpoints)
+	r.Put("/faults", p.handlePutFaults)
 	return r
 }
 
@@ -114,12 +114,12 @@
 }
 
 func (p *Platform) handleAppend(w http.ResponseWriter, r *http.Request) {
-	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxEntryBytes))
+	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err != nil {
 		http.Error(w, "entry too large", http.StatusRequestEntityTooLarge)
 		return
 	}
-	if !p.limit.Allow() {
+	if !p.limiter.Allow() {
 		http.Error(w, "append rate limit", http.StatusTooManyRequests)
 		return
 	}
@@ -135,7 +135,7 @@
 	defer p.mu.Unlock()
 	s := p.stream(name)
 	offset = s.first + uint64(len(s.entries))
-	s.entries = append(s.entries, logEntry{Offset: offset, Data: data, at: time.Now()})
+	s.entries = append(s.entries, logEntry{Offset: offset, Data: data, appendedAt: time.Now()})
 	p.trim(s)
 	close(s.changed)
 	s.changed = make(chan struct{})
@@ -149,10 +149,10 @@
 // trim drops the entries that are no longer kept. p.mu is held.
 func (p *Platform) trim(s *logStream) {
 	drop := 0
-	if p.opts.Retain > 0 {
-		drop = max(0, len(s.entries)-p.opts.Retain)
+	if p.opts.MaxEntries > 0 {
+		drop = max(0, len(s.entries)-p.opts.MaxEntries)
 	}
-	for p.opts.RetainFor > 0 && drop < len(s.entries) && time.Since(s.entries[drop].at) > p.opts.RetainFor {
+	for p.opts.EntryTTL > 0 && drop < len(s.entries) && time.Since(s.entries[drop].appendedAt) > p.opts.EntryTTL {
 		drop++
 	}
 	if drop == 0 {
@@ -177,7 +177,7 @@
 	Next    uint64     `json:"next"`
 }
 
-const maxPage = 512
+const maxPageEntries = 512
 
 // page returns the entries from an offset on, and the channel that closes
 // with the stream's next append.
@@ -192,8 +192,8 @@
 		return page, s.changed
 	}
 	page.Entries = s.entries[from-s.first:]
-	if len(page.Entries) > maxPage {
-		page.Entries = page.Entries[:maxPage]
+	if len(page.Entries) > maxPageEntries {
+		page.Entries = page.Entries[:maxPageEntries]
 	}
 	page.Next = from + uint64(len(page.Entries))
 	return page, s.changed
@@ -225,7 +225,7 @@
 	writeJSON(w, page)
 }
 
-func (p *Platform) handleFaults(w http.ResponseWriter, r *http.Request) {
+func (p *Platform) handlePutFaults(w http.ResponseWriter, r *http.Request) {
 	var f PlatformFaults
 	if !readJSON(w, r, &f) {
 		return
@@ -235,7 +235,7 @@
 }
 
 func readJSON(w http.ResponseWriter, r *http.Request, out any) bool {
-	dec := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxEntryBytes))
+	dec := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(out); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
--- a/internal/standin/service.go
+++ b/internal/standin/service.go
@@ -17,36 +17,36 @@
 	Refuse bool `json:"refuse"`
 	// SlowMs is how long a call takes.
 	SlowMs int `json:"slow_ms"`
-	// Lose is how many answers are still to be lost after the call has run.
-	Lose int `json:"lose"`
-	// Crossed is how many pairs of answers are still to be swapped.
-	Crossed int `json:"crossed"`
-	// Masked answers 503 without X-Not-Run after the call has run.
-	Masked bool `json:"masked"`
+	// LoseAnswers is how many answers are still to be lost after the call has run.
+	LoseAnswers int `json:"lose"`
+	// SwapPairs is how many pairs of answers are still to be swapped.
+	SwapPairs int `json:"crossed"`
+	// ProxyError answers 503 without X-Not-Run after the call has run.
+	ProxyError bool `json:"masked"`
 }
 
 // Service is the stand-in for a plain service. It counts how often each call
 // identity ran, and runs a call again as often as it is sent.
 type Service struct {
 	// mu guards everything below.
-	mu      sync.Mutex
-	runs    map[string]int
-	paths   map[string]int // Runs by the call's path.
-	running int
-	faults  ServiceFaults
-	crossed crossing[callAnswer]
+	mu           sync.Mutex
+	runsByID     map[string]int
+	runsByPath   map[string]int // Runs by the call's path.
+	runningCalls int
+	faults       ServiceFaults
+	swapper      answerSwapper[callAnswer]
 }
 
 // NewService returns a service that has run nothing.
-func NewService() *Service { return &Service{runs: map[string]int{}, paths: map[string]int{}} }
+func NewService() *Service { return &Service{runsByID: map[string]int{}, runsByPath: map[string]int{}} }
 
 // Handler returns the service's HTTP interface.
 func (s *Service) Handler() http.Handler {
 	r := chi.NewRouter()
-	r.Get("/runs", s.handleRuns)
-	r.Get("/paths", s.handlePaths)
+	r.Get("/runs", s.handleListRuns)
+	r.Get("/paths", s.handleListPaths)
 	r.Get("/load", s.handleLoad)
-	r.Put("/faults", s.handleFaults)
+	r.Put("/faults", s.handlePutFaults)
 	r.HandleFunc("/call/*", s.handleCall)
 	return r
 }
@@ -56,7 +56,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
-	s.crossed.set(f.Crossed)
+	s.swapper.setPairs(f.SwapPairs)
 }
 
 type callAnswer struct {
@@ -67,37 +67,37 @@
 }
 
 func (s *Service) handleCall(w http.ResponseWriter, r *http.Request) {
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxEntryBytes))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err != nil {
-		refuse(w, http.StatusBadRequest, err.Error())
+		refuseUnexecuted(w, http.StatusBadRequest, err.Error())
 		return
 	}
-	run := r.Header.Get(headerRun)
-	faults, count, status := s.begin(run, r.URL.Path)
+	run := r.Header.Get(headerRunID)
+	faults, count, status := s.startCall(run, r.URL.Path)
 	if status != 0 {
-		w.Header().Set(headerRun, run)
-		refuse(w, status, "refused")
+		w.Header().Set(headerRunID, run)
+		refuseUnexecuted(w, status, "refused")
 		return
 	}
-	defer s.end()
+	defer s.endCall()
 	if !sleep(r, time.Duration(faults.SlowMs)*time.Millisecond) {
 		return
 	}
-	if faults.Lose > 0 {
+	if faults.LoseAnswers > 0 {
 		panic(http.ErrAbortHandler)
 	}
-	if faults.Masked {
+	if faults.ProxyError {
 		http.Error(w, "upstream failed", http.StatusServiceUnavailable)
 		return
 	}
-	answer := s.crossed.pass(r.Context(), callAnswer{Run: run, Path: r.URL.Path, Count: count, Bytes: len(body)})
-	w.Header().Set(headerRun, answer.Run)
+	answer := s.swapper.swap(r.Context(), callAnswer{Run: run, Path: r.URL.Path, Count: count, Bytes: len(body)})
+	w.Header().Set(headerRunID, answer.Run)
 	w.Header().Set(headerAttempt, r.Header.Get(headerAttempt))
 	writeJSON(w, answer)
 }
 
-// begin counts the call as run unless it is refused with a status.
-func (s *Service) begin(run, path string) (faults ServiceFaults, count, status int) {
+// startCall counts the call as run unless it is refused with a status.
+func (s *Service) startCall(run, path string) (faults ServiceFaults, count, status int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
@@ -106,42 +106,42 @@
 	case s.faults.Refuse:
 		return s.faults, 0, http.StatusTooManyRequests
 	}
-	s.runs[run]++
-	s.paths[path]++
-	s.running++
+	s.runsByID[run]++
+	s.runsByPath[path]++
+	s.runningCalls++
 	faults = s.faults
-	if s.faults.Lose > 0 {
-		s.faults.Lose--
+	if s.faults.LoseAnswers > 0 {
+		s.faults.LoseAnswers--
 	}
-	return faults, s.runs[run], 0
+	return faults, s.runsByID[run], 0
 }
 
-func (s *Service) end() {
+func (s *Service) endCall() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.running--
+	s.runningCalls--
 }
 
-func (s *Service) handleRuns(w http.ResponseWriter, _ *http.Request) {
+func (s *Service) handleListRuns(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	writeJSON(w, s.runs)
+	writeJSON(w, s.runsByID)
 }
 
-func (s *Service) handlePaths(w http.ResponseWriter, _ *http.Request) {
+func (s *Service) handleListPaths(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	writeJSON(w, s.paths)
+	writeJSON(w, s.runsByPath)
 }
 
 func (s *Service) handleLoad(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
-	report := LoadReport{Running: s.running, Leaving: s.faults.Leaving}
+	report := LoadReport{Running: s.runningCalls, Leaving: s.faults.Leaving}
 	s.mu.Unlock()
 	writeJSON(w, report)
 }
 
-func (s *Service) handleFaults(w http.ResponseWriter, r *http.Request) {
+func (s *Service) handlePutFaults(w http.ResponseWriter, r *http.Request) {
 	var f ServiceFaults
 	if !readJSON(w, r, &f) {
 		return
@@ -150,12 +150,12 @@
 	writeJSON(w, f)
 }
 
-// Total returns how many calls ran.
-func (s *Service) Total() int {
+// TotalRuns returns how many calls ran.
+func (s *Service) TotalRuns() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	total := 0
-	for _, count := range s.runs {
+	for _, count := range s.runsByID {
 		total += count
 	}
 	return total
--- a/internal/standin/service_test.go
+++ b/internal/standin/service_test.go
@@ -12,8 +12,8 @@
 		runs   int
 	}{
 		"plain":   {ServiceFaults{}, 2},
-		"lost":    {ServiceFaults{Lose: 2}, 2},
-		"masked":  {ServiceFaults{Masked: true}, 2},
+		"lost":    {ServiceFaults{LoseAnswers: 2}, 2},
+		"masked":  {ServiceFaults{ProxyError: true}, 2},
 		"leaving": {ServiceFaults{Leaving: true}, 0},
 		"refuse":  {ServiceFaults{Refuse: true}, 0},
 	} {
@@ -22,9 +22,9 @@
 		server := httptest.NewServer(s.Handler())
 		for range 2 {
 			req, _ := http.NewRequest(http.MethodPost, server.URL+"/call/setpoint", nil)
-			req.Header.Set(headerRun, "r1")
+			req.Header.Set(headerRunID, "r1")
 			resp, err := http.DefaultClient.Do(req)
-			if (err != nil) != (c.faults.Lose > 0) {
+			if (err != nil) != (c.faults.LoseAnswers > 0) {
 				t.Errorf("%s: %v", name, err)
 			}
 			if err == nil {
@@ -32,8 +32,8 @@
 			}
 		}
 		server.Close()
-		if s.runs["r1"] != c.runs {
-			t.Errorf("%s: ran %d times, want %d", name, s.runs["r1"], c.runs)
+		if s.runsByID["r1"] != c.runs {
+			t.Errorf("%s: ran %d times, want %d", name, s.runsByID["r1"], c.runs)
 		}
 	}
 	http.DefaultClient.CloseIdleConnections()
--- a/test/process/budget_test.go
+++ b/test/process/budget_test.go
@@ -90,7 +90,7 @@
 			t.Fatal(err)
 		}
 		for _, run := range runs {
-			sum += int64(run.Prompt + run.Completion)
+			sum += int64(run.PromptTokens + run.CompletionTokens)
 		}
 	}
 	return sum
