--- a/internal/standin/crossing.go
+++ b/internal/standin/crossing.go
@@ -6,31 +6,34 @@
 	"time"
 )
 
-// answerSwapTimeout is how long an answer waits for another one to be swapped with.
+// answerSwapTimeout bounds how long the first answer of a pair is held back for
+// the second one.
 const answerSwapTimeout = 2 * time.Second
 
-// answerSwapper swaps the answers of pairs of requests, so that each connection
-// gets the other's answer. It is safe for concurrent use.
+// answerSwapper simulates an endpoint that confuses its connections: it swaps
+// the answers of two concurrent requests. It is safe for concurrent use.
 type answerSwapper[T any] struct {
 	mu             sync.Mutex
-	remainingPairs int // Still to be swapped.
+	remainingPairs int // Pairs left to start.
 	pending        *pendingSwap[T]
 }
 
-// pendingSwap is the first half of a pair.
+// pendingSwap is the first answer of a pair, which waits for its partner.
 type pendingSwap[T any] struct {
 	answer  T
-	partner chan T
+	partner chan T // Buffered; receives the second answer.
 }
 
+// setPairs sets how many pairs are to be swapped; 0 ends the fault.
 func (c *answerSwapper[T]) setPairs(pairs int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.remainingPairs = pairs
 }
 
-// swap returns the answer that goes out in place of mine: another's while
-// pairs are left and a second answer comes in time, else mine.
+// swap returns the answer to send in place of mine: the answer of another
+// request if pairs are left and one arrives within answerSwapTimeout and before
+// ctx ends, otherwise mine. It blocks until then.
 func (c *answerSwapper[T]) swap(ctx context.Context, mine T) T {
 	pending, other, swapped := c.offer(mine)
 	if swapped {
@@ -50,7 +53,8 @@
 	return c.withdraw(pending)
 }
 
-// offer swaps with an open half, opens one, or does nothing.
+// offer completes the pending swap and returns its answer, or starts a swap and
+// returns it as pending, or returns neither if no pairs are left.
 func (c *answerSwapper[T]) offer(mine T) (pending *pendingSwap[T], partner T, swapped bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -68,7 +72,8 @@
 	return c.pending, partner, false
 }
 
-// withdraw closes a half that found no other one in time.
+// withdraw cancels a swap whose partner didn't arrive in time and returns its own
+// answer, or the partner's if it arrived after all.
 func (c *answerSwapper[T]) withdraw(pending *pendingSwap[T]) T {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/standin/directory.go
+++ b/internal/standin/directory.go
@@ -11,6 +11,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
+// listedInstance is an instance as it announces itself and as the list shows it.
 type listedInstance struct {
 	ID      string `json:"id"`
 	Zone    string `json:"zone"`
@@ -19,7 +20,8 @@
 	Applied uint64 `json:"applied"`
 }
 
-// ListedEndpoint is one endpoint of the instance list.
+// ListedEndpoint is an entry of the list's endpoints: a plain service with
+// Service set, or a model engine with Model set.
 type ListedEndpoint struct {
 	Name    string `json:"name"`
 	Zone    string `json:"zone"`
@@ -29,17 +31,21 @@
 	Leaving bool   `json:"leaving"`
 }
 
+// instanceList is the body of GET /instances.
 type instanceList struct {
 	Instances []listedInstance `json:"instances"`
 	Endpoints []ListedEndpoint `json:"endpoints"`
 }
 
+// announcement is the latest announcement of an instance.
 type announcement struct {
 	listedInstance
 	announcedAt time.Time
 }
 
-// instanceDirectory is the instance list. Readers see it as it was up to lag ago.
+// instanceDirectory stores the announced instances and the configured
+// endpoints. Readers get a snapshot that is up to lag old. An instance is
+// removed when its last announcement is older than ttl. Platform.mu guards it.
 type instanceDirectory struct {
 	lag, ttl   time.Duration
 	instances  map[string]announcement
@@ -52,6 +58,8 @@
 	return instanceDirectory{lag: opts.ListLag, ttl: opts.InstanceTTL, instances: map[string]announcement{}}
 }
 
+// view returns the current snapshot and replaces it first if it is older than
+// lag. Instances are sorted by ID.
 func (d *instanceDirectory) view(now time.Time) instanceList {
 	if now.Sub(d.snapshotAt) < d.lag {
 		return d.snapshot
@@ -69,6 +77,7 @@
 	return list
 }
 
+// handleAnnounce adds an instance to the list, or renews it there.
 func (p *Platform) handleAnnounce(w http.ResponseWriter, r *http.Request) {
 	var a announcement
 	if !readJSON(w, r, &a.listedInstance) {
@@ -81,7 +90,8 @@
 	writeJSON(w, a.listedInstance)
 }
 
-// handleListInstances answers a conditional GET with 304 while the list stands.
+// handleListInstances answers with 304 while the list still has the ETag that
+// the request's If-None-Match names.
 func (p *Platform) handleListInstances(w http.ResponseWriter, r *http.Request) {
 	p.mu.Lock()
 	list := p.directory.view(time.Now())
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -11,7 +11,7 @@
 	"github.com/go-chi/chi/v5"
 )
 
-// The headers between guavapier and its endpoints, from the endpoint's side.
+// Headers of the protocol between an instance and an endpoint.
 const (
 	headerRunID        = "X-Run-Id"
 	headerAttempt      = "X-Attempt"
@@ -23,48 +23,55 @@
 	headerHeartbeatMs  = "X-Heartbeat-Ms"
 )
 
-// EngineFaults are the switchable faults of the engine stand-in.
+// EngineFaults selects the faults that the engine stand-in simulates. The zero
+// value is no fault. It is the body of GET and PUT /faults.
 type EngineFaults struct {
-	// Leaving refuses new work with 503 and X-Not-Run; running work goes on.
+	// Leaving refuses new runs with 503 and X-Not-Run, as an engine that drains
+	// does; existing runs continue.
 	Leaving bool `json:"leaving"`
-	// Refuse refuses new work with 429 and X-Not-Run.
+	// Refuse refuses new runs with 429 and X-Not-Run.
 	Refuse bool `json:"refuse"`
-	// StepMs replaces the base time of one step; 0 leaves it.
+	// StepMs replaces EngineOptions.Step, in milliseconds; 0 keeps it.
 	StepMs int `json:"step_ms"`
-	// Hang stops the batch loop: heartbeats come, tokens do not.
+	// Hang stops generation while streams still get heartbeats.
 	Hang bool `json:"hang"`
-	// Silent writes nothing more on any open connection; runs go on.
+	// Silent stops all writes to open streams, heartbeats too; runs continue.
+	// When it ends, the streams that it held are closed.
 	Silent bool `json:"silent"`
-	// AnswerDelayMs holds back the head of each new answer.
+	// AnswerDelayMs delays the response header of each request, in milliseconds.
 	AnswerDelayMs int `json:"answer_delay_ms"`
-	// SwapPairs is how many pairs of answers are still to be swapped.
+	// SwapPairs is for how many pairs of requests the answers are swapped. GET
+	// /faults doesn't count it down.
 	SwapPairs int `json:"crossed"`
-	// CutAfterTokens closes each connection after that many tokens; 0 never.
+	// CutAfterTokens aborts each stream after that many tokens; 0 is never.
 	CutAfterTokens int `json:"cut_after"`
-	// ProxyError answers 503 without X-Not-Run after the run has begun, as a
-	// proxy between the two ends does.
+	// ProxyError starts the run and answers 503 without X-Not-Run, as a proxy
+	// between the instance and the engine does.
 	ProxyError bool `json:"masked"`
 }
 
-// EngineOptions set the engine stand-in. Zero values get a default.
+// EngineOptions configures an Engine. Zero values get a default, except Name,
+// Model and Step.
 type EngineOptions struct {
 	Name  string
 	Model string
-	// Step is the base time of one batching step. Each decoding sequence adds
-	// StepPerSequence, each prompt token that is prefilled StepPerPrefill.
+	// Step is the base duration of one step of the batch. Each decoding run
+	// adds StepPerSequence, each prefilled token StepPerPrefill.
 	Step            time.Duration
 	StepPerSequence time.Duration
 	StepPerPrefill  time.Duration
-	// Slots is the size of the batch.
+	// Slots is the maximum number of runs in the batch; others are queued.
 	Slots int
-	// CacheTokens bounds the prefix cache.
+	// CacheTokens is the capacity of the prefix cache, in tokens.
 	CacheTokens int
-	// IgnoreFencingToken obeys orders with an old fencing number.
+	// IgnoreFencingToken accepts commands with a superseded fencing token, as
+	// an engine without support for fencing does.
 	IgnoreFencingToken bool
-	// LoadLag and CacheLag are how late load reports and cache events are.
+	// LoadLag bounds the age of load reports. CacheLag is the time from a
+	// change of the cache until its event can be read.
 	LoadLag  time.Duration
 	CacheLag time.Duration
-	// Heartbeat is the time between comments on a stream without tokens.
+	// Heartbeat is the interval between comments on a stream.
 	Heartbeat time.Duration
 }
 
@@ -79,6 +86,7 @@
 	return o
 }
 
+// setDefault sets a field that has its zero value.
 func setDefault[T comparable](field *T, value T) {
 	var zero T
 	if *field == zero {
@@ -86,31 +94,35 @@
 	}
 }
 
-// EngineRun is what the engine did for one run. Completion counts the tokens
-// that were generated here; Prior those taken over from another engine.
+// EngineRun is the state of one run in the engine. CompletionTokens counts the
+// tokens that this engine generated, PriorTokens the tokens before them that
+// another engine generated. CachedTokens counts the prompt tokens that the
+// prefix cache held when the run started.
 type EngineRun struct {
 	ID               string `json:"id"`
 	PromptTokens     int    `json:"prompt_tokens"`
 	CompletionTokens int    `json:"completion_tokens"`
 	CachedTokens     int    `json:"cached_tokens"`
 	PriorTokens      int    `json:"prior_tokens"`
-	// CancelledTokens counts tokens that attempts which were cancelled here generated.
+	// CancelledTokens counts the tokens that this engine generated in earlier,
+	// cancelled attempts of the run.
 	CancelledTokens int    `json:"earlier_tokens,omitempty"`
 	Done            bool   `json:"done"`
 	FinishReason    string `json:"finish_reason,omitempty"`
 }
 
-// Engine is the stand-in for a model engine. Token i of every answer is
-// TokenText(i), so a test can tell a whole answer.
+// Engine simulates a model engine with continuous batching, a prefix cache and
+// resumable runs. Token i of every answer is TokenText(i), so that a test can
+// check an answer's content. It is safe for concurrent use.
 //
-// One loop steps the batch while there is work and ends when there is none.
+// A goroutine steps the batch while there are runs and ends when there are none.
 type Engine struct {
 	opts EngineOptions
 
 	// mu guards everything below, and the fields of each run.
 	mu         sync.Mutex
 	runs       map[string]*engineRun
-	endedRuns  []string // Ended runs, the oldest first.
+	endedRuns  []string // IDs, the first ended first.
 	batch      batch
 	cache      *prefixCache
 	faults     EngineFaults
@@ -120,16 +132,16 @@
 	refusals   Refusals
 }
 
-// Refusals counts the orders that the engine refused because it was leaving.
-// Times are Unix milliseconds.
+// Refusals counts the chat requests that the engine refused because it was
+// leaving. Times are Unix milliseconds; 0 is never.
 type Refusals struct {
 	Count       int   `json:"count"`
 	LastRefusal int64 `json:"last"`
-	// LastRunStart is when the engine last began a run.
+	// LastRunStart is when the engine last started a run.
 	LastRunStart int64 `json:"last_begun"`
 }
 
-// NewEngine returns an idle engine.
+// NewEngine returns an engine without runs, with opts.Model loaded.
 func NewEngine(opts EngineOptions) *Engine {
 	opts = opts.withDefaults()
 	return &Engine{
@@ -139,7 +151,8 @@
 	}
 }
 
-// Handler returns the engine's HTTP interface.
+// Handler returns the engine's HTTP API: chat completions, runs, load, cache
+// events, commands and faults.
 func (e *Engine) Handler() http.Handler {
 	r := chi.NewRouter()
 	r.Post("/v1/chat/completions", e.handleChat)
@@ -156,14 +169,14 @@
 	return r
 }
 
-// PromptTokens counts the stand-in's tokens of a messages value: four bytes
-// make one.
+// PromptTokens returns the number of tokens that the stand-in counts for the
+// JSON text of messages: one for each four bytes, plus one.
 func PromptTokens(messages []byte) int { return len(messages)/4 + 1 }
 
-// TokenText returns token i of every stand-in answer.
+// TokenText returns the text of token i, from 0 on, of every answer.
 func TokenText(i int) string { return "w" + strconv.Itoa(i) + " " }
 
-// tokenRangeText returns the tokens from..to-1 as one text.
+// tokenRangeText returns the text of the tokens from to to-1.
 func tokenRangeText(from, to int) string {
 	var text strings.Builder
 	for i := from; i < to; i++ {
@@ -178,7 +191,7 @@
 	return e.faults
 }
 
-// SetFaults switches the faults.
+// SetFaults replaces the simulated faults.
 func (e *Engine) SetFaults(f EngineFaults) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -199,7 +212,8 @@
 	writeJSON(w, f)
 }
 
-// Runs returns what the engine did for each run it knows.
+// Runs returns the state of each known run, in no order. Ended runs are known
+// until maxEndedRuns newer ones have ended.
 func (e *Engine) Runs() []EngineRun {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -234,8 +248,9 @@
 	writeJSON(w, state)
 }
 
-// handleCancelRun stops a run. One that is not known yet is marked, so that an
-// order which arrives after its cancel does not run.
+// handleCancelRun ends a run and rejects its attempts up to the one that the
+// query names. It also does so for a run that isn't known yet, so that a request
+// which arrives after its cancellation doesn't start the run.
 func (e *Engine) handleCancelRun(w http.ResponseWriter, r *http.Request) {
 	id := chi.URLParam(r, "run")
 	e.mu.Lock()
@@ -245,7 +260,7 @@
 		run = newEngineRun(id)
 		e.runs[id] = run
 	}
-	// Without an attempt the cancel is for every one.
+	// Without a valid attempt, all attempts are cancelled.
 	attempt, err := strconv.Atoi(r.URL.Query().Get("attempt"))
 	if err != nil {
 		attempt = math.MaxInt
@@ -258,7 +273,8 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// refuseUnexecuted answers an order that surely did not run.
+// refuseUnexecuted answers with status and X-Not-Run, which tells the instance
+// that the request had no effect here and may be sent elsewhere.
 func refuseUnexecuted(w http.ResponseWriter, status int, text string) {
 	w.Header().Set(headerNotRun, "true")
 	http.Error(w, text, status)
--- a/internal/standin/engine_batch.go
+++ b/internal/standin/engine_batch.go
@@ -5,32 +5,33 @@
 	"time"
 )
 
-// The finish reasons of a run.
+// Values of EngineRun.FinishReason.
 const (
 	finishLength    = "length"
 	finishCancelled = "cancelled"
 )
 
 const (
-	// maxEndedRuns bounds how many ended runs stay for a resume.
+	// maxEndedRuns bounds how many ended runs are kept for clients that resume.
 	maxEndedRuns = 20_000
-	// maxPrefillPerStep bounds the prompt tokens that one step prefills, so that a
-	// long prompt does not hold up the decoding sequences.
+	// maxPrefillPerStep is the number of tokens that one step prefills at most,
+	// over all runs, so that a long prompt doesn't delay the decoding runs.
 	maxPrefillPerStep = 512
-	// faultPollInterval is how often a hanging loop looks whether it may go on.
+	// faultPollInterval is how often a blocked loop or stream checks whether
+	// its fault has ended.
 	faultPollInterval = 5 * time.Millisecond
 )
 
-// engineRun is one run in the engine. Its fields are guarded by Engine.mu.
+// engineRun is a run with its scheduling state. Engine.mu guards it.
 type engineRun struct {
 	EngineRun
 	priority int
-	// cancelledAttempt is the last attempt that was cancelled.
+	// cancelledAttempt is the highest cancelled attempt; 0 is none.
 	cancelledAttempt int
-	maxTokens        int // Tokens of the whole answer, those of Prior included.
-	remainingPrefill int // Prompt tokens still to be prefilled.
+	maxTokens        int // Length of the answer, PriorTokens included.
+	remainingPrefill int // Prompt and prior tokens.
 	promptBlocks     []uint64
-	// changed closes with the next token or the run's end.
+	// changed is closed, and replaced, at the next token or the run's end.
 	changed chan struct{}
 }
 
@@ -38,18 +39,20 @@
 	return &engineRun{EngineRun: EngineRun{ID: id}, changed: make(chan struct{})}
 }
 
-// totalTokens returns how many tokens of the whole answer there are so far.
+// totalTokens returns how many tokens of the answer exist, prior ones included.
 func (r *engineRun) totalTokens() int { return r.PriorTokens + r.CompletionTokens }
 
+// notify unblocks the goroutines that wait for a change of the run.
 func (r *engineRun) notify() {
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
 
-// batch is the continuous batch: runs in slots, and runs that wait for one.
+// batch is a continuous batch: active runs occupy a slot each, waiting runs are
+// queued for one. Engine.mu guards it.
 type batch struct {
 	active      []*engineRun
-	waiting     []*engineRun // The highest priority first, then by arrival.
+	waiting     []*engineRun // By descending priority, then by arrival.
 	loopRunning bool
 }
 
@@ -67,6 +70,7 @@
 	b.waiting = slices.DeleteFunc(b.waiting, isRun)
 }
 
+// fillSlots moves waiting runs into the free ones of the given number of slots.
 func (b *batch) fillSlots(slots int) {
 	n := min(slots-len(b.active), len(b.waiting))
 	if n <= 0 {
@@ -76,7 +80,8 @@
 	b.waiting = slices.Delete(b.waiting, 0, n)
 }
 
-// submit queues a run and wakes the loop. e.mu is held.
+// submit queues a run and starts the batch loop if it isn't running. e.mu must
+// be held.
 func (e *Engine) submit(run *engineRun) {
 	e.batch.enqueue(run)
 	if e.batch.loopRunning {
@@ -86,7 +91,7 @@
 	go e.runBatchLoop()
 }
 
-// runBatchLoop steps the batch until it is empty.
+// runBatchLoop steps the batch until no runs are left.
 func (e *Engine) runBatchLoop() {
 	for {
 		pause, busy := e.step()
@@ -97,7 +102,8 @@
 	}
 }
 
-// step runs one step of the batch and returns how long it takes.
+// step executes one step of the batch and returns its simulated duration. busy
+// is false if there are no runs; the loop must then end.
 func (e *Engine) step() (duration time.Duration, busy bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -118,6 +124,9 @@
 	return duration, true
 }
 
+// advanceRuns prefills or decodes each active run once and ends those that are
+// complete. It returns the number of prefilled tokens and of decoding runs.
+// e.mu must be held.
 func (e *Engine) advanceRuns() (prefilled, decoded int) {
 	for _, run := range slices.Clone(e.batch.active) {
 		if run.remainingPrefill > 0 {
@@ -143,7 +152,8 @@
 	return prefilled, decoded
 }
 
-// endRun closes a run and forgets the oldest ended ones. e.mu is held.
+// endRun marks a run as done and drops the ended runs beyond maxEndedRuns. e.mu
+// must be held.
 func (e *Engine) endRun(run *engineRun, finish string) {
 	run.Done, run.FinishReason = true, finish
 	run.notify()
--- a/internal/standin/engine_cache.go
+++ b/internal/standin/engine_cache.go
@@ -10,43 +10,48 @@
 )
 
 const (
-	// blockBytes of a prompt make one block of the prefix cache.
+	// blockBytes is the size of a block of the prefix cache, in bytes of the
+	// prompt.
 	blockBytes     = 64
-	blockTokens    = blockBytes / 4
+	blockTokens    = blockBytes / 4 // As PromptTokens counts.
 	maxCacheEvents = 4096
-	// lostEventInterval is which cache events get lost: each one whose number it divides.
+	// lostEventInterval simulates lost cache events: readers don't get the events
+	// whose sequence number is a multiple of it.
 	lostEventInterval = 7
 )
 
-// CacheEvent tells that a block came into the prefix cache or left it.
+// CacheEvent records that a block was added to the prefix cache or evicted.
+// Block is the hash of the prompt's prefix up to the block's end.
 type CacheEvent struct {
 	Seq    uint64 `json:"seq"`
-	Kind   string `json:"kind"` // stored or removed.
+	Kind   string `json:"kind"` // "stored" or "removed".
 	Block  uint64 `json:"block"`
 	Tokens int    `json:"tokens"`
 }
 
+// timedEvent is an event with the time from which CacheLag is counted.
 type timedEvent struct {
 	CacheEvent
 	recordedAt time.Time
 }
 
-// prefixCache holds hashes of prompt prefixes, the least recently used block
-// leaves first. It is guarded by Engine.mu.
+// prefixCache is an LRU cache of the blocks of prompts, which it knows by hash
+// only. Engine.mu guards it.
 type prefixCache struct {
-	maxBlocks int // In blocks.
+	maxBlocks int
 	lru       *list.List
 	elements  map[uint64]*list.Element
 	events    []timedEvent
 	seq       uint64
 }
 
+// newPrefixCache returns an empty cache with a capacity in tokens.
 func newPrefixCache(tokens int) *prefixCache {
 	return &prefixCache{maxBlocks: max(tokens/blockTokens, 1), lru: list.New(), elements: map[uint64]*list.Element{}}
 }
 
-// prefixBlocks returns one hash for each whole block of a prompt; each covers
-// the whole prefix up to its block's end.
+// prefixBlocks returns one hash for each full block of a prompt. Each hash
+// covers the prompt from its start to the end of the block.
 func prefixBlocks(prompt []byte) []uint64 {
 	var out []uint64
 	h := xxhash.New()
@@ -57,7 +62,8 @@
 	return out
 }
 
-// cachedTokens returns how many leading tokens of a prompt are in the cache.
+// cachedTokens returns how many leading tokens of a prompt are in the cache, and
+// marks their blocks as recently used.
 func (c *prefixCache) cachedTokens(blocks []uint64) int {
 	for n, block := range blocks {
 		element, ok := c.elements[block]
@@ -69,6 +75,7 @@
 	return len(blocks) * blockTokens
 }
 
+// add stores blocks and evicts the least recently used ones beyond maxBlocks.
 func (c *prefixCache) add(blocks []uint64) {
 	for _, block := range blocks {
 		if element, ok := c.elements[block]; ok {
@@ -86,6 +93,7 @@
 	}
 }
 
+// recordEvent keeps the event for readers, at most maxCacheEvents of them.
 func (c *prefixCache) recordEvent(kind string, block uint64) {
 	c.seq++
 	c.events = append(c.events, timedEvent{CacheEvent{Seq: c.seq, Kind: kind, Block: block, Tokens: blockTokens}, time.Now()})
@@ -94,8 +102,8 @@
 	}
 }
 
-// eventsAfter returns the events after a number that are older than lag, less the
-// ones that get lost.
+// eventsAfter returns the kept events with a sequence number above after that
+// are at least lag old, without those that are lost by lostEventInterval.
 func (c *prefixCache) eventsAfter(after uint64, now time.Time, lag time.Duration) []CacheEvent {
 	out := []CacheEvent{}
 	for _, event := range c.events {
--- a/internal/standin/engine_chat.go
+++ b/internal/standin/engine_chat.go
@@ -10,25 +10,28 @@
 
 const maxChatBodyBytes = 16 << 20
 
+// chatRequest holds the fields of the request's body that the engine reads.
 type chatRequest struct {
 	Model     string          `json:"model"`
 	Messages  json.RawMessage `json:"messages"`
 	MaxTokens int             `json:"max_tokens"`
 	Stream    bool            `json:"stream"`
-	// PriorText is the text of the tokens before X-Resume-From.
+	// PriorText is the text of the tokens before X-Resume-From, from which an
+	// engine that doesn't have the run continues it.
 	PriorText string `json:"prior"`
 }
 
-// chatAttempt is one order as it came over one connection.
+// chatAttempt is a chat request with its headers: one attempt at a run.
 type chatAttempt struct {
 	chatRequest
-	runID, attemptHeader string
-	attempt              int // The attempt.
+	runID, attemptHeader string // attemptHeader is returned as received.
+	attempt              int    // attemptHeader as a number; 0 if it isn't one.
 	resumeFrom           int
-	resumeOnly           bool // Resume a run there is; begin none.
+	resumeOnly           bool // Resume an existing run; don't start one.
 	priority             int
 }
 
+// readChatAttempt decodes a request. Malformed numeric headers count as 0.
 func readChatAttempt(w http.ResponseWriter, r *http.Request) (chatAttempt, error) {
 	a := chatAttempt{
 		runID: r.Header.Get(headerRunID), attemptHeader: r.Header.Get(headerAttempt), resumeOnly: r.Header.Get(headerResumeOnly) == "true",
@@ -68,8 +71,9 @@
 	e.writeCompletion(w, r, run)
 }
 
-// joinOrStartRun finds the order's run, or begins it. A problem means that nothing runs
-// by this order.
+// joinOrStartRun returns the run that the attempt names, and starts it if it
+// isn't known or was cancelled before this attempt. A non-empty problem means
+// that the request is refused with status and had no effect.
 func (e *Engine) joinOrStartRun(a chatAttempt) (run *engineRun, status int, problem string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -96,6 +100,8 @@
 	return e.startRun(a), 0, ""
 }
 
+// startRun replaces a cancelled run of the same ID and queues the new one. e.mu
+// must be held.
 func (e *Engine) startRun(a chatAttempt) *engineRun {
 	run := newEngineRun(a.runID)
 	if previous, ok := e.runs[a.runID]; ok {
@@ -111,15 +117,17 @@
 	return run
 }
 
-// runState returns a copy of the run's state and the channel of its next change.
+// runState returns a copy of the run's state and a channel that is closed at the
+// run's next change.
 func (e *Engine) runState(run *engineRun) (EngineRun, <-chan struct{}) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return run.EngineRun, run.changed
 }
 
-// writeStream writes the run's tokens from an offset on, those that there are at
-// once, then a closing event.
+// writeStream writes the run's tokens from token from on as server-sent events,
+// existing tokens immediately and others as they are generated, then the usage
+// and [DONE].
 func (e *Engine) writeStream(w http.ResponseWriter, r *http.Request, run *engineRun, from int) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.Header().Set(headerHeartbeatMs, strconv.FormatInt(e.opts.Heartbeat.Milliseconds(), 10))
@@ -152,6 +160,7 @@
 	}
 }
 
+// writeCompletion waits for the run's end and writes the answer as one JSON body.
 func (e *Engine) writeCompletion(w http.ResponseWriter, r *http.Request, run *engineRun) {
 	for {
 		state, changed := e.runState(run)
@@ -173,6 +182,7 @@
 	}
 }
 
+// engineUsage is the usage object of an answer.
 type engineUsage struct {
 	PromptTokens     int `json:"prompt_tokens"`
 	CompletionTokens int `json:"completion_tokens"`
@@ -184,8 +194,8 @@
 	return engineUsage{PromptTokens: run.PromptTokens, CompletionTokens: run.CompletionTokens, CachedTokens: run.CachedTokens, PriorTokens: run.PriorTokens}
 }
 
-// eventStream writes server-sent events to one connection. Each write returns
-// false where the connection is to be given up.
+// eventStream writes server-sent events to one connection. Its write methods
+// return false if the handler must return.
 type eventStream struct {
 	w             http.ResponseWriter
 	controller    *http.ResponseController
@@ -194,6 +204,8 @@
 	writtenTokens int
 }
 
+// write writes and flushes. It applies the faults CutAfterTokens, by a panic that
+// aborts the connection, and Silent.
 func (s *eventStream) write(format string, args ...any) bool {
 	faults := s.engine.currentFaults()
 	if faults.CutAfterTokens > 0 && s.writtenTokens >= faults.CutAfterTokens {
@@ -208,8 +220,9 @@
 	return s.controller.Flush() == nil
 }
 
-// blockWhileSilent keeps the connection open and silent until the fault is switched
-// off; what was swallowed is lost, so the connection ends then.
+// blockWhileSilent keeps the connection open without output until the fault
+// ends. It then returns false to close the connection, because the event that
+// was to be written is lost.
 func (s *eventStream) blockWhileSilent() bool {
 	for s.engine.currentFaults().Silent {
 		time.Sleep(faultPollInterval)
@@ -219,6 +232,8 @@
 
 func (s *eventStream) writeComment() bool { return s.write(": ping\n\n") }
 
+// writeToken writes token i. Its event ID is i+1, the X-Resume-From that continues
+// after it.
 func (s *eventStream) writeToken(i int) bool {
 	ok := s.write("id: %d\ndata: {\"id\":%q,\"object\":\"chat.completion.chunk\",\"choices\":[{\"index\":0,\"delta\":{\"content\":%q}}]}\n\n",
 		i+1, s.run, TokenText(i))
@@ -226,12 +241,14 @@
 	return ok
 }
 
+// writeEnd writes the finish reason with the usage, and [DONE].
 func (s *eventStream) writeEnd(run EngineRun) {
 	usage, _ := json.Marshal(usageOf(run))
 	s.write("data: {\"id\":%q,\"choices\":[{\"index\":0,\"delta\":{},\"finish_reason\":%q}],\"usage\":%s}\n\ndata: [DONE]\n\n",
 		run.ID, run.FinishReason, usage)
 }
 
+// sleep waits for d and reports whether the request is still connected.
 func sleep(r *http.Request, d time.Duration) bool {
 	if d <= 0 {
 		return true
--- a/internal/standin/engine_load.go
+++ b/internal/standin/engine_load.go
@@ -7,23 +7,25 @@
 	"time"
 )
 
-// LoadReport is an endpoint's own, lagging word about its load.
+// LoadReport is the load that an endpoint reports of itself, with a delay. It is
+// the body of GET /load.
 type LoadReport struct {
-	Running int  `json:"running"`
+	Running int  `json:"running"` // Runs or calls in progress.
 	Queued  int  `json:"queued"`
-	Slots   int  `json:"slots"`
+	Slots   int  `json:"slots"` // 0 for a plain service.
 	Leaving bool `json:"leaving"`
-	// AgeMs is how old the report is.
+	// AgeMs is the age of the report, in milliseconds.
 	AgeMs int64 `json:"age_ms"`
 }
 
-// lagged shows a value as it was up to lag ago.
+// lagged caches a sample of a value for lag.
 type lagged[T any] struct {
 	lag       time.Duration
 	sample    T
 	sampledAt time.Time
 }
 
+// view returns the sample and its age, after renewing one that is at least lag old.
 func (l *lagged[T]) view(now time.Time, current func() T) (value T, age time.Duration) {
 	if now.Sub(l.sampledAt) >= l.lag {
 		l.sample, l.sampledAt = current(), now
@@ -43,19 +45,22 @@
 	writeJSON(w, report)
 }
 
-// EngineCommand asks an engine to load something or to change its role.
+// EngineCommand is the body of POST /orders: it makes an engine load something
+// or change its role.
 type EngineCommand struct {
-	Kind string `json:"kind"` // model, adapter, version or role.
+	Kind string `json:"kind"` // "model", "adapter", "version" or "role".
 	Name string `json:"name"`
 }
 
-// EngineCommands is what the engine obeyed.
+// EngineCommands is the body of GET /orders: the commands that the engine
+// applied, in order, and the highest fencing token among them.
 type EngineCommands struct {
 	FencingToken uint64          `json:"fencing_token"`
 	LoadedModels []string        `json:"loaded"`
 	Applied      []EngineCommand `json:"orders"`
 }
 
+// commandState holds the applied commands. Engine.mu guards it.
 type commandState struct {
 	ignoreFencingToken bool
 	fencingToken       uint64
@@ -63,7 +68,8 @@
 	applied            []EngineCommand
 }
 
-// apply takes an order unless its fencing number is older than the newest seen.
+// apply applies a command and reports whether it did: a fencing token below the
+// highest one seen is rejected, unless ignoreFencingToken is set.
 func (o *commandState) apply(command EngineCommand, fencingToken uint64) bool {
 	if fencingToken < o.fencingToken && !o.ignoreFencingToken {
 		return false
@@ -87,6 +93,7 @@
 	writeJSON(w, commands)
 }
 
+// handlePostCommand answers with 409 if the fencing token was superseded.
 func (e *Engine) handlePostCommand(w http.ResponseWriter, r *http.Request) {
 	var command EngineCommand
 	if !readJSON(w, r, &command) {
--- a/internal/standin/engine_test.go
+++ b/internal/standin/engine_test.go
@@ -17,7 +17,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// startEngine is an engine with fast steps behind a test server.
+// startEngine serves an engine, by default with steps of 1 ms, and returns its
+// base URL. On cleanup it checks that the batch loop ends.
 func startEngine(t *testing.T, opts EngineOptions) (*Engine, string) {
 	t.Helper()
 	opts.Model = "small"
@@ -39,15 +40,17 @@
 	return e, server.URL
 }
 
+// eventually polls a condition for up to 10 s and fails the test otherwise.
 func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(10 * time.Second); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("not in time: %s", what)
+			t.Fatalf("timed out waiting: %s", what)
 		}
 	}
 }
 
+// response is the outcome of one HTTP request.
 type response struct {
 	status int
 	header http.Header
@@ -55,7 +58,7 @@
 	err    error
 }
 
-// postChat posts an order; headers are pairs.
+// postChat sends a chat request for a run. headers alternates names and values.
 func postChat(ctx context.Context, url, run string, order map[string]any, headers ...string) response {
 	if order["messages"] == nil {
 		order["messages"] = []string{"hello"}
@@ -78,7 +81,8 @@
 	return response{status: resp.StatusCode, header: resp.Header, body: string(body), err: err}
 }
 
-// parseStream joins a stream's tokens and says how it ended.
+// parseStream returns the joined text of a stream, its usage, and whether it
+// ended with [DONE].
 func parseStream(body string) (text string, usage engineUsage, done bool) {
 	var b strings.Builder
 	for line := range strings.Lines(body) {
@@ -113,13 +117,13 @@
 	e.SetFaults(EngineFaults{CutAfterTokens: 5})
 	cut := postChat(t.Context(), url, "r1", map[string]any{"max_tokens": 30, "stream": true})
 	if text, _, done := parseStream(cut.body); done || text != tokenRangeText(0, 5) {
-		t.Fatalf("cut stream gave %q, done %v", text, done)
+		t.Fatalf("stream aborted after 5 tokens returned %q, done %v", text, done)
 	}
 	e.SetFaults(EngineFaults{})
 	rest := postChat(t.Context(), url, "r1", map[string]any{"max_tokens": 30, "stream": true}, headerResumeFrom, "5")
 	text, usage, done := parseStream(rest.body)
 	if !done || text != tokenRangeText(5, 30) || usage.CompletionTokens != 30 {
-		t.Fatalf("resumed stream gave %q, usage %+v, done %v", text, usage, done)
+		t.Fatalf("stream resumed after token 5 returned %q, usage %+v, done %v", text, usage, done)
 	}
 	if runs := e.Runs(); len(runs) != 1 || runs[0].CompletionTokens != 30 || !runs[0].Done {
 		t.Fatalf("runs %+v", runs)
@@ -135,7 +139,7 @@
 		t.Fatalf("wrong prior text: status %d", wrong.status)
 	}
 	if missing := postChat(t.Context(), url, "r1", order(""), headerResumeFrom, "4", headerResumeOnly, "true"); missing.status != http.StatusNotFound {
-		t.Fatalf("resume of no run: status %d", missing.status)
+		t.Fatalf("X-Resume-Only for an unknown run: status %d", missing.status)
 	}
 	text, usage, done := parseStream(postChat(t.Context(), url, "r1", order(tokenRangeText(0, 4)), headerResumeFrom, "4").body)
 	if !done || text != tokenRangeText(4, 10) || usage.CompletionTokens != 6 || usage.PriorTokens != 4 {
@@ -168,12 +172,12 @@
 		status  int
 	}{{"2", http.StatusConflict}, {"3", http.StatusOK}, {"2", http.StatusConflict}} {
 		if got := postChat(t.Context(), url, "superseded", map[string]any{"max_tokens": 5}, headerAttempt, c.attempt); got.status != c.status {
-			t.Fatalf("attempt %s after the cancel of 2: status %d", c.attempt, got.status)
+			t.Fatalf("attempt %s after cancelling attempt 2: status %d", c.attempt, got.status)
 		}
 	}
 	late := postChat(t.Context(), url, "never-sent", map[string]any{"max_tokens": 5})
 	if late.status != http.StatusConflict || late.header.Get(headerNotRun) != "true" {
-		t.Fatalf("late order: %d %v", late.status, late.header)
+		t.Fatalf("request after its run was cancelled: status %d, header %v", late.status, late.header)
 	}
 	for _, run := range after {
 		if !run.Done || run.FinishReason != finishCancelled || run.CompletionTokens > 50_000 {
@@ -195,7 +199,7 @@
 	eventually(t, "low waits", func() bool { return len(e.Runs()) == 2 })
 	go post("high", "3", 1)
 	if a, b, c := <-order, <-order, <-order; a != "first" || b != "high" || c != "low" {
-		t.Fatalf("order %s, %s, %s", a, b, c)
+		t.Fatalf("runs ended in the order %s, %s, %s", a, b, c)
 	}
 }
 
@@ -207,29 +211,29 @@
 		return usage
 	}
 	if first, again := usageFor("r1", "a"), usageFor("r2", "a"); first.CachedTokens != 0 || again.CachedTokens != 64 {
-		t.Fatalf("cached %d, then %d", first.CachedTokens, again.CachedTokens)
+		t.Fatalf("%d cached tokens on the first request, %d on the second", first.CachedTokens, again.CachedTokens)
 	}
 	usageFor("r3", "b")
 	if evicted := usageFor("r4", "a"); evicted.CachedTokens != 0 {
-		t.Fatalf("cached %d after eviction", evicted.CachedTokens)
+		t.Fatalf("%d cached tokens after eviction", evicted.CachedTokens)
 	}
 	events := e.cache.eventsAfter(0, time.Now().Add(time.Second), 0)
 	if len(events) == 0 || len(events) >= int(e.cache.seq) {
-		t.Fatalf("%d of %d events: gaps expected", len(events), e.cache.seq)
+		t.Fatalf("%d of %d cache events returned; some of them must be lost", len(events), e.cache.seq)
 	}
 }
 
 func TestEngineStepTimeGrowsWithTheBatch(t *testing.T) {
 	e := NewEngine(EngineOptions{Step: 100, StepPerSequence: 10, StepPerPrefill: 1, Slots: 3})
-	e.batch.loopRunning = true // The test steps by itself.
+	e.batch.loopRunning = true // Keeps submit from starting the loop: the test calls step.
 	for n := range 3 {
 		e.startRun(chatAttempt{runID: strconv.Itoa(n), chatRequest: chatRequest{Messages: make([]byte, 39), MaxTokens: 9}})
 	}
 	if pause, _ := e.step(); pause != 100+3*10 {
-		t.Fatalf("prefill step took %d", pause)
+		t.Fatalf("step with 30 prefilled tokens took %d ns", pause)
 	}
 	if pause, _ := e.step(); pause != 100+3*10 {
-		t.Fatalf("decoding step took %d", pause)
+		t.Fatalf("step with 3 decoding runs took %d ns", pause)
 	}
 }
 
@@ -254,10 +258,10 @@
 	command := EngineCommand{Kind: "model", Name: "large"}
 	enforcing, ignoring := commandState{}, commandState{ignoreFencingToken: true}
 	if !enforcing.apply(command, 7) || enforcing.apply(command, 6) || !enforcing.apply(command, 7) {
-		t.Error("fencing number not respected")
+		t.Error("a command with a superseded fencing token was applied, or a current one rejected")
 	}
 	if !ignoring.apply(command, 7) || !ignoring.apply(command, 6) {
-		t.Error("fencing number not ignored")
+		t.Error("a command was rejected despite ignoreFencingToken")
 	}
 }
 
@@ -268,9 +272,9 @@
 	go func() { first <- s.swap(t.Context(), "a") }()
 	eventually(t, "first half", func() bool { s.mu.Lock(); defer s.mu.Unlock(); return s.pending != nil })
 	if second := s.swap(t.Context(), "b"); second != "a" || <-first != "b" {
-		t.Fatal("not swapped")
+		t.Fatal("answers of the pair not swapped")
 	}
 	if third := s.swap(t.Context(), "c"); third != "c" {
-		t.Fatalf("third answer swapped for %s", third)
+		t.Fatalf("third answer replaced by %s although no pairs were left", third)
 	}
 }
--- a/internal/standin/keyed.go
+++ b/internal/standin/keyed.go
@@ -8,20 +8,23 @@
 	"guavapier/internal/logstore"
 )
 
-// Keyed is an in-memory log of keyed topics, with the faults of a real one. It
-// implements logstore.Keyed. The zero value is not ready; use NewKeyed.
+// Keyed is an in-memory log of keyed topics that simulates outages, lost
+// answers and compaction. It implements logstore.Keyed and is safe for
+// concurrent use. The zero value isn't usable; use NewKeyed.
 type Keyed struct {
 	mu          sync.Mutex
 	topics      map[logstore.Topic]*keyedTopic
-	writers     map[writerKey]writerState // Each partition counts by itself.
+	writers     map[writerKey]writerState // Epochs and sequences are per topic and writer.
 	unavailable bool
-	lostAnswers int // So many answers of writes still get lost.
-	changed     chan struct{}
+	lostAnswers int           // Writes that will be applied but return ErrUnavailable.
+	changed     chan struct{} // Closed, and replaced, at each append.
 	writes      int
 	reads       int
-	newestReads map[logstore.Topic]int // Whole reads, by topic.
+	newestReads map[logstore.Topic]int // Calls of Newest.
 }
 
+// keyedTopic holds a topic's history and the newest record of each key, without
+// the deleted keys.
 type keyedTopic struct {
 	records []logstore.KeyedRecord
 	first   uint64 // Offset of records[0].
@@ -35,12 +38,13 @@
 
 type writerState struct{ epoch, sequence uint64 }
 
-// NewKeyed returns an empty log.
+// NewKeyed returns an empty, available log.
 func NewKeyed() *Keyed {
 	return &Keyed{topics: map[logstore.Topic]*keyedTopic{}, writers: map[writerKey]writerState{}, newestReads: map[logstore.Topic]int{}, changed: make(chan struct{})}
 }
 
-// SetDown makes every call fail, or ends that.
+// SetDown sets whether each call fails with logstore.ErrUnavailable. Blocked
+// calls of Follow fail at once.
 func (k *Keyed) SetDown(down bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -48,14 +52,16 @@
 	k.notifyReaders()
 }
 
-// LoseAnswers makes the next n writes take effect without an answer.
+// LoseAnswers makes the next n writes succeed but return logstore.ErrUnavailable,
+// as if the answer was lost.
 func (k *Keyed) LoseAnswers(n int) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.lostAnswers = n
 }
 
-// Compact drops the topic's history; the newest record of each key stays.
+// Compact drops the topic's history, so that Follow from an earlier offset
+// returns logstore.ErrTrimmed. The newest record of each key is kept.
 func (k *Keyed) Compact(topic logstore.Topic) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -64,28 +70,30 @@
 	t.records = nil
 }
 
-// Calls returns how many writes and reads were made.
+// Calls returns the number of writes and reads, failed ones included. A blocked
+// Follow counts one read for each time that it looks.
 func (k *Keyed) Calls() (writes, reads int) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.writes, k.reads
 }
 
-// NewestReads returns how often the newest records of a topic were read.
+// NewestReads returns the number of calls of Newest for a topic.
 func (k *Keyed) NewestReads(topic logstore.Topic) int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.newestReads[topic]
 }
 
-// Set appends a record as an operator or an endpoint would.
+// Set appends a record without a writer's epoch and sequence; a nil value deletes
+// the key. Faults don't apply.
 func (k *Keyed) Set(topic logstore.Topic, key string, value []byte) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.append(topic, []logstore.KeyedRecord{{Key: key, Value: value}})
 }
 
-// Newest implements logstore.Keyed.
+// Newest implements logstore.Keyed. The records are in no order.
 func (k *Keyed) Newest(_ context.Context, topic logstore.Topic) (logstore.KeyedPage, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -103,7 +111,8 @@
 	return page, nil
 }
 
-// Follow implements logstore.Keyed.
+// Follow implements logstore.Keyed. It blocks for up to wait while there are no
+// records from offset from on.
 func (k *Keyed) Follow(ctx context.Context, topic logstore.Topic, from uint64, wait time.Duration) (logstore.KeyedPage, error) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -122,6 +131,8 @@
 	}
 }
 
+// readFrom returns the records from an offset on, and the channel that is closed
+// at the next append.
 func (k *Keyed) readFrom(topic logstore.Topic, from uint64) (logstore.KeyedPage, <-chan struct{}, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -139,7 +150,9 @@
 	return logstore.KeyedPage{Records: records, Next: end, End: end}, k.changed, nil
 }
 
-// Put implements logstore.Keyed.
+// Put implements logstore.Keyed. It rejects an older epoch of the writer with
+// ErrFenced. Within an epoch it rejects a sequence other than the next one with
+// ErrSequence, except that repeating the last one succeeds without effect.
 func (k *Keyed) Put(_ context.Context, topic logstore.Topic, w logstore.Write, records []logstore.KeyedRecord) error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -152,7 +165,7 @@
 	case known && w.Epoch < last.epoch:
 		return logstore.ErrFenced
 	case known && w.Epoch == last.epoch && w.Sequence == last.sequence:
-		return nil // A repeat.
+		return nil // Already written.
 	case known && w.Epoch == last.epoch && w.Sequence != last.sequence+1:
 		return logstore.ErrSequence
 	}
@@ -165,6 +178,7 @@
 	return nil
 }
 
+// append stores records and unblocks readers. k.mu must be held.
 func (k *Keyed) append(topic logstore.Topic, records []logstore.KeyedRecord) {
 	t := k.topic(topic)
 	t.records = append(t.records, records...)
@@ -178,11 +192,13 @@
 	k.notifyReaders()
 }
 
+// notifyReaders unblocks the calls of Follow. k.mu must be held.
 func (k *Keyed) notifyReaders() {
 	close(k.changed)
 	k.changed = make(chan struct{})
 }
 
+// topic returns a topic, which it creates if needed. k.mu must be held.
 func (k *Keyed) topic(name logstore.Topic) *keyedTopic {
 	t := k.topics[name]
 	if t == nil {
--- a/internal/standin/log.go
+++ b/internal/standin/log.go
@@ -1,7 +1,8 @@
-// Package standin has small stand-ins for the outside systems: the platform's
-// log and instance list, a model engine and a plain service. They speak the
-// real protocols over HTTP and have the real faults, which are switched over
-// HTTP at /faults while they run. They are for tests and first runs only.
+// Package standin simulates the systems around an instance, for tests and first
+// runs: the platform's log and instance list, a model engine and a plain
+// service. They implement the real protocols over HTTP. Their faults are those
+// of the real systems and are set at run time over HTTP, at /faults. Keyed
+// simulates the platform's keyed log in memory.
 package standin
 
 import (
@@ -16,45 +17,53 @@
 	"golang.org/x/time/rate"
 )
 
+// maxBodyBytes bounds a log entry, a JSON body and the body of a call.
 const maxBodyBytes = 1 << 20
 
-// PlatformFaults are the switchable faults of the platform stand-in.
+// PlatformFaults selects the faults that the platform stand-in simulates. The
+// zero value is no fault. They don't apply to PUT /endpoints and /faults.
 type PlatformFaults struct {
-	// Outage refuses every call with 503.
+	// Outage answers every request with 503.
 	Outage bool `json:"outage"`
-	// SlowMs delays every answer.
+	// SlowMs delays every request, in milliseconds.
 	SlowMs int `json:"slow_ms"`
-	// LoseAnswers makes the next n appends take effect without an answer.
+	// LoseAnswers is for how many appends the entry is stored but the connection
+	// is aborted without an answer.
 	LoseAnswers int `json:"lose_answers"`
 }
 
-// PlatformOptions set the size of the platform stand-in.
+// PlatformOptions configures a Platform.
 type PlatformOptions struct {
-	// AppendsPerSecond is the append rate limit over all streams.
+	// AppendsPerSecond is the rate limit, and the burst, of appends to all
+	// streams together.
 	AppendsPerSecond float64
-	// MaxEntries is how many entries each stream keeps; 0 keeps all.
+	// MaxEntries is the number of entries that each stream retains; 0 is
+	// unlimited.
 	MaxEntries int
-	// EntryTTL is how long each entry is kept; 0 keeps all.
+	// EntryTTL is how long an entry is retained; 0 is unlimited.
 	EntryTTL time.Duration
-	// ListLag is how far the instance list lags behind.
+	// ListLag bounds the age of the instance list that readers get.
 	ListLag time.Duration
-	// InstanceTTL is how long an instance stays listed without renewal.
+	// InstanceTTL is how long an instance is listed after its last announcement.
 	InstanceTTL time.Duration
 }
 
+// logEntry is an entry as readers get it. Data is base64 in JSON.
 type logEntry struct {
 	Offset     uint64 `json:"offset"`
 	Data       []byte `json:"data"`
 	appendedAt time.Time
 }
 
+// logStream holds the retained entries of a stream. Platform.mu guards it.
 type logStream struct {
-	first   uint64
+	first   uint64 // Offset of entries[0], or of the next entry if there are none.
 	entries []logEntry
-	changed chan struct{}
+	changed chan struct{} // Closed, and replaced, at each append.
 }
 
-// Platform is the stand-in for the platform's log and instance list.
+// Platform simulates the platform's log and instance list. It is safe for
+// concurrent use.
 type Platform struct {
 	opts    PlatformOptions
 	limiter *rate.Limiter
@@ -65,7 +74,7 @@
 	directory instanceDirectory
 }
 
-// NewPlatform returns an empty platform.
+// NewPlatform returns a platform with empty streams and an empty list.
 func NewPlatform(opts PlatformOptions) *Platform {
 	return &Platform{
 		opts:      opts,
@@ -75,7 +84,7 @@
 	}
 }
 
-// Handler returns the platform's HTTP interface.
+// Handler returns the platform's HTTP API: log, instance list and faults.
 func (p *Platform) Handler() http.Handler {
 	r := chi.NewRouter()
 	r.Group(func(r chi.Router) {
@@ -90,7 +99,7 @@
 	return r
 }
 
-// SetFaults replaces the faults in force.
+// SetFaults replaces the simulated faults.
 func (p *Platform) SetFaults(f PlatformFaults) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -125,11 +134,13 @@
 	}
 	offset, answer := p.append(chi.URLParam(r, "stream"), data)
 	if !answer {
-		panic(http.ErrAbortHandler) // The entry is on the log; its answer is lost.
+		panic(http.ErrAbortHandler) // The entry is stored, but the client gets no answer.
 	}
 	writeJSON(w, map[string]uint64{"offset": offset})
 }
 
+// append stores an entry and returns its offset. answer is false if the answer
+// must be lost.
 func (p *Platform) append(name string, data []byte) (offset uint64, answer bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -146,7 +157,7 @@
 	return offset, true
 }
 
-// trim drops the entries that are no longer kept. p.mu is held.
+// trim drops the entries beyond MaxEntries or EntryTTL. p.mu must be held.
 func (p *Platform) trim(s *logStream) {
 	drop := 0
 	if p.opts.MaxEntries > 0 {
@@ -162,6 +173,7 @@
 	s.first += uint64(drop)
 }
 
+// stream returns a stream, which it creates if needed. p.mu must be held.
 func (p *Platform) stream(name string) *logStream {
 	s, ok := p.streams[name]
 	if !ok {
@@ -171,16 +183,20 @@
 	return s
 }
 
+// logPage is the body of GET /log/{stream}. First is the lowest retained offset,
+// Next the offset to read from afterwards.
 type logPage struct {
 	Entries []logEntry `json:"entries"`
 	First   uint64     `json:"first"`
 	Next    uint64     `json:"next"`
 }
 
+// maxPageEntries bounds the entries of one answer.
 const maxPageEntries = 512
 
-// page returns the entries from an offset on, and the channel that closes
-// with the stream's next append.
+// page returns up to maxPageEntries entries from an offset on, none if the offset
+// is trimmed or not written yet, and a channel that is closed at the stream's
+// next append.
 func (p *Platform) page(name string, from uint64) (logPage, <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -199,6 +215,8 @@
 	return page, s.changed
 }
 
+// handleRead answers with the entries from an offset on. It waits up to wait_ms
+// milliseconds while there are none. It answers with 410 if the offset is trimmed.
 func (p *Platform) handleRead(w http.ResponseWriter, r *http.Request) {
 	name := chi.URLParam(r, "stream")
 	from, err := strconv.ParseUint(r.URL.Query().Get("from"), 10, 64)
@@ -234,6 +252,8 @@
 	writeJSON(w, f)
 }
 
+// readJSON decodes the request's body into out. On failure, also for unknown
+// fields, it answers with 400 and returns false.
 func readJSON(w http.ResponseWriter, r *http.Request, out any) bool {
 	dec := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	dec.DisallowUnknownFields()
--- a/internal/standin/service.go
+++ b/internal/standin/service.go
@@ -9,38 +9,42 @@
 	"github.com/go-chi/chi/v5"
 )
 
-// ServiceFaults are the switchable faults of the plain service stand-in.
+// ServiceFaults selects the faults that the plain service simulates. The zero
+// value is no fault.
 type ServiceFaults struct {
 	// Leaving refuses new calls with 503 and X-Not-Run.
 	Leaving bool `json:"leaving"`
 	// Refuse refuses new calls with 429 and X-Not-Run.
 	Refuse bool `json:"refuse"`
-	// SlowMs is how long a call takes.
+	// SlowMs is the duration of each call, in milliseconds.
 	SlowMs int `json:"slow_ms"`
-	// LoseAnswers is how many answers are still to be lost after the call has run.
+	// LoseAnswers is for how many calls the call runs but the connection is
+	// aborted without an answer.
 	LoseAnswers int `json:"lose"`
-	// SwapPairs is how many pairs of answers are still to be swapped.
+	// SwapPairs is for how many pairs of calls the answers are swapped.
 	SwapPairs int `json:"crossed"`
-	// ProxyError answers 503 without X-Not-Run after the call has run.
+	// ProxyError runs the call and answers 503 without X-Not-Run, as a proxy
+	// between the instance and the service does.
 	ProxyError bool `json:"masked"`
 }
 
-// Service is the stand-in for a plain service. It counts how often each call
-// identity ran, and runs a call again as often as it is sent.
+// Service simulates a plain service that doesn't deduplicate: it runs a call as
+// often as it is sent, and counts the runs for each run ID. It is safe for
+// concurrent use.
 type Service struct {
 	// mu guards everything below.
 	mu           sync.Mutex
 	runsByID     map[string]int
-	runsByPath   map[string]int // Runs by the call's path.
+	runsByPath   map[string]int // Keyed by the URL's path.
 	runningCalls int
 	faults       ServiceFaults
 	swapper      answerSwapper[callAnswer]
 }
 
-// NewService returns a service that has run nothing.
+// NewService returns a service without runs.
 func NewService() *Service { return &Service{runsByID: map[string]int{}, runsByPath: map[string]int{}} }
 
-// Handler returns the service's HTTP interface.
+// Handler returns the service's HTTP API: calls, run counts, load and faults.
 func (s *Service) Handler() http.Handler {
 	r := chi.NewRouter()
 	r.Get("/runs", s.handleListRuns)
@@ -51,7 +55,7 @@
 	return r
 }
 
-// SetFaults switches the faults.
+// SetFaults replaces the simulated faults.
 func (s *Service) SetFaults(f ServiceFaults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -59,6 +63,8 @@
 	s.swapper.setPairs(f.SwapPairs)
 }
 
+// callAnswer is the body of the answer to a call: its run ID and path, how often
+// the run ID has run, and the size of the request's body in bytes.
 type callAnswer struct {
 	Run   string `json:"run"`
 	Path  string `json:"path"`
@@ -96,7 +102,8 @@
 	writeJSON(w, answer)
 }
 
-// startCall counts the call as run unless it is refused with a status.
+// startCall counts a run and returns the faults that apply to it and the run ID's
+// count. A status other than 0 means that the call is refused and not counted.
 func (s *Service) startCall(run, path string) (faults ServiceFaults, count, status int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -150,7 +157,7 @@
 	writeJSON(w, f)
 }
 
-// TotalRuns returns how many calls ran.
+// TotalRuns returns the number of runs of all calls, repeated ones included.
 func (s *Service) TotalRuns() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/standin/service_test.go
+++ b/internal/standin/service_test.go
@@ -6,6 +6,8 @@
 	"testing"
 )
 
+// Guards the counts that other tests rely on: a call whose answer is lost or
+// masked by a proxy's error has run, a refused one hasn't.
 func TestServiceRunsAsOftenAsItIsCalled(t *testing.T) {
 	for name, c := range map[string]struct {
 		faults ServiceFaults
