--- a/internal/standin/engine_batch.go
+++ b/internal/standin/engine_batch.go
@@ -26,7 +26,8 @@
 type engineRun struct {
 	EngineRun
 	priority int
-	// cancelledAttempt is the highest cancelled attempt; 0 is none.
+	// cancelledAttempt is the highest cancelled attempt; 0 is none, math.MaxInt
+	// all.
 	cancelledAttempt int
 	maxTokens        int // Length of the answer, PriorTokens included.
 	remainingPrefill int // Prompt and prior tokens.
--- a/internal/standin/engine_load.go
+++ b/internal/standin/engine_load.go
@@ -10,7 +10,7 @@
 // LoadReport is the load that an endpoint reports of itself, with a delay. It is
 // the body of GET /load.
 type LoadReport struct {
-	Running int  `json:"running"` // Runs or calls in progress.
+	Running int  `json:"running"` // Runs in a slot, or calls in progress.
 	Queued  int  `json:"queued"`
 	Slots   int  `json:"slots"` // 0 for a plain service.
 	Leaving bool `json:"leaving"`
@@ -106,10 +106,10 @@
 	}
 	e.mu.Lock()
 	applied := e.commands.apply(command, fencingToken)
-	view := e.commands.snapshot()
+	commands := e.commands.snapshot()
 	e.mu.Unlock()
 	if !applied {
 		w.WriteHeader(http.StatusConflict)
 	}
-	writeJSON(w, view)
+	writeJSON(w, commands)
 }
