--- a/internal/load/answer.go
+++ b/internal/load/answer.go
@@ -9,22 +9,24 @@
 	"time"
 )
 
-// responseReader collects one request's answer over its attempts.
+// responseReader accumulates and checks the answer to one request over all its
+// attempts.
 type responseReader struct {
 	request     Request
 	class       ClassSpec
 	standIn     bool
-	startedAt   time.Time
-	firstToken  time.Duration
+	startedAt   time.Time     // Of the first attempt.
+	firstToken  time.Duration // Since startedAt; 0 before the first token.
 	text        strings.Builder
-	lastEventID string // The last event's id.
-	runID       string
+	lastEventID string // Where the next attempt resumes.
+	runID       string // The ID in the first event; each later event must have it.
 }
 
 func newResponseReader(r Request, class ClassSpec, standIn bool) *responseReader {
 	return &responseReader{request: r, class: class, standIn: standIn, startedAt: time.Now()}
 }
 
+// read reads the body of one attempt. The outcome is partial if it is incomplete.
 func (a *responseReader) read(body io.Reader) outcome {
 	switch a.class.Kind {
 	case KindStream:
@@ -35,7 +37,8 @@
 	return a.readCall(body)
 }
 
-// checkCompletion returns the outcome of an answer that has come to its closing.
+// checkCompletion returns the outcome of a complete chat answer, whose text it
+// checks if it comes from a stand-in.
 func (a *responseReader) checkCompletion() outcome {
 	if a.standIn {
 		want := standInCompletion(a.request.Tokens)
@@ -46,6 +49,7 @@
 	return a.answeredNow()
 }
 
+// answeredNow returns the outcome of an answer that ends now.
 func (a *responseReader) answeredNow() outcome {
 	total := time.Since(a.startedAt)
 	if a.firstToken == 0 {
@@ -54,7 +58,8 @@
 	return outcome{kind: answered, firstToken: a.firstToken, total: total}
 }
 
-// standInCompletion is the stand-in engine's whole answer of n tokens.
+// standInCompletion returns the stand-in engine's answer of n tokens; see
+// standin.TokenText.
 func standInCompletion(n int) string {
 	var b strings.Builder
 	for i := range n {
@@ -63,6 +68,8 @@
 	return b.String()
 }
 
+// chatResponse is the part that is checked of a chat completion, or of one event
+// of a streamed one.
 type chatResponse struct {
 	ID      string `json:"id"`
 	Choices []struct {
@@ -76,6 +83,7 @@
 	Error json.RawMessage `json:"error"`
 }
 
+// readStream reads server-sent events up to [DONE] or the first invalid one.
 func (a *responseReader) readStream(body io.Reader) outcome {
 	lines := bufio.NewScanner(body)
 	for lines.Scan() {
@@ -94,10 +102,11 @@
 			return o
 		}
 	}
-	return outcome{kind: partial, detail: fmt.Sprintf("stream ended after %q", a.lastEventID)}
+	return outcome{kind: partial, detail: fmt.Sprintf("stream ended without [DONE] after event %q", a.lastEventID)}
 }
 
-// applyEvent takes one event; its outcome is empty while the answer goes on.
+// applyEvent adds the data of one event to the answer. It returns the zero outcome
+// unless the event ends the answer as partial or wrong.
 func (a *responseReader) applyEvent(data string) outcome {
 	var c chatResponse
 	if err := json.Unmarshal([]byte(data), &c); err != nil {
@@ -110,7 +119,7 @@
 		a.runID = c.ID
 	}
 	if c.ID != a.runID {
-		return outcome{kind: wrong, detail: "event of run " + c.ID}
+		return outcome{kind: wrong, detail: "event belongs to run " + c.ID}
 	}
 	if len(c.Choices) > 0 && c.Choices[0].Delta.Content != "" {
 		if a.firstToken == 0 {
@@ -121,16 +130,19 @@
 	return outcome{}
 }
 
+// readCompletion reads a chat completion that isn't streamed.
 func (a *responseReader) readCompletion(body io.Reader) outcome {
 	var c chatResponse
 	if err := json.NewDecoder(body).Decode(&c); err != nil || len(c.Choices) == 0 {
-		return outcome{kind: partial, detail: fmt.Sprintf("whole answer: %v", err)}
+		return outcome{kind: partial, detail: fmt.Sprintf("chat completion not decoded, or without choices: %v", err)}
 	}
 	a.text.Reset()
 	a.text.WriteString(c.Choices[0].Message.Content)
 	return a.checkCompletion()
 }
 
+// readCall reads the answer to a call. A stand-in's answer must have the call's
+// path and size, and the call must have run once.
 func (a *responseReader) readCall(responseBody io.Reader) outcome {
 	text, err := io.ReadAll(responseBody)
 	if err != nil {
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -1,9 +1,10 @@
-// Package load replays a trace of callers' requests over HTTP and compares the
-// outcomes with those that the trace states for each class of request.
+// Package load replays a trace of callers' requests over HTTP and checks the
+// outcomes against the limits that the trace sets for each class of request.
 //
-// It acts as careful callers do: it retries with the same Idempotency-Key at
-// another instance when its connection fails, goes on from the last event of a
-// stream, and comes back when a refusal says so.
+// It behaves as a robust client does: after a failed connection it retries at
+// another instance with the same Idempotency-Key, it resumes a stream after the
+// last event that it received, and it retries a refused request after the time
+// in Retry-After.
 package load
 
 import (
@@ -14,28 +15,31 @@
 	"github.com/rotisserie/eris"
 )
 
-// ErrNoTarget says that the options name no target.
-var ErrNoTarget = eris.New("load: no target named")
+// ErrNoTarget is returned if Options.Targets is empty.
+var ErrNoTarget = eris.New("load: no target URL given")
 
-// Options set a replay.
+// Options configures a replay.
 type Options struct {
-	// TracePath is the file of the trace, JSON lines; see ReadTrace.
+	// TracePath is the trace file; see ReadTrace. Replay ignores it.
 	TracePath string
-	// Targets are the instances' base URLs, used in turn.
+	// Targets are the base URLs of the instances. Requests and their retries use
+	// them in rotation.
 	Targets []string
 	// APIKey is the team's API key.
 	APIKey string
-	// Speed divides the trace's times; 1 replays as recorded, 0 means 1.
+	// Speed is the factor by which the requests are sent faster than recorded;
+	// 0 or less means 1.
 	Speed float64
-	// Direct sends chat requests straight to engines at Targets, to measure
-	// what the router adds. Calls of plain services are left out.
+	// Direct means that Targets are engines, which serves as the baseline for
+	// the latency that the instances add. Calls of plain services are skipped.
 	Direct bool
-	// StandIn says that stand-ins answer, so that each answer's content can be
-	// checked.
+	// StandIn means that the endpoints are those of package standin, so that
+	// the content of each answer can be checked.
 	StandIn bool
 }
 
-// Run replays a trace. It returns when every request has its outcome.
+// Run reads and replays the trace at o.TracePath; see Replay. An invalid trace
+// is returned as Findings.
 func Run(ctx context.Context, o Options) (Report, error) {
 	trace, err := ReadTrace(o.TracePath)
 	if err != nil {
@@ -44,7 +48,9 @@
 	return Replay(ctx, trace, o)
 }
 
-// Replay replays a trace that was read before.
+// Replay replays a trace and returns when each request that was sent has its
+// outcome. If ctx ends before, the rest of the trace isn't sent, and the error
+// is that of ctx beside the report.
 func Replay(ctx context.Context, trace Trace, o Options) (Report, error) {
 	if len(o.Targets) == 0 {
 		return Report{}, ErrNoTarget
@@ -74,6 +80,7 @@
 	return classes.report(time.Since(startedAt)), ctx.Err()
 }
 
+// sleepUntil reports whether the time was reached before ctx ended.
 func sleepUntil(ctx context.Context, at time.Time) bool {
 	timer := time.NewTimer(time.Until(at))
 	defer timer.Stop()
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -36,16 +36,18 @@
 		}
 	}
 	if len(findings) != 10 {
-		t.Errorf("%d findings:\n%v", len(findings), err)
+		t.Errorf("%d findings, want 10:\n%v", len(findings), err)
 	}
 }
 
+// streamEvent returns a server-sent event with one token's text.
 func streamEvent(id, run, text string) string {
 	return "id: " + id + "\ndata: {\"id\":\"" + run + "\",\"choices\":[{\"delta\":{\"content\":\"" + text + "\"}}]}\n\n"
 }
 
-// TestOutcomesAreToldApart is the test of the checker: each kind of bad answer
-// must break the stated outcomes.
+// TestOutcomesAreToldApart guards the replay's checks, on which other tests rely:
+// an answer that is truncated, repeated, of another run or of a call that ran
+// twice must be counted as such and reported as a violation.
 func TestOutcomesAreToldApart(t *testing.T) {
 	const done = "data: [DONE]\n\n"
 	for name, c := range map[string]struct {
@@ -90,7 +92,7 @@
 		got := report.Classes[0]
 		counts := ClassReport{Answered: got.Answered, NotRun: got.NotRun, Unknown: got.Unknown, Partial: got.Partial, Wrong: got.Wrong}
 		if counts != c.want || (len(report.Violations) == 0) != (c.want.Answered == 1) {
-			t.Errorf("%s: %+v, broken %q", name, counts, report.Violations)
+			t.Errorf("%s: counts %+v, violations %q", name, counts, report.Violations)
 		}
 	}
 }
--- a/internal/load/player.go
+++ b/internal/load/player.go
@@ -14,7 +14,9 @@
 	"github.com/rotisserie/eris"
 )
 
-// outcomeKind is what became of one request.
+// outcomeKind classifies the outcome of a request. The last two are faults of the
+// instances: partial is an incomplete answer, wrong an answer with content that
+// the request can't have, or of a repeated call.
 type outcomeKind string
 
 const (
@@ -25,25 +27,27 @@
 	wrong    outcomeKind = "wrong"
 )
 
-// outcome is one request's, over all its attempts.
+// outcome is the final outcome of a request after all attempts. detail explains
+// outcomes other than answered, which alone has the times.
 type outcome struct {
 	kind              outcomeKind
 	detail            string
-	firstToken, total time.Duration
+	firstToken, total time.Duration // From the start of the first attempt.
 }
 
 const (
 	maxAttempts      = 5
 	maxResponseBytes = 64 << 20
-	requestTimeout   = 10 * time.Minute
-	retryDelay       = 50 * time.Millisecond
+	requestTimeout   = 10 * time.Minute      // For one attempt, its answer included.
+	retryDelay       = 50 * time.Millisecond // After a failed connection or partial answer.
 )
 
-// replayer sends requests. It is safe for concurrent use.
+// replayer sends the requests of a trace. After openSessions it is safe for
+// concurrent use.
 type replayer struct {
 	opts          Options
 	client        *http.Client
-	sessionTokens map[string]string // Tokens by name; written before the replay.
+	sessionTokens map[string]string // By the session's name in the trace.
 }
 
 func newReplayer(o Options) *replayer {
@@ -53,6 +57,7 @@
 
 func (p *replayer) close() { p.client.CloseIdleConnections() }
 
+// openSessions opens a session for each session name of the trace.
 func (p *replayer) openSessions(ctx context.Context, t Trace) error {
 	if p.opts.Direct {
 		return nil
@@ -70,6 +75,7 @@
 	return nil
 }
 
+// openSession opens a session and returns its token.
 func (p *replayer) openSession(ctx context.Context) (string, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, p.opts.Targets[0]+"/v1/sessions", nil)
 	if err != nil {
@@ -90,8 +96,10 @@
 	return opened.Token, nil
 }
 
-// sendWithDuplicate sends a request, a second time at another target if the trace says so,
-// and compares the two.
+// sendWithDuplicate sends a request, and a duplicate to the next target if the
+// request has DuplicateAfterMs. It returns the first one's outcome, or the
+// duplicate's if the first one was answered and the duplicate is wrong, such as
+// for a call that ran twice.
 func (p *replayer) sendWithDuplicate(ctx context.Context, index int, r Request, class ClassSpec) outcome {
 	if r.DuplicateAfterMs == 0 || p.opts.Direct {
 		return p.sendWithRetries(ctx, index, r, class)
@@ -108,7 +116,8 @@
 	return first
 }
 
-// sendWithRetries tries until the request has a final outcome.
+// sendWithRetries sends a request up to maxAttempts times, to the targets in
+// rotation, until its outcome is final, and returns the last outcome.
 func (p *replayer) sendWithRetries(ctx context.Context, firstTarget int, r Request, class ClassSpec) outcome {
 	a := newResponseReader(r, class, p.opts.StandIn)
 	var last outcome
@@ -123,7 +132,8 @@
 	return last
 }
 
-// sendOnce sends the request once. wait is when to try again, negative for never.
+// sendOnce makes one attempt. wait is the delay before the next attempt; negative
+// means that there must be none.
 func (p *replayer) sendOnce(ctx context.Context, target string, r Request, class ClassSpec, a *responseReader) (o outcome, wait time.Duration) {
 	req, err := p.newRequest(ctx, target, r, class, a)
 	if err != nil {
@@ -144,6 +154,8 @@
 	return o, -1
 }
 
+// newRequest builds an attempt. It resumes a stream after the last event that
+// earlier attempts received, except with Options.Direct.
 func (p *replayer) newRequest(ctx context.Context, target string, r Request, class ClassSpec, a *responseReader) (*http.Request, error) {
 	path := "/v1/chat/completions"
 	if class.Kind == KindCall {
@@ -173,8 +185,9 @@
 	return req, nil
 }
 
-// requestBody is the same in all attempts. The session's name comes first, so that
-// the prompts of a session share a prefix.
+// requestBody returns the body of a request, which is the same for each attempt.
+// The text starts with the session's name, so that the prompts of a session share
+// a prefix.
 func requestBody(r Request, class ClassSpec) []byte {
 	text := r.Session + ":" + strings.Repeat("x", r.Bytes) + ":" + r.ID
 	if class.Kind == KindCall {
@@ -187,6 +200,8 @@
 	return data
 }
 
+// readRefusal returns the outcome of an answer with a status other than 200, and
+// the delay in Retry-After, or -1 without one.
 func readRefusal(resp *http.Response) (outcome, time.Duration) {
 	data, _ := io.ReadAll(io.LimitReader(resp.Body, 1<<16))
 	var body struct {
@@ -200,7 +215,7 @@
 	if body.Error.Outcome == "not_run" {
 		o.kind = notRun
 	}
-	// Coming back under the same key is safe after every outcome.
+	// A retry with the same Idempotency-Key is safe after each outcome.
 	seconds, err := strconv.Atoi(resp.Header.Get("Retry-After"))
 	if err != nil {
 		return o, -1
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -8,142 +8,152 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Report is the outcome of a replay.
+// Report holds the results of a replay. Classes without requests are left out.
 type Report struct {
 	Took    time.Duration `json:"took"`
 	Classes []ClassReport `json:"classes"`
-	// Violations lists the stated outcomes that were not met; empty if all were.
+	// Violations lists the limits of the trace that were exceeded, class by
+	// class, each class's followed by examples. It is empty, not nil, if there
+	// are none.
 	Violations []string `json:"broken"`
 }
 
-// ClassReport is the outcome for one class of requests.
+// ClassReport counts the outcomes of one class of requests. JSON durations are
+// in nanoseconds.
 type ClassReport struct {
 	Name     string `json:"name"`
 	Sent     int    `json:"sent"`
-	Answered int    `json:"answered"` // Whole answers.
-	NotRun   int    `json:"not_run"`
-	Unknown  int    `json:"unknown"`
-	Partial  int    `json:"partial"` // Answers that ended without a closing.
-	Wrong    int    `json:"wrong"`   // Answers that were another request's, or a second run's.
-	Late     int    `json:"late"`    // Whole answers after the stated time.
-	// The quantiles of the time to the first token and to the whole answer,
-	// from the first attempt on, of answered requests.
+	Answered int    `json:"answered"` // Complete, correct answers.
+	NotRun   int    `json:"not_run"`  // Refused, without effect.
+	Unknown  int    `json:"unknown"`  // Failed; may have been executed.
+	Partial  int    `json:"partial"`  // Incomplete answers.
+	Wrong    int    `json:"wrong"`    // Answers with the content of another request, or of a repeated call.
+	Late     int    `json:"late"`     // Answered, but beyond MaxFirstTokenMs or MaxTotalMs.
+	// Quantiles, over answered requests, of the time from the start of the first
+	// attempt to the first token and to the end of the answer.
 	FirstP50 time.Duration `json:"first_p50"`
 	FirstP99 time.Duration `json:"first_p99"`
 	WholeP50 time.Duration `json:"whole_p50"`
 	WholeP99 time.Duration `json:"whole_p99"`
 }
 
-// The range of the histograms in microseconds, and their precision.
+// Range, in microseconds, and precision of the latency histograms.
 const (
 	minLatencyMicros  = 1
 	maxLatencyMicros  = int64(time.Hour / time.Microsecond)
 	significantDigits = 3
 )
 
-// classStats counts one class. Tallies.mu guards it.
+// classStats accumulates the outcomes of one class. statsByClass.mu guards it.
 type classStats struct {
 	spec              ClassSpec
 	report            ClassReport
 	firstToken, total *hdrhistogram.Histogram
-	details           []string
+	details           []string // One for each request that wasn't answered.
 }
 
+// statsByClass accumulates the outcomes of a replay. It is safe for concurrent
+// use.
 type statsByClass struct {
 	mu     sync.Mutex
-	order  []*classStats
+	order  []*classStats // As in the trace.
 	byName map[string]*classStats
 }
 
 func newStatsByClass(t Trace) *statsByClass {
 	out := &statsByClass{byName: map[string]*classStats{}}
 	for _, spec := range t.Classes {
-		row := &classStats{
+		stats := &classStats{
 			spec: spec, report: ClassReport{Name: spec.Name},
 			firstToken: hdrhistogram.New(minLatencyMicros, maxLatencyMicros, significantDigits), total: hdrhistogram.New(minLatencyMicros, maxLatencyMicros, significantDigits),
 		}
-		out.order = append(out.order, row)
-		out.byName[spec.Name] = row
+		out.order = append(out.order, stats)
+		out.byName[spec.Name] = stats
 	}
 	return out
 }
 
+// record adds the outcome of a request to its class.
 func (t *statsByClass) record(r Request, o outcome) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	row := t.byName[r.Class]
-	row.report.Sent++
+	stats := t.byName[r.Class]
+	stats.report.Sent++
 	switch o.kind {
 	case answered:
-		row.report.Answered++
-		row.recordLatency(o)
+		stats.report.Answered++
+		stats.recordLatency(o)
 	case notRun:
-		row.report.NotRun++
+		stats.report.NotRun++
 	case partial:
-		row.report.Partial++
+		stats.report.Partial++
 	case wrong:
-		row.report.Wrong++
+		stats.report.Wrong++
 	default:
-		row.report.Unknown++
+		stats.report.Unknown++
 	}
 	if o.kind != answered {
-		row.details = append(row.details, fmt.Sprintf("%s: %s: %s", r.ID, o.kind, o.detail))
+		stats.details = append(stats.details, fmt.Sprintf("%s: %s: %s", r.ID, o.kind, o.detail))
 	}
 }
 
-func (row *classStats) recordLatency(o outcome) {
-	_ = row.firstToken.RecordValue(max(o.firstToken.Microseconds(), minLatencyMicros))
-	_ = row.total.RecordValue(max(o.total.Microseconds(), minLatencyMicros))
+// recordLatency adds an answer's times to the histograms and counts late answers.
+func (stats *classStats) recordLatency(o outcome) {
+	_ = stats.firstToken.RecordValue(max(o.firstToken.Microseconds(), minLatencyMicros))
+	_ = stats.total.RecordValue(max(o.total.Microseconds(), minLatencyMicros))
 	exceeds := func(took time.Duration, ms int64) bool { return ms > 0 && took > time.Duration(ms)*time.Millisecond }
-	if exceeds(o.firstToken, row.spec.MaxFirstTokenMs) || exceeds(o.total, row.spec.MaxTotalMs) {
-		row.report.Late++
+	if exceeds(o.firstToken, stats.spec.MaxFirstTokenMs) || exceeds(o.total, stats.spec.MaxTotalMs) {
+		stats.report.Late++
 	}
 }
 
+// report returns the results. It must not be called concurrently with record.
 func (t *statsByClass) report(took time.Duration) Report {
 	out := Report{Took: took, Violations: []string{}}
-	for _, row := range t.order {
-		if row.report.Sent == 0 {
+	for _, stats := range t.order {
+		if stats.report.Sent == 0 {
 			continue
 		}
-		out.Classes = append(out.Classes, row.result())
-		out.Violations = append(out.Violations, row.violations()...)
+		out.Classes = append(out.Classes, stats.result())
+		out.Violations = append(out.Violations, stats.violations()...)
 	}
 	return out
 }
 
-func (row *classStats) result() ClassReport {
-	at := func(h *hdrhistogram.Histogram, q float64) time.Duration {
+// result returns the counts with the quantiles.
+func (stats *classStats) result() ClassReport {
+	quantile := func(h *hdrhistogram.Histogram, q float64) time.Duration {
 		return time.Duration(h.ValueAtQuantile(q)) * time.Microsecond
 	}
-	c := row.report
-	c.FirstP50, c.FirstP99 = at(row.firstToken, 50), at(row.firstToken, 99)
-	c.WholeP50, c.WholeP99 = at(row.total, 50), at(row.total, 99)
-	return c
+	report := stats.report
+	report.FirstP50, report.FirstP99 = quantile(stats.firstToken, 50), quantile(stats.firstToken, 99)
+	report.WholeP50, report.WholeP99 = quantile(stats.total, 50), quantile(stats.total, 99)
+	return report
 }
 
-// maxDetails bounds the examples that are given for a broken outcome.
+// maxDetails bounds the examples that follow a class's violations.
 const maxDetails = 3
 
-// violations compares a class with its stated outcomes.
-func (row *classStats) violations() (out []string) {
-	c, s := row.report, row.spec
-	addf := func(format string, args ...any) { out = append(out, c.Name+": "+fmt.Sprintf(format, args...)) }
+// violations lists the limits of the class that were exceeded, then up to
+// maxDetails examples; it is empty if all were kept.
+func (stats *classStats) violations() (out []string) {
+	report, spec := stats.report, stats.spec
+	addf := func(format string, args ...any) { out = append(out, report.Name+": "+fmt.Sprintf(format, args...)) }
 	share := func(n, of int) float64 { return float64(n) / float64(max(of, 1)) }
-	if c.Partial+c.Wrong > 0 {
-		addf("%d partial and %d wrong answers; none allowed", c.Partial, c.Wrong)
+	if report.Partial+report.Wrong > 0 {
+		addf("%d partial and %d wrong answers; allowed: none", report.Partial, report.Wrong)
 	}
-	if share(c.Answered, c.Sent) < s.MinAnswered {
-		addf("%d of %d answered; stated: %v", c.Answered, c.Sent, s.MinAnswered)
+	if share(report.Answered, report.Sent) < spec.MinAnswered {
+		addf("%d of %d requests answered; required share: %v", report.Answered, report.Sent, spec.MinAnswered)
 	}
-	if share(c.Late, c.Answered) > s.MaxLate {
-		addf("%d of %d late; stated: %v", c.Late, c.Answered, s.MaxLate)
+	if share(report.Late, report.Answered) > spec.MaxLate {
+		addf("%d of %d answers late; allowed share: %v", report.Late, report.Answered, spec.MaxLate)
 	}
-	if share(c.Unknown, c.Sent) > s.MaxUnknown {
-		addf("%d of %d unknown; stated: %v", c.Unknown, c.Sent, s.MaxUnknown)
+	if share(report.Unknown, report.Sent) > spec.MaxUnknown {
+		addf("%d of %d outcomes unknown; allowed share: %v", report.Unknown, report.Sent, spec.MaxUnknown)
 	}
 	if len(out) > 0 {
-		out = append(out, row.details[:min(maxDetails, len(row.details))]...)
+		out = append(out, stats.details[:min(maxDetails, len(stats.details))]...)
 	}
 	return out
 }
--- a/internal/load/trace.go
+++ b/internal/load/trace.go
@@ -12,57 +12,63 @@
 	"github.com/rotisserie/eris"
 )
 
-// Kind tells what a class's requests are.
+// Kind is the type of a class's requests.
 type Kind string
 
-// The kinds of request.
+// Kinds of requests.
 const (
 	KindStream Kind = "stream" // A streamed chat completion.
-	KindWhole  Kind = "whole"  // A chat completion in one answer.
-	KindCall   Kind = "call"   // A call of a plain service.
+	KindWhole  Kind = "whole"  // A chat completion that isn't streamed.
+	KindCall   Kind = "call"   // A call to a plain service.
 )
 
-// ClassSpec is a line {"class": ...}: a class of requests and its stated
-// outcomes. Wrong and partial answers are never allowed.
+// ClassSpec is a line {"class": ...} of a trace: a class of requests and the
+// limits that its outcomes are checked against. Wrong and partial answers are
+// never allowed.
 type ClassSpec struct {
 	Name     string `json:"name"`
 	Kind     Kind   `json:"kind"`
 	Priority int    `json:"priority,omitempty"`
 	Service  string `json:"service,omitempty"` // For calls.
-	Path     string `json:"path,omitempty"`    // For calls, below the service.
-	// MaxFirstTokenMs and WholeMs bound the time to the first token and to the whole
-	// answer; 0 is no bound. An answer outside is late.
+	Path     string `json:"path,omitempty"`    // For calls, the path within the service, with a leading slash.
+	// MaxFirstTokenMs and MaxTotalMs are the limits, in milliseconds, for the
+	// time to the first token and to the end of the answer; 0 is no limit. An
+	// answer beyond either is late.
 	MaxFirstTokenMs int64 `json:"first_ms,omitempty"`
 	MaxTotalMs      int64 `json:"whole_ms,omitempty"`
-	// MinAnswered is the least share of whole answers, Late the largest share of
-	// late ones among them. Unknown is the largest share of unknown outcomes.
+	// Shares from 0 to 1: MinAnswered is the required share of answered
+	// requests, MaxLate the allowed share of late ones among those, MaxUnknown
+	// the allowed share of requests with an unknown outcome.
 	MinAnswered float64 `json:"answered"`
 	MaxLate     float64 `json:"late"`
 	MaxUnknown  float64 `json:"unknown"`
 }
 
-// Request is a line {"request": ...}.
+// Request is a line {"request": ...} of a trace.
 type Request struct {
-	StartMs int64  `json:"at_ms"`
-	Class   string `json:"class"`
-	// ID is the Idempotency-Key, unique in the trace.
+	StartMs int64  `json:"at_ms"` // Milliseconds after the start of the trace.
+	Class   string `json:"class"` // The name of a class defined above the request.
+	// ID is sent as the Idempotency-Key. It is unique in the trace.
 	ID      string `json:"id"`
-	Session string `json:"session"`
-	Bytes   int    `json:"bytes"`            // Size of the prompt or of the call's body.
-	Tokens  int    `json:"tokens,omitempty"` // Length of the answer of a chat request.
-	// DuplicateAfterMs is after how long the caller sends the request a second time, to
-	// another instance, while the first one may still run; 0 is never.
+	Session string `json:"session"`          // Any name; empty for none.
+	Bytes   int    `json:"bytes"`            // Size of the padding in the prompt or in the call's body.
+	Tokens  int    `json:"tokens,omitempty"` // max_tokens of a chat request, and the length of its answer.
+	// DuplicateAfterMs is the delay, in milliseconds, after which the request is
+	// sent a second time, to the next target, although the first one may still
+	// be in progress; 0 is never.
 	DuplicateAfterMs int64 `json:"again_ms,omitempty"`
 }
 
+// start returns the time of the request since the start of the trace.
 func (r Request) start() time.Duration { return time.Duration(r.StartMs) * time.Millisecond }
 
-// Trace is a trace file, the requests in the order of their times.
+// Trace is the content of a trace file. Requests are ordered by StartMs.
 type Trace struct {
 	Classes  []ClassSpec
 	Requests []Request
 }
 
+// classSpec returns the class of a name, or the zero value.
 func (t Trace) classSpec(name string) ClassSpec {
 	for _, c := range t.Classes {
 		if c.Name == name {
@@ -72,19 +78,22 @@
 	return ClassSpec{}
 }
 
-// Findings is all that is wrong with a trace, each with its place.
+// Findings is an error that lists everything invalid in a trace, each entry with
+// file and line.
 type Findings []string
 
 // Error implements error.
 func (f Findings) Error() string { return strings.Join(f, "\n") }
 
+// traceLine is a line of a trace: either a class or a request.
 type traceLine struct {
 	Class   *ClassSpec `json:"class"`
 	Request *Request   `json:"request"`
 }
 
-// ReadTrace reads and checks a trace file. The error is Findings if the file
-// was read.
+// ReadTrace reads and validates a trace file of JSON lines, each {"class": ...}
+// or {"request": ...}; see ClassSpec and Request. Empty lines are skipped. The
+// error is Findings if the file could be read but is invalid.
 func ReadTrace(path string) (Trace, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -93,6 +102,7 @@
 	return parseTrace(path, data)
 }
 
+// parseTrace parses the content of a trace file of that name.
 func parseTrace(name string, data []byte) (Trace, error) {
 	var t Trace
 	c := traceParser{trace: &t, ids: map[string]bool{}}
@@ -107,7 +117,7 @@
 		c.addf("%v", err)
 	}
 	if len(t.Requests) == 0 {
-		c.addf("no requests")
+		c.addf("the trace has no requests")
 	}
 	if len(c.findings) > 0 {
 		return Trace{}, c.findings
@@ -115,19 +125,22 @@
 	return t, nil
 }
 
-// traceParser collects what is wrong with a trace.
+// traceParser builds a trace from its lines and collects what is invalid.
 type traceParser struct {
 	trace       *Trace
-	location    string
+	location    string // File and line of the current line.
 	ids         map[string]bool
-	lastStartMs int64
+	lastStartMs int64 // Of the previous request.
 	findings    Findings
 }
 
+// addf adds a finding at the current line.
 func (c *traceParser) addf(format string, args ...any) {
 	c.findings = append(c.findings, c.location+": "+fmt.Sprintf(format, args...))
 }
 
+// parseLine decodes a line and adds its class or request. Unknown fields are
+// findings.
 func (c *traceParser) parseLine(text []byte) {
 	var parsed traceLine
 	dec := json.NewDecoder(bytes.NewReader(text))
@@ -146,15 +159,17 @@
 	}
 }
 
+// addClass validates a class and adds it, also if it is invalid, so that its
+// requests aren't reported too.
 func (c *traceParser) addClass(s ClassSpec) {
 	if s.Name == "" || c.trace.classSpec(s.Name).Name != "" {
-		c.addf("class: name %q is missing or stands twice", s.Name)
+		c.addf("class: name %q is missing or not unique", s.Name)
 	}
 	switch s.Kind {
 	case KindStream, KindWhole:
 	case KindCall:
 		if s.Service == "" || !strings.HasPrefix(s.Path, "/") {
-			c.addf("class: a call needs a service and a path with a slash in front")
+			c.addf("class: a call needs a service and a path that begins with a slash")
 		}
 	default:
 		c.addf("class: kind %q; allowed: stream, whole, call", s.Kind)
@@ -167,19 +182,20 @@
 	c.trace.Classes = append(c.trace.Classes, s)
 }
 
+// addRequest validates a request and adds it to the trace.
 func (c *traceParser) addRequest(r Request) {
 	class := c.trace.classSpec(r.Class)
 	if class.Name == "" {
-		c.addf("request: no class %q above", r.Class)
+		c.addf("request: no class %q is defined above", r.Class)
 	}
 	if r.ID == "" || c.ids[r.ID] {
-		c.addf("request: id %q is missing or stands twice", r.ID)
+		c.addf("request: id %q is missing or not unique", r.ID)
 	}
 	if r.StartMs < c.lastStartMs {
-		c.addf("request: at_ms %d is before the line above", r.StartMs)
+		c.addf("request: at_ms %d is less than in the previous request", r.StartMs)
 	}
 	if class.Kind != KindCall && r.Tokens < 1 {
-		c.addf("request: tokens must be at least 1")
+		c.addf("request: tokens must be at least 1 for a chat request")
 	}
 	if r.Bytes < 0 || r.DuplicateAfterMs < 0 {
 		c.addf("request: bytes and again_ms must not be negative")
