--- a/internal/run/chat_test.go
+++ b/internal/run/chat_test.go
@@ -25,7 +25,7 @@
 		wantFailover bool               // Whether the run has to continue at e2.
 	}{
 		"no fault":              {},
-		"cut, again and again":  {faults: standin.EngineFaults{CutAfter: 7}},
+		"cut, again and again":  {faults: standin.EngineFaults{CutAfterTokens: 7}},
 		"dead in mid-stream":    {midStream: func(b *testBench) { b.kill(0) }, wantFailover: true},
 		"dead from the start":   {faults: standin.EngineFaults{}, wantFailover: true, midStream: nil},
 		"silent in mid-stream":  {midStream: func(b *testBench) { b.engines[0].SetFaults(standin.EngineFaults{Silent: true}) }, wantFailover: true},
@@ -33,7 +33,7 @@
 		"leaving":               {faults: standin.EngineFaults{Leaving: true}, wantFailover: true},
 		"leaving in mid-stream": {midStream: func(b *testBench) { b.engines[0].SetFaults(standin.EngineFaults{Leaving: true}) }},
 		"refusing":              {faults: standin.EngineFaults{Refuse: true}, wantFailover: true},
-		"masked":                {faults: standin.EngineFaults{Masked: true}, wantFailover: true},
+		"masked":                {faults: standin.EngineFaults{ProxyError: true}, wantFailover: true},
 		"late head":             {faults: standin.EngineFaults{AnswerDelayMs: int(testSilence/time.Millisecond) * 3}, wantFailover: true},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -98,7 +98,7 @@
 // The swap must be detected, and each caller must get its own answer.
 func TestCrossedAnswersAreDroppedAndReadAgain(t *testing.T) {
 	b := newTestBench(t)
-	b.engines[0].SetFaults(standin.EngineFaults{Crossed: 1})
+	b.engines[0].SetFaults(standin.EngineFaults{SwapPairs: 1})
 	var wait sync.WaitGroup
 	for _, n := range []int{10, 20} {
 		wait.Go(func() {
@@ -296,14 +296,14 @@
 		"no fault":                    {standin.ServiceFaults{}, post, "/setpoint", record.OutcomeAnswered, [2]int{1, 0}},
 		"refused":                     {standin.ServiceFaults{Refuse: true}, post, "/setpoint", record.OutcomeAnswered, [2]int{0, 1}},
 		"leaving":                     {standin.ServiceFaults{Leaving: true}, post, "/setpoint", record.OutcomeAnswered, [2]int{0, 1}},
-		"lost after running":          {standin.ServiceFaults{Lose: 1}, post, "/setpoint", record.OutcomeUnknown, [2]int{1, 0}},
-		"masked":                      {standin.ServiceFaults{Masked: true}, post, "/setpoint", record.OutcomeUnknown, [2]int{1, 0}},
+		"lost after running":          {standin.ServiceFaults{LoseAnswers: 1}, post, "/setpoint", record.OutcomeUnknown, [2]int{1, 0}},
+		"masked":                      {standin.ServiceFaults{ProxyError: true}, post, "/setpoint", record.OutcomeUnknown, [2]int{1, 0}},
 		"late":                        {standin.ServiceFaults{SlowMs: 2000}, post, "/setpoint", record.OutcomeUnknown, [2]int{1, 0}},
-		"lost, repeatable":            {standin.ServiceFaults{Lose: 1}, get, "/status", record.OutcomeAnswered, [2]int{1, 1}},
+		"lost, repeatable":            {standin.ServiceFaults{LoseAnswers: 1}, get, "/status", record.OutcomeAnswered, [2]int{1, 1}},
 		"late, repeatable":            {standin.ServiceFaults{SlowMs: 2000}, get, "/status/x", record.OutcomeAnswered, [2]int{1, 1}},
-		"lost, other method":          {standin.ServiceFaults{Lose: 1}, post, "/status", record.OutcomeUnknown, [2]int{1, 0}},
-		"lost, path with dots":        {standin.ServiceFaults{Lose: 1}, get, "/status/../setpoint", record.OutcomeUnknown, [2]int{1, 0}},
-		"lost, similar first segment": {standin.ServiceFaults{Lose: 1}, get, "/statusx", record.OutcomeUnknown, [2]int{1, 0}},
+		"lost, other method":          {standin.ServiceFaults{LoseAnswers: 1}, post, "/status", record.OutcomeUnknown, [2]int{1, 0}},
+		"lost, path with dots":        {standin.ServiceFaults{LoseAnswers: 1}, get, "/status/../setpoint", record.OutcomeUnknown, [2]int{1, 0}},
+		"lost, similar first segment": {standin.ServiceFaults{LoseAnswers: 1}, get, "/statusx", record.OutcomeUnknown, [2]int{1, 0}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := newTestBench(t)
@@ -322,7 +322,7 @@
 					t.Fatalf("got outcome %v, error %v", outcome, err)
 				}
 			}
-			if runs := [2]int{b.services[0].Total(), b.services[1].Total()}; runs != c.runs {
+			if runs := [2]int{b.services[0].TotalRuns(), b.services[1].TotalRuns()}; runs != c.runs {
 				t.Fatalf("runs at s1 and s2: %v", runs)
 			}
 		})
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -160,7 +160,9 @@
 	group.Go(func() error { s.clients.poller.Run(background); return nil })
 	group.Go(func() error { s.members.Run(background, s.pool); return nil })
 	group.Go(func() error { s.holder.Run(background); return nil })
-	group.Go(func() error { return s.peerServer.Serve(s.links.wrapListener(settings.InterfacePeers, s.peersListener)) })
+	group.Go(func() error {
+		return s.peerServer.Serve(s.links.wrapListener(settings.InterfacePeers, s.peersListener))
+	})
 	group.Go(func() error {
 		return ignoreClosed(callerServer.Serve(s.links.wrapListener(settings.InterfaceCallers, s.callers)))
 	})
--- a/internal/standin/crossing.go
+++ b/internal/standin/crossing.go
@@ -6,75 +6,80 @@
 	"time"
 )
 
-// crossWait is how long an answer waits for another one to be swapped with.
-const crossWait = 2 * time.Second
+// answerSwapTimeout bounds how long the first answer of a pair is held back for
+// the second one.
+const answerSwapTimeout = 2 * time.Second
 
-// crossing swaps the answers of pairs of requests, so that each connection
-// gets the other's answer. It is safe for concurrent use.
-type crossing[T any] struct {
-	mu    sync.Mutex
-	pairs int // Still to be swapped.
-	open  *crossed[T]
+// answerSwapper simulates an endpoint that confuses its connections: it swaps
+// the answers of two concurrent requests. It is safe for concurrent use.
+type answerSwapper[T any] struct {
+	mu             sync.Mutex
+	remainingPairs int // Pairs left to start.
+	pending        *pendingSwap[T]
 }
 
-// crossed is the first half of a pair.
-type crossed[T any] struct {
-	answer T
-	other  chan T
+// pendingSwap is the first answer of a pair, which waits for its partner.
+type pendingSwap[T any] struct {
+	answer  T
+	partner chan T // Buffered; receives the second answer.
 }
 
-func (c *crossing[T]) set(pairs int) {
+// setPairs sets how many pairs are to be swapped; 0 ends the fault.
+func (c *answerSwapper[T]) setPairs(pairs int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.pairs = pairs
+	c.remainingPairs = pairs
 }
 
-// pass returns the answer that goes out in place of mine: another's while
-// pairs are left and a second answer comes in time, else mine.
-func (c *crossing[T]) pass(ctx context.Context, mine T) T {
-	half, other, swapped := c.enter(mine)
+// swap returns the answer to send in place of mine: the answer of another
+// request if pairs are left and one arrives within answerSwapTimeout and before
+// ctx ends, otherwise mine. It blocks until then.
+func (c *answerSwapper[T]) swap(ctx context.Context, mine T) T {
+	pending, other, swapped := c.offer(mine)
 	if swapped {
 		return other
 	}
-	if half == nil {
+	if pending == nil {
 		return mine
 	}
-	timer := time.NewTimer(crossWait)
+	timer := time.NewTimer(answerSwapTimeout)
 	defer timer.Stop()
 	select {
-	case other := <-half.other:
+	case other := <-pending.partner:
 		return other
 	case <-timer.C:
 	case <-ctx.Done():
 	}
-	return c.leave(half)
+	return c.withdraw(pending)
 }
 
-// enter swaps with an open half, opens one, or does nothing.
-func (c *crossing[T]) enter(mine T) (half *crossed[T], other T, swapped bool) {
+// offer completes the pending swap and returns its answer, or starts a swap and
+// returns it as pending, or returns neither if no pairs are left.
+func (c *answerSwapper[T]) offer(mine T) (pending *pendingSwap[T], partner T, swapped bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.open != nil {
-		other = c.open.answer
-		c.open.other <- mine
-		c.open = nil
-		return nil, other, true
+	if c.pending != nil {
+		partner = c.pending.answer
+		c.pending.partner <- mine
+		c.pending = nil
+		return nil, partner, true
 	}
-	if c.pairs == 0 {
-		return nil, other, false
+	if c.remainingPairs == 0 {
+		return nil, partner, false
 	}
-	c.pairs--
-	c.open = &crossed[T]{answer: mine, other: make(chan T, 1)}
-	return c.open, other, false
+	c.remainingPairs--
+	c.pending = &pendingSwap[T]{answer: mine, partner: make(chan T, 1)}
+	return c.pending, partner, false
 }
 
-// leave closes a half that found no other one in time.
-func (c *crossing[T]) leave(half *crossed[T]) T {
+// withdraw cancels a swap whose partner didn't arrive in time and returns its own
+// answer, or the partner's if it arrived after all.
+func (c *answerSwapper[T]) withdraw(pending *pendingSwap[T]) T {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.open == half {
-		c.open = nil
-		return half.answer
+	if c.pending == pending {
+		c.pending = nil
+		return pending.answer
 	}
-	return <-half.other
+	return <-pending.partner
 }
--- a/internal/standin/directory.go
+++ b/internal/standin/directory.go
@@ -11,6 +11,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
+// listedInstance is an instance as it announces itself and as the list shows it.
 type listedInstance struct {
 	ID      string `json:"id"`
 	Zone    string `json:"zone"`
@@ -19,7 +20,8 @@
 	Applied uint64 `json:"applied"`
 }
 
-// ListedEndpoint is one endpoint of the instance list.
+// ListedEndpoint is an entry of the list's endpoints: a plain service with
+// Service set, or a model engine with Model set.
 type ListedEndpoint struct {
 	Name    string `json:"name"`
 	Zone    string `json:"zone"`
@@ -29,62 +31,70 @@
 	Leaving bool   `json:"leaving"`
 }
 
-type directoryList struct {
+// instanceList is the body of GET /instances.
+type instanceList struct {
 	Instances []listedInstance `json:"instances"`
 	Endpoints []ListedEndpoint `json:"endpoints"`
 }
 
+// announcement is the latest announcement of an instance.
 type announcement struct {
 	listedInstance
-	at time.Time
+	announcedAt time.Time
 }
 
-// directory is the instance list. Readers see it as it was up to lag ago.
-type directory struct {
-	lag, ttl  time.Duration
-	instances map[string]announcement
-	endpoints []ListedEndpoint
-	shown     directoryList
-	shownAt   time.Time
+// instanceDirectory stores the announced instances and the configured
+// endpoints. Readers get a snapshot that is up to lag old. An instance is
+// removed when its last announcement is older than ttl. Platform.mu guards it.
+type instanceDirectory struct {
+	lag, ttl   time.Duration
+	instances  map[string]announcement
+	endpoints  []ListedEndpoint
+	snapshot   instanceList
+	snapshotAt time.Time
 }
 
-func newDirectory(opts PlatformOptions) directory {
-	return directory{lag: opts.ListLag, ttl: opts.InstanceTTL, instances: map[string]announcement{}}
+func newInstanceDirectory(opts PlatformOptions) instanceDirectory {
+	return instanceDirectory{lag: opts.ListLag, ttl: opts.InstanceTTL, instances: map[string]announcement{}}
 }
 
-func (d *directory) view(now time.Time) directoryList {
-	if now.Sub(d.shownAt) < d.lag {
-		return d.shown
+// view returns the current snapshot and replaces it first if it is older than
+// lag. Instances are sorted by ID.
+func (d *instanceDirectory) view(now time.Time) instanceList {
+	if now.Sub(d.snapshotAt) < d.lag {
+		return d.snapshot
 	}
-	list := directoryList{Instances: []listedInstance{}, Endpoints: append([]ListedEndpoint{}, d.endpoints...)}
+	list := instanceList{Instances: []listedInstance{}, Endpoints: append([]ListedEndpoint{}, d.endpoints...)}
 	for id, a := range d.instances {
-		if now.Sub(a.at) > d.ttl {
+		if now.Sub(a.announcedAt) > d.ttl {
 			delete(d.instances, id)
 			continue
 		}
 		list.Instances = append(list.Instances, a.listedInstance)
 	}
 	sort.Slice(list.Instances, func(i, j int) bool { return list.Instances[i].ID < list.Instances[j].ID })
-	d.shown, d.shownAt = list, now
+	d.snapshot, d.snapshotAt = list, now
 	return list
 }
 
+// handleAnnounce adds an instance to the list, or renews it there.
 func (p *Platform) handleAnnounce(w http.ResponseWriter, r *http.Request) {
 	var a announcement
 	if !readJSON(w, r, &a.listedInstance) {
 		return
 	}
-	a.at = time.Now()
+	a.announcedAt = time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.list.instances[a.ID] = a
+	p.directory.instances[a.ID] = a
 	writeJSON(w, a.listedInstance)
 }
 
-// handleList answers a conditional GET with 304 while the list stands.
-func (p *Platform) handleList(w http.ResponseWriter, r *http.Request) {
+// handleListInstances answers with 304 while the list still has the ETag that
+// the request's If-None-Match names.
+func (p *Platform) handleListInstances(w http.ResponseWriter, r *http.Request) {
 	p.mu.Lock()
-	list := p.list.view(time.Now())
+	list := p.directory.view(time.Now())
 	p.mu.Unlock()
 	data, err := json.Marshal(list)
 	if err != nil {
@@ -101,7 +111,7 @@
 	_, _ = w.Write(data)
 }
 
-func (p *Platform) handleEndpoints(w http.ResponseWriter, r *http.Request) {
+func (p *Platform) handlePutEndpoints(w http.ResponseWriter, r *http.Request) {
 	var endpoints []ListedEndpoint
 	if !readJSON(w, r, &endpoints) {
 		return
@@ -114,5 +124,5 @@
 func (p *Platform) SetEndpoints(endpoints []ListedEndpoint) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.list.endpoints = endpoints
+	p.directory.endpoints = endpoints
 }
--- a/internal/standin/engine_batch.go
+++ b/internal/standin/engine_batch.go
@@ -5,32 +5,34 @@
 	"time"
 )
 
-// The finish reasons of a run.
+// Values of EngineRun.FinishReason.
 const (
 	finishLength    = "length"
 	finishCancelled = "cancelled"
 )
 
 const (
-	// keepEnded bounds how many ended runs stay for a resume.
-	keepEnded = 20_000
-	// prefillChunk bounds the prompt tokens that one step prefills, so that a
-	// long prompt does not hold up the decoding sequences.
-	prefillChunk = 512
-	// hangPoll is how often a hanging loop looks whether it may go on.
-	hangPoll = 5 * time.Millisecond
+	// maxEndedRuns bounds how many ended runs are kept for clients that resume.
+	maxEndedRuns = 20_000
+	// maxPrefillPerStep is the number of tokens that one step prefills at most,
+	// over all runs, so that a long prompt doesn't delay the decoding runs.
+	maxPrefillPerStep = 512
+	// faultPollInterval is how often a blocked loop or stream checks whether
+	// its fault has ended.
+	faultPollInterval = 5 * time.Millisecond
 )
 
-// engineRun is one run in the engine. Its fields are guarded by Engine.mu.
+// engineRun is a run with its scheduling state. Engine.mu guards it.
 type engineRun struct {
 	EngineRun
 	priority int
-	// cancelled is the last attempt that was cancelled.
-	cancelled int
-	max       int // Tokens of the whole answer, those of Prior included.
-	prefill   int // Prompt tokens still to be prefilled.
-	blocks    []uint64
-	// changed closes with the next token or the run's end.
+	// cancelledAttempt is the highest cancelled attempt; 0 is none, math.MaxInt
+	// all.
+	cancelledAttempt int
+	maxTokens        int // Length of the answer, PriorTokens included.
+	remainingPrefill int // Prompt and prior tokens.
+	promptBlocks     []uint64
+	// changed is closed, and replaced, at the next token or the run's end.
 	changed chan struct{}
 }
 
@@ -38,19 +40,21 @@
 	return &engineRun{EngineRun: EngineRun{ID: id}, changed: make(chan struct{})}
 }
 
-// tokens returns how many tokens of the whole answer there are so far.
-func (r *engineRun) tokens() int { return r.Prior + r.Completion }
+// totalTokens returns how many tokens of the answer exist, prior ones included.
+func (r *engineRun) totalTokens() int { return r.PriorTokens + r.CompletionTokens }
 
+// notify unblocks the goroutines that wait for a change of the run.
 func (r *engineRun) notify() {
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
 
-// batch is the continuous batch: runs in slots, and runs that wait for one.
+// batch is a continuous batch: active runs occupy a slot each, waiting runs are
+// queued for one. Engine.mu guards it.
 type batch struct {
-	active  []*engineRun
-	waiting []*engineRun // The highest priority first, then by arrival.
-	looping bool
+	active      []*engineRun
+	waiting     []*engineRun // By descending priority, then by arrival.
+	loopRunning bool
 }
 
 func (b *batch) enqueue(run *engineRun) {
@@ -62,12 +66,13 @@
 }
 
 func (b *batch) remove(run *engineRun) {
-	same := func(r *engineRun) bool { return r == run }
-	b.active = slices.DeleteFunc(b.active, same)
-	b.waiting = slices.DeleteFunc(b.waiting, same)
+	isRun := func(r *engineRun) bool { return r == run }
+	b.active = slices.DeleteFunc(b.active, isRun)
+	b.waiting = slices.DeleteFunc(b.waiting, isRun)
 }
 
-func (b *batch) fill(slots int) {
+// fillSlots moves waiting runs into the free ones of the given number of slots.
+func (b *batch) fillSlots(slots int) {
 	n := min(slots-len(b.active), len(b.waiting))
 	if n <= 0 {
 		return
@@ -76,18 +81,19 @@
 	b.waiting = slices.Delete(b.waiting, 0, n)
 }
 
-// submit queues a run and wakes the loop. e.mu is held.
+// submit queues a run and starts the batch loop if it isn't running. e.mu must
+// be held.
 func (e *Engine) submit(run *engineRun) {
 	e.batch.enqueue(run)
-	if e.batch.looping {
+	if e.batch.loopRunning {
 		return
 	}
-	e.batch.looping = true
-	go e.loop()
+	e.batch.loopRunning = true
+	go e.runBatchLoop()
 }
 
-// loop steps the batch until it is empty.
-func (e *Engine) loop() {
+// runBatchLoop steps the batch until no runs are left.
+func (e *Engine) runBatchLoop() {
 	for {
 		pause, busy := e.step()
 		if !busy {
@@ -97,45 +103,49 @@
 	}
 }
 
-// step runs one step of the batch and returns how long it takes.
-func (e *Engine) step() (pause time.Duration, busy bool) {
+// step executes one step of the batch and returns its simulated duration. busy
+// is false if there are no runs; the loop must then end.
+func (e *Engine) step() (duration time.Duration, busy bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.batch.fill(e.opts.Slots)
+	e.batch.fillSlots(e.opts.Slots)
 	if len(e.batch.active) == 0 {
-		e.batch.looping = false
+		e.batch.loopRunning = false
 		return 0, false
 	}
 	if e.faults.Hang {
-		return hangPoll, true
+		return faultPollInterval, true
 	}
-	prefilled, decoded := e.stepRuns()
+	prefilled, decoded := e.advanceRuns()
 	base := e.opts.Step
 	if e.faults.StepMs > 0 {
 		base = time.Duration(e.faults.StepMs) * time.Millisecond
 	}
-	pause = base + time.Duration(prefilled)*e.opts.StepPerPrefill + time.Duration(decoded)*e.opts.StepPerSequence
-	return pause, true
+	duration = base + time.Duration(prefilled)*e.opts.StepPerPrefill + time.Duration(decoded)*e.opts.StepPerSequence
+	return duration, true
 }
 
-func (e *Engine) stepRuns() (prefilled, decoded int) {
+// advanceRuns prefills or decodes each active run once and ends those that are
+// complete. It returns the number of prefilled tokens and of decoding runs.
+// e.mu must be held.
+func (e *Engine) advanceRuns() (prefilled, decoded int) {
 	for _, run := range slices.Clone(e.batch.active) {
-		if run.prefill > 0 {
-			chunk := min(run.prefill, prefillChunk-prefilled)
-			run.prefill -= chunk
+		if run.remainingPrefill > 0 {
+			chunk := min(run.remainingPrefill, maxPrefillPerStep-prefilled)
+			run.remainingPrefill -= chunk
 			prefilled += chunk
-			if run.prefill == 0 {
-				e.cache.add(run.blocks)
+			if run.remainingPrefill == 0 {
+				e.cache.add(run.promptBlocks)
 			}
 			continue
 		}
 		decoded++
-		if run.tokens() < run.max {
-			run.Completion++
+		if run.totalTokens() < run.maxTokens {
+			run.CompletionTokens++
 		}
-		if run.tokens() >= run.max {
+		if run.totalTokens() >= run.maxTokens {
 			e.batch.remove(run)
-			e.end(run, finishLength)
+			e.endRun(run, finishLength)
 			continue
 		}
 		run.notify()
@@ -143,13 +153,14 @@
 	return prefilled, decoded
 }
 
-// end closes a run and forgets the oldest ended ones. e.mu is held.
-func (e *Engine) end(run *engineRun, finish string) {
-	run.Done, run.Finish = true, finish
+// endRun marks a run as done and drops the ended runs beyond maxEndedRuns. e.mu
+// must be held.
+func (e *Engine) endRun(run *engineRun, finish string) {
+	run.Done, run.FinishReason = true, finish
 	run.notify()
-	e.ended = append(e.ended, run.ID)
-	for len(e.ended) > keepEnded {
-		delete(e.runs, e.ended[0])
-		e.ended = e.ended[1:]
+	e.endedRuns = append(e.endedRuns, run.ID)
+	for len(e.endedRuns) > maxEndedRuns {
+		delete(e.runs, e.endedRuns[0])
+		e.endedRuns = e.endedRuns[1:]
 	}
 }
--- a/internal/standin/keyed.go
+++ b/internal/standin/keyed.go
@@ -8,55 +8,61 @@
 	"guavapier/internal/logstore"
 )
 
-// Keyed is an in-memory log of keyed topics, with the faults of a real one. It
-// implements logstore.Keyed. The zero value is not ready; use NewKeyed.
+// Keyed is an in-memory log of keyed topics that simulates outages, lost
+// answers and compaction. It implements logstore.Keyed and is safe for
+// concurrent use. The zero value isn't usable; use NewKeyed.
 type Keyed struct {
-	mu      sync.Mutex
-	topics  map[logstore.Topic]*keyedTopic
-	writers map[writerOf]keyedWriter // Each partition counts by itself.
-	down    bool
-	lose    int // So many answers of writes still get lost.
-	grown   chan struct{}
-	writes  int
-	reads   int
-	newest  map[logstore.Topic]int // Whole reads, by topic.
-}
-
+	mu          sync.Mutex
+	topics      map[logstore.Topic]*keyedTopic
+	writers     map[writerKey]writerState // Epochs and sequences are per topic and writer.
+	unavailable bool
+	lostAnswers int           // Writes that will be applied but return ErrUnavailable.
+	changed     chan struct{} // Closed, and replaced, at each append.
+	writes      int
+	reads       int
+	newestReads map[logstore.Topic]int // Calls of Newest.
+}
+
+// keyedTopic holds a topic's history and the newest record of each key, without
+// the deleted keys.
 type keyedTopic struct {
 	records []logstore.KeyedRecord
 	first   uint64 // Offset of records[0].
 	newest  map[string]logstore.KeyedRecord
 }
 
-type writerOf struct {
+type writerKey struct {
 	topic  logstore.Topic
 	writer string
 }
 
-type keyedWriter struct{ epoch, sequence uint64 }
+type writerState struct{ epoch, sequence uint64 }
 
-// NewKeyed returns an empty log.
+// NewKeyed returns an empty, available log.
 func NewKeyed() *Keyed {
-	return &Keyed{topics: map[logstore.Topic]*keyedTopic{}, writers: map[writerOf]keyedWriter{}, newest: map[logstore.Topic]int{}, grown: make(chan struct{})}
+	return &Keyed{topics: map[logstore.Topic]*keyedTopic{}, writers: map[writerKey]writerState{}, newestReads: map[logstore.Topic]int{}, changed: make(chan struct{})}
 }
 
-// SetDown makes every call fail, or ends that.
+// SetDown sets whether each call fails with logstore.ErrUnavailable. Blocked
+// calls of Follow fail at once.
 func (k *Keyed) SetDown(down bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.down = down
-	k.wake()
+	k.unavailable = down
+	k.notifyReaders()
 }
 
-// LoseAnswers makes the next n writes take effect without an answer.
+// LoseAnswers makes the next n writes succeed but return logstore.ErrUnavailable,
+// as if the answer was lost.
 func (k *Keyed) LoseAnswers(n int) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.lose = n
+	k.lostAnswers = n
 }
 
-// Forget drops the topic's history; the newest record of each key stays.
-func (k *Keyed) Forget(topic logstore.Topic) {
+// Compact drops the topic's history, so that Follow from an earlier offset
+// returns logstore.ErrTrimmed. The newest record of each key is kept.
+func (k *Keyed) Compact(topic logstore.Topic) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	t := k.topic(topic)
@@ -64,34 +70,36 @@
 	t.records = nil
 }
 
-// Calls returns how many writes and reads were made.
+// Calls returns the number of writes and reads, failed ones included. A blocked
+// Follow counts one read for each time that it looks.
 func (k *Keyed) Calls() (writes, reads int) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.writes, k.reads
 }
 
-// NewestReads returns how often the newest records of a topic were read.
+// NewestReads returns the number of calls of Newest for a topic.
 func (k *Keyed) NewestReads(topic logstore.Topic) int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.newest[topic]
+	return k.newestReads[topic]
 }
 
-// Set appends a record as an operator or an endpoint would.
+// Set appends a record without a writer's epoch and sequence; a nil value deletes
+// the key. Faults don't apply.
 func (k *Keyed) Set(topic logstore.Topic, key string, value []byte) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.append(topic, []logstore.KeyedRecord{{Key: key, Value: value}})
 }
 
-// Newest implements logstore.Keyed.
+// Newest implements logstore.Keyed. The records are in no order.
 func (k *Keyed) Newest(_ context.Context, topic logstore.Topic) (logstore.KeyedPage, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.reads++
-	k.newest[topic]++
-	if k.down {
+	k.newestReads[topic]++
+	if k.unavailable {
 		return logstore.KeyedPage{}, logstore.ErrUnavailable
 	}
 	t := k.topic(topic)
@@ -103,18 +111,19 @@
 	return page, nil
 }
 
-// Follow implements logstore.Keyed.
+// Follow implements logstore.Keyed. It blocks for up to wait while there are no
+// records from offset from on.
 func (k *Keyed) Follow(ctx context.Context, topic logstore.Topic, from uint64, wait time.Duration) (logstore.KeyedPage, error) {
-	limit := time.NewTimer(wait)
-	defer limit.Stop()
+	timer := time.NewTimer(wait)
+	defer timer.Stop()
 	for {
-		page, grown, err := k.after(topic, from)
+		page, changed, err := k.readFrom(topic, from)
 		if err != nil || len(page.Records) > 0 {
 			return page, err
 		}
 		select {
-		case <-grown:
-		case <-limit.C:
+		case <-changed:
+		case <-timer.C:
 			return page, nil
 		case <-ctx.Done():
 			return page, ctx.Err()
@@ -122,13 +131,15 @@
 	}
 }
 
-func (k *Keyed) after(topic logstore.Topic, from uint64) (logstore.KeyedPage, <-chan struct{}, error) {
+// readFrom returns the records from an offset on, and the channel that is closed
+// at the next append.
+func (k *Keyed) readFrom(topic logstore.Topic, from uint64) (logstore.KeyedPage, <-chan struct{}, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.reads++
 	t := k.topic(topic)
 	switch {
-	case k.down:
+	case k.unavailable:
 		return logstore.KeyedPage{}, nil, logstore.ErrUnavailable
 	case from < t.first:
 		return logstore.KeyedPage{}, nil, logstore.ErrTrimmed
@@ -136,35 +147,38 @@
 	rest := t.records[from-t.first:]
 	records := append([]logstore.KeyedRecord(nil), rest...)
 	end := from + uint64(len(rest))
-	return logstore.KeyedPage{Records: records, Next: end, End: end}, k.grown, nil
+	return logstore.KeyedPage{Records: records, Next: end, End: end}, k.changed, nil
 }
 
-// Put implements logstore.Keyed.
+// Put implements logstore.Keyed. It rejects an older epoch of the writer with
+// ErrFenced. Within an epoch it rejects a sequence other than the next one with
+// ErrSequence, except that repeating the last one succeeds without effect.
 func (k *Keyed) Put(_ context.Context, topic logstore.Topic, w logstore.Write, records []logstore.KeyedRecord) error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.writes++
-	if k.down {
+	if k.unavailable {
 		return logstore.ErrUnavailable
 	}
-	last, known := k.writers[writerOf{topic, w.Writer}]
+	last, known := k.writers[writerKey{topic, w.Writer}]
 	switch {
 	case known && w.Epoch < last.epoch:
 		return logstore.ErrFenced
 	case known && w.Epoch == last.epoch && w.Sequence == last.sequence:
-		return nil // A repeat.
+		return nil // Already written.
 	case known && w.Epoch == last.epoch && w.Sequence != last.sequence+1:
 		return logstore.ErrSequence
 	}
-	k.writers[writerOf{topic, w.Writer}] = keyedWriter{w.Epoch, w.Sequence}
+	k.writers[writerKey{topic, w.Writer}] = writerState{w.Epoch, w.Sequence}
 	k.append(topic, records)
-	if k.lose > 0 {
-		k.lose--
+	if k.lostAnswers > 0 {
+		k.lostAnswers--
 		return logstore.ErrUnavailable
 	}
 	return nil
 }
 
+// append stores records and unblocks readers. k.mu must be held.
 func (k *Keyed) append(topic logstore.Topic, records []logstore.KeyedRecord) {
 	t := k.topic(topic)
 	t.records = append(t.records, records...)
@@ -175,14 +189,16 @@
 		}
 		t.newest[r.Key] = r
 	}
-	k.wake()
+	k.notifyReaders()
 }
 
-func (k *Keyed) wake() {
-	close(k.grown)
-	k.grown = make(chan struct{})
+// notifyReaders unblocks the calls of Follow. k.mu must be held.
+func (k *Keyed) notifyReaders() {
+	close(k.changed)
+	k.changed = make(chan struct{})
 }
 
+// topic returns a topic, which it creates if needed. k.mu must be held.
 func (k *Keyed) topic(name logstore.Topic) *keyedTopic {
 	t := k.topics[name]
 	if t == nil {
