--- a/internal/peer/bench_test.go
+++ b/internal/peer/bench_test.go
@@ -30,7 +30,7 @@
 	return n, err
 }
 
-func cpu() int64 {
+func processCPUNanos() int64 {
 	var u syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &u)
 	return u.Utime.Nano() + u.Stime.Nano()
@@ -41,7 +41,7 @@
 func BenchmarkHeartbeat(b *testing.B) {
 	for _, size := range []int{4, 32, 128} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
-			at := map[record.InstanceID]string{}
+			addrs := map[record.InstanceID]string{}
 			var ids []record.InstanceID
 			for n := range size {
 				id := record.InstanceID(fmt.Sprintf("instance-%d.0190b2c8-7d5e-7b3f-9a61-000000000000", n))
@@ -52,31 +52,31 @@
 				}
 				go func() { _ = s.Serve(l) }()
 				b.Cleanup(func() { _ = l.Close(); s.Close() })
-				at[id], ids = l.Addr().String(), append(ids, id)
+				addrs[id], ids = l.Addr().String(), append(ids, id)
 			}
 			var bytes atomic.Int64
-			p := peer.NewPool("caller", &book{at: at}, peer.Options{Dialer: func(ctx context.Context, address string) (net.Conn, error) {
+			p := peer.NewPool("caller", &addressBook{addrs: addrs}, peer.Options{Dialer: func(ctx context.Context, address string) (net.Conn, error) {
 				var d net.Dialer
 				conn, err := d.DialContext(ctx, "tcp", address)
 				return countingConn{conn, &bytes}, err
 			}})
 			b.Cleanup(p.Close)
-			round := func() {
+			pingAll := func() {
 				for _, id := range ids {
 					if err := p.Ping(context.Background(), id); err != nil {
 						b.Fatal(err)
 					}
 				}
 			}
-			round()
+			pingAll()
 			bytes.Store(0)
-			began := cpu()
+			began := processCPUNanos()
 			for b.Loop() {
-				round()
+				pingAll()
 			}
-			beats := float64(b.N * size)
-			b.ReportMetric(float64(cpu()-began)/beats, "cpu-ns/heartbeat")
-			b.ReportMetric(float64(bytes.Load())/beats, "B/heartbeat")
+			heartbeats := float64(b.N * size)
+			b.ReportMetric(float64(processCPUNanos()-began)/heartbeats, "cpu-ns/heartbeat")
+			b.ReportMetric(float64(bytes.Load())/heartbeats, "B/heartbeat")
 		})
 	}
 }
--- a/internal/peer/conn.go
+++ b/internal/peer/conn.go
@@ -14,9 +14,9 @@
 
 // clientCodec is net/rpc's client codec over frames.
 type clientCodec struct {
-	frames   *frames
+	framed   *framedConn
 	lastRead *atomic.Int64 // Unix nanoseconds of the last message read.
-	ended    func()        // Told when the connection has ended.
+	onClose  func()        // Told when the connection has ended.
 	body     cbor.RawMessage
 }
 
@@ -28,14 +28,14 @@
 	if err != nil {
 		return eris.Wrap(err, "peer: encode arguments")
 	}
-	return c.frames.send(message{Header: header{Method: r.ServiceMethod, Seq: r.Seq}, Body: body})
+	return c.framed.send(message{Header: header{Method: r.ServiceMethod, Seq: r.Seq}, Body: body})
 }
 
 // ReadResponseHeader implements rpc.ClientCodec.
 func (c *clientCodec) ReadResponseHeader(r *rpc.Response) error {
 	var m message
-	if err := c.frames.receive(&m); err != nil {
-		c.ended()
+	if err := c.framed.receive(&m); err != nil {
+		c.onClose()
 		return err
 	}
 	c.lastRead.Store(time.Now().UnixNano())
@@ -55,7 +55,7 @@
 
 // Close implements rpc.ClientCodec.
 func (c *clientCodec) Close() error {
-	c.frames.close(rpc.ErrShutdown)
+	c.framed.close(rpc.ErrShutdown)
 	return nil
 }
 
@@ -66,25 +66,25 @@
 	lastUsed atomic.Int64 // Unix nanoseconds of the last call but Ping.
 	probing  atomic.Bool
 	dead     chan struct{} // Closed when the connection must not be used again.
-	once     sync.Once
+	deadOnce sync.Once
 }
 
-func newConn(f *frames) *conn {
+func newConn(f *framedConn) *conn {
 	now := time.Now().UnixNano()
 	c := &conn{lastRead: &atomic.Int64{}, dead: make(chan struct{})}
 	c.lastRead.Store(now)
 	c.lastUsed.Store(now)
-	codec := &clientCodec{frames: f, lastRead: c.lastRead, ended: c.retire}
+	codec := &clientCodec{framed: f, lastRead: c.lastRead, onClose: c.markDead}
 	c.rpc = rpc.NewClientWithCodec(codec)
 	return c
 }
 
-// retire keeps the connection from being used again.
-func (c *conn) retire() { c.once.Do(func() { close(c.dead) }) }
+// markDead keeps the connection from being used again.
+func (c *conn) markDead() { c.deadOnce.Do(func() { close(c.dead) }) }
 
-// abandon closes the connection; every call on it ends.
-func (c *conn) abandon() {
-	c.retire()
+// close closes the connection; every call on it ends.
+func (c *conn) close() {
+	c.markDead()
 	_ = c.rpc.Close()
 }
 
@@ -111,7 +111,7 @@
 		return errors.Join(ErrUnreachable, ctx.Err())
 	}
 	if pending.Error != nil {
-		return c.failed(pending.Error)
+		return c.classifyError(pending.Error)
 	}
 	if reply == nil {
 		return nil
@@ -123,8 +123,8 @@
 // connection while the call waited.
 var errNoProgress = eris.New("peer: connection shows no progress")
 
-// failed sorts the error of a call that ended before its deadline.
-func (c *conn) failed(err error) error {
+// classifyError sorts the error of a call that ended before its deadline.
+func (c *conn) classifyError(err error) error {
 	var remote rpc.ServerError
 	if errors.As(err, &remote) {
 		return remote
@@ -132,7 +132,7 @@
 	if errors.Is(err, ErrTooLarge) {
 		return errors.Join(ErrNotSent, err)
 	}
-	c.abandon()
+	c.close()
 	return errors.Join(ErrUnreachable, err)
 }
 
@@ -148,26 +148,26 @@
 	defer cancel()
 	err := c.call(ctx, pingMethod, Ping{}, nil)
 	if err != nil && c.lastRead.Load() < began {
-		c.abandon()
+		c.close()
 	}
 }
 
-// watch sends heartbeats while the connection is quiet. It ends when the
+// monitor sends heartbeats while the connection is quiet. It ends when the
 // connection is dead or was not used for idle.
-func (c *conn) watch(o Options) {
-	ticker := time.NewTicker(o.Heartbeat)
+func (c *conn) monitor(o Options) {
+	ticker := time.NewTicker(o.HeartbeatInterval)
 	defer ticker.Stop()
-	defer c.abandon()
+	defer c.close()
 	for {
 		select {
 		case <-c.dead:
 			return
 		case now := <-ticker.C:
-			if now.Sub(time.Unix(0, c.lastUsed.Load())) > o.Idle {
+			if now.Sub(time.Unix(0, c.lastUsed.Load())) > o.IdleTimeout {
 				return
 			}
-			if now.Sub(time.Unix(0, c.lastRead.Load())) >= o.Heartbeat {
-				c.probe(o.Probe)
+			if now.Sub(time.Unix(0, c.lastRead.Load())) >= o.HeartbeatInterval {
+				c.probe(o.ProbeTimeout)
 			}
 		}
 	}
--- a/internal/peer/frame.go
+++ b/internal/peer/frame.go
@@ -39,35 +39,35 @@
 	Body   cbor.RawMessage `cbor:"2,keyasint"`
 }
 
-// frames reads and writes length-prefixed CBOR messages on a connection.
+// framedConn reads and writes length-prefixed CBOR messages on a connection.
 // Writes never block their caller: a goroutine sends what is queued, many
 // messages at once, and closes the connection if it cannot.
-type frames struct {
+type framedConn struct {
 	conn         net.Conn
 	reader       *bufio.Reader
 	writeTimeout time.Duration
 
-	mu     sync.Mutex
-	queued []byte
-	err    error
-	wake   chan struct{}
-	done   chan struct{}
+	mu           sync.Mutex
+	queued       []byte
+	closeErr     error
+	writePending chan struct{}
+	writerDone   chan struct{}
 }
 
-// newFrames returns frames whose writer has not started: until start, only
+// newFramedConn returns frames whose writer has not started: until start, only
 // sendNow and receive may be used.
-func newFrames(conn net.Conn, writeTimeout time.Duration) *frames {
-	return &frames{
+func newFramedConn(conn net.Conn, writeTimeout time.Duration) *framedConn {
+	return &framedConn{
 		conn: conn, reader: bufio.NewReader(conn), writeTimeout: writeTimeout,
-		wake: make(chan struct{}, 1), done: make(chan struct{}),
+		writePending: make(chan struct{}, 1), writerDone: make(chan struct{}),
 	}
 }
 
-// start starts the writer; close must follow.
-func (f *frames) start() { go f.write() }
+// startWriter starts the writer; close must follow.
+func (f *framedConn) startWriter() { go f.writeLoop() }
 
-// sendNow writes one value without the writer.
-func (f *frames) sendNow(v any) error {
+// sendSync writes one value without the writer.
+func (f *framedConn) sendSync(v any) error {
 	data, err := cbor.Marshal(v)
 	if err != nil {
 		return eris.Wrap(err, "peer: encode")
@@ -84,7 +84,7 @@
 
 // send queues one value. It returns ErrTooLarge, or the error that closed the
 // connection; then nothing was queued.
-func (f *frames) send(v any) error {
+func (f *framedConn) send(v any) error {
 	data, err := cbor.Marshal(v)
 	if err != nil {
 		return eris.Wrap(err, "peer: encode")
@@ -94,23 +94,23 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.err != nil {
-		return f.err
+	if f.closeErr != nil {
+		return f.closeErr
 	}
 	if len(f.queued)+len(data) > maxQueuedBytes {
-		f.failLocked(errBacklog)
+		f.closeLocked(errBacklog)
 		return errBacklog
 	}
 	f.queued = appendFrame(f.queued, data)
 	select {
-	case f.wake <- struct{}{}:
+	case f.writePending <- struct{}{}:
 	default:
 	}
 	return nil
 }
 
 // receive reads one value. It fails once the connection is closed.
-func (f *frames) receive(v any) error {
+func (f *framedConn) receive(v any) error {
 	var prefix [lengthBytes]byte
 	if _, err := io.ReadFull(f.reader, prefix[:]); err != nil {
 		return err
@@ -127,26 +127,26 @@
 }
 
 // close closes the connection and waits for the writer to end.
-func (f *frames) close(err error) {
+func (f *framedConn) close(err error) {
 	f.mu.Lock()
-	f.failLocked(err)
+	f.closeLocked(err)
 	f.mu.Unlock()
-	<-f.done
+	<-f.writerDone
 }
 
-func (f *frames) failLocked(err error) {
-	if f.err != nil {
+func (f *framedConn) closeLocked(err error) {
+	if f.closeErr != nil {
 		return
 	}
-	f.err = err
+	f.closeErr = err
 	_ = f.conn.Close()
-	close(f.wake)
+	close(f.writePending)
 	// send checks err under the same lock before it uses wake again.
 }
 
-func (f *frames) write() {
-	defer close(f.done)
-	for range f.wake {
+func (f *framedConn) writeLoop() {
+	defer close(f.writerDone)
+	for range f.writePending {
 		f.mu.Lock()
 		out := f.queued
 		f.queued = nil
@@ -157,7 +157,7 @@
 		_ = f.conn.SetWriteDeadline(time.Now().Add(f.writeTimeout))
 		if _, err := f.conn.Write(out); err != nil {
 			f.mu.Lock()
-			f.failLocked(err)
+			f.closeLocked(err)
 			f.mu.Unlock()
 			return
 		}
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -22,53 +22,53 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// patience bounds a test's own wait; no verdict rests on it.
-const patience = 10 * time.Second
+// testTimeout bounds a test's own wait; no verdict rests on it.
+const testTimeout = 10 * time.Second
 
-// quick finds a silent connection soon, so that tests need not wait long.
-var quick = peer.Options{
-	Heartbeat: 50 * time.Millisecond, Probe: 50 * time.Millisecond, Write: 50 * time.Millisecond, Call: 200 * time.Millisecond,
+// shortTimeouts finds a silent connection soon, so that tests need not wait long.
+var shortTimeouts = peer.Options{
+	HeartbeatInterval: 50 * time.Millisecond, ProbeTimeout: 50 * time.Millisecond, WriteTimeout: 50 * time.Millisecond, CallTimeout: 200 * time.Millisecond,
 }
 
-type echo struct {
-	calls atomic.Int64
-	hold  chan struct{}
+type echoService struct {
+	calls   atomic.Int64
+	release chan struct{}
 }
 
-func (e *echo) Echo(in string, out *string) error {
+func (e *echoService) Echo(in string, out *string) error {
 	e.calls.Add(1)
 	*out = in
 	return nil
 }
 
-func (e *echo) Hold(in string, out *string) error {
-	<-e.hold
+func (e *echoService) Hold(in string, out *string) error {
+	<-e.release
 	*out = in
 	return nil
 }
 
-func (e *echo) Fail(string, *string) error { return errors.New("failed on purpose") }
+func (e *echoService) Fail(string, *string) error { return errors.New("failed on purpose") }
 
-func (e *echo) Long(n int, out *string) error {
+func (e *echoService) Long(n int, out *string) error {
 	*out = strings.Repeat("x", n)
 	return nil
 }
 
-type book struct {
-	mu sync.Mutex
-	at map[record.InstanceID]string
+type addressBook struct {
+	mu    sync.Mutex
+	addrs map[record.InstanceID]string
 }
 
-func (b *book) PeerAddr(id record.InstanceID) (string, bool) {
+func (b *addressBook) PeerAddr(id record.InstanceID) (string, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	at, ok := b.at[id]
-	return at, ok
+	addr, ok := b.addrs[id]
+	return addr, ok
 }
 
-func serve(t *testing.T, id record.InstanceID) (string, *echo) {
+func serve(t *testing.T, id record.InstanceID) (string, *echoService) {
 	t.Helper()
-	service := &echo{hold: make(chan struct{})}
+	service := &echoService{release: make(chan struct{})}
 	s := peer.NewServer(id)
 	if err := s.Register("Echo", service); err != nil {
 		t.Fatal(err)
@@ -80,7 +80,7 @@
 	done := make(chan error, 1)
 	go func() { done <- s.Serve(l) }()
 	t.Cleanup(func() {
-		close(service.hold)
+		close(service.release)
 		_ = l.Close()
 		s.Close()
 		if err := <-done; err != nil {
@@ -92,13 +92,13 @@
 
 func dial(t *testing.T, to record.InstanceID, address string, o peer.Options) *peer.Pool {
 	t.Helper()
-	p := peer.NewPool("caller", &book{at: map[record.InstanceID]string{to: address}}, o)
+	p := peer.NewPool("caller", &addressBook{addrs: map[record.InstanceID]string{to: address}}, o)
 	t.Cleanup(p.Close)
 	return p
 }
 
-func echoes(p *peer.Pool, text string) error {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+func callEcho(p *peer.Pool, text string) error {
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	var got string
 	if err := p.Call(ctx, "b", "Echo.Echo", text, &got); err != nil {
@@ -112,7 +112,7 @@
 
 func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !ok(); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !ok(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("not in time: %s", what)
 		}
@@ -125,7 +125,7 @@
 	var running sync.WaitGroup
 	for i := range 100 {
 		running.Go(func() {
-			if err := echoes(p, strings.Repeat("v", i)); err != nil {
+			if err := callEcho(p, strings.Repeat("v", i)); err != nil {
 				t.Error(err)
 			}
 		})
@@ -139,7 +139,7 @@
 
 func TestCallThatCannotBeSentSaysSo(t *testing.T) {
 	address, service := serve(t, "b")
-	p := peer.NewPool("caller", &book{at: map[record.InstanceID]string{"former-b": address, "b": address}}, peer.Options{})
+	p := peer.NewPool("caller", &addressBook{addrs: map[record.InstanceID]string{"former-b": address, "b": address}}, peer.Options{})
 	defer p.Close()
 	for _, c := range []struct {
 		to   record.InstanceID
@@ -161,7 +161,7 @@
 	if err := p.Call(context.Background(), "b", "Echo.Long", peer.MaxMessageBytes, nil); err == nil {
 		t.Fatal("an oversized answer came through")
 	}
-	if err := echoes(p, "after it"); err != nil {
+	if err := callEcho(p, "after it"); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -169,29 +169,29 @@
 // A connection that goes silent costs each call its bound, then a new one is
 // dialled and used.
 func TestSilentConnectionIsReplaced(t *testing.T) {
-	for name, silence := range map[string]func(*link){
-		"both directions":    func(k *link) { k.muteUp.Store(true); k.muteDown.Store(true) },
-		"from the caller":    func(k *link) { k.muteUp.Store(true) },
-		"to the caller":      func(k *link) { k.muteDown.Store(true) },
-		"not read any more":  func(k *link) { k.stalled.Store(true) },
-		"peer end was reset": func(k *link) { _ = k.server.Close() },
+	for name, silence := range map[string]func(*proxiedConn){
+		"both directions":    func(k *proxiedConn) { k.dropFromClient.Store(true); k.dropFromServer.Store(true) },
+		"from the caller":    func(k *proxiedConn) { k.dropFromClient.Store(true) },
+		"to the caller":      func(k *proxiedConn) { k.dropFromServer.Store(true) },
+		"not read any more":  func(k *proxiedConn) { k.readsStalled.Store(true) },
+		"peer end was reset": func(k *proxiedConn) { _ = k.server.Close() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			address, _ := serve(t, "b")
-			r := newRelay(t, address)
-			p := dial(t, "b", r.listener.Addr().String(), quick)
-			if err := echoes(p, "before"); err != nil {
+			r := newFaultProxy(t, address)
+			p := dial(t, "b", r.listener.Addr().String(), shortTimeouts)
+			if err := callEcho(p, "before"); err != nil {
 				t.Fatal(err)
 			}
-			silence(r.all()[0])
+			silence(r.allConns()[0])
 			eventually(t, "a call comes through", func() bool {
-				err := echoes(p, "after")
+				err := callEcho(p, "after")
 				if err != nil && !errors.Is(err, peer.ErrUnreachable) {
 					t.Fatal(err)
 				}
 				return err == nil
 			})
-			if n := len(r.all()); n < 2 {
+			if n := len(r.allConns()); n < 2 {
 				t.Fatalf("the silent connection was used again (%d connections)", n)
 			}
 		})
@@ -201,18 +201,18 @@
 // Without any call, heartbeats alone find the silent connection.
 func TestHeartbeatFindsSilence(t *testing.T) {
 	address, _ := serve(t, "b")
-	r := newRelay(t, address)
-	p := dial(t, "b", r.listener.Addr().String(), quick)
-	if err := echoes(p, "before"); err != nil {
+	r := newFaultProxy(t, address)
+	p := dial(t, "b", r.listener.Addr().String(), shortTimeouts)
+	if err := callEcho(p, "before"); err != nil {
 		t.Fatal(err)
 	}
-	k := r.all()[0]
-	k.muteDown.Store(true)
+	k := r.allConns()[0]
+	k.dropFromServer.Store(true)
 	eventually(t, "the pool closes the connection", func() bool {
 		_, err := k.client.Write([]byte{0})
 		return err != nil
 	})
-	if err := echoes(p, "after"); err != nil {
+	if err := callEcho(p, "after"); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -220,12 +220,12 @@
 // A peer that takes in nothing must not hold up callers with long messages.
 func TestBlockedWriteIsBounded(t *testing.T) {
 	address, _ := serve(t, "b")
-	r := newRelay(t, address)
-	p := dial(t, "b", r.listener.Addr().String(), quick)
-	if err := echoes(p, "before"); err != nil {
+	r := newFaultProxy(t, address)
+	p := dial(t, "b", r.listener.Addr().String(), shortTimeouts)
+	if err := callEcho(p, "before"); err != nil {
 		t.Fatal(err)
 	}
-	r.all()[0].stalled.Store(true)
+	r.allConns()[0].readsStalled.Store(true)
 	long := strings.Repeat("x", peer.MaxMessageBytes/2)
 	var running sync.WaitGroup
 	for range 32 {
@@ -242,20 +242,20 @@
 // connection stays, and the late answer goes to no other call.
 func TestSlowMethodLeavesTheConnection(t *testing.T) {
 	address, service := serve(t, "b")
-	r := newRelay(t, address)
-	p := dial(t, "b", r.listener.Addr().String(), quick)
+	r := newFaultProxy(t, address)
+	p := dial(t, "b", r.listener.Addr().String(), shortTimeouts)
 	var late string
 	if err := p.Call(context.Background(), "b", "Echo.Hold", "late", &late); !errors.Is(err, peer.ErrUnreachable) {
 		t.Fatalf("slow call: %v", err)
 	}
-	service.hold <- struct{}{}
+	service.release <- struct{}{}
 	for range 50 {
-		if err := echoes(p, "other"); err != nil {
+		if err := callEcho(p, "other"); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if late != "" || len(r.all()) != 1 {
-		t.Fatalf("late answer %q, %d connections", late, len(r.all()))
+	if late != "" || len(r.allConns()) != 1 {
+		t.Fatalf("late answer %q, %d connections", late, len(r.allConns()))
 	}
 }
 
@@ -272,7 +272,7 @@
 	}
 	frame := append(binary.BigEndian.AppendUint32(nil, uint32(len(hello))), hello...)
 	_, _ = conn.Write(binary.BigEndian.AppendUint32(frame, peer.MaxMessageBytes+1))
-	_ = conn.SetReadDeadline(time.Now().Add(patience))
+	_ = conn.SetReadDeadline(time.Now().Add(testTimeout))
 	if _, err := io.ReadAll(conn); err != nil {
 		t.Fatalf("the server kept the connection: %v", err)
 	}
--- a/internal/peer/pool.go
+++ b/internal/peer/pool.go
@@ -12,30 +12,30 @@
 
 // Options bound a Pool. A zero field takes its default.
 type Options struct {
-	// Call bounds a call whose context has no earlier deadline.
-	Call time.Duration
-	// Dial bounds dialling and greeting a peer.
-	Dial time.Duration
-	// Heartbeat is how long a connection may be quiet before it is probed.
-	Heartbeat time.Duration
-	// Probe is how long a probed connection has to show a sign of life.
-	Probe time.Duration
-	// Write is how long one write may block before its connection is given up.
-	Write time.Duration
-	// Idle is how long an unused connection is kept.
-	Idle time.Duration
+	// CallTimeout bounds a call whose context has no earlier deadline.
+	CallTimeout time.Duration
+	// DialTimeout bounds dialling and greeting a peer.
+	DialTimeout time.Duration
+	// HeartbeatInterval is how long a connection may be quiet before it is probed.
+	HeartbeatInterval time.Duration
+	// ProbeTimeout is how long a probed connection has to show a sign of life.
+	ProbeTimeout time.Duration
+	// WriteTimeout is how long one write may block before its connection is given up.
+	WriteTimeout time.Duration
+	// IdleTimeout is how long an unused connection is kept.
+	IdleTimeout time.Duration
 	// Dialer dials a TCP address; TLS goes here.
 	Dialer func(ctx context.Context, address string) (net.Conn, error)
 }
 
 // The defaults: a silent connection is found within Heartbeat + Probe.
 const (
-	DefaultCall      = 2 * time.Second
-	DefaultDial      = time.Second
-	DefaultHeartbeat = time.Second
-	DefaultProbe     = 500 * time.Millisecond
-	DefaultWrite     = time.Second
-	DefaultIdle      = time.Minute
+	DefaultCallTimeout       = 2 * time.Second
+	DefaultDialTimeout       = time.Second
+	DefaultHeartbeatInterval = time.Second
+	DefaultProbeTimeout      = 500 * time.Millisecond
+	DefaultWriteTimeout      = time.Second
+	DefaultIdleTimeout       = time.Minute
 )
 
 func (o Options) withDefaults() Options {
@@ -44,12 +44,12 @@
 			*d = value
 		}
 	}
-	set(&o.Call, DefaultCall)
-	set(&o.Dial, DefaultDial)
-	set(&o.Heartbeat, DefaultHeartbeat)
-	set(&o.Probe, DefaultProbe)
-	set(&o.Write, DefaultWrite)
-	set(&o.Idle, DefaultIdle)
+	set(&o.CallTimeout, DefaultCallTimeout)
+	set(&o.DialTimeout, DefaultDialTimeout)
+	set(&o.HeartbeatInterval, DefaultHeartbeatInterval)
+	set(&o.ProbeTimeout, DefaultProbeTimeout)
+	set(&o.WriteTimeout, DefaultWriteTimeout)
+	set(&o.IdleTimeout, DefaultIdleTimeout)
 	if o.Dialer == nil {
 		o.Dialer = func(ctx context.Context, address string) (net.Conn, error) {
 			var d net.Dialer
@@ -70,16 +70,16 @@
 	cancel  context.CancelFunc
 	running sync.WaitGroup
 
-	mu     sync.Mutex
-	slots  map[record.InstanceID]*slot
-	closed bool
+	mu      sync.Mutex
+	entries map[record.InstanceID]*poolEntry
+	closed  bool
 }
 
 var _ Caller = (*Pool)(nil)
 
-// slot is the place of one peer's connection. ready is closed when dialling
+// poolEntry is the place of one peer's connection. ready is closed when dialling
 // has ended; conn and err are set before.
-type slot struct {
+type poolEntry struct {
 	ready chan struct{}
 	conn  *conn
 	err   error
@@ -90,15 +90,15 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Pool{
 		self: self, addresses: addresses, opts: opts.withDefaults(),
-		ctx: ctx, cancel: cancel, slots: map[record.InstanceID]*slot{},
+		ctx: ctx, cancel: cancel, entries: map[record.InstanceID]*poolEntry{},
 	}
 }
 
 // Call implements Caller.
 func (p *Pool) Call(ctx context.Context, to record.InstanceID, method string, args, reply any) error {
-	ctx, cancel := context.WithTimeout(ctx, p.opts.Call)
+	ctx, cancel := context.WithTimeout(ctx, p.opts.CallTimeout)
 	defer cancel()
-	c, err := p.connection(ctx, to)
+	c, err := p.liveConn(ctx, to)
 	if err != nil {
 		return errors.Join(ErrUnreachable, ErrNotSent, err)
 	}
@@ -107,7 +107,7 @@
 	}
 	err = c.call(ctx, method, args, reply)
 	if errors.Is(err, errNoProgress) {
-		p.probe(c)
+		p.startProbe(c)
 	}
 	return err
 }
@@ -121,76 +121,76 @@
 func (p *Pool) Close() {
 	p.mu.Lock()
 	p.closed = true
-	slots := p.slots
-	p.slots = map[record.InstanceID]*slot{}
+	entries := p.entries
+	p.entries = map[record.InstanceID]*poolEntry{}
 	p.mu.Unlock()
 	p.cancel()
-	for _, s := range slots {
-		<-s.ready
-		if s.conn != nil {
-			s.conn.abandon()
+	for _, e := range entries {
+		<-e.ready
+		if e.conn != nil {
+			e.conn.close()
 		}
 	}
 	p.running.Wait()
 }
 
-// connection returns the live connection to a peer, dialling it where there is
+// liveConn returns the live liveConn to a peer, dialling it where there is
 // none. Callers share one dial.
-func (p *Pool) connection(ctx context.Context, to record.InstanceID) (*conn, error) {
+func (p *Pool) liveConn(ctx context.Context, to record.InstanceID) (*conn, error) {
 	for {
-		s, err := p.slot(to)
+		e, err := p.entryFor(to)
 		if err != nil {
 			return nil, err
 		}
 		select {
-		case <-s.ready:
+		case <-e.ready:
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		}
-		if s.err != nil {
-			return nil, s.err
+		if e.err != nil {
+			return nil, e.err
 		}
-		if !s.conn.isDead() {
-			return s.conn, nil
+		if !e.conn.isDead() {
+			return e.conn, nil
 		}
-		p.drop(to, s)
+		p.remove(to, e)
 	}
 }
 
-func (p *Pool) slot(to record.InstanceID) (*slot, error) {
+func (p *Pool) entryFor(to record.InstanceID) (*poolEntry, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed {
 		return nil, ErrClosed
 	}
-	if s, ok := p.slots[to]; ok {
-		return s, nil
+	if e, ok := p.entries[to]; ok {
+		return e, nil
 	}
-	s := &slot{ready: make(chan struct{})}
-	p.slots[to] = s
+	e := &poolEntry{ready: make(chan struct{})}
+	p.entries[to] = e
 	p.running.Add(1)
 	go func() {
 		defer p.running.Done()
-		p.keep(to, s)
+		p.runConn(to, e)
 	}()
-	return s, nil
+	return e, nil
 }
 
-func (p *Pool) drop(to record.InstanceID, s *slot) {
+func (p *Pool) remove(to record.InstanceID, e *poolEntry) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.slots[to] == s {
-		delete(p.slots, to)
+	if p.entries[to] == e {
+		delete(p.entries, to)
 	}
 }
 
-// keep dials a peer and watches its connection to the end.
-func (p *Pool) keep(to record.InstanceID, s *slot) {
-	defer p.drop(to, s)
-	s.conn, s.err = p.dial(to)
-	close(s.ready)
-	if s.err == nil {
-		s.conn.watch(p.opts)
+// runConn dials a peer and watches its connection to the end.
+func (p *Pool) runConn(to record.InstanceID, e *poolEntry) {
+	defer p.remove(to, e)
+	e.conn, e.err = p.dial(to)
+	close(e.ready)
+	if e.err == nil {
+		e.conn.monitor(p.opts)
 	}
 }
 
@@ -199,7 +199,7 @@
 	if !ok {
 		return nil, errNoAddress
 	}
-	ctx, cancel := context.WithTimeout(p.ctx, p.opts.Dial)
+	ctx, cancel := context.WithTimeout(p.ctx, p.opts.DialTimeout)
 	defer cancel()
 	raw, err := p.opts.Dialer(ctx, address)
 	if err != nil {
@@ -207,17 +207,17 @@
 	}
 	stop := context.AfterFunc(p.ctx, func() { _ = raw.Close() })
 	defer stop()
-	f := newFrames(raw, p.opts.Write)
-	if err := greet(raw, f, p.self, to, p.opts.Dial); err != nil {
+	f := newFramedConn(raw, p.opts.WriteTimeout)
+	if err := clientHandshake(raw, f, p.self, to, p.opts.DialTimeout); err != nil {
 		_ = raw.Close()
 		return nil, err
 	}
-	f.start()
+	f.startWriter()
 	return newConn(f), nil
 }
 
-// probe looks after a connection on which a call saw no progress.
-func (p *Pool) probe(c *conn) {
+// startProbe looks after a connection on which a call saw no progress.
+func (p *Pool) startProbe(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed {
@@ -226,6 +226,6 @@
 	p.running.Add(1)
 	go func() {
 		defer p.running.Done()
-		c.probe(p.opts.Probe)
+		c.probe(p.opts.ProbeTimeout)
 	}()
 }
--- a/internal/peer/relay_test.go
+++ b/internal/peer/relay_test.go
@@ -8,47 +8,47 @@
 	"testing"
 )
 
-// relay forwards TCP connections until they are made silent: then it goes on
+// faultProxy forwards TCP connections until they are made silent: then it goes on
 // reading, or stops reading, and forwards nothing. New connections work.
-type relay struct {
+type faultProxy struct {
 	listener net.Listener
 	target   string
 
 	mu    sync.Mutex
-	links []*link
+	conns []*proxiedConn
 }
 
-type link struct {
+type proxiedConn struct {
 	client, server net.Conn
-	// muteUp and muteDown drop what comes from the client and the server.
-	muteUp, muteDown atomic.Bool
-	// stalled keeps the relay from reading what the client sends.
-	stalled atomic.Bool
-	stall   chan struct{}
+	// dropFromClient and dropFromServer drop what comes from the client and the server.
+	dropFromClient, dropFromServer atomic.Bool
+	// readsStalled keeps the relay from reading what the client sends.
+	readsStalled atomic.Bool
+	endStall     chan struct{}
 }
 
-func newRelay(t *testing.T, target string) *relay {
+func newFaultProxy(t *testing.T, target string) *faultProxy {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &relay{listener: l, target: target}
+	r := &faultProxy{listener: l, target: target}
 	var running sync.WaitGroup
 	running.Go(func() { r.accept(&running) })
 	t.Cleanup(func() {
 		_ = l.Close()
-		for _, k := range r.all() {
+		for _, k := range r.allConns() {
 			_ = k.client.Close()
 			_ = k.server.Close()
-			close(k.stall)
+			close(k.endStall)
 		}
 		running.Wait()
 	})
 	return r
 }
 
-func (r *relay) accept(running *sync.WaitGroup) {
+func (r *faultProxy) accept(running *sync.WaitGroup) {
 	for {
 		client, err := r.listener.Accept()
 		if err != nil {
@@ -59,33 +59,33 @@
 			_ = client.Close()
 			continue
 		}
-		k := &link{client: client, server: server, stall: make(chan struct{})}
+		k := &proxiedConn{client: client, server: server, endStall: make(chan struct{})}
 		r.mu.Lock()
-		r.links = append(r.links, k)
+		r.conns = append(r.conns, k)
 		r.mu.Unlock()
-		running.Go(func() { k.forward(server, client, &k.muteUp) })
-		running.Go(func() { k.forward(client, server, &k.muteDown) })
+		running.Go(func() { k.forward(server, client, &k.dropFromClient) })
+		running.Go(func() { k.forward(client, server, &k.dropFromServer) })
 	}
 }
 
-func (r *relay) all() []*link {
+func (r *faultProxy) allConns() []*proxiedConn {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return append([]*link(nil), r.links...)
+	return append([]*proxiedConn(nil), r.conns...)
 }
 
-func (k *link) forward(to io.Writer, from io.Reader, mute *atomic.Bool) {
+func (k *proxiedConn) forward(to io.Writer, from io.Reader, drop *atomic.Bool) {
 	buf := make([]byte, 4096)
 	for {
 		n, err := from.Read(buf)
 		if err != nil {
 			return // The other end is left open: a half-open connection.
 		}
-		if k.stalled.Load() {
-			<-k.stall
+		if k.readsStalled.Load() {
+			<-k.endStall
 			return
 		}
-		if !mute.Load() {
+		if !drop.Load() {
 			_, _ = to.Write(buf[:n])
 		}
 	}
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -18,12 +18,12 @@
 	// MaxConns bounds open connections. A fleet of 410 instances has at most
 	// one from each, and twice that while connections are replaced.
 	MaxConns = 1024
-	// maxCalls bounds the calls at work for one connection; further ones wait
+	// maxCallsPerConn bounds the calls at work for one connection; further ones wait
 	// in the connection, so that one peer cannot take all memory.
-	maxCalls = 256
-	// silentAfter ends a connection on which a caller sent nothing, not even
+	maxCallsPerConn = 256
+	// requestReadTimeout ends a connection on which a caller sent nothing, not even
 	// its heartbeats.
-	silentAfter = 15 * time.Second
+	requestReadTimeout = 15 * time.Second
 
 	serviceName = "peer.Service"
 	pingMethod  = serviceName + ".Ping"
@@ -78,11 +78,11 @@
 		if err != nil {
 			return eris.Wrap(err, "peer: accept")
 		}
-		if !s.add(conn) {
+		if !s.addConn(conn) {
 			_ = conn.Close()
 			continue
 		}
-		go s.serve(conn)
+		go s.serveConn(conn)
 	}
 }
 
@@ -98,7 +98,7 @@
 	s.running.Wait()
 }
 
-func (s *Server) add(conn net.Conn) bool {
+func (s *Server) addConn(conn net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed || len(s.conns) >= MaxConns {
@@ -109,29 +109,29 @@
 	return true
 }
 
-func (s *Server) serve(conn net.Conn) {
+func (s *Server) serveConn(conn net.Conn) {
 	defer s.running.Done()
 	defer func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		delete(s.conns, conn)
 	}()
-	f := newFrames(conn, DefaultWrite)
-	if err := admit(conn, f, s.self, DefaultDial); err != nil {
+	f := newFramedConn(conn, DefaultWriteTimeout)
+	if err := serverHandshake(conn, f, s.self, DefaultDialTimeout); err != nil {
 		_ = conn.Close()
 		return
 	}
-	f.start()
+	f.startWriter()
 	// ServeCodec returns when the connection has ended and its calls too.
-	s.rpc.ServeCodec(&serverCodec{conn: conn, frames: f, calls: make(chan struct{}, maxCalls)})
+	s.rpc.ServeCodec(&serverCodec{conn: conn, framed: f, callSlots: make(chan struct{}, maxCallsPerConn)})
 }
 
 // serverCodec is net/rpc's server codec over frames.
 type serverCodec struct {
-	conn   net.Conn
-	frames *frames
-	body   cbor.RawMessage
-	calls  chan struct{} // One token for each call at work.
+	conn      net.Conn
+	framed    *framedConn
+	body      cbor.RawMessage
+	callSlots chan struct{} // One token for each call at work.
 }
 
 var _ rpc.ServerCodec = (*serverCodec)(nil)
@@ -139,12 +139,12 @@
 // ReadRequestHeader implements rpc.ServerCodec. It waits while too many calls
 // are at work.
 func (c *serverCodec) ReadRequestHeader(r *rpc.Request) error {
-	_ = c.conn.SetReadDeadline(time.Now().Add(silentAfter))
+	_ = c.conn.SetReadDeadline(time.Now().Add(requestReadTimeout))
 	var m message
-	if err := c.frames.receive(&m); err != nil {
+	if err := c.framed.receive(&m); err != nil {
 		return err
 	}
-	c.calls <- struct{}{}
+	c.callSlots <- struct{}{}
 	r.ServiceMethod, r.Seq = m.Header.Method, m.Header.Seq
 	c.body = m.Body
 	return nil
@@ -161,16 +161,16 @@
 // WriteResponse implements rpc.ServerCodec; net/rpc calls it once for each
 // request that was read.
 func (c *serverCodec) WriteResponse(r *rpc.Response, reply any) error {
-	<-c.calls
+	<-c.callSlots
 	body, err := cbor.Marshal(reply)
 	if err != nil {
 		return eris.Wrap(err, "peer: encode reply")
 	}
 	h := header{Method: r.ServiceMethod, Seq: r.Seq, Error: r.Error}
-	err = c.frames.send(message{Header: h, Body: body})
+	err = c.framed.send(message{Header: h, Body: body})
 	if errors.Is(err, ErrTooLarge) {
 		h.Error = ErrTooLarge.Error()
-		err = c.frames.send(message{Header: h, Body: cborNull})
+		err = c.framed.send(message{Header: h, Body: cborNull})
 	}
 	return err
 }
@@ -180,6 +180,6 @@
 
 // Close implements rpc.ServerCodec.
 func (c *serverCodec) Close() error {
-	c.frames.close(rpc.ErrShutdown)
+	c.framed.close(rpc.ErrShutdown)
 	return nil
 }
