--- a/internal/claim/world_test.go
+++ b/internal/claim/world_test.go
@@ -89,7 +89,7 @@
 	n.cancel = cancel
 	n.part = replica.New(record.LedgerStream(0), fold.NewLedger())
 	n.log = logstore.NewPublisher(n, n.id, logstore.PublisherOptions{
-		Linger: 5 * time.Millisecond, RetryEvery: 50 * time.Millisecond, MaxRecords: 100,
+		Linger: 5 * time.Millisecond, RetryInterval: 50 * time.Millisecond, MaxRecords: 100,
 	})
 	n.holder = claim.NewHolder(claim.Parts{
 		Self: logstore.Instance{ID: n.id, Zone: homeZone}, Log: n.log, Caller: n, Members: n,
--- a/internal/gateway/counted.go
+++ b/internal/gateway/counted.go
@@ -12,27 +12,27 @@
 // instrumentedStore wraps a store and counts each call under a metric that names its
 // outcome.
 type instrumentedStore struct {
-	logstore.Keyed
+	logstore.KeyedLog
 	metrics *metrics.Registry
 }
 
-// Newest implements logstore.Keyed.
+// Newest implements logstore.KeyedLog.
 func (c instrumentedStore) Newest(ctx context.Context, topic logstore.Topic) (logstore.KeyedPage, error) {
-	page, err := c.Keyed.Newest(ctx, topic)
+	page, err := c.KeyedLog.Newest(ctx, topic)
 	c.countOutcome(err)
 	return page, err
 }
 
-// Follow implements logstore.Keyed.
+// Follow implements logstore.KeyedLog.
 func (c instrumentedStore) Follow(ctx context.Context, topic logstore.Topic, from uint64, wait time.Duration) (logstore.KeyedPage, error) {
-	page, err := c.Keyed.Follow(ctx, topic, from, wait)
+	page, err := c.KeyedLog.Follow(ctx, topic, from, wait)
 	c.countOutcome(err)
 	return page, err
 }
 
-// Put implements logstore.Keyed.
-func (c instrumentedStore) Put(ctx context.Context, topic logstore.Topic, w logstore.Write, records []logstore.KeyedRecord) error {
-	err := c.Keyed.Put(ctx, topic, w, records)
+// Put implements logstore.KeyedLog.
+func (c instrumentedStore) Put(ctx context.Context, topic logstore.Topic, w logstore.WriteID, records []logstore.KeyedRecord) error {
+	err := c.KeyedLog.Put(ctx, topic, w, records)
 	c.countOutcome(err)
 	return err
 }
--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -64,9 +64,9 @@
 // follower returns a Follower that reads the endpoint list into the tracker.
 func (e *endpointTracker) follower() *logstore.Follower {
 	return &logstore.Follower{
-		Log: e.platform.Store, Topic: logstore.TopicEndpoints, Wait: endpointsPollTimeout, Pause: e.pollPause,
-		Begin: e.freshness.onReadStart, Came: e.freshness.onReceive, Current: e.freshness.onCaughtUp,
-		Reset: e.onReset, Record: e.onRecord, Loaded: e.onListed, Outcome: e.onReadOutcome,
+		Log: e.platform.Store, Topic: logstore.TopicEndpoints, PollTimeout: endpointsPollTimeout, ReadInterval: e.pollPause,
+		OnReadStart: e.freshness.onReadStart, OnReceive: e.freshness.onReceive, OnCaughtUp: e.freshness.onCaughtUp,
+		OnReset: e.onReset, OnRecord: e.onRecord, OnLoaded: e.onListed, OnReadEnd: e.onReadOutcome,
 	}
 }
 
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -35,7 +35,7 @@
 
 // Platform is what the adapter of the outside platform provides.
 type Platform struct {
-	Store          logstore.Keyed
+	Store          logstore.KeyedLog
 	DecodeState    func(value []byte) (route.State, error)
 	DecodeEndpoint func(id string, value []byte) (discovery.Endpoint, error)
 	Codec          forward.Codec
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -30,15 +30,15 @@
 	storeUnavailable := false
 	fresh := g.stateFreshness
 	return &logstore.Follower{
-		Log: g.platform.Store, Topic: logstore.TopicState, Sole: logstore.StateKey,
-		Wait: statePollTimeout(g.settings.Store.StateWithin.D(), g.settings.Store.Timeout.D()), Pause: statePollPause,
-		Begin: fresh.onReadStart, Came: fresh.onReceive, Current: fresh.onCaughtUp, Reset: func() {}, Loaded: func() {},
-		Record: func(r logstore.KeyedRecord) {
+		Log: g.platform.Store, Topic: logstore.TopicState, SoleKey: logstore.StateKey,
+		PollTimeout: statePollTimeout(g.settings.Store.StateWithin.D(), g.settings.Store.Timeout.D()), ReadInterval: statePollPause,
+		OnReadStart: fresh.onReadStart, OnReceive: fresh.onReceive, OnCaughtUp: fresh.onCaughtUp, OnReset: func() {}, OnLoaded: func() {},
+		OnRecord: func(r logstore.KeyedRecord) {
 			if r.Key == logstore.StateKey && r.Value != nil {
 				g.applyState(r.Value)
 			}
 		},
-		Outcome: func(err error) {
+		OnReadEnd: func(err error) {
 			if err != nil {
 				fresh.onReadFailure()
 			}
--- a/internal/logstore/client.go
+++ b/internal/logstore/client.go
@@ -24,9 +24,9 @@
 	http    *http.Client
 	timeout time.Duration
 
-	listMu  sync.Mutex // Guards the last list and its entity tag.
-	listTag string
-	list    List
+	cacheMu    sync.Mutex // Guards the last list and its entity tag.
+	cachedETag string
+	cachedList MemberList
 }
 
 // errNotModified says that what a conditional request asks for has not changed.
@@ -38,12 +38,12 @@
 	return &Client{base: base, http: &http.Client{}, timeout: timeout}
 }
 
-// Secure makes the client dial https addresses by dial.
-func (c *Client) Secure(dial func(ctx context.Context, network, address string) (net.Conn, error)) {
+// SetTLSDialer makes the client dial https addresses by dial.
+func (c *Client) SetTLSDialer(dial func(ctx context.Context, network, address string) (net.Conn, error)) {
 	c.http.Transport = &http.Transport{DialTLSContext: dial}
 }
 
-type appended struct {
+type appendResponse struct {
 	Offset uint64 `json:"offset"`
 }
 
@@ -51,7 +51,7 @@
 func (c *Client) Append(ctx context.Context, stream record.Stream, data []byte) (uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
-	var got appended
+	var got appendResponse
 	err := c.call(ctx, http.MethodPost, "/log/"+url.PathEscape(string(stream)), data, &got)
 	return got.Offset, err
 }
@@ -81,47 +81,47 @@
 
 // List implements Directory. It asks for the list only if it has changed since
 // the last answer: a large fleet's list is read far more often than it changes.
-func (c *Client) List(ctx context.Context) (List, error) {
+func (c *Client) List(ctx context.Context) (MemberList, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
-	tag, last := c.known()
+	etag, cached := c.loadCachedList()
 	header := http.Header{}
-	if tag != "" {
-		header.Set("If-None-Match", tag)
+	if etag != "" {
+		header.Set("If-None-Match", etag)
 	}
-	var list List
-	answered, err := c.exchange(ctx, http.MethodGet, "/instances", nil, header, &list)
+	var list MemberList
+	respHeader, err := c.roundTrip(ctx, http.MethodGet, "/instances", nil, header, &list)
 	switch {
 	case errors.Is(err, errNotModified):
-		return last, nil
+		return cached, nil
 	case err != nil:
-		return List{}, err
+		return MemberList{}, err
 	}
-	c.learn(answered.Get("ETag"), list)
+	c.storeCachedList(respHeader.Get("ETag"), list)
 	return list, nil
 }
 
-// known returns the last list and its entity tag, learn replaces them.
-func (c *Client) known() (string, List) {
-	c.listMu.Lock()
-	defer c.listMu.Unlock()
-	return c.listTag, c.list
+// loadCachedList returns the last list and its entity tag, learn replaces them.
+func (c *Client) loadCachedList() (string, MemberList) {
+	c.cacheMu.Lock()
+	defer c.cacheMu.Unlock()
+	return c.cachedETag, c.cachedList
 }
 
-func (c *Client) learn(tag string, list List) {
-	c.listMu.Lock()
-	defer c.listMu.Unlock()
-	c.listTag, c.list = tag, list
+func (c *Client) storeCachedList(etag string, list MemberList) {
+	c.cacheMu.Lock()
+	defer c.cacheMu.Unlock()
+	c.cachedETag, c.cachedList = etag, list
 }
 
 func (c *Client) call(ctx context.Context, method, path string, body []byte, out any) error {
-	_, err := c.exchange(ctx, method, path, body, nil, out)
+	_, err := c.roundTrip(ctx, method, path, body, nil, out)
 	return err
 }
 
-// exchange does one request and decodes its answer into out. It returns the
+// roundTrip does one request and decodes its answer into out. It returns the
 // answer's header.
-func (c *Client) exchange(ctx context.Context, method, path string, body []byte, header http.Header, out any) (http.Header, error) {
+func (c *Client) roundTrip(ctx context.Context, method, path string, body []byte, header http.Header, out any) (http.Header, error) {
 	req, err := http.NewRequestWithContext(ctx, method, c.base+path, bytes.NewReader(body))
 	if err != nil {
 		return nil, eris.Wrap(err, "logstore: build request")
--- a/internal/logstore/client_test.go
+++ b/internal/logstore/client_test.go
@@ -31,7 +31,7 @@
 	}))
 	defer srv.Close()
 	client := logstore.NewClient(srv.URL, time.Second)
-	read := func() logstore.List {
+	read := func() logstore.MemberList {
 		t.Helper()
 		list, err := client.List(t.Context())
 		if err != nil {
--- a/internal/logstore/follower_test.go
+++ b/internal/logstore/follower_test.go
@@ -12,38 +12,38 @@
 // busyLog is a keyed log with two keys that change ten times a second, and a
 // link that can be cut. It counts the records that it hands out.
 type busyLog struct {
-	began time.Time
+	startedAt time.Time
 
-	mu     sync.Mutex // Guards all below.
-	cut    bool
-	handed int
-	newest int
+	mu          sync.Mutex // Guards all below.
+	unreachable bool
+	delivered   int
+	newestReads int
 }
 
-const busyEvery = 100 * time.Millisecond
+const recordInterval = 100 * time.Millisecond
 
-func (l *busyLog) end() uint64 { return uint64(time.Since(l.began) / busyEvery) }
+func (l *busyLog) end() uint64 { return uint64(time.Since(l.startedAt) / recordInterval) }
 
 func (l *busyLog) record(n uint64) KeyedRecord {
-	l.handed++
+	l.delivered++
 	return KeyedRecord{Key: fmt.Sprint("key-", n%2), Value: []byte(fmt.Sprint(n))}
 }
 
-// setCut cuts or restores the link and counts anew.
-func (l *busyLog) setCut(cut bool) {
+// setUnreachable cuts or restores the link and counts anew.
+func (l *busyLog) setUnreachable(cut bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.cut, l.handed = cut, 0
+	l.unreachable, l.delivered = cut, 0
 }
 
 // Newest implements Keyed.
 func (l *busyLog) Newest(context.Context, Topic) (KeyedPage, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.cut {
+	if l.unreachable {
 		return KeyedPage{}, ErrUnavailable
 	}
-	l.newest++
+	l.newestReads++
 	end := l.end()
 	return KeyedPage{Records: []KeyedRecord{l.record(end - 2), l.record(end - 1)}, Next: end}, nil
 }
@@ -53,7 +53,7 @@
 	time.Sleep(wait)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.cut {
+	if l.unreachable {
 		return KeyedPage{}, ErrUnavailable
 	}
 	page := KeyedPage{Next: l.end()}
@@ -64,41 +64,41 @@
 }
 
 // Put implements Keyed.
-func (l *busyLog) Put(context.Context, Topic, Write, []KeyedRecord) error { return nil }
+func (l *busyLog) Put(context.Context, Topic, WriteID, []KeyedRecord) error { return nil }
 
 // TestFollowerBeginsAfreshAfterALongCut cuts a reader off for a while: shortly,
 // and it reads what came meanwhile; long, and it takes the newest records only.
 func TestFollowerBeginsAfreshAfterALongCut(t *testing.T) {
 	for name, c := range map[string]struct {
-		cut    time.Duration
-		newest int // How often the newest records were taken.
-		most   int // Records handed out since the cut.
+		outage       time.Duration
+		newestReads  int // How often the newest records were taken.
+		maxDelivered int // Records handed out since the cut.
 	}{
-		"short": {cut: time.Second, newest: 1, most: 40},
-		"long":  {cut: 10 * time.Second, newest: 2, most: 30},
+		"short": {outage: time.Second, newestReads: 1, maxDelivered: 40},
+		"long":  {outage: 10 * time.Second, newestReads: 2, maxDelivered: 30},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				log := &busyLog{began: time.Now().Add(-time.Minute)}
+				log := &busyLog{startedAt: time.Now().Add(-time.Minute)}
 				seen := map[string]string{}
 				resets := 0
 				f := Follower{
-					Log: log, Wait: 100 * time.Millisecond, Afresh: 2 * time.Second,
-					Reset: func() { resets++; clear(seen) }, Loaded: func() {}, Outcome: func(error) {},
-					Record: func(r KeyedRecord) { seen[r.Key] = string(r.Value) },
+					Log: log, PollTimeout: 100 * time.Millisecond, ReloadThreshold: 2 * time.Second,
+					OnReset: func() { resets++; clear(seen) }, OnLoaded: func() {}, OnReadEnd: func(error) {},
+					OnRecord: func(r KeyedRecord) { seen[r.Key] = string(r.Value) },
 				}
 				ctx, cancel := context.WithCancel(t.Context())
 				go f.Run(ctx)
 				time.Sleep(time.Second)
-				log.setCut(true)
-				time.Sleep(c.cut)
-				log.setCut(false)
+				log.setUnreachable(true)
+				time.Sleep(c.outage)
+				log.setUnreachable(false)
 				time.Sleep(2 * time.Second)
 				cancel()
 				time.Sleep(time.Second)
 				synctest.Wait()
-				if log.newest != c.newest || resets != c.newest || log.handed > c.most {
-					t.Fatalf("newest taken %d times, %d resets, %d records handed out", log.newest, resets, log.handed)
+				if log.newestReads != c.newestReads || resets != c.newestReads || log.delivered > c.maxDelivered {
+					t.Fatalf("newest taken %d times, %d resets, %d records handed out", log.newestReads, resets, log.delivered)
 				}
 				for key, value := range seen {
 					var n uint64
@@ -117,24 +117,24 @@
 // pagedLog is a keyed log that hands out one record a read. While one is read, the next
 // burst is written.
 type pagedLog struct {
-	records []KeyedRecord
-	first   uint64 // Records before it are trimmed.
-	bursts  [][]KeyedRecord
-	trims   bool // Each burst ends what was before its end.
-	tight   bool // No record fits into a page.
-	idle    func()
+	records           []KeyedRecord
+	firstOffset       uint64 // Records before it are trimmed.
+	bursts            [][]KeyedRecord
+	trimAfterBurst    bool // Each burst ends what was before its end.
+	recordsExceedPage bool // No record fits into a page.
+	onReadAtEnd       func()
 }
 
 func (l *pagedLog) end() uint64 { return uint64(len(l.records)) }
 
-func (l *pagedLog) write() {
+func (l *pagedLog) writeBurst() {
 	if len(l.bursts) == 0 {
 		return
 	}
 	l.records = append(l.records, l.bursts[0]...)
 	l.bursts = l.bursts[1:]
-	if l.trims {
-		l.first = l.end()
+	if l.trimAfterBurst {
+		l.firstOffset = l.end()
 	}
 }
 
@@ -148,30 +148,30 @@
 			page.Records = append(page.Records, r)
 		}
 	}
-	l.write()
+	l.writeBurst()
 	return page, nil
 }
 
 // Follow implements Keyed.
 func (l *pagedLog) Follow(ctx context.Context, _ Topic, from uint64, _ time.Duration) (KeyedPage, error) {
 	switch {
-	case from < l.first:
+	case from < l.firstOffset:
 		return KeyedPage{}, ErrTrimmed
 	case from == l.end():
-		l.idle()
+		l.onReadAtEnd()
 		return KeyedPage{Next: from, End: l.end()}, nil
 	}
-	Progress(ctx)
-	if l.tight {
+	ReportProgress(ctx)
+	if l.recordsExceedPage {
 		return KeyedPage{Next: from, End: l.end()}, nil
 	}
 	page := KeyedPage{Records: l.records[from : from+1], Next: from + 1, End: l.end()}
-	l.write()
+	l.writeBurst()
 	return page, nil
 }
 
 // Put implements Keyed.
-func (l *pagedLog) Put(context.Context, Topic, Write, []KeyedRecord) error { return nil }
+func (l *pagedLog) Put(context.Context, Topic, WriteID, []KeyedRecord) error { return nil }
 
 // TestAReaderThatIsBehindTakesTheLastRecord plays changes that come faster than they can
 // be read, where only the last one matters.
@@ -184,26 +184,26 @@
 	}
 	other := KeyedRecord{Key: "other", Value: []byte("x")}
 	for name, c := range map[string]struct {
-		bursts [][]KeyedRecord
-		trims  bool
-		tight  bool
-		want   string
+		bursts            [][]KeyedRecord
+		trimAfterBurst    bool
+		recordsExceedPage bool
+		want              string
 	}{
 		"one at a time":         {bursts: [][]KeyedRecord{config("1"), config("2"), config("3")}, want: "[0 1 2 3]"},
 		"several at a time":     {bursts: [][]KeyedRecord{config("1", "2", "3"), config("4", "5", "6"), config("7")}, want: "[0 1 3 6 7]"},
 		"another key's at last": {bursts: [][]KeyedRecord{append(config("1", "2", "3"), other)}, want: "[0 1 3]"},
-		"history trimmed":       {bursts: [][]KeyedRecord{config("1", "2"), config("3", "4")}, trims: true, want: "[0 2 4]"},
-		"too large for a page":  {bursts: [][]KeyedRecord{config("1", "2"), config("3")}, tight: true, want: "[0 2 3]"},
+		"history trimmed":       {bursts: [][]KeyedRecord{config("1", "2"), config("3", "4")}, trimAfterBurst: true, want: "[0 2 4]"},
+		"too large for a page":  {bursts: [][]KeyedRecord{config("1", "2"), config("3")}, recordsExceedPage: true, want: "[0 2 3]"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(t.Context())
-			log := &pagedLog{records: config("0"), bursts: c.bursts, trims: c.trims, tight: c.tight, idle: cancel}
+			log := &pagedLog{records: config("0"), bursts: c.bursts, trimAfterBurst: c.trimAfterBurst, recordsExceedPage: c.recordsExceedPage, onReadAtEnd: cancel}
 			var got []string
 			ends, parts := 0, 0
 			f := Follower{
-				Log: log, Sole: "config", Reset: func() {}, Loaded: func() {}, Outcome: func(error) {},
-				Came: func() { parts++ }, Current: func() { ends++ },
-				Record: func(r KeyedRecord) {
+				Log: log, SoleKey: "config", OnReset: func() {}, OnLoaded: func() {}, OnReadEnd: func(error) {},
+				OnReceive: func() { parts++ }, OnCaughtUp: func() { ends++ },
+				OnRecord: func(r KeyedRecord) {
 					if r.Key == "config" {
 						got = append(got, string(r.Value))
 					}
@@ -213,7 +213,7 @@
 			if fmt.Sprint(got) != c.want {
 				t.Errorf("took %v, want %s", got, c.want)
 			}
-			if ends == 0 || parts == 0 && !c.trims {
+			if ends == 0 || parts == 0 && !c.trimAfterBurst {
 				t.Errorf("told of the end %d times, of %d parts", ends, parts)
 			}
 		})
--- a/internal/logstore/keyed.go
+++ b/internal/logstore/keyed.go
@@ -51,16 +51,16 @@
 	End     uint64
 }
 
-// Write identifies one write, so that a repeat has no second effect.
-type Write struct {
+// WriteID identifies one write, so that a repeat has no second effect.
+type WriteID struct {
 	// Writer names the process; Epoch and Sequence count its lives and writes.
 	Writer   string
 	Epoch    uint64
 	Sequence uint64
 }
 
-// Keyed is a log that keeps the newest record of each key for good.
-type Keyed interface {
+// KeyedLog is a log that keeps the newest record of each key for good.
+type KeyedLog interface {
 	// Newest returns the newest record of each key, and the offset to follow
 	// from. Records after that offset may be among them already.
 	Newest(ctx context.Context, topic Topic) (KeyedPage, error)
@@ -69,5 +69,5 @@
 	Follow(ctx context.Context, topic Topic, from uint64, wait time.Duration) (KeyedPage, error)
 	// Put appends records, all or none. After ErrUnavailable they may be on
 	// the log or come later; the same Write with the same records settles it.
-	Put(ctx context.Context, topic Topic, w Write, records []KeyedRecord) error
+	Put(ctx context.Context, topic Topic, w WriteID, records []KeyedRecord) error
 }
--- a/internal/logstore/log.go
+++ b/internal/logstore/log.go
@@ -69,8 +69,8 @@
 	Leaving bool        `json:"leaving"`
 }
 
-// List is the platform's lagging list of live and leaving members.
-type List struct {
+// MemberList is the platform's lagging list of live and leaving members.
+type MemberList struct {
 	Instances []Instance `json:"instances"`
 	Endpoints []Endpoint `json:"endpoints"`
 }
@@ -80,5 +80,5 @@
 	// Announce adds or renews this instance in the list.
 	Announce(ctx context.Context, self Instance) error
 	// List returns the list as the platform knows it, which lags.
-	List(ctx context.Context) (List, error)
+	List(ctx context.Context) (MemberList, error)
 }
--- a/internal/logstore/progress.go
+++ b/internal/logstore/progress.go
@@ -10,9 +10,9 @@
 	return context.WithValue(ctx, progressKey{}, told)
 }
 
-// Progress tells that a part of an answer has come. Implementations of Keyed call it with
+// ReportProgress tells that a part of an answer has come. Implementations of Keyed call it with
 // the context of the call.
-func Progress(ctx context.Context) {
+func ReportProgress(ctx context.Context) {
 	if told, ok := ctx.Value(progressKey{}).(func()); ok {
 		told()
 	}
--- a/internal/logstore/publisher.go
+++ b/internal/logstore/publisher.go
@@ -21,8 +21,8 @@
 	// trades append rate against latency: one append per linger and stream is
 	// the most that a publisher sends.
 	Linger time.Duration
-	// RetryEvery is the pause before an append is tried again.
-	RetryEvery time.Duration
+	// RetryInterval is the pause before an append is tried again.
+	RetryInterval time.Duration
 	// MaxRecords bounds a batch, so that it stays below record.MaxBatchBytes.
 	MaxRecords int
 }
@@ -95,11 +95,11 @@
 }
 
 func (p *Publisher) append(ctx context.Context, stream record.Stream, envelopes []record.Envelope) (uint64, error) {
-	w, err := p.stream(stream)
+	w, err := p.writerFor(stream)
 	if err != nil {
 		return 0, err
 	}
-	waiting := &pending{envelopes: envelopes, done: make(chan committed, 1)}
+	waiting := &pendingAppend{envelopes: envelopes, done: make(chan commitResult, 1)}
 	select {
 	case w.queue <- waiting:
 	case <-ctx.Done():
@@ -117,7 +117,7 @@
 	}
 }
 
-func (p *Publisher) stream(stream record.Stream) (*streamWriter, error) {
+func (p *Publisher) writerFor(stream record.Stream) (*streamWriter, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed {
@@ -125,7 +125,7 @@
 	}
 	w, ok := p.streams[stream]
 	if !ok {
-		w = &streamWriter{p: p, stream: stream, queue: make(chan *pending, 1024)}
+		w = &streamWriter{p: p, stream: stream, queue: make(chan *pendingAppend, 1024)}
 		p.streams[stream] = w
 		p.running.Add(1)
 		go w.run()
@@ -133,14 +133,14 @@
 	return w, nil
 }
 
-type committed struct {
+type commitResult struct {
 	offset uint64
 	err    error
 }
 
-type pending struct {
+type pendingAppend struct {
 	envelopes []record.Envelope
-	done      chan committed
+	done      chan commitResult
 }
 
 // streamWriter has at most one batch under way, so its sequence numbers reach
@@ -148,28 +148,28 @@
 type streamWriter struct {
 	p      *Publisher
 	stream record.Stream
-	queue  chan *pending
+	queue  chan *pendingAppend
 	seq    uint64
-	// tail is an offset that the batch under way cannot be before.
-	tail uint64
+	// minOffset is an offset that the batch under way cannot be before.
+	minOffset uint64
 }
 
 func (w *streamWriter) run() {
 	defer w.p.running.Done()
 	for {
-		group := w.collect()
+		group := w.collectGroup()
 		if group == nil {
 			return
 		}
-		offset, err := w.commit(group)
+		offset, err := w.commitGroup(group)
 		for _, waiting := range group {
-			waiting.done <- committed{offset: offset, err: err}
+			waiting.done <- commitResult{offset: offset, err: err}
 		}
 	}
 }
 
-func (w *streamWriter) collect() []*pending {
-	var group []*pending
+func (w *streamWriter) collectGroup() []*pendingAppend {
+	var group []*pendingAppend
 	select {
 	case first := <-w.queue:
 		group = append(group, first)
@@ -193,7 +193,7 @@
 	return group
 }
 
-func (w *streamWriter) commit(group []*pending) (uint64, error) {
+func (w *streamWriter) commitGroup(group []*pendingAppend) (uint64, error) {
 	w.seq++
 	batch := record.Batch{Writer: w.p.writer, Seq: w.seq}
 	for _, waiting := range group {
@@ -203,47 +203,47 @@
 	if err != nil {
 		return 0, err
 	}
-	return w.appendUntilKnown(data)
+	return w.appendUntilConfirmed(data)
 }
 
-// appendUntilKnown appends data and resolves lost answers by reading back. A
+// appendUntilConfirmed appends data and resolves lost answers by reading back. A
 // late copy of an append whose answer was lost can still reach the log after
 // the read; folds skip it by its sequence number.
-func (w *streamWriter) appendUntilKnown(data []byte) (uint64, error) {
+func (w *streamWriter) appendUntilConfirmed(data []byte) (uint64, error) {
 	for {
 		offset, err := w.p.log.Append(w.p.ctx, w.stream, data)
 		if err == nil {
-			w.tail = offset + 1
+			w.minOffset = offset + 1
 			return offset, nil
 		}
 		if w.p.ctx.Err() != nil {
 			return 0, ErrClosed
 		}
 		if errors.Is(err, ErrUnavailable) {
-			if offset, found := w.readBack(); found {
+			if offset, found := w.findOnLog(); found {
 				return offset, nil
 			}
 		}
 		select {
-		case <-time.After(w.p.opts.RetryEvery):
+		case <-time.After(w.p.opts.RetryInterval):
 		case <-w.p.ctx.Done():
 			return 0, ErrClosed
 		}
 	}
 }
 
-func (w *streamWriter) readBack() (uint64, bool) {
+func (w *streamWriter) findOnLog() (uint64, bool) {
 	for {
-		page, err := w.p.log.Read(w.p.ctx, w.stream, w.tail, 0)
-		if errors.Is(err, ErrTrimmed) && page.First > w.tail {
-			w.tail = page.First
+		page, err := w.p.log.Read(w.p.ctx, w.stream, w.minOffset, 0)
+		if errors.Is(err, ErrTrimmed) && page.First > w.minOffset {
+			w.minOffset = page.First
 			continue
 		}
 		if err != nil || len(page.Entries) == 0 {
 			return 0, false
 		}
 		for _, entry := range page.Entries {
-			w.tail = entry.Offset + 1
+			w.minOffset = entry.Offset + 1
 			batch, err := record.DecodeBatch(entry.Data)
 			if err == nil && batch.Writer == w.p.writer && batch.Seq == w.seq {
 				return entry.Offset, true
--- a/internal/logstore/subscriber.go
+++ b/internal/logstore/subscriber.go
@@ -17,25 +17,25 @@
 const MetaOffset = "offset"
 
 const (
-	pollWait   = 2 * time.Second
-	retryPause = 100 * time.Millisecond
-	// startPause spares the log: a start may read all that it keeps.
-	startPause = 500 * time.Millisecond
+	pollTimeout    = 2 * time.Second
+	readRetryDelay = 100 * time.Millisecond
+	// startRetryDelay spares the log: a start may read all that it keeps.
+	startRetryDelay = 500 * time.Millisecond
 )
 
 // Subscriber is a watermill subscriber that follows streams of the log in
 // offset order. Each message's payload is one encoded record.Batch.
 type Subscriber struct {
-	log   Log
-	start Start
+	log         Log
+	startOffset StartOffsetFunc
 
 	mu sync.Mutex // Guards the maps.
-	// first is the oldest offset that the log was seen to keep, and current
+	// oldestOffset is the oldest offset that the log was seen to keep, and current
 	// has the streams that were read to their end once.
-	first   map[record.Stream]uint64
-	current map[record.Stream]bool
-	// longest is the longest page since the stream's start.
-	longest map[record.Stream]int
+	oldestOffset map[record.Stream]uint64
+	caughtUp     map[record.Stream]bool
+	// longestPage is the longestPage page since the stream's start.
+	longestPage map[record.Stream]int
 
 	ctx     context.Context
 	cancel  context.CancelFunc
@@ -44,45 +44,45 @@
 
 var _ message.Subscriber = (*Subscriber)(nil)
 
-// Start returns the offset from which a stream is to be read. It is called
+// StartOffsetFunc returns the offset from which a stream is to be read. It is called
 // before the first read, and again when that offset has aged out. After an
 // error it is called again.
-type Start func(ctx context.Context, stream record.Stream) (uint64, error)
+type StartOffsetFunc func(ctx context.Context, stream record.Stream) (uint64, error)
 
 // NewSubscriber returns a subscriber.
-func NewSubscriber(log Log, start Start) *Subscriber {
+func NewSubscriber(log Log, startOffset StartOffsetFunc) *Subscriber {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Subscriber{
-		log: log, start: start, ctx: ctx, cancel: cancel,
-		first: map[record.Stream]uint64{}, current: map[record.Stream]bool{}, longest: map[record.Stream]int{},
+		log: log, startOffset: startOffset, ctx: ctx, cancel: cancel,
+		oldestOffset: map[record.Stream]uint64{}, caughtUp: map[record.Stream]bool{}, longestPage: map[record.Stream]int{},
 	}
 }
 
-// First returns the oldest offset that the log was seen to keep.
-func (s *Subscriber) First(stream record.Stream) uint64 {
+// OldestOffset returns the oldest offset that the log was seen to keep.
+func (s *Subscriber) OldestOffset(stream record.Stream) uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.first[stream]
+	return s.oldestOffset[stream]
 }
 
-// Current says whether a stream was read to its end since its start.
-func (s *Subscriber) Current(stream record.Stream) bool {
+// IsCaughtUp says whether a stream was read to its end since its start.
+func (s *Subscriber) IsCaughtUp(stream record.Stream) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.current[stream]
+	return s.caughtUp[stream]
 }
 
-// note sees the end of a stream in a page that is empty or shorter than one
+// observePage sees the end of a stream in a page that is empty or shorter than one
 // before it. On a stream that others append to all the time no page need ever
 // be empty.
-func (s *Subscriber) note(stream record.Stream, page Page) {
+func (s *Subscriber) observePage(stream record.Stream, page Page) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.first[stream] = max(s.first[stream], page.First)
-	if len(page.Entries) == 0 || len(page.Entries) < s.longest[stream] {
-		s.current[stream] = true
+	s.oldestOffset[stream] = max(s.oldestOffset[stream], page.First)
+	if len(page.Entries) == 0 || len(page.Entries) < s.longestPage[stream] {
+		s.caughtUp[stream] = true
 	}
-	s.longest[stream] = max(s.longest[stream], len(page.Entries))
+	s.longestPage[stream] = max(s.longestPage[stream], len(page.Entries))
 }
 
 // Subscribe implements message.Subscriber; topic is the stream.
@@ -109,15 +109,15 @@
 	defer cancel()
 	stop := context.AfterFunc(s.ctx, cancel)
 	defer stop()
-	next, ok := s.begin(ctx, stream)
+	next, ok := s.resolveStart(ctx, stream)
 	for ok && ctx.Err() == nil {
-		page, err := s.log.Read(ctx, stream, next, s.wait(stream))
+		page, err := s.log.Read(ctx, stream, next, s.readWait(stream))
 		switch {
 		case errors.Is(err, ErrTrimmed):
-			next, ok = s.begin(ctx, stream)
+			next, ok = s.resolveStart(ctx, stream)
 			continue
 		case err != nil:
-			pause(ctx, retryPause)
+			sleep(ctx, readRetryDelay)
 			continue
 		}
 		for _, entry := range page.Entries {
@@ -126,31 +126,31 @@
 			}
 			next = entry.Offset + 1
 		}
-		s.note(stream, page) // After its entries: a current stream is applied.
+		s.observePage(stream, page) // After its entries: a current stream is applied.
 	}
 }
 
-// begin returns where to read from; ok is false when ctx has ended before the
+// resolveStart returns where to read from; ok is false when ctx has ended before the
 // start was known.
-func (s *Subscriber) begin(ctx context.Context, stream record.Stream) (next uint64, ok bool) {
+func (s *Subscriber) resolveStart(ctx context.Context, stream record.Stream) (next uint64, ok bool) {
 	s.mu.Lock()
-	s.current[stream], s.longest[stream] = false, 0
+	s.caughtUp[stream], s.longestPage[stream] = false, 0
 	s.mu.Unlock()
 	for ctx.Err() == nil {
-		next, err := s.start(ctx, stream)
+		next, err := s.startOffset(ctx, stream)
 		if err == nil {
 			return next, true
 		}
-		pause(ctx, startPause)
+		sleep(ctx, startRetryDelay)
 	}
 	return 0, false
 }
 
-// wait is how long a read may wait for the next entry. Until the end of the
-// stream was seen it does not wait, so that the end is noticed at once.
-func (s *Subscriber) wait(stream record.Stream) time.Duration {
-	if s.Current(stream) {
-		return pollWait
+// readWait is how long a read may readWait for the next entry. Until the end of the
+// stream was seen it does not readWait, so that the end is noticed at once.
+func (s *Subscriber) readWait(stream record.Stream) time.Duration {
+	if s.IsCaughtUp(stream) {
+		return pollTimeout
 	}
 	return 0
 }
@@ -177,7 +177,7 @@
 	}
 }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-time.After(d):
 	case <-ctx.Done():
--- a/internal/logstore/subscriber_test.go
+++ b/internal/logstore/subscriber_test.go
@@ -17,18 +17,18 @@
 // full, and then one at a time. Up to trimmed it has dropped everything.
 type busyLog struct {
 	logstore.Log
-	trimmed, full uint64
+	firstOffset, fullPagesEnd uint64
 }
 
 const pageLength = 5
 
 func (l *busyLog) Read(_ context.Context, _ record.Stream, from uint64, _ time.Duration) (logstore.Page, error) {
-	if from < l.trimmed {
-		return logstore.Page{First: l.trimmed}, logstore.ErrTrimmed
+	if from < l.firstOffset {
+		return logstore.Page{First: l.firstOffset}, logstore.ErrTrimmed
 	}
-	page := logstore.Page{First: l.trimmed}
+	page := logstore.Page{First: l.firstOffset}
 	length := uint64(1)
-	if from < l.full {
+	if from < l.fullPagesEnd {
 		length = pageLength
 	}
 	for n := range length {
@@ -41,7 +41,7 @@
 // before; and a start that fails is tried again.
 func TestSubscriberIsCurrentAtTheEndOfABusyStream(t *testing.T) {
 	defer goleak.VerifyNone(t)
-	log := &busyLog{trimmed: 10, full: 30}
+	log := &busyLog{firstOffset: 10, fullPagesEnd: 30}
 	var starts atomic.Int32
 	start := func(context.Context, record.Stream) (uint64, error) {
 		switch starts.Add(1) {
@@ -50,7 +50,7 @@
 		case 2:
 			return 0, errors.New("no snapshot yet")
 		default:
-			return log.trimmed, nil
+			return log.firstOffset, nil
 		}
 	}
 	sub := logstore.NewSubscriber(log, start)
@@ -58,16 +58,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for n := uint64(0); n < log.full-log.trimmed; n++ {
+	for n := uint64(0); n < log.fullPagesEnd-log.firstOffset; n++ {
 		msg := <-messages
-		if sub.Current(record.ConfigStream) {
+		if sub.IsCaughtUp(record.ConfigStream) {
 			t.Fatalf("current after %d entries", n)
 		}
 		msg.Ack()
 	}
 	(<-messages).Ack()
 	<-messages // The next one: the page before it was noted.
-	if !sub.Current(record.ConfigStream) {
+	if !sub.IsCaughtUp(record.ConfigStream) {
 		t.Error("not current at the end")
 	}
 	if got := starts.Load(); got != 3 {
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -48,14 +48,14 @@
 
 	mu sync.Mutex
 	// list is the last list that was read; it stays while the platform is away.
-	list        logstore.List
+	list        logstore.MemberList
 	seen        bool
 	answered    time.Time // The platform's last answer.
 	addresses   map[record.InstanceID]string
 	unreachable map[record.InstanceID]struct{}
 	turn        int
 	lastTurn    map[record.InstanceID]int // Of each peer's last heartbeat.
-	watchers    []func(logstore.List)
+	watchers    []func(logstore.MemberList)
 
 	// told is what the platform was last told about this instance, at toldAt.
 	// Only the goroutine of refresh uses them.
@@ -76,7 +76,7 @@
 
 // OnList adds a function that is called with each list that is read. Add all
 // of them before Run.
-func (m *Members) OnList(f func(logstore.List)) { m.watchers = append(m.watchers, f) }
+func (m *Members) OnList(f func(logstore.MemberList)) { m.watchers = append(m.watchers, f) }
 
 // Run announces this instance, follows the list and sends heartbeats until ctx
 // ends.
@@ -126,7 +126,7 @@
 	}
 }
 
-func (m *Members) take(list logstore.List) {
+func (m *Members) take(list logstore.MemberList) {
 	addresses := make(map[record.InstanceID]string, len(list.Instances))
 	for _, in := range list.Instances {
 		addresses[in.ID] = in.Peer
@@ -143,7 +143,7 @@
 }
 
 // List returns the last list that was read.
-func (m *Members) List() logstore.List {
+func (m *Members) List() logstore.MemberList {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.list
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -21,7 +21,7 @@
 // bubble, which fails a test that leaves goroutines behind.
 type fleet struct {
 	mu     sync.Mutex
-	list   logstore.List
+	list   logstore.MemberList
 	away   bool
 	silent map[record.InstanceID]bool
 	pings  map[record.InstanceID]int
@@ -29,13 +29,13 @@
 
 func (f *fleet) Announce(context.Context, logstore.Instance) error { return nil }
 
-func (f *fleet) List(context.Context) (logstore.List, error) {
+func (f *fleet) List(context.Context) (logstore.MemberList, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.away {
-		return logstore.List{}, logstore.ErrUnavailable
+		return logstore.MemberList{}, logstore.ErrUnavailable
 	}
-	return logstore.List{Instances: slices.Clone(f.list.Instances)}, nil
+	return logstore.MemberList{Instances: slices.Clone(f.list.Instances)}, nil
 }
 
 func (f *fleet) Ping(ctx context.Context, to record.InstanceID) error {
@@ -68,7 +68,7 @@
 func run(t *testing.T, size int, steps func(*fleet, *membership.Members)) {
 	t.Helper()
 	synctest.Test(t, func(*testing.T) {
-		f := &fleet{list: logstore.List{Instances: instances(size)}, silent: map[record.InstanceID]bool{}, pings: map[record.InstanceID]int{}}
+		f := &fleet{list: logstore.MemberList{Instances: instances(size)}, silent: map[record.InstanceID]bool{}, pings: map[record.InstanceID]int{}}
 		m := membership.New(f, func() logstore.Instance { return logstore.Instance{ID: "i001", Zone: "z1"} }, zerolog.Nop())
 		ctx, cancel := context.WithCancel(context.Background())
 		var running sync.WaitGroup
--- a/internal/prepaid/keeper.go
+++ b/internal/prepaid/keeper.go
@@ -51,7 +51,7 @@
 	Accounts  *Accounts
 	Directory *allocator.Directory
 	Peers     *Peers
-	Store     logstore.Keyed
+	Store     logstore.KeyedLog
 	Clock     func() time.Duration
 	Logger    zerolog.Logger
 
@@ -70,7 +70,7 @@
 }
 
 // NewController returns a Controller, which does nothing until Run is called.
-func NewController(accounts *Accounts, directory *allocator.Directory, peers *Peers, log logstore.Keyed, clock func() time.Duration, logger zerolog.Logger) *Controller {
+func NewController(accounts *Accounts, directory *allocator.Directory, peers *Peers, log logstore.KeyedLog, clock func() time.Duration, logger zerolog.Logger) *Controller {
 	return &Controller{
 		Accounts: accounts, Directory: directory, Peers: peers, Store: log, reclaimedSequence: map[record.InstanceID]uint64{}, Clock: clock, Logger: logger, epoch: 1,
 		triggerRead: make(chan struct{}, 1), triggerPublish: make(chan struct{}, 1),
@@ -150,7 +150,7 @@
 		if !errors.Is(err, ErrInsufficient) {
 			return err
 		}
-		logstore.Kick(c.triggerPublish)
+		logstore.Notify(c.triggerPublish)
 		select {
 		case <-changed:
 		case <-timer.C:
@@ -170,8 +170,8 @@
 // newFollower returns the follower that applies the budgets topic of the log to the accounts.
 func (c *Controller) newFollower() *logstore.Follower {
 	return &logstore.Follower{
-		Log: c.Store, Topic: logstore.TopicBudgets, Wait: maxReadWait, Pause: readInterval, Kick: c.triggerRead, Afresh: reloadThreshold,
-		Begin: func() { c.readStartedAt.Store(int64(c.Clock())) }, Reset: c.Accounts.ResetOthers, Record: c.applyRecord, Loaded: func() {}, Outcome: c.recordRead,
+		Log: c.Store, Topic: logstore.TopicBudgets, PollTimeout: maxReadWait, ReadInterval: readInterval, Trigger: c.triggerRead, ReloadThreshold: reloadThreshold,
+		OnReadStart: func() { c.readStartedAt.Store(int64(c.Clock())) }, OnReset: c.Accounts.ResetOthers, OnRecord: c.applyRecord, OnLoaded: func() {}, OnReadEnd: c.recordRead,
 	}
 }
 
@@ -261,11 +261,11 @@
 	}
 	records := []logstore.KeyedRecord{{Key: string(key), Value: value}}
 	for ctx.Err() == nil {
-		w := logstore.Write{Writer: string(c.Accounts.self.Key), Epoch: c.epoch, Sequence: c.nextSequence}
+		w := logstore.WriteID{Writer: string(c.Accounts.self.Key), Epoch: c.epoch, Sequence: c.nextSequence}
 		err := c.Store.Put(ctx, logstore.TopicBudgets, w, records)
 		if err == nil {
 			c.nextSequence++
-			logstore.Kick(c.triggerRead)
+			logstore.Notify(c.triggerRead)
 			return true
 		}
 		if eris.Is(err, logstore.ErrSequence) || eris.Is(err, logstore.ErrFenced) {
--- a/internal/prepaid/keeper_test.go
+++ b/internal/prepaid/keeper_test.go
@@ -40,13 +40,13 @@
 }
 
 // runControllerOnHost is runControllerWithPolicy with a node and any log.
-func runControllerOnHost(t *testing.T, log logstore.Keyed, key record.InstanceID, node string, total int64, policy prepaid.Policy) (*prepaid.Controller, func()) {
+func runControllerOnHost(t *testing.T, log logstore.KeyedLog, key record.InstanceID, node string, total int64, policy prepaid.Policy) (*prepaid.Controller, func()) {
 	t.Helper()
 	return runControllerWithOptions(t, log, key, node, total, policy, peer.Options{})
 }
 
 // runControllerWithOptions is runControllerOnHost with options for its calls to peers.
-func runControllerWithOptions(t *testing.T, log logstore.Keyed, key record.InstanceID, node string, total int64, policy prepaid.Policy, options peer.Options) (*prepaid.Controller, func()) {
+func runControllerWithOptions(t *testing.T, log logstore.KeyedLog, key record.InstanceID, node string, total int64, policy prepaid.Policy, options peer.Options) (*prepaid.Controller, func()) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/prepaid/predecessors.go
+++ b/internal/prepaid/predecessors.go
@@ -57,7 +57,7 @@
 // whether there was one within freshReadTimeout.
 func (c *Controller) awaitRead() bool {
 	startedAt := c.Clock()
-	logstore.Kick(c.triggerRead)
+	logstore.Notify(c.triggerRead)
 	for c.Clock()-startedAt < freshReadTimeout {
 		if time.Duration(c.lastReadStartedAt.Load()) > startedAt {
 			return true
--- a/internal/prepaid/predecessors_test.go
+++ b/internal/prepaid/predecessors_test.go
@@ -18,25 +18,25 @@
 
 // cuttableLog is a log that one instance can be cut off from.
 type cuttableLog struct {
-	logstore.Keyed
+	logstore.KeyedLog
 	cutOff atomic.Bool
 }
 
-// Follow implements logstore.Keyed.
+// Follow implements logstore.KeyedLog.
 func (l *cuttableLog) Follow(ctx context.Context, topic logstore.Topic, from uint64, wait time.Duration) (logstore.KeyedPage, error) {
-	page, err := l.Keyed.Follow(ctx, topic, from, wait)
+	page, err := l.KeyedLog.Follow(ctx, topic, from, wait)
 	if l.cutOff.Load() {
 		return logstore.KeyedPage{}, logstore.ErrUnavailable
 	}
 	return page, err
 }
 
-// Newest implements logstore.Keyed.
+// Newest implements logstore.KeyedLog.
 func (l *cuttableLog) Newest(ctx context.Context, topic logstore.Topic) (logstore.KeyedPage, error) {
 	if l.cutOff.Load() {
 		return logstore.KeyedPage{}, logstore.ErrUnavailable
 	}
-	return l.Keyed.Newest(ctx, topic)
+	return l.KeyedLog.Newest(ctx, topic)
 }
 
 // Guards against overspending through an outdated predecessor record: an allocator is cut off
@@ -49,7 +49,7 @@
 	var links []*cuttableLog
 	var controllers []*prepaid.Controller
 	for i := range instances {
-		link := &cuttableLog{Keyed: log}
+		link := &cuttableLog{KeyedLog: log}
 		key := record.InstanceID(fmt.Sprint("k", i))
 		c, _ := runControllerOnHost(t, link, key, string(key), 1_000_000, allocatorPolicy())
 		links, controllers = append(links, link), append(controllers, c)
--- a/internal/prepaid/roles.go
+++ b/internal/prepaid/roles.go
@@ -51,15 +51,15 @@
 func (c *Controller) followAllocators(ctx context.Context) {
 	unavailable := false
 	follower := &logstore.Follower{
-		Log: c.Store, Topic: logstore.TopicAllocators, Wait: maxAnnouncementsWait, Pause: roleCheckInterval,
-		Reset: func() {}, Loaded: func() { c.Directory.MarkLoaded(c.Clock()) },
-		Outcome: func(err error) {
+		Log: c.Store, Topic: logstore.TopicAllocators, PollTimeout: maxAnnouncementsWait, ReadInterval: roleCheckInterval,
+		OnReset: func() {}, OnLoaded: func() { c.Directory.MarkLoaded(c.Clock()) },
+		OnReadEnd: func(err error) {
 			if err != nil && !unavailable {
 				c.Logger.Warn().Err(err).Msg("prepaid: announcements of allocators lost; drawing from those known")
 			}
 			unavailable = err != nil
 		},
-		Record: func(r logstore.KeyedRecord) {
+		OnRecord: func(r logstore.KeyedRecord) {
 			if err := c.Directory.Observe(r.Key, r.Value, c.Clock()); err != nil {
 				c.Logger.Error().Err(err).Msg("prepaid: undecodable announcement skipped")
 			}
@@ -143,7 +143,7 @@
 	}
 	// A new epoch for each announcement needs no sequence numbers.
 	c.announcementEpoch++
-	w := logstore.Write{Writer: string(c.Accounts.self.Key), Epoch: c.announcementEpoch}
+	w := logstore.WriteID{Writer: string(c.Accounts.self.Key), Epoch: c.announcementEpoch}
 	records := []logstore.KeyedRecord{{Key: allocator.SlotKey(c.Accounts.self.Zone, slot), Value: value}}
 	err = c.Store.Put(ctx, logstore.TopicAllocators, w, records)
 	c.Logger.Info().AnErr("error", err).Int("slot", slot).Msg("prepaid: allocator of the zone announced")
@@ -306,7 +306,7 @@
 		if c.Accounts.Spendable(team, c.Clock()) >= tokens {
 			return
 		}
-		logstore.Kick(c.triggerPublish)
+		logstore.Notify(c.triggerPublish)
 		select {
 		case <-changed:
 		case <-limit.C:
--- a/internal/prepaid/slots_test.go
+++ b/internal/prepaid/slots_test.go
@@ -17,7 +17,7 @@
 
 // saturableLink is a log behind a link that delays each reply while it is saturated.
 type saturableLink struct {
-	logstore.Keyed
+	logstore.KeyedLog
 	saturated     atomic.Bool
 	announcements atomic.Int64 // Number of writes to the allocators topic.
 }
@@ -32,31 +32,31 @@
 	return ctx.Err()
 }
 
-// Newest implements logstore.Keyed.
+// Newest implements logstore.KeyedLog.
 func (l *saturableLink) Newest(ctx context.Context, topic logstore.Topic) (logstore.KeyedPage, error) {
 	if err := l.delay(ctx); err != nil {
 		return logstore.KeyedPage{}, err
 	}
-	return l.Keyed.Newest(ctx, topic)
+	return l.KeyedLog.Newest(ctx, topic)
 }
 
-// Follow implements logstore.Keyed.
+// Follow implements logstore.KeyedLog.
 func (l *saturableLink) Follow(ctx context.Context, topic logstore.Topic, from uint64, wait time.Duration) (logstore.KeyedPage, error) {
 	if err := l.delay(ctx); err != nil {
 		return logstore.KeyedPage{}, err
 	}
-	return l.Keyed.Follow(ctx, topic, from, wait)
+	return l.KeyedLog.Follow(ctx, topic, from, wait)
 }
 
-// Put implements logstore.Keyed.
-func (l *saturableLink) Put(ctx context.Context, topic logstore.Topic, w logstore.Write, records []logstore.KeyedRecord) error {
+// Put implements logstore.KeyedLog.
+func (l *saturableLink) Put(ctx context.Context, topic logstore.Topic, w logstore.WriteID, records []logstore.KeyedRecord) error {
 	if topic == logstore.TopicAllocators {
 		l.announcements.Add(1)
 	}
 	if err := l.delay(ctx); err != nil {
 		return err
 	}
-	return l.Keyed.Put(ctx, topic, w, records)
+	return l.KeyedLog.Put(ctx, topic, w, records)
 }
 
 // An instance with a saturated link may take a slot from an allocator that only this instance
@@ -69,7 +69,7 @@
 	var stops []func()
 	const instances = 8
 	for i := range instances {
-		link := &saturableLink{Keyed: log}
+		link := &saturableLink{KeyedLog: log}
 		key := record.InstanceID(fmt.Sprint("k", i))
 		c, stop := runControllerOnHost(t, link, key, string(key), 100_000, allocatorPolicy())
 		links, controllers, stops = append(links, link), append(controllers, c), append(stops, stop)
--- a/internal/quarantine/keeper.go
+++ b/internal/quarantine/keeper.go
@@ -49,7 +49,7 @@
 // Options are the dependencies of a Syncer. All must be set.
 type Options struct {
 	Self  record.InstanceID
-	Log   logstore.Keyed // The platform's log.
+	Log   logstore.KeyedLog // The platform's log.
 	Probe Probe
 	// Caller calls the instances that Neighbours returns, the other ones of this
 	// instance's availability zone.
@@ -131,7 +131,7 @@
 			return nil, nil
 		}
 		s.enqueue(f, r)
-		logstore.Kick(s.writeNow)
+		logstore.Notify(s.writeNow)
 		ctx, cancel := context.WithTimeout(ctx, retestClaimTimeout)
 		defer cancel()
 		for decided := false; !decided && ctx.Err() == nil; {
@@ -200,10 +200,10 @@
 func (s *Syncer) newFollower() *logstore.Follower {
 	replaying := false
 	return &logstore.Follower{
-		Log: s.Log, Topic: logstore.TopicQuarantine, Wait: maxReadWait, Pause: readInterval, Kick: s.readNow,
-		Reset: func() { replaying = true }, Record: func(r logstore.KeyedRecord) { s.observe(r, replaying) },
-		Loaded: func() { replaying = false; s.loaded.Store(true) },
-		Outcome: func(err error) {
+		Log: s.Log, Topic: logstore.TopicQuarantine, PollTimeout: maxReadWait, ReadInterval: readInterval, Trigger: s.readNow,
+		OnReset: func() { replaying = true }, OnRecord: func(r logstore.KeyedRecord) { s.observe(r, replaying) },
+		OnLoaded: func() { replaying = false; s.loaded.Store(true) },
+		OnReadEnd: func(err error) {
 			if wasUnavailable := s.logUnavailable.Swap(err != nil); err != nil && !wasUnavailable {
 				s.Logger.Warn().Err(err).Msg("quarantine: log lost; holding back what is known here")
 			}
@@ -244,7 +244,7 @@
 			logstore.Pause(ctx, writeRetryDelay, nil)
 			continue
 		}
-		logstore.Kick(s.readNow)
+		logstore.Notify(s.readNow)
 	}
 }
 
@@ -292,7 +292,7 @@
 		records = append(records, keyed)
 	}
 	s.lastEpoch++
-	write := logstore.Write{Writer: string(s.Table.self), Epoch: s.lastEpoch}
+	write := logstore.WriteID{Writer: string(s.Table.self), Epoch: s.lastEpoch}
 	return s.Log.Put(ctx, logstore.TopicQuarantine, write, records)
 }
 
--- a/internal/quarantine/keeper_test.go
+++ b/internal/quarantine/keeper_test.go
@@ -28,7 +28,7 @@
 }
 
 // newTestSyncer returns the Syncer of an instance without neighbours.
-func newTestSyncer(self string, log logstore.Keyed, probe Probe) *Syncer {
+func newTestSyncer(self string, log logstore.KeyedLog, probe Probe) *Syncer {
 	return NewSyncer(Options{
 		Self: record.InstanceID(self), Log: log, Probe: probe, Neighbours: func() []record.InstanceID { return nil },
 		Logger: zerolog.Nop(), ThinnedLogger: zerolog.Nop(),
--- a/internal/server/operators.go
+++ b/internal/server/operators.go
@@ -78,8 +78,8 @@
 	rows := []streamRow{}
 	for _, st := range s.streams() {
 		rows = append(rows, streamRow{
-			Stream: st.Stream(), Next: st.Next(), First: s.subscriber.First(st.Stream()),
-			Current: s.subscriber.Current(st.Stream()), Gap: st.Gap(), Snapshot: st.Newest(),
+			Stream: st.Stream(), Next: st.Next(), First: s.subscriber.OldestOffset(st.Stream()),
+			Current: s.subscriber.IsCaughtUp(st.Stream()), Gap: st.Gap(), Snapshot: st.Newest(),
 		})
 	}
 	return rows
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -90,10 +90,10 @@
 	}
 	srv.client = logstore.NewClient(s.Platform.URL, s.Platform.Timeout.D())
 	if srv.links.secured(settings.LinkPlatform) {
-		srv.client.Secure(srv.links.outside.Dial)
+		srv.client.SetTLSDialer(srv.links.outside.Dial)
 	}
 	srv.publisher = logstore.NewPublisher(srv.client, srv.id, logstore.PublisherOptions{
-		Linger: s.Ledger.Linger.D(), RetryEvery: publisherRetry, MaxRecords: publisherRecords,
+		Linger: s.Ledger.Linger.D(), RetryInterval: publisherRetry, MaxRecords: publisherRecords,
 	})
 	srv.config = replica.New(record.ConfigStream, fold.NewConfig())
 	for n := range s.Ledger.Partitions {
--- a/internal/server/streams.go
+++ b/internal/server/streams.go
@@ -50,7 +50,7 @@
 // credentials.
 func (s *Server) current() bool {
 	for _, st := range s.streams() {
-		if !s.subscriber.Current(st.Stream()) {
+		if !s.subscriber.IsCaughtUp(st.Stream()) {
 			return false
 		}
 	}
@@ -94,7 +94,7 @@
 
 func (s *Server) snapshotWriter() *snapshot.Writer {
 	w := &snapshot.Writer{
-		Log: s.publisher, First: s.subscriber.First, Every: s.settings.Snapshots.Every.D(),
+		Log: s.publisher, First: s.subscriber.OldestOffset, Every: s.settings.Snapshots.Every.D(),
 		Written: func(name record.Stream, covers uint64, bytes int) {
 			s.metrics.Counter(metrics.SnapshotsWritten).Inc(1)
 			s.log.Info().Str("stream", string(name)).Uint64("covers", covers).Int("bytes", bytes).Msg("snapshot: written")
--- a/internal/server/table.go
+++ b/internal/server/table.go
@@ -38,7 +38,7 @@
 }
 
 // take takes a newly read list.
-func (t *endpointTable) take(list logstore.List) {
+func (t *endpointTable) take(list logstore.MemberList) {
 	rows := make([]decide.Endpoint, 0, len(list.Endpoints))
 	targets := make([]endpoint.Target, 0, len(list.Endpoints))
 	t.mu.Lock()
--- a/internal/standin/keyed.go
+++ b/internal/standin/keyed.go
@@ -9,7 +9,7 @@
 )
 
 // Keyed is an in-memory log of keyed topics, with the faults of a real one. It
-// implements logstore.Keyed. The zero value is not ready; use NewKeyed.
+// implements logstore.KeyedLog. The zero value is not ready; use NewKeyed.
 type Keyed struct {
 	mu      sync.Mutex
 	topics  map[logstore.Topic]*keyedTopic
@@ -85,7 +85,7 @@
 	k.append(topic, []logstore.KeyedRecord{{Key: key, Value: value}})
 }
 
-// Newest implements logstore.Keyed.
+// Newest implements logstore.KeyedLog.
 func (k *Keyed) Newest(_ context.Context, topic logstore.Topic) (logstore.KeyedPage, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -103,7 +103,7 @@
 	return page, nil
 }
 
-// Follow implements logstore.Keyed.
+// Follow implements logstore.KeyedLog.
 func (k *Keyed) Follow(ctx context.Context, topic logstore.Topic, from uint64, wait time.Duration) (logstore.KeyedPage, error) {
 	limit := time.NewTimer(wait)
 	defer limit.Stop()
@@ -139,8 +139,8 @@
 	return logstore.KeyedPage{Records: records, Next: end, End: end}, k.grown, nil
 }
 
-// Put implements logstore.Keyed.
-func (k *Keyed) Put(_ context.Context, topic logstore.Topic, w logstore.Write, records []logstore.KeyedRecord) error {
+// Put implements logstore.KeyedLog.
+func (k *Keyed) Put(_ context.Context, topic logstore.Topic, w logstore.WriteID, records []logstore.KeyedRecord) error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.writes++
