--- a/internal/logstore/client.go
+++ b/internal/logstore/client.go
@@ -18,31 +18,34 @@
 	"guavapier/internal/record"
 )
 
-// Client is the HTTP client of the platform's log and instance list.
+// Client is the HTTP client of the platform's log and instance list. It implements Log and
+// Directory and is safe for concurrent use.
 type Client struct {
 	base    string
 	http    *http.Client
 	timeout time.Duration
 
-	cacheMu    sync.Mutex // Guards the last list and its entity tag.
+	cacheMu    sync.Mutex // Guards cachedETag and cachedList.
 	cachedETag string
 	cachedList MemberList
 }
 
-// errNotModified says that what a conditional request asks for has not changed.
+// errNotModified reports a 304 response to a conditional request.
 var errNotModified = eris.New("logstore: not modified")
 
-// NewClient returns a client of the platform at base (http://ip:port). Each
-// call ends after timeout at the latest, a long poll after its wait more.
+// NewClient returns a client of the platform at base, a URL without path such as
+// http://ip:port. Each call is bounded by timeout, a long poll by timeout plus its wait.
 func NewClient(base string, timeout time.Duration) *Client {
 	return &Client{base: base, http: &http.Client{}, timeout: timeout}
 }
 
-// SetTLSDialer makes the client dial https addresses by dial.
+// SetTLSDialer makes the client use dial for https connections; dial returns a connection
+// with TLS. It must be called before the first request.
 func (c *Client) SetTLSDialer(dial func(ctx context.Context, network, address string) (net.Conn, error)) {
 	c.http.Transport = &http.Transport{DialTLSContext: dial}
 }
 
+// appendResponse is the body of the response to an append.
 type appendResponse struct {
 	Offset uint64 `json:"offset"`
 }
@@ -79,8 +82,9 @@
 	return c.call(ctx, http.MethodPost, "/instances", body, nil)
 }
 
-// List implements Directory. It asks for the list only if it has changed since
-// the last answer: a large fleet's list is read far more often than it changes.
+// List implements Directory. It sends the entity tag of the last list, so that the platform
+// sends the list only after a change: in a large fleet it is read far more often than it
+// changes.
 func (c *Client) List(ctx context.Context) (MemberList, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
@@ -101,26 +105,30 @@
 	return list, nil
 }
 
-// loadCachedList returns the last list and its entity tag, learn replaces them.
+// loadCachedList returns the last list and its entity tag, which is empty before the first.
 func (c *Client) loadCachedList() (string, MemberList) {
 	c.cacheMu.Lock()
 	defer c.cacheMu.Unlock()
 	return c.cachedETag, c.cachedList
 }
 
+// storeCachedList replaces the last list and its entity tag.
 func (c *Client) storeCachedList(etag string, list MemberList) {
 	c.cacheMu.Lock()
 	defer c.cacheMu.Unlock()
 	c.cachedETag, c.cachedList = etag, list
 }
 
+// call is roundTrip without request or response header.
 func (c *Client) call(ctx context.Context, method, path string, body []byte, out any) error {
 	_, err := c.roundTrip(ctx, method, path, body, nil, out)
 	return err
 }
 
-// roundTrip does one request and decodes its answer into out. It returns the
-// answer's header.
+// roundTrip sends one request, decodes the JSON body of its response into out unless that is
+// nil, and returns the response's header. The error of a failed call or of a status other than
+// 200 is ErrUnavailable, ErrThrottled, ErrTrimmed or errNotModified, which may be wrapped. With
+// ErrTrimmed out is decoded as well, if possible.
 func (c *Client) roundTrip(ctx context.Context, method, path string, body []byte, header http.Header, out any) (http.Header, error) {
 	req, err := http.NewRequestWithContext(ctx, method, c.base+path, bytes.NewReader(body))
 	if err != nil {
@@ -131,15 +139,15 @@
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
-		// A connection that failed once may be silent for good: none of the
-		// idle ones is trusted, the next call dials anew.
+		// The idle connections may be broken like this one, without an error to show it:
+		// close them, so that the next call dials.
 		c.http.CloseIdleConnections()
-		return nil, eris.Wrap(errors.Join(ErrUnavailable, err), "logstore: call")
+		return nil, eris.Wrap(errors.Join(ErrUnavailable, err), "logstore: send request")
 	}
 	defer resp.Body.Close()
 	if err := statusError(resp); err != nil {
 		if errors.Is(err, ErrTrimmed) && out != nil {
-			// The answer still names the first offset kept.
+			// The body holds the first offset still kept; see Page.First.
 			_ = json.NewDecoder(resp.Body).Decode(out)
 		}
 		return nil, err
@@ -148,11 +156,12 @@
 		return resp.Header, nil
 	}
 	if err := json.NewDecoder(resp.Body).Decode(out); err != nil {
-		return nil, eris.Wrap(errors.Join(ErrUnavailable, err), "logstore: decode answer")
+		return nil, eris.Wrap(errors.Join(ErrUnavailable, err), "logstore: decode response")
 	}
 	return resp.Header, nil
 }
 
+// statusError returns the error that a response's status stands for, nil for 200.
 func statusError(resp *http.Response) error {
 	switch resp.StatusCode {
 	case http.StatusOK:
@@ -165,6 +174,6 @@
 		return ErrTrimmed
 	default:
 		text, _ := io.ReadAll(io.LimitReader(resp.Body, 256))
-		return eris.Wrapf(ErrUnavailable, "logstore: status %d: %s", resp.StatusCode, text)
+		return eris.Wrapf(ErrUnavailable, "logstore: unexpected status %d: %s", resp.StatusCode, text)
 	}
 }
--- a/internal/logstore/follower.go
+++ b/internal/logstore/follower.go
@@ -7,46 +7,50 @@
 	"time"
 )
 
-// Follower keeps a reader current with a keyed topic: the newest records first,
-// then every record in order. Where part of the history is gone it begins anew.
+// Follower delivers a keyed topic to a reader: first the newest record of each key, then every
+// record that follows, in order. After it has lost part of the history it reloads, that is,
+// begins again with the newest records. The callbacks run in the goroutine of Run.
 type Follower struct {
 	Log   KeyedLog
 	Topic Topic
-	// PollTimeout is the longest wait of one read. A connection that fell silent
-	// without an error is noticed after it.
+	// PollTimeout is how long one read may wait for a record. It bounds the time until a
+	// connection that went silent without an error is noticed.
 	PollTimeout time.Duration
-	// ReadInterval is the shortest time between two reads; Kick cuts it short.
+	// ReadInterval is the pause after a read that succeeded.
 	ReadInterval time.Duration
-	Trigger      <-chan struct{}
-	// ReloadThreshold is how long the reads may fail before the next one takes the newest
-	// records in place of all that came meanwhile; 0 for never. It pays where
-	// few keys are written often.
+	// Trigger ends that pause early; see Notify. May be nil.
+	Trigger <-chan struct{}
+	// ReloadThreshold is how long reads may fail before the follower reloads instead of
+	// reading all records written meanwhile; 0 means never. It saves reading where few keys
+	// are written often.
 	ReloadThreshold time.Duration
-	// SoleKey names the only key of a topic that matters, where each record replaces the
-	// one before: a reader that is behind passes over all but the last one. "" reads all.
+	// SoleKey is the only key of the topic that the reader uses, if each of its records
+	// replaces the one before: a follower that is behind then skips to the topic's last
+	// record. "" reads all records.
 	SoleKey string
 
 	// OnReadStart is called before each read; may be nil.
 	OnReadStart func()
-	// OnReceive is called whenever a part of an answer has come; may be nil.
+	// OnReceive is called for each part of an answer that arrives; may be nil.
 	OnReceive func()
-	// OnCaughtUp is called after a read that reached the topic's end; may be nil.
+	// OnCaughtUp is called after a read that reached the end of the topic; may be nil.
 	OnCaughtUp func()
-	// OnReset is called before the newest records are handed over again.
+	// OnReset is called before the newest records are delivered, the first time and at each
+	// reload.
 	OnReset func()
-	// OnRecord gets each record in order.
+	// OnRecord is called with each record, in order.
 	OnRecord func(KeyedRecord)
-	// OnLoaded is called after the newest records of a Reset.
+	// OnLoaded is called after the newest records were delivered.
 	OnLoaded func()
-	// OnReadEnd is called after each read with its error; nil means current.
+	// OnReadEnd is called after each read with its error, which is nil if it succeeded.
 	OnReadEnd func(error)
 }
 
-// followRetryDelay is the pause after a failed read: short against the two seconds
-// in which a change is to be in force, long against a call's cost.
+// followRetryDelay is the pause after a failed read: short compared with the two seconds in
+// which a change must take effect, long compared with the cost of a call.
 const followRetryDelay = 150 * time.Millisecond
 
-// Run follows until ctx ends.
+// Run follows the topic until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
 	var pos position
 	lastSuccess := time.Now()
@@ -70,13 +74,14 @@
 	}
 }
 
-// position is where the next read begins.
+// position is where the next read begins. The zero value reads the newest records.
 type position struct {
 	next    uint64
 	loaded  bool // The newest records have been read.
-	skipped bool // Records before next were passed over.
+	skipped bool // Records before next were skipped.
 }
 
+// read returns the next page, or the newest records if those are not loaded.
 func (f *Follower) read(ctx context.Context, pos position) (KeyedPage, error) {
 	if f.OnReadStart != nil {
 		f.OnReadStart()
@@ -90,13 +95,13 @@
 	return f.Log.Newest(ctx, f.Topic)
 }
 
-// applyPage hands a page over and returns where the next read begins.
+// applyPage delivers a page and returns where the next read begins.
 func (f *Follower) applyPage(page KeyedPage, pos position) position {
 	switch {
 	case pos.skipped && len(page.Records) > 0 && !f.containsSoleKey(page):
-		return position{} // The key's last record is among those that were passed over.
+		return position{} // SoleKey's last record is among those that were skipped: reload.
 	case pos.loaded && len(page.Records) == 0 && page.End > page.Next:
-		return position{} // The next record does not fit into a page.
+		return position{} // The next record does not fit into a page: reload.
 	}
 	f.deliverRecords(page, !pos.loaded)
 	next := position{next: page.Next, loaded: true}
@@ -112,11 +117,13 @@
 	return next
 }
 
-// containsSoleKey says whether a page has a record of the sole key.
+// containsSoleKey reports whether a page has a record of SoleKey.
 func (f *Follower) containsSoleKey(page KeyedPage) bool {
 	return slices.ContainsFunc(page.Records, func(r KeyedRecord) bool { return r.Key == f.SoleKey })
 }
 
+// deliverRecords calls the callbacks with a page's records; reload states that they are the
+// newest records rather than the next ones.
 func (f *Follower) deliverRecords(page KeyedPage, reload bool) {
 	if reload {
 		f.OnReset()
@@ -129,7 +136,8 @@
 	}
 }
 
-// Pause waits for d, for a kick or for the end of ctx.
+// Pause returns after d, when trigger is notified or when ctx ends, whichever is first.
+// trigger may be nil.
 func Pause(ctx context.Context, d time.Duration, trigger <-chan struct{}) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -140,7 +148,8 @@
 	}
 }
 
-// Notify cuts a Pause short, now or the next one; c has room for one kick.
+// Notify ends a Pause with the trigger c: the current one, or the next if there is none. It
+// does not block; c must have a buffer of one, and notifications beyond that are merged.
 func Notify(c chan<- struct{}) {
 	select {
 	case c <- struct{}{}:
--- a/internal/logstore/follower_test.go
+++ b/internal/logstore/follower_test.go
@@ -9,17 +9,18 @@
 	"time"
 )
 
-// busyLog is a keyed log with two keys that change ten times a second, and a
-// link that can be cut. It counts the records that it hands out.
+// busyLog is a keyed log to which a record is written ten times a second, for two keys in turn.
+// It can be made unreachable, and counts the records that it returns.
 type busyLog struct {
-	startedAt time.Time
+	startedAt time.Time // When the record at offset 0 was written.
 
-	mu          sync.Mutex // Guards all below.
+	mu          sync.Mutex // Guards the fields below.
 	unreachable bool
 	delivered   int
 	newestReads int
 }
 
+// recordInterval is the time between two records of a busyLog.
 const recordInterval = 100 * time.Millisecond
 
 func (l *busyLog) end() uint64 { return uint64(time.Since(l.startedAt) / recordInterval) }
@@ -29,7 +30,7 @@
 	return KeyedRecord{Key: fmt.Sprint("key-", n%2), Value: []byte(fmt.Sprint(n))}
 }
 
-// setUnreachable cuts or restores the link and counts anew.
+// setUnreachable makes all reads fail or succeed, and sets the count of returned records to 0.
 func (l *busyLog) setUnreachable(cut bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -66,13 +67,14 @@
 // Put implements Keyed.
 func (l *busyLog) Put(context.Context, Topic, WriteID, []KeyedRecord) error { return nil }
 
-// TestFollowerBeginsAfreshAfterALongCut cuts a reader off for a while: shortly,
-// and it reads what came meanwhile; long, and it takes the newest records only.
+// Guards against a follower that reads a long history after a long outage of the log, or that
+// reloads after a short one: below ReloadThreshold it must read all records written meanwhile,
+// above it the newest record of each key only.
 func TestFollowerBeginsAfreshAfterALongCut(t *testing.T) {
 	for name, c := range map[string]struct {
 		outage       time.Duration
-		newestReads  int // How often the newest records were taken.
-		maxDelivered int // Records handed out since the cut.
+		newestReads  int // Calls of Newest.
+		maxDelivered int // Records returned since the outage.
 	}{
 		"short": {outage: time.Second, newestReads: 1, maxDelivered: 40},
 		"long":  {outage: 10 * time.Second, newestReads: 2, maxDelivered: 30},
@@ -98,35 +100,36 @@
 				time.Sleep(time.Second)
 				synctest.Wait()
 				if log.newestReads != c.newestReads || resets != c.newestReads || log.delivered > c.maxDelivered {
-					t.Fatalf("newest taken %d times, %d resets, %d records handed out", log.newestReads, resets, log.delivered)
+					t.Fatalf("%d calls of Newest, %d resets, %d records returned since the outage", log.newestReads, resets, log.delivered)
 				}
 				for key, value := range seen {
 					var n uint64
 					if _, err := fmt.Sscan(value, &n); err != nil || log.end()-n > 20 {
-						t.Errorf("%s stands at %s of %d", key, value, log.end())
+						t.Errorf("%s has record %s, the log ends at %d", key, value, log.end())
 					}
 				}
 				if len(seen) != 2 {
-					t.Errorf("knows %v", seen)
+					t.Errorf("the reader has %v, want a record of each of two keys", seen)
 				}
 			})
 		})
 	}
 }
 
-// pagedLog is a keyed log that hands out one record a read. While one is read, the next
-// burst is written.
+// pagedLog is a keyed log that returns one record per Follow. Each read that returns records is
+// followed by the next burst of writes.
 type pagedLog struct {
 	records           []KeyedRecord
 	firstOffset       uint64 // Records before it are trimmed.
 	bursts            [][]KeyedRecord
-	trimAfterBurst    bool // Each burst ends what was before its end.
-	recordsExceedPage bool // No record fits into a page.
-	onReadAtEnd       func()
+	trimAfterBurst    bool   // Each burst trims all records, its own included.
+	recordsExceedPage bool   // No record fits into a page.
+	onReadAtEnd       func() // Called by Follow at the end of the log.
 }
 
 func (l *pagedLog) end() uint64 { return uint64(len(l.records)) }
 
+// writeBurst appends the next burst, if any.
 func (l *pagedLog) writeBurst() {
 	if len(l.bursts) == 0 {
 		return
@@ -173,8 +176,8 @@
 // Put implements Keyed.
 func (l *pagedLog) Put(context.Context, Topic, WriteID, []KeyedRecord) error { return nil }
 
-// TestAReaderThatIsBehindTakesTheLastRecord plays changes that come faster than they can
-// be read, where only the last one matters.
+// Guards against a follower that falls behind ever further when records are written faster than
+// it reads, though only the last one counts: with SoleKey it must skip to the last record.
 func TestAReaderThatIsBehindTakesTheLastRecord(t *testing.T) {
 	config := func(values ...string) (burst []KeyedRecord) {
 		for _, value := range values {
@@ -211,10 +214,10 @@
 			}
 			f.Run(ctx)
 			if fmt.Sprint(got) != c.want {
-				t.Errorf("took %v, want %s", got, c.want)
+				t.Errorf("delivered %v, want %s", got, c.want)
 			}
 			if ends == 0 || parts == 0 && !c.trimAfterBurst {
-				t.Errorf("told of the end %d times, of %d parts", ends, parts)
+				t.Errorf("OnCaughtUp was called %d times, OnReceive %d times, want at least one call of each", ends, parts)
 			}
 		})
 	}
--- a/internal/logstore/publisher.go
+++ b/internal/logstore/publisher.go
@@ -12,25 +12,27 @@
 	"guavapier/internal/record"
 )
 
-// ErrClosed is returned by a publisher that has been closed.
+// ErrClosed is returned by a publisher that has been closed. An append that Close interrupted may
+// have taken effect.
 var ErrClosed = eris.New("logstore: publisher closed")
 
-// PublisherOptions bound a Publisher.
+// PublisherOptions configures a Publisher.
 type PublisherOptions struct {
-	// Linger is how long the first record of a batch waits for company. It
-	// trades append rate against latency: one append per linger and stream is
-	// the most that a publisher sends.
+	// Linger is how long the first records of a batch wait for more to join them. It trades
+	// the append rate against latency: a publisher sends at most one batch per Linger and
+	// stream, unless batches reach MaxRecords.
 	Linger time.Duration
-	// RetryInterval is the pause before an append is tried again.
+	// RetryInterval is the pause before an append is retried.
 	RetryInterval time.Duration
-	// MaxRecords bounds a batch, so that it stays below record.MaxBatchBytes.
+	// MaxRecords is the number of records at which a batch is sent without further linger.
+	// It is to keep batches below record.MaxBatchBytes.
 	MaxRecords int
 }
 
-// Publisher is a watermill publisher onto the log. Each message's payload is
-// one encoded record.Envelope. Messages of many callers go out together in
-// one append (group commit). Publish returns when its messages are certainly
-// on the log, or ctx of the message ends: then they may or may not be.
+// Publisher is a watermill publisher that appends to the log. Each message's payload is one
+// encoded record.Envelope. The messages of concurrent callers share one append (group commit).
+// Publish returns once its messages are known to be on the log, or once the first message's
+// context ends: then they may or may not be there.
 type Publisher struct {
 	log    Log
 	writer record.InstanceID
@@ -46,7 +48,7 @@
 
 var _ message.Publisher = (*Publisher)(nil)
 
-// NewPublisher returns a publisher that writes as writer.
+// NewPublisher returns a publisher whose batches name writer as their writer.
 func NewPublisher(log Log, writer record.InstanceID, opts PublisherOptions) *Publisher {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Publisher{
@@ -74,8 +76,8 @@
 	return err
 }
 
-// Append commits records to a stream together and returns their batch's
-// offset. All of them share one batch.
+// Append appends records to a stream in one batch and returns the offset of the batch. If ctx
+// ends first it returns ErrUnavailable: the records may or may not be on the log, now or later.
 func (p *Publisher) Append(ctx context.Context, stream record.Stream, records ...record.Record) (uint64, error) {
 	envelopes, err := record.EncodeAll(records...)
 	if err != nil {
@@ -84,7 +86,8 @@
 	return p.append(ctx, stream, envelopes)
 }
 
-// Close stops the publisher. Batches under way may or may not be on the log.
+// Close stops the publisher and waits for its goroutines. Batches that are being appended may or
+// may not be on the log.
 func (p *Publisher) Close() error {
 	p.mu.Lock()
 	p.closed = true
@@ -94,6 +97,7 @@
 	return nil
 }
 
+// append queues envelopes for the stream's next batch and waits for its offset.
 func (p *Publisher) append(ctx context.Context, stream record.Stream, envelopes []record.Envelope) (uint64, error) {
 	w, err := p.writerFor(stream)
 	if err != nil {
@@ -103,7 +107,7 @@
 	select {
 	case w.queue <- waiting:
 	case <-ctx.Done():
-		return 0, eris.Wrap(ErrUnavailable, "logstore: not queued in time")
+		return 0, eris.Wrap(ErrUnavailable, "logstore: append not queued in time")
 	case <-p.ctx.Done():
 		return 0, ErrClosed
 	}
@@ -117,6 +121,7 @@
 	}
 }
 
+// writerFor returns the stream's writer and starts it if there is none.
 func (p *Publisher) writerFor(stream record.Stream) (*streamWriter, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -133,27 +138,30 @@
 	return w, nil
 }
 
+// commitResult is the outcome of a batch: its offset, or why it isn't known to be on the log.
 type commitResult struct {
 	offset uint64
 	err    error
 }
 
+// pendingAppend is one caller's part of a batch.
 type pendingAppend struct {
 	envelopes []record.Envelope
-	done      chan commitResult
+	done      chan commitResult // Buffered: the caller may have given up.
 }
 
-// streamWriter has at most one batch under way, so its sequence numbers reach
-// the log in order.
+// streamWriter appends the batches of one stream, one at a time, so that their sequence numbers
+// reach the log in order.
 type streamWriter struct {
 	p      *Publisher
 	stream record.Stream
 	queue  chan *pendingAppend
 	seq    uint64
-	// minOffset is an offset that the batch under way cannot be before.
+	// minOffset is a lower bound of the offset of the batch being appended.
 	minOffset uint64
 }
 
+// run appends batches until the publisher is closed.
 func (w *streamWriter) run() {
 	defer w.p.running.Done()
 	for {
@@ -168,6 +176,8 @@
 	}
 }
 
+// collectGroup waits for the first append and then for others, until Linger has passed or
+// MaxRecords is reached. It returns nil if the publisher is closed before the first.
 func (w *streamWriter) collectGroup() []*pendingAppend {
 	var group []*pendingAppend
 	select {
@@ -193,6 +203,7 @@
 	return group
 }
 
+// commitGroup appends a group as one batch and returns its offset.
 func (w *streamWriter) commitGroup(group []*pendingAppend) (uint64, error) {
 	w.seq++
 	batch := record.Batch{Writer: w.p.writer, Seq: w.seq}
@@ -206,9 +217,9 @@
 	return w.appendUntilConfirmed(data)
 }
 
-// appendUntilConfirmed appends data and resolves lost answers by reading back. A
-// late copy of an append whose answer was lost can still reach the log after
-// the read; folds skip it by its sequence number.
+// appendUntilConfirmed retries an append until it is known to be on the log. After an append
+// without an answer it looks for the batch on the log before it retries. Such an append can
+// still reach the log after that; folds skip the duplicate by its sequence number.
 func (w *streamWriter) appendUntilConfirmed(data []byte) (uint64, error) {
 	for {
 		offset, err := w.p.log.Append(w.p.ctx, w.stream, data)
@@ -232,6 +243,8 @@
 	}
 }
 
+// findOnLog searches the log from minOffset on for the batch with the current sequence number, and
+// advances minOffset past the entries that it has read.
 func (w *streamWriter) findOnLog() (uint64, bool) {
 	for {
 		page, err := w.p.log.Read(w.p.ctx, w.stream, w.minOffset, 0)
--- a/internal/logstore/subscriber.go
+++ b/internal/logstore/subscriber.go
@@ -13,28 +13,31 @@
 	"guavapier/internal/record"
 )
 
-// MetaOffset is the metadata key that carries a message's offset.
+// MetaOffset is the metadata key under which a message carries its offset, in decimal.
 const MetaOffset = "offset"
 
 const (
-	pollTimeout    = 2 * time.Second
+	// pollTimeout is how long a read at the end of a stream waits for the next entry.
+	pollTimeout = 2 * time.Second
+	// readRetryDelay is the pause after a failed read.
 	readRetryDelay = 100 * time.Millisecond
-	// startRetryDelay spares the log: a start may read all that it keeps.
+	// startRetryDelay is the pause after a failed StartOffsetFunc. It is longer, to spare the
+	// log: finding the start may read all entries that it keeps.
 	startRetryDelay = 500 * time.Millisecond
 )
 
-// Subscriber is a watermill subscriber that follows streams of the log in
-// offset order. Each message's payload is one encoded record.Batch.
+// Subscriber is a watermill subscriber that delivers the entries of streams of the log in offset
+// order. Each message's payload is one encoded record.Batch.
 type Subscriber struct {
 	log         Log
 	startOffset StartOffsetFunc
 
 	mu sync.Mutex // Guards the maps.
-	// oldestOffset is the oldest offset that the log was seen to keep, and current
-	// has the streams that were read to their end once.
+	// oldestOffset is the highest Page.First seen of each stream.
 	oldestOffset map[record.Stream]uint64
-	caughtUp     map[record.Stream]bool
-	// longestPage is the longestPage page since the stream's start.
+	// caughtUp has the streams that were read to their end since the last resolveStart.
+	caughtUp map[record.Stream]bool
+	// longestPage is the number of entries of the longest page since the last resolveStart.
 	longestPage map[record.Stream]int
 
 	ctx     context.Context
@@ -44,12 +47,12 @@
 
 var _ message.Subscriber = (*Subscriber)(nil)
 
-// StartOffsetFunc returns the offset from which a stream is to be read. It is called
-// before the first read, and again when that offset has aged out. After an
-// error it is called again.
+// StartOffsetFunc returns the offset from which a stream is to be read. It is called before the
+// first read, again whenever the next offset to read has aged out, and until it succeeds.
 type StartOffsetFunc func(ctx context.Context, stream record.Stream) (uint64, error)
 
-// NewSubscriber returns a subscriber.
+// NewSubscriber returns a subscriber that reads each stream from the offset that startOffset
+// returns for it.
 func NewSubscriber(log Log, startOffset StartOffsetFunc) *Subscriber {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Subscriber{
@@ -58,23 +61,24 @@
 	}
 }
 
-// OldestOffset returns the oldest offset that the log was seen to keep.
+// OldestOffset returns the oldest offset of a stream that the log still keeps, as of the last read.
 func (s *Subscriber) OldestOffset(stream record.Stream) uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.oldestOffset[stream]
 }
 
-// IsCaughtUp says whether a stream was read to its end since its start.
+// IsCaughtUp reports whether a stream was read, and its entries handled, up to its end at some time
+// since reading last started at a StartOffsetFunc's offset.
 func (s *Subscriber) IsCaughtUp(stream record.Stream) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.caughtUp[stream]
 }
 
-// observePage sees the end of a stream in a page that is empty or shorter than one
-// before it. On a stream that others append to all the time no page need ever
-// be empty.
+// observePage updates the state of a stream after the entries of a page were handled. It takes a
+// page that is empty, or shorter than an earlier one, as the stream's end: while other
+// instances append all the time, no page may ever be empty.
 func (s *Subscriber) observePage(stream record.Stream, page Page) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -97,13 +101,14 @@
 	return out, nil
 }
 
-// Close implements message.Subscriber.
+// Close implements message.Subscriber. It waits until the channels of all subscriptions are closed.
 func (s *Subscriber) Close() error {
 	s.cancel()
 	s.running.Wait()
 	return nil
 }
 
+// follow delivers a stream's entries to out until ctx ends or the subscriber is closed.
 func (s *Subscriber) follow(ctx context.Context, stream record.Stream, out chan<- *message.Message) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -126,12 +131,12 @@
 			}
 			next = entry.Offset + 1
 		}
-		s.observePage(stream, page) // After its entries: a current stream is applied.
+		s.observePage(stream, page) // After delivery: a stream that is caught up has been applied.
 	}
 }
 
-// resolveStart returns where to read from; ok is false when ctx has ended before the
-// start was known.
+// resolveStart returns the offset to read from, and marks the stream as not caught up; ok is
+// false if ctx ended before the offset was known.
 func (s *Subscriber) resolveStart(ctx context.Context, stream record.Stream) (next uint64, ok bool) {
 	s.mu.Lock()
 	s.caughtUp[stream], s.longestPage[stream] = false, 0
@@ -146,8 +151,8 @@
 	return 0, false
 }
 
-// readWait is how long a read may readWait for the next entry. Until the end of the
-// stream was seen it does not readWait, so that the end is noticed at once.
+// readWait returns how long the next read may wait for an entry. Until the stream has caught up
+// that is 0, so that its end is noticed at once.
 func (s *Subscriber) readWait(stream record.Stream) time.Duration {
 	if s.IsCaughtUp(stream) {
 		return pollTimeout
@@ -155,8 +160,9 @@
 	return 0
 }
 
-// deliver hands one entry over and waits until it is applied, so that the
-// handler sees each stream in offset order.
+// deliver sends one entry to out and waits for its acknowledgement, so that the handler sees each
+// stream in offset order. It sends an entry again after a negative acknowledgement, and returns
+// false if ctx ended first.
 func deliver(ctx context.Context, entry Entry, out chan<- *message.Message) bool {
 	for {
 		msg := message.NewMessage(watermill.NewULID(), entry.Data)
@@ -177,6 +183,7 @@
 	}
 }
 
+// sleep returns after d or when ctx ends.
 func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-time.After(d):
--- a/internal/logstore/subscriber_test.go
+++ b/internal/logstore/subscriber_test.go
@@ -13,13 +13,14 @@
 	"guavapier/internal/record"
 )
 
-// busyLog never has an empty page: each read finds entries, pages of them
-// full, and then one at a time. Up to trimmed it has dropped everything.
+// busyLog is a log whose reads never return an empty page: pages are full up to offset
+// fullPagesEnd and hold one entry after it. Entries before firstOffset are trimmed.
 type busyLog struct {
 	logstore.Log
 	firstOffset, fullPagesEnd uint64
 }
 
+// pageLength is the number of entries of a full page.
 const pageLength = 5
 
 func (l *busyLog) Read(_ context.Context, _ record.Stream, from uint64, _ time.Duration) (logstore.Page, error) {
@@ -37,8 +38,8 @@
 	return page, nil
 }
 
-// A stream is current once its end was seen, also under a steady flow; not
-// before; and a start that fails is tried again.
+// Guards against a subscriber that never counts as caught up while other instances append all the
+// time, that counts as caught up before the end, or that stops after a failed StartOffsetFunc.
 func TestSubscriberIsCurrentAtTheEndOfABusyStream(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	log := &busyLog{firstOffset: 10, fullPagesEnd: 30}
@@ -46,7 +47,7 @@
 	start := func(context.Context, record.Stream) (uint64, error) {
 		switch starts.Add(1) {
 		case 1:
-			return 0, nil // It has aged out.
+			return 0, nil // This offset has aged out.
 		case 2:
 			return 0, errors.New("no snapshot yet")
 		default:
@@ -61,17 +62,17 @@
 	for n := uint64(0); n < log.fullPagesEnd-log.firstOffset; n++ {
 		msg := <-messages
 		if sub.IsCaughtUp(record.ConfigStream) {
-			t.Fatalf("current after %d entries", n)
+			t.Fatalf("caught up after %d entries, before the end", n)
 		}
 		msg.Ack()
 	}
 	(<-messages).Ack()
-	<-messages // The next one: the page before it was noted.
+	<-messages // From the next page: the one before it was observed.
 	if !sub.IsCaughtUp(record.ConfigStream) {
-		t.Error("not current at the end")
+		t.Error("not caught up at the end")
 	}
 	if got := starts.Load(); got != 3 {
-		t.Errorf("%d starts", got)
+		t.Errorf("%d calls of the StartOffsetFunc, want 3", got)
 	}
 	if err := sub.Close(); err != nil {
 		t.Error(err)
