--- a/internal/peer/bench_test.go
+++ b/internal/peer/bench_test.go
@@ -12,7 +12,7 @@
 	"guavapier/internal/record"
 )
 
-// countingConn counts what goes over a connection.
+// countingConn adds the number of bytes read from and written to a connection to bytes.
 type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
@@ -30,14 +30,15 @@
 	return n, err
 }
 
+// processCPUNanos returns the processor time that this process has used, in nanoseconds.
 func processCPUNanos() int64 {
 	var u syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &u)
 	return u.Utime.Nano() + u.Stime.Nano()
 }
 
-// BenchmarkHeartbeat gives processor time, both ends in one process, and
-// payload bytes, both directions, of one heartbeat by the number of peers.
+// BenchmarkHeartbeat measures the processor time of one heartbeat, of both ends since they share
+// the process, and its payload bytes in both directions, for several numbers of peers.
 func BenchmarkHeartbeat(b *testing.B) {
 	for _, size := range []int{4, 32, 128} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
--- a/internal/peer/conn.go
+++ b/internal/peer/conn.go
@@ -12,17 +12,17 @@
 	"github.com/rotisserie/eris"
 )
 
-// clientCodec is net/rpc's client codec over frames.
+// clientCodec implements rpc.ClientCodec over a framedConn.
 type clientCodec struct {
 	framed   *framedConn
-	lastRead *atomic.Int64 // Unix nanoseconds of the last message read.
-	onClose  func()        // Told when the connection has ended.
-	body     cbor.RawMessage
+	lastRead *atomic.Int64   // Time of the last message read, in Unix nanoseconds.
+	onClose  func()          // Called when reading from the connection has failed.
+	body     cbor.RawMessage // Body of the response whose header was read last.
 }
 
 var _ rpc.ClientCodec = (*clientCodec)(nil)
 
-// WriteRequest implements rpc.ClientCodec; it never blocks.
+// WriteRequest implements rpc.ClientCodec. It doesn't block: the message is queued.
 func (c *clientCodec) WriteRequest(r *rpc.Request, args any) error {
 	body, err := cbor.Marshal(args)
 	if err != nil {
@@ -44,8 +44,8 @@
 	return nil
 }
 
-// ReadResponseBody implements rpc.ClientCodec. The body stays encoded: a call
-// that was given up must not have its reply written to later.
+// ReadResponseBody implements rpc.ClientCodec. It leaves the body encoded, for call to decode: a
+// late response must not write to the reply of a call that has already returned.
 func (c *clientCodec) ReadResponseBody(reply any) error {
 	if raw, ok := reply.(*cbor.RawMessage); ok {
 		*raw = c.body
@@ -59,16 +59,17 @@
 	return nil
 }
 
-// conn is one connection to a peer.
+// conn is one client connection to a peer.
 type conn struct {
 	rpc      *rpc.Client
-	lastRead *atomic.Int64
-	lastUsed atomic.Int64 // Unix nanoseconds of the last call but Ping.
-	probing  atomic.Bool
+	lastRead *atomic.Int64 // Time of the last message read, in Unix nanoseconds.
+	lastUsed atomic.Int64  // Time of the last call other than Ping, in Unix nanoseconds.
+	probing  atomic.Bool   // A probe is running.
 	dead     chan struct{} // Closed when the connection must not be used again.
 	deadOnce sync.Once
 }
 
+// newConn returns a conn over f, whose handshake is done and whose writer has started.
 func newConn(f *framedConn) *conn {
 	now := time.Now().UnixNano()
 	c := &conn{lastRead: &atomic.Int64{}, dead: make(chan struct{})}
@@ -79,15 +80,16 @@
 	return c
 }
 
-// markDead keeps the connection from being used again.
+// markDead makes the pool use another connection for further calls.
 func (c *conn) markDead() { c.deadOnce.Do(func() { close(c.dead) }) }
 
-// close closes the connection; every call on it ends.
+// close closes the connection, which ends every call on it.
 func (c *conn) close() {
 	c.markDead()
 	_ = c.rpc.Close()
 }
 
+// isDead reports whether the connection must not be used for further calls.
 func (c *conn) isDead() bool {
 	select {
 	case <-c.dead:
@@ -97,7 +99,7 @@
 	}
 }
 
-// call sends one call and waits for its answer until ctx ends.
+// call sends one call and waits for its reply until ctx ends.
 func (c *conn) call(ctx context.Context, method string, args, reply any) error {
 	var raw cbor.RawMessage
 	began := time.Now().UnixNano()
@@ -119,11 +121,12 @@
 	return eris.Wrap(cbor.Unmarshal(raw, reply), "peer: decode reply")
 }
 
-// errNoProgress goes with ErrUnreachable where nothing at all came on the
+// errNoProgress, joined with ErrUnreachable, reports that no message at all arrived on the
 // connection while the call waited.
-var errNoProgress = eris.New("peer: connection shows no progress")
+var errNoProgress = eris.New("peer: nothing received during the call")
 
-// classifyError sorts the error of a call that ended before its deadline.
+// classifyError returns the error of Caller.Call for err, with which net/rpc ended a call before
+// its deadline, and closes the connection unless it can still be used.
 func (c *conn) classifyError(err error) error {
 	var remote rpc.ServerError
 	if errors.As(err, &remote) {
@@ -136,8 +139,8 @@
 	return errors.Join(ErrUnreachable, err)
 }
 
-// probe sends a Ping and abandons the connection if nothing came on it within
-// timeout. One probe at a time.
+// probe sends a Ping, and closes the connection if no message arrives on it within timeout. It
+// does nothing while another probe is running.
 func (c *conn) probe(timeout time.Duration) {
 	if !c.probing.CompareAndSwap(false, true) {
 		return
@@ -152,8 +155,9 @@
 	}
 }
 
-// monitor sends heartbeats while the connection is quiet. It ends when the
-// connection is dead or was not used for idle.
+// monitor probes the connection whenever nothing was received on it for the heartbeat interval. It
+// closes the connection and returns when the connection is dead or has not been used for the
+// idle timeout.
 func (c *conn) monitor(o Options) {
 	ticker := time.NewTicker(o.HeartbeatInterval)
 	defer ticker.Stop()
--- a/internal/peer/frame.go
+++ b/internal/peer/frame.go
@@ -13,49 +13,51 @@
 )
 
 const (
-	// MaxMessageBytes bounds one message, so that one peer cannot take this
-	// instance's memory. It has room for a relayed batch of the log.
+	// MaxMessageBytes limits the size of one message, so that a peer cannot exhaust this
+	// instance's memory. A relayed batch of the log fits into it.
 	MaxMessageBytes = 2 << 20
-	// maxQueuedBytes bounds what waits to be written on one connection. A
-	// peer that reads too slowly loses its connection instead.
+	// maxQueuedBytes limits the messages waiting to be written to one connection. The
+	// connection of a peer that reads too slowly is closed when they exceed it.
 	maxQueuedBytes = 4 * MaxMessageBytes
 
+	// lengthBytes is the size of the length prefix of a frame, a big-endian integer.
 	lengthBytes = 4
 )
 
-// errBacklog says that the other end reads too slowly.
+// errBacklog reports that maxQueuedBytes would be exceeded: the other end reads too slowly.
 var errBacklog = eris.New("peer: write backlog full")
 
-// header goes before each net/rpc request and response.
+// header is the net/rpc header of a request or response. Error is the error text of the called
+// method, in responses only.
 type header struct {
 	Method string `cbor:"1,keyasint,omitempty"`
 	Seq    uint64 `cbor:"2,keyasint"`
 	Error  string `cbor:"3,keyasint,omitempty"`
 }
 
-// message is one frame's content.
+// message is a net/rpc request or response. After the handshake each frame holds one.
 type message struct {
 	Header header          `cbor:"1,keyasint"`
 	Body   cbor.RawMessage `cbor:"2,keyasint"`
 }
 
-// framedConn reads and writes length-prefixed CBOR messages on a connection.
-// Writes never block their caller: a goroutine sends what is queued, many
-// messages at once, and closes the connection if it cannot.
+// framedConn reads and writes values on a connection as frames: the CBOR encoding, prefixed with
+// its length. send doesn't block: a goroutine writes the queued frames, many at once, and closes
+// the connection if a write fails or takes longer than writeTimeout.
 type framedConn struct {
 	conn         net.Conn
 	reader       *bufio.Reader
 	writeTimeout time.Duration
 
 	mu           sync.Mutex
-	queued       []byte
-	closeErr     error
-	writePending chan struct{}
-	writerDone   chan struct{}
+	queued       []byte        // Frames to be written; guarded by mu.
+	closeErr     error         // Why the connection was closed; guarded by mu, nil while it is open.
+	writePending chan struct{} // Notifies the writer of queued frames; closed with the connection.
+	writerDone   chan struct{} // Closed when the writer has ended.
 }
 
-// newFramedConn returns frames whose writer has not started: until start, only
-// sendNow and receive may be used.
+// newFramedConn returns a framedConn whose writer has not started: until startWriter is called,
+// only sendSync and receive may be used.
 func newFramedConn(conn net.Conn, writeTimeout time.Duration) *framedConn {
 	return &framedConn{
 		conn: conn, reader: bufio.NewReader(conn), writeTimeout: writeTimeout,
@@ -63,31 +65,32 @@
 	}
 }
 
-// startWriter starts the writer; close must follow.
+// startWriter starts the writer's goroutine, which ends when the connection is closed.
 func (f *framedConn) startWriter() { go f.writeLoop() }
 
-// sendSync writes one value without the writer.
+// sendSync writes one value to the connection itself, and blocks until it is written.
 func (f *framedConn) sendSync(v any) error {
 	data, err := cbor.Marshal(v)
 	if err != nil {
-		return eris.Wrap(err, "peer: encode")
+		return eris.Wrap(err, "peer: encode message")
 	}
 	_ = f.conn.SetWriteDeadline(time.Now().Add(f.writeTimeout))
 	_, err = f.conn.Write(appendFrame(nil, data))
 	return err
 }
 
+// appendFrame appends data to a buffer as one frame.
 func appendFrame(to, data []byte) []byte {
 	to = binary.BigEndian.AppendUint32(to, uint32(len(data)))
 	return append(to, data...)
 }
 
-// send queues one value. It returns ErrTooLarge, or the error that closed the
-// connection; then nothing was queued.
+// send queues one value for the writer. It returns ErrTooLarge or the error with which the
+// connection was closed; in both cases the value is not queued.
 func (f *framedConn) send(v any) error {
 	data, err := cbor.Marshal(v)
 	if err != nil {
-		return eris.Wrap(err, "peer: encode")
+		return eris.Wrap(err, "peer: encode message")
 	}
 	if len(data) > MaxMessageBytes {
 		return ErrTooLarge
@@ -109,7 +112,8 @@
 	return nil
 }
 
-// receive reads one value. It fails once the connection is closed.
+// receive reads one value. It returns ErrTooLarge for a frame larger than MaxMessageBytes, and an
+// error once the connection is closed.
 func (f *framedConn) receive(v any) error {
 	var prefix [lengthBytes]byte
 	if _, err := io.ReadFull(f.reader, prefix[:]); err != nil {
@@ -126,7 +130,8 @@
 	return cbor.Unmarshal(data, v)
 }
 
-// close closes the connection and waits for the writer to end.
+// close closes the connection with the error that later calls of send return, and waits for the
+// writer to end. Without startWriter it would block.
 func (f *framedConn) close(err error) {
 	f.mu.Lock()
 	f.closeLocked(err)
@@ -134,6 +139,7 @@
 	<-f.writerDone
 }
 
+// closeLocked closes the connection unless it is closed already. The caller holds mu.
 func (f *framedConn) closeLocked(err error) {
 	if f.closeErr != nil {
 		return
@@ -141,9 +147,10 @@
 	f.closeErr = err
 	_ = f.conn.Close()
 	close(f.writePending)
-	// send checks err under the same lock before it uses wake again.
+	// send checks closeErr under the same lock before it sends on writePending.
 }
 
+// writeLoop writes the queued frames until the connection is closed or a write fails.
 func (f *framedConn) writeLoop() {
 	defer close(f.writerDone)
 	for range f.writePending {
--- a/internal/peer/hello.go
+++ b/internal/peer/hello.go
@@ -9,23 +9,25 @@
 	"guavapier/internal/record"
 )
 
-// protocolVersion changes when frames or the greeting change their meaning.
+// protocolVersion is increased with each incompatible change of the handshake or the frames.
 const protocolVersion = 1
 
-// hello is the first message on a connection: who calls, and whom.
+// hello is the first message on a connection, sent by the calling instance: From is its ID, To
+// the ID of the instance that it calls.
 type hello struct {
 	Version int               `cbor:"1,keyasint"`
 	From    record.InstanceID `cbor:"2,keyasint"`
 	To      record.InstanceID `cbor:"3,keyasint"`
 }
 
-// helloReply answers hello with the identity of the instance that listens.
+// helloReply is the response to hello, with the ID of the instance that accepted the connection.
 type helloReply struct {
 	Version int               `cbor:"1,keyasint"`
 	ID      record.InstanceID `cbor:"2,keyasint"`
 }
 
-// clientHandshake makes sure that the instance at the other end is the wanted one.
+// clientHandshake sends hello and checks that the instance at the other end is to. It returns
+// ErrOtherInstance, wrapped, if it is another.
 func clientHandshake(conn net.Conn, f *framedConn, from, to record.InstanceID, timeout time.Duration) error {
 	_ = conn.SetReadDeadline(time.Now().Add(timeout))
 	if err := f.sendSync(hello{Version: protocolVersion, From: from, To: to}); err != nil {
@@ -36,16 +38,17 @@
 		return err
 	}
 	if got.Version != protocolVersion {
-		return eris.Errorf("peer: %s speaks version %d, not %d", got.ID, got.Version, protocolVersion)
+		return eris.Errorf("peer: %s uses protocol version %d, want %d", got.ID, got.Version, protocolVersion)
 	}
 	if got.ID != to {
-		return eris.Wrapf(ErrOtherInstance, "peer: wanted %s, found %s", to, got.ID)
+		return eris.Wrapf(ErrOtherInstance, "peer: expected instance %s, found %s", to, got.ID)
 	}
 	return conn.SetReadDeadline(time.Time{})
 }
 
-// serverHandshake answers a caller's hello. It fails for a caller that wants another
-// instance; that caller is told who is here.
+// serverHandshake replies to a caller's hello. It returns ErrOtherInstance for a caller that
+// calls another instance or uses another version; the reply tells the caller which instance
+// this is.
 func serverHandshake(conn net.Conn, f *framedConn, self record.InstanceID, timeout time.Duration) error {
 	_ = conn.SetReadDeadline(time.Now().Add(timeout))
 	var got hello
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,10 +1,10 @@
-// Package peer carries calls between instances, over net/rpc on TCP.
+// Package peer implements calls between instances: net/rpc with CBOR messages over TCP, or over
+// TLS if the caller's dialer and the server's listener use it.
 //
-// net/rpc has no deadlines, no heartbeats and no bounds. This package adds
-// them around it: a Pool has one connection per peer, gives each call up at its
-// deadline, and finds a connection that went silent by heartbeats; a Server
-// bounds messages, connections and calls at work, and answers only to callers
-// that name the very instance it is.
+// net/rpc has no deadlines, heartbeats or limits; this package adds them. A Pool has one
+// connection per peer, ends each call at its deadline, and detects by heartbeats a connection
+// that no longer carries data. A Server limits the size of messages, the number of connections
+// and the concurrent calls of each, and serves only callers that name its own instance ID.
 package peer
 
 import (
@@ -15,33 +15,38 @@
 	"guavapier/internal/record"
 )
 
-// Errors of Call. Callers compare them with errors.Is.
+// Errors of Caller.Call, which may be joined with each other. Callers compare them with errors.Is.
 var (
-	// ErrUnreachable says that a peer did not answer in time, or that its
-	// address is not known. The call may have taken effect there.
+	// ErrUnreachable reports that a peer did not answer in time, or that there is no
+	// connection to it, for instance because its address is not known. Unless it is joined
+	// with ErrNotSent, the call may have taken effect there.
 	ErrUnreachable = eris.New("peer: unreachable")
-	// ErrNotSent goes with ErrUnreachable where no byte of the call has left
-	// this instance: it has certainly not taken effect.
+	// ErrNotSent reports that no byte of the call has left this instance, so that it has not
+	// taken effect. It is joined with the cause, and with ErrUnreachable if there was no
+	// connection.
 	ErrNotSent = eris.New("peer: call not sent")
-	// ErrOtherInstance goes with ErrNotSent: another instance, such as a
-	// restarted one, has the peer's address now.
+	// ErrOtherInstance, joined with ErrNotSent, reports that another instance now has the
+	// peer's address, such as the same process restarted under a new instance ID.
 	ErrOtherInstance = eris.New("peer: another instance has the address")
-	// ErrTooLarge goes with ErrNotSent: the message is larger than
-	// MaxMessageBytes.
+	// ErrTooLarge, joined with ErrNotSent, reports that the encoded call is larger than
+	// MaxMessageBytes. If the reply is too large, the call has taken effect and its error is
+	// an rpc.ServerError.
 	ErrTooLarge = eris.New("peer: message too large")
-	// ErrClosed goes with ErrNotSent: the pool has been closed.
-	ErrClosed = eris.New("peer: closed")
+	// ErrClosed, joined with ErrNotSent, reports that the pool has been closed.
+	ErrClosed = eris.New("peer: pool closed")
 )
 
-// Caller calls methods of other instances. A call always ends by the deadline
-// of its context, and by a bound of the Caller's own if the context has none.
+// Caller calls methods of other instances. A call ends by the deadline of its context or by a
+// timeout of the Caller, whichever is earlier.
 type Caller interface {
-	// Call calls method ("Service.Method", as in net/rpc) at an instance. An
-	// error that the method itself returned comes back as rpc.ServerError.
+	// Call calls method ("Service.Method", as in net/rpc) of an instance and decodes the
+	// result into reply, which may be nil. An error that the method returned there is an
+	// rpc.ServerError here.
 	Call(ctx context.Context, to record.InstanceID, method string, args, reply any) error
 }
 
-// Addresses finds the peer address (IP:port) of an instance.
+// Addresses looks up the address (IP:port) at which an instance accepts calls from peers. The
+// second result is false if it isn't known.
 type Addresses interface {
 	PeerAddr(id record.InstanceID) (string, bool)
 }
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -22,43 +22,50 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// testTimeout bounds a test's own wait; no verdict rests on it.
+// testTimeout bounds how long a test waits for an event. It is far above the timeouts under test.
 const testTimeout = 10 * time.Second
 
-// shortTimeouts finds a silent connection soon, so that tests need not wait long.
+// shortTimeouts makes a pool detect a silent connection soon, to keep the tests short.
 var shortTimeouts = peer.Options{
 	HeartbeatInterval: 50 * time.Millisecond, ProbeTimeout: 50 * time.Millisecond, WriteTimeout: 50 * time.Millisecond, CallTimeout: 200 * time.Millisecond,
 }
 
+// echoService is a net/rpc receiver, registered as Echo, that returns its argument.
 type echoService struct {
-	calls   atomic.Int64
-	release chan struct{}
+	calls   atomic.Int64  // Calls of Echo.
+	release chan struct{} // Each Hold waits to receive from it.
 }
 
+// Echo returns its argument at once.
 func (e *echoService) Echo(in string, out *string) error {
 	e.calls.Add(1)
 	*out = in
 	return nil
 }
 
+// Hold returns its argument once it has received from release.
 func (e *echoService) Hold(in string, out *string) error {
 	<-e.release
 	*out = in
 	return nil
 }
 
+// Fail returns an error.
 func (e *echoService) Fail(string, *string) error { return errors.New("failed on purpose") }
 
+// Long returns n bytes.
 func (e *echoService) Long(n int, out *string) error {
 	*out = strings.Repeat("x", n)
 	return nil
 }
 
+// addressBook implements peer.Addresses with a fixed map.
 type addressBook struct {
-	mu    sync.Mutex
+	mu    sync.Mutex // Guards addrs.
 	addrs map[record.InstanceID]string
 }
 
+// PeerAddr implements peer.Addresses.
 func (b *addressBook) PeerAddr(id record.InstanceID) (string, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -66,6 +73,7 @@
 	return addr, ok
 }
 
+// serve starts a server for the instance id, with an echoService. It returns its address.
 func serve(t *testing.T, id record.InstanceID) (string, *echoService) {
 	t.Helper()
 	service := &echoService{release: make(chan struct{})}
@@ -90,6 +98,7 @@
 	return l.Addr().String(), service
 }
 
+// dial returns a pool that knows one instance and its address.
 func dial(t *testing.T, to record.InstanceID, address string, o peer.Options) *peer.Pool {
 	t.Helper()
 	p := peer.NewPool("caller", &addressBook{addrs: map[record.InstanceID]string{to: address}}, o)
@@ -97,6 +106,7 @@
 	return p
 }
 
+// callEcho calls Echo of the instance b and checks the reply.
 func callEcho(p *peer.Pool, text string) error {
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
@@ -105,20 +115,23 @@
 		return err
 	}
 	if got != text {
-		return errors.New("got another call's answer: " + got)
+		return errors.New("got the reply to another call: " + got)
 	}
 	return nil
 }
 
+// eventually polls until ok returns true, and fails the test after testTimeout.
 func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); !ok(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("not in time: %s", what)
+			t.Fatalf("condition not met in time: %s", what)
 		}
 	}
 }
 
+// Guards against replies that are mixed up between concurrent calls on one connection, and against
+// a method's own error that is taken for a failure of the connection.
 func TestCallReturnsItsOwnAnswer(t *testing.T) {
 	address, _ := serve(t, "b")
 	p := dial(t, "b", address, peer.Options{})
@@ -133,10 +146,12 @@
 	running.Wait()
 	var remote rpc.ServerError
 	if err := p.Call(context.Background(), "b", "Echo.Fail", "", nil); !errors.As(err, &remote) {
-		t.Fatalf("the method's own error came back as %v", err)
+		t.Fatalf("a method's error was returned as %v, want rpc.ServerError", err)
 	}
 }
 
+// Guards against a call that was not sent and is reported as one that may have taken effect, and
+// against a reply that is too large breaking the connection.
 func TestCallThatCannotBeSentSaysSo(t *testing.T) {
 	address, service := serve(t, "b")
 	p := peer.NewPool("caller", &addressBook{addrs: map[record.InstanceID]string{"former-b": address, "b": address}}, peer.Options{})
@@ -152,22 +167,22 @@
 	} {
 		err := p.Call(context.Background(), c.to, "Echo.Echo", c.args, nil)
 		if !errors.Is(err, c.want) || !errors.Is(err, peer.ErrNotSent) {
-			t.Errorf("call of %s: %v", c.to, err)
+			t.Errorf("call of %s: error %v, want the cause joined with ErrNotSent", c.to, err)
 		}
 	}
 	if n := service.calls.Load(); n != 0 {
-		t.Fatalf("%d calls took effect", n)
+		t.Fatalf("%d calls took effect, want none", n)
 	}
 	if err := p.Call(context.Background(), "b", "Echo.Long", peer.MaxMessageBytes, nil); err == nil {
-		t.Fatal("an oversized answer came through")
+		t.Fatal("a call with an oversized reply returned no error")
 	}
 	if err := callEcho(p, "after it"); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// A connection that goes silent costs each call its bound, then a new one is
-// dialled and used.
+// Guards against a pool that keeps using a connection that no longer carries data, in one or both
+// directions, or whose peer has gone: calls may time out, but then a new connection is dialed.
 func TestSilentConnectionIsReplaced(t *testing.T) {
 	for name, silence := range map[string]func(*proxiedConn){
 		"both directions":    func(k *proxiedConn) { k.dropFromClient.Store(true); k.dropFromServer.Store(true) },
@@ -184,7 +199,7 @@
 				t.Fatal(err)
 			}
 			silence(r.allConns()[0])
-			eventually(t, "a call comes through", func() bool {
+			eventually(t, "a call succeeds", func() bool {
 				err := callEcho(p, "after")
 				if err != nil && !errors.Is(err, peer.ErrUnreachable) {
 					t.Fatal(err)
@@ -192,13 +207,14 @@
 				return err == nil
 			})
 			if n := len(r.allConns()); n < 2 {
-				t.Fatalf("the silent connection was used again (%d connections)", n)
+				t.Fatalf("%d connections were made, want a second one in place of the silent one", n)
 			}
 		})
 	}
 }
 
-// Without any call, heartbeats alone find the silent connection.
+// Guards against a silent connection that stays open until the next call runs into it: heartbeats
+// alone must detect it.
 func TestHeartbeatFindsSilence(t *testing.T) {
 	address, _ := serve(t, "b")
 	r := newFaultProxy(t, address)
@@ -217,7 +233,8 @@
 	}
 }
 
-// A peer that takes in nothing must not hold up callers with long messages.
+// Guards against calls with long messages that block beyond their timeout because the peer has
+// stopped reading from the connection.
 func TestBlockedWriteIsBounded(t *testing.T) {
 	address, _ := serve(t, "b")
 	r := newFaultProxy(t, address)
@@ -238,15 +255,15 @@
 	running.Wait()
 }
 
-// A slow method costs its caller the deadline, and nobody else anything: the
-// connection stays, and the late answer goes to no other call.
+// Guards against one slow method that disturbs other calls: after its caller has timed out, the
+// connection must stay in use, and the late reply must not be taken for that of another call.
 func TestSlowMethodLeavesTheConnection(t *testing.T) {
 	address, service := serve(t, "b")
 	r := newFaultProxy(t, address)
 	p := dial(t, "b", r.listener.Addr().String(), shortTimeouts)
 	var late string
 	if err := p.Call(context.Background(), "b", "Echo.Hold", "late", &late); !errors.Is(err, peer.ErrUnreachable) {
-		t.Fatalf("slow call: %v", err)
+		t.Fatalf("slow call: error %v, want ErrUnreachable", err)
 	}
 	service.release <- struct{}{}
 	for range 50 {
@@ -255,10 +272,12 @@
 		}
 	}
 	if late != "" || len(r.allConns()) != 1 {
-		t.Fatalf("late answer %q, %d connections", late, len(r.allConns()))
+		t.Fatalf("late reply %q was stored, %d connections were made; want no reply, 1 connection", late, len(r.allConns()))
 	}
 }
 
+// Guards against a server that allocates whatever size a caller announces: it must close the
+// connection on the length prefix alone.
 func TestServerDropsOversizedMessage(t *testing.T) {
 	address, _ := serve(t, "b")
 	conn, err := net.Dial("tcp", address)
@@ -274,6 +293,6 @@
 	_, _ = conn.Write(binary.BigEndian.AppendUint32(frame, peer.MaxMessageBytes+1))
 	_ = conn.SetReadDeadline(time.Now().Add(testTimeout))
 	if _, err := io.ReadAll(conn); err != nil {
-		t.Fatalf("the server kept the connection: %v", err)
+		t.Fatalf("the server did not close the connection: %v", err)
 	}
 }
--- a/internal/peer/pool.go
+++ b/internal/peer/pool.go
@@ -10,25 +10,29 @@
 	"guavapier/internal/record"
 )
 
-// Options bound a Pool. A zero field takes its default.
+// Options configures a Pool. A field that is zero has its default.
 type Options struct {
-	// CallTimeout bounds a call whose context has no earlier deadline.
+	// CallTimeout bounds a call, dialing included.
 	CallTimeout time.Duration
-	// DialTimeout bounds dialling and greeting a peer.
+	// DialTimeout bounds dialing a peer, and after it the handshake.
 	DialTimeout time.Duration
-	// HeartbeatInterval is how long a connection may be quiet before it is probed.
+	// HeartbeatInterval is how long nothing may be received on a connection before it is
+	// probed with a Ping.
 	HeartbeatInterval time.Duration
-	// ProbeTimeout is how long a probed connection has to show a sign of life.
+	// ProbeTimeout is how long after a probe nothing may be received before the connection is
+	// closed.
 	ProbeTimeout time.Duration
-	// WriteTimeout is how long one write may block before its connection is given up.
+	// WriteTimeout is how long one write may block before the connection is closed.
 	WriteTimeout time.Duration
-	// IdleTimeout is how long an unused connection is kept.
+	// IdleTimeout is how long a connection is kept on which no call other than Ping is made.
 	IdleTimeout time.Duration
-	// Dialer dials a TCP address; TLS goes here.
+	// Dialer connects to a TCP address (IP:port). One that returns a TLS connection makes the
+	// pool use TLS.
 	Dialer func(ctx context.Context, address string) (net.Conn, error)
 }
 
-// The defaults: a silent connection is found within Heartbeat + Probe.
+// Defaults of Options. Since connections are checked once per heartbeat interval, one that went
+// silent is closed at most two heartbeat intervals and a probe timeout after the last message.
 const (
 	DefaultCallTimeout       = 2 * time.Second
 	DefaultDialTimeout       = time.Second
@@ -38,6 +42,7 @@
 	DefaultIdleTimeout       = time.Minute
 )
 
+// withDefaults returns o with the defaults in place of zero fields.
 func (o Options) withDefaults() Options {
 	set := func(d *time.Duration, value time.Duration) {
 		if *d == 0 {
@@ -59,8 +64,8 @@
 	return o
 }
 
-// Pool is a Caller with one connection per peer, dialled on demand. It is safe
-// for concurrent use.
+// Pool is a Caller with one connection per peer, dialed on demand. It is safe for concurrent
+// use.
 type Pool struct {
 	self      record.InstanceID
 	addresses Addresses
@@ -68,24 +73,24 @@
 
 	ctx     context.Context
 	cancel  context.CancelFunc
-	running sync.WaitGroup
+	running sync.WaitGroup // The pool's goroutines.
 
-	mu      sync.Mutex
+	mu      sync.Mutex // Guards the fields below.
 	entries map[record.InstanceID]*poolEntry
 	closed  bool
 }
 
 var _ Caller = (*Pool)(nil)
 
-// poolEntry is the place of one peer's connection. ready is closed when dialling
-// has ended; conn and err are set before.
+// poolEntry holds the connection to one peer, or the error of dialing it. conn and err are set
+// before ready is closed.
 type poolEntry struct {
 	ready chan struct{}
 	conn  *conn
 	err   error
 }
 
-// NewPool returns a pool that calls as self.
+// NewPool returns a pool for the calls of the instance self.
 func NewPool(self record.InstanceID, addresses Addresses, opts Options) *Pool {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Pool{
@@ -112,12 +117,14 @@
 	return err
 }
 
-// Ping calls the peer's heartbeat method.
+// Ping calls a peer's heartbeat method. It doesn't count as use of the connection; see
+// Options.IdleTimeout.
 func (p *Pool) Ping(ctx context.Context, to record.InstanceID) error {
 	return p.Call(ctx, to, pingMethod, Ping{}, nil)
 }
 
-// Close closes all connections and waits for their goroutines.
+// Close closes all connections, which ends the calls on them, and waits for the pool's
+// goroutines. Later calls return ErrClosed.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	p.closed = true
@@ -134,8 +141,8 @@
 	p.running.Wait()
 }
 
-// liveConn returns the live liveConn to a peer, dialling it where there is
-// none. Callers share one dial.
+// liveConn returns the open connection to a peer. It dials the peer if there is none; concurrent
+// callers share one dial.
 func (p *Pool) liveConn(ctx context.Context, to record.InstanceID) (*conn, error) {
 	for {
 		e, err := p.entryFor(to)
@@ -157,6 +164,7 @@
 	}
 }
 
+// entryFor returns a peer's entry. If there is none it adds one and starts to dial the peer.
 func (p *Pool) entryFor(to record.InstanceID) (*poolEntry, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -176,6 +184,7 @@
 	return e, nil
 }
 
+// remove removes a peer's entry, unless another one has taken its place.
 func (p *Pool) remove(to record.InstanceID, e *poolEntry) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -184,7 +193,7 @@
 	}
 }
 
-// runConn dials a peer and watches its connection to the end.
+// runConn dials a peer for e and monitors the connection until it is closed.
 func (p *Pool) runConn(to record.InstanceID, e *poolEntry) {
 	defer p.remove(to, e)
 	e.conn, e.err = p.dial(to)
@@ -194,6 +203,7 @@
 	}
 }
 
+// dial connects to a peer and does the handshake.
 func (p *Pool) dial(to record.InstanceID) (*conn, error) {
 	address, ok := p.addresses.PeerAddr(to)
 	if !ok {
@@ -216,7 +226,7 @@
 	return newConn(f), nil
 }
 
-// startProbe looks after a connection on which a call saw no progress.
+// startProbe probes, in a goroutine, a connection on which nothing was received during a call.
 func (p *Pool) startProbe(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/peer/relay_test.go
+++ b/internal/peer/relay_test.go
@@ -8,25 +8,27 @@
 	"testing"
 )
 
-// faultProxy forwards TCP connections until they are made silent: then it goes on
-// reading, or stops reading, and forwards nothing. New connections work.
+// faultProxy forwards TCP connections to target. A connection can be made silent: the proxy then
+// discards what it reads, or stops reading. New connections are forwarded.
 type faultProxy struct {
 	listener net.Listener
 	target   string
 
-	mu    sync.Mutex
+	mu    sync.Mutex // Guards conns.
 	conns []*proxiedConn
 }
 
+// proxiedConn is one forwarded connection: client from the pool, server to the target.
 type proxiedConn struct {
 	client, server net.Conn
-	// dropFromClient and dropFromServer drop what comes from the client and the server.
+	// dropFromClient and dropFromServer discard what is read from the client or the server.
 	dropFromClient, dropFromServer atomic.Bool
-	// readsStalled keeps the relay from reading what the client sends.
+	// readsStalled makes the proxy stop reading from each end after the next read.
 	readsStalled atomic.Bool
-	endStall     chan struct{}
+	endStall     chan struct{} // Closed at the end of the test, to end a stalled forward.
 }
 
+// newFaultProxy starts a proxy, which the end of the test stops.
 func newFaultProxy(t *testing.T, target string) *faultProxy {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -48,6 +50,7 @@
 	return r
 }
 
+// accept forwards connections until the listener is closed.
 func (r *faultProxy) accept(running *sync.WaitGroup) {
 	for {
 		client, err := r.listener.Accept()
@@ -68,18 +71,20 @@
 	}
 }
 
+// allConns returns the connections forwarded so far, oldest first.
 func (r *faultProxy) allConns() []*proxiedConn {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return append([]*proxiedConn(nil), r.conns...)
 }
 
+// forward copies one direction until reading fails.
 func (k *proxiedConn) forward(to io.Writer, from io.Reader, drop *atomic.Bool) {
 	buf := make([]byte, 4096)
 	for {
 		n, err := from.Read(buf)
 		if err != nil {
-			return // The other end is left open: a half-open connection.
+			return // Leaves the other end open, so that the connection is half-open.
 		}
 		if k.readsStalled.Load() {
 			<-k.endStall
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -13,32 +13,33 @@
 	"guavapier/internal/record"
 )
 
-// Bounds of a Server.
+// Limits of a Server.
 const (
-	// MaxConns bounds open connections. A fleet of 410 instances has at most
-	// one from each, and twice that while connections are replaced.
+	// MaxConns limits the open connections. In a fleet of 410 instances there is at most one
+	// from each, and two from each while connections are replaced.
 	MaxConns = 1024
-	// maxCallsPerConn bounds the calls at work for one connection; further ones wait
-	// in the connection, so that one peer cannot take all memory.
+	// maxCallsPerConn limits the calls of one connection that are served at the same time.
+	// Further calls stay unread on the connection, so that a peer cannot exhaust this
+	// instance's memory.
 	maxCallsPerConn = 256
-	// requestReadTimeout ends a connection on which a caller sent nothing, not even
-	// its heartbeats.
+	// requestReadTimeout is how long a caller may send nothing, not even a heartbeat, before
+	// its connection is closed.
 	requestReadTimeout = 15 * time.Second
 
 	serviceName = "peer.Service"
 	pingMethod  = serviceName + ".Ping"
 )
 
-// errNoAddress says that the instance list has no address of the peer.
-var errNoAddress = eris.New("peer: no address known")
+// errNoAddress reports that Addresses has no address of the instance to call.
+var errNoAddress = eris.New("peer: address of the instance not known")
 
-// Ping is the argument and the answer of the heartbeat.
+// Ping is the empty argument and reply of the heartbeat method.
 type Ping struct{}
 
-// Service has the methods that this package itself serves.
+// Service has the net/rpc methods that each Server serves.
 type Service struct{}
 
-// Ping answers a heartbeat.
+// Ping replies to a heartbeat.
 func (Service) Ping(Ping, *Ping) error { return nil }
 
 // Server serves calls from peers. It is safe for concurrent use.
@@ -46,29 +47,31 @@
 	self record.InstanceID
 	rpc  *rpc.Server
 
-	mu      sync.Mutex
+	mu      sync.Mutex // Guards conns and closed.
 	conns   map[net.Conn]struct{}
 	closed  bool
-	running sync.WaitGroup
+	running sync.WaitGroup // One for each connection in conns.
 }
 
-// NewServer returns a server that answers as self. It serves Ping.
+// NewServer returns a server for the calls to the instance self. It serves Ping; other methods are
+// added with Register.
 func NewServer(self record.InstanceID) *Server {
 	s := &Server{self: self, rpc: rpc.NewServer(), conns: map[net.Conn]struct{}{}}
 	if err := s.Register(serviceName, Service{}); err != nil {
-		panic(err) // The methods above have the form that net/rpc wants.
+		panic(err) // Not possible: Service has a method of the form that net/rpc requires.
 	}
 	return s
 }
 
-// Register serves a receiver's methods, in the form that net/rpc wants, as
-// name.Method. net/rpc gives methods no context: each must end by a bound of
-// its own. Register everything before Serve.
+// Register makes the server serve the receiver's methods as name.Method. They must have the form
+// that net/rpc requires. net/rpc passes them no context, so each must bound its own duration.
+// All receivers must be registered before Serve is called.
 func (s *Server) Register(name string, receiver any) error {
-	return eris.Wrapf(s.rpc.RegisterName(name, receiver), "peer: register %s", name)
+	return eris.Wrapf(s.rpc.RegisterName(name, receiver), "peer: register service %s", name)
 }
 
-// Serve accepts peers until the listener is closed; see Close.
+// Serve accepts connections and serves their calls until the listener is closed, for which it
+// returns nil. See Close.
 func (s *Server) Serve(l net.Listener) error {
 	for {
 		conn, err := l.Accept()
@@ -76,7 +79,7 @@
 			return nil
 		}
 		if err != nil {
-			return eris.Wrap(err, "peer: accept")
+			return eris.Wrap(err, "peer: accept connection")
 		}
 		if !s.addConn(conn) {
 			_ = conn.Close()
@@ -86,8 +89,8 @@
 	}
 }
 
-// Close ends all connections and waits until their calls have ended. Close the
-// listener first.
+// Close closes all connections and waits until the calls on them have ended. The listener must be
+// closed before.
 func (s *Server) Close() {
 	s.mu.Lock()
 	s.closed = true
@@ -98,6 +101,7 @@
 	s.running.Wait()
 }
 
+// addConn registers a connection. It returns false if the server is closed or has MaxConns.
 func (s *Server) addConn(conn net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -109,6 +113,7 @@
 	return true
 }
 
+// serveConn does the handshake on a connection and serves its calls until it is closed.
 func (s *Server) serveConn(conn net.Conn) {
 	defer s.running.Done()
 	defer func() {
@@ -122,22 +127,22 @@
 		return
 	}
 	f.startWriter()
-	// ServeCodec returns when the connection has ended and its calls too.
+	// ServeCodec returns when the connection is closed and its calls have ended.
 	s.rpc.ServeCodec(&serverCodec{conn: conn, framed: f, callSlots: make(chan struct{}, maxCallsPerConn)})
 }
 
-// serverCodec is net/rpc's server codec over frames.
+// serverCodec implements rpc.ServerCodec over a framedConn.
 type serverCodec struct {
 	conn      net.Conn
 	framed    *framedConn
-	body      cbor.RawMessage
-	callSlots chan struct{} // One token for each call at work.
+	body      cbor.RawMessage // Body of the request whose header was read last.
+	callSlots chan struct{}   // Holds one token for each call being served.
 }
 
 var _ rpc.ServerCodec = (*serverCodec)(nil)
 
-// ReadRequestHeader implements rpc.ServerCodec. It waits while too many calls
-// are at work.
+// ReadRequestHeader implements rpc.ServerCodec. It blocks while maxCallsPerConn calls of the
+// connection are being served.
 func (c *serverCodec) ReadRequestHeader(r *rpc.Request) error {
 	_ = c.conn.SetReadDeadline(time.Now().Add(requestReadTimeout))
 	var m message
@@ -158,8 +163,8 @@
 	return cbor.Unmarshal(c.body, args)
 }
 
-// WriteResponse implements rpc.ServerCodec; net/rpc calls it once for each
-// request that was read.
+// WriteResponse implements rpc.ServerCodec. net/rpc calls it once for each request that was read.
+// If the reply is too large, it sends the error text of ErrTooLarge instead.
 func (c *serverCodec) WriteResponse(r *rpc.Response, reply any) error {
 	<-c.callSlots
 	body, err := cbor.Marshal(reply)
@@ -175,7 +180,7 @@
 	return err
 }
 
-// cborNull is the encoding of no value.
+// cborNull is the CBOR encoding of null, the body of a response without a reply.
 var cborNull = cbor.RawMessage{0xf6}
 
 // Close implements rpc.ServerCodec.
