--- a/internal/entry/service.go
+++ b/internal/entry/service.go
@@ -12,21 +12,23 @@
 	"guavapier/internal/run"
 )
 
-func (c *Callers) handleService(w http.ResponseWriter, r *http.Request) {
-	body, refused := c.readBody(w, r)
-	if refused != nil {
-		refused.write(w)
+// handleService runs a call to a plain service and returns the service's answer with its
+// status, content type and body.
+func (a *API) handleService(w http.ResponseWriter, r *http.Request) {
+	body, reqErr := a.readBody(w, r)
+	if reqErr != nil {
+		reqErr.write(w)
 		return
 	}
-	call, refused := c.callOf(r, body)
-	if refused != nil {
-		refused.write(w)
+	call, reqErr := a.parseServiceCall(r, body)
+	if reqErr != nil {
+		reqErr.write(w)
 		return
 	}
-	answer, err := c.Runner.Call(r.Context(), call)
-	c.writeWithin(w)
+	answer, err := a.Runner.Call(r.Context(), call)
+	a.setWriteDeadline(w)
 	if err != nil {
-		status, p := fromFailure(err)
+		status, p := problemFromError(err)
 		writeProblem(w, status, p)
 		return
 	}
@@ -36,30 +38,32 @@
 	_, _ = w.Write(answer.Body)
 }
 
-// callOf reads a service call whole; nothing has run before it returns.
-func (c *Callers) callOf(r *http.Request, body []byte) (run.Call, *refusal) {
-	common, refused := c.common(r, body)
-	if refused != nil {
-		return run.Call{}, refused
+// parseServiceCall validates a call to a plain service. If it returns an error, nothing
+// has run. Calls that may not be repeated must have an idempotency key.
+func (a *API) parseServiceCall(r *http.Request, body []byte) (run.Call, *requestError) {
+	common, reqErr := a.parseCommon(r, body)
+	if reqErr != nil {
+		return run.Call{}, reqErr
 	}
-	common.Wait = c.Limits.ServiceAnswer
+	common.MaxWait = a.Limits.ServiceAnswerTimeout
 	common.Priority = decide.PriorityCall
 	call := run.Call{
 		Request: common, Service: chi.URLParam(r, "service"), Method: r.Method, Query: r.URL.RawQuery,
 		ContentType: r.Header.Get("Content-Type"), Body: body,
 	}
 	call.Path = strings.TrimPrefix(r.URL.EscapedPath(), "/v1/services/"+call.Service)
-	if !plainPath(r.URL.Path) {
+	if !isCanonicalPath(r.URL.Path) {
 		return call, badRequest("malformed_path", "The path must not have empty or dot segments.")
 	}
-	if !common.Keyed && !c.Runner.Repeatable(call.Service, call.Method, call.Path) {
-		return call, badRequest("idempotency_key_missing", "A call that may not be repeated needs an %s.", HeaderKey)
+	if !common.HasCallerKey && !a.Runner.Repeatable(call.Service, call.Method, call.Path) {
+		return call, badRequest("idempotency_key_missing", "A call that may not be repeated needs an %s.", HeaderIdempotencyKey)
 	}
 	return call, nil
 }
 
-// plainPath says whether a path is in its simplest form. In another one it
-// might mean another call to the service than to the rules.
-func plainPath(decoded string) bool {
+// isCanonicalPath reports whether a decoded path has no empty and no dot segments. With
+// such segments the service might resolve the path to another call than the one that the
+// rules on repeatable calls were applied to.
+func isCanonicalPath(decoded string) bool {
 	return path.Clean(decoded) == strings.TrimSuffix(decoded, "/")
 }
--- a/internal/fold/config_bench_test.go
+++ b/internal/fold/config_bench_test.go
@@ -11,19 +11,20 @@
 
 var configSizes = []int{1_000, 10_000, 100_000}
 
-// configOf returns a table of n values, one change each.
-func configOf(b *testing.B, n int) *fold.Config {
+// newFilledConfig returns a table of n values, each set by a change of its own.
+func newFilledConfig(b *testing.B, n int) *fold.Config {
 	b.Helper()
 	c := fold.NewConfig()
 	for i := range n {
-		if err := c.Apply(uint64(i), benchBatch(b, i, 0)); err != nil {
+		if err := c.Apply(uint64(i), changeBatch(b, i, 0)); err != nil {
 			b.Fatal(err)
 		}
 	}
 	return c
 }
 
-func benchBatch(b *testing.B, i int, base uint64) record.Batch {
+// changeBatch returns a batch with one change, of value i from version base.
+func changeBatch(b *testing.B, i int, base uint64) record.Batch {
 	b.Helper()
 	change := record.Change{ID: fmt.Sprintf("01a238d2-75b5-79cc-aa82-%012d-%d", i, base), By: "fleet (ana)", Ops: []record.ChangeOp{
 		{Path: fmt.Sprintf("/teams/team-%d/budgets/case-%d/lean", i/50, i), Value: "0.5", Base: base},
@@ -35,18 +36,19 @@
 	return record.Batch{Writer: "i", Seq: uint64(i) + 1, Records: []record.Envelope{env}}
 }
 
-// BenchmarkConfigApply is the cost of one change on a table of a size.
+// BenchmarkConfigApply measures one change, by the number of values in the
+// table.
 func BenchmarkConfigApply(b *testing.B) {
 	for _, n := range configSizes {
 		b.Run(fmt.Sprint("values=", n), func(b *testing.B) {
-			c := configOf(b, n)
+			c := newFilledConfig(b, n)
 			batches := make([]record.Batch, b.N)
 			for i := range batches {
 				base := uint64(i%n) + 1
 				if i >= n {
-					base = uint64(i) + 1 // The change one round before: offset n + (i - n).
+					base = uint64(i) + 1 // The previous change of this value, at offset n + (i - n).
 				}
-				batches[i] = benchBatch(b, i%n, base)
+				batches[i] = changeBatch(b, i%n, base)
 			}
 			b.ResetTimer()
 			for i, batch := range batches {
@@ -58,7 +60,7 @@
 	}
 }
 
-// BenchmarkConfigMemory reports the heap of a table by value.
+// BenchmarkConfigMemory reports the heap bytes per value.
 func BenchmarkConfigMemory(b *testing.B) {
 	for _, n := range configSizes {
 		b.Run(fmt.Sprint("values=", n), func(b *testing.B) {
@@ -66,7 +68,7 @@
 				var before, after runtime.MemStats
 				runtime.GC()
 				runtime.ReadMemStats(&before)
-				c := configOf(b, n)
+				c := newFilledConfig(b, n)
 				runtime.GC()
 				runtime.ReadMemStats(&after)
 				b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/float64(n), "heap-B/value")
@@ -76,10 +78,11 @@
 	}
 }
 
-// BenchmarkConfigSnapshot is the cost of a snapshot and of starting from it.
+// BenchmarkConfigSnapshot measures taking a snapshot and restoring one, and
+// reports the encoded bytes per value.
 func BenchmarkConfigSnapshot(b *testing.B) {
 	for _, n := range configSizes {
-		c := configOf(b, n)
+		c := newFilledConfig(b, n)
 		state, err := c.Snapshot()
 		if err != nil {
 			b.Fatal(err)
--- a/internal/fold/config_test.go
+++ b/internal/fold/config_test.go
@@ -13,9 +13,9 @@
 
 var configPaths = []string{"/teams/a/x", "/teams/a/y", "/teams/b/x"}
 
-// drawChange draws a change whose bases are mostly current.
-func drawChange(t *rapid.T, c *fold.Config, ids int) record.Change {
-	change := record.Change{ID: fmt.Sprint(rapid.IntRange(0, ids).Draw(t, "id")), By: "by"}
+// drawChange draws a change whose base versions are mostly current.
+func drawChange(t *rapid.T, c *fold.Config, maxID int) record.Change {
+	change := record.Change{ID: fmt.Sprint(rapid.IntRange(0, maxID).Draw(t, "id")), By: "by"}
 	if rapid.Bool().Draw(t, "scoped") {
 		change.Scope = "/teams/a"
 	}
@@ -34,8 +34,9 @@
 	return change
 }
 
-// drawLog draws a log of racing operators, retries under the same identity,
-// and copies of batches whose answer was lost.
+// drawLog draws a log of concurrent operators, of retries with the same change
+// ID, and of copies of batches, as a writer sends them when the answer to an
+// append is lost.
 func drawLog(t *rapid.T, steps int) []record.Batch {
 	var log []record.Batch
 	current := fold.NewConfig()
@@ -51,7 +52,7 @@
 			for range rapid.IntRange(1, 3).Draw(t, "records") {
 				changes = append(changes, drawChange(t, current, steps))
 			}
-			b = batchOf(t, writer, seqs[writer], changes...)
+			b = newBatch(t, writer, seqs[writer], changes...)
 		}
 		if err := current.Apply(uint64(len(log)), b); err != nil {
 			t.Fatal(err)
@@ -73,35 +74,37 @@
 	return out
 }
 
-// configModel is what the table must be after each batch.
+// configModel is the reference model: the values, and the results by change ID,
+// that the table must have after each batch.
 type configModel struct {
 	values  map[string]fold.Value
 	decided map[string]fold.ChangeResult
 }
 
-// step checks what the fold made of one change, and follows it.
-func (m configModel) step(t *rapid.T, c *fold.Config, change record.Change, offset uint64) {
+// checkResult checks the fold's decision on one change and applies the change
+// to the model.
+func (m configModel) checkResult(t *rapid.T, c *fold.Config, change record.Change, offset uint64) {
 	got, known := c.Result(change.ID)
 	if !known {
 		t.Fatalf("change %s has no result", change.ID)
 	}
 	if before, seen := m.decided[change.ID]; seen {
 		if !reflect.DeepEqual(before, got) {
-			t.Fatalf("a retry changed the result from %+v to %+v", before, got)
+			t.Fatalf("a retry of the change modified its result from %+v to %+v", before, got)
 		}
 		return
 	}
 	m.decided[change.ID] = got
-	if allowed := expectVerdict(m.values, change); got.Accepted != allowed {
-		t.Fatalf("change %+v on %+v: accepted %v", change, m.values, got.Accepted)
+	if allowed := expectAccepted(m.values, change); got.Accepted != allowed {
+		t.Fatalf("change %+v of values %+v: accepted is %v, want the opposite", change, m.values, got.Accepted)
 	}
 	if got.Accepted {
-		set(m.values, change, offset+1)
+		applyOps(m.values, change, offset+1)
 	}
 }
 
-// Every change applies whole or not at all, once, on the versions it names,
-// within its scope; and no value goes back to what an earlier change set.
+// Every change applies entirely or not at all, once, on the versions that it
+// names and within its scope. No value goes back to that of an earlier change.
 func TestConfigNeverRevertsAndAppliesAllOrNothing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := fold.NewConfig()
@@ -111,7 +114,7 @@
 				t.Fatal(err)
 			}
 			for _, change := range changesOf(t, batch) {
-				model.step(t, c, change, uint64(offset))
+				model.checkResult(t, c, change, uint64(offset))
 			}
 			for _, path := range configPaths {
 				if v, _ := c.Get(path); v != model.values[path] {
@@ -122,16 +125,19 @@
 	})
 }
 
-func expectVerdict(now map[string]fold.Value, change record.Change) bool {
+// expectAccepted reports whether the fold must accept a change of the given
+// values.
+func expectAccepted(now map[string]fold.Value, change record.Change) bool {
 	for _, op := range change.Ops {
-		if now[op.Path].Version != op.Base || change.Scope != "" && !fold.Within(op.Path, change.Scope) {
+		if now[op.Path].Version != op.Base || change.Scope != "" && !fold.IsAtOrBelow(op.Path, change.Scope) {
 			return false
 		}
 	}
 	return true
 }
 
-func set(now map[string]fold.Value, change record.Change, version uint64) {
+// applyOps applies an accepted change to the model's values.
+func applyOps(now map[string]fold.Value, change record.Change, version uint64) {
 	for _, op := range change.Ops {
 		delete(now, op.Path)
 		if !op.Delete {
@@ -140,8 +146,9 @@
 	}
 }
 
-// A revoked credential changes nothing, also when it was revoked while its
-// change was on the way; results are forgotten after the window, and no sooner.
+// A change with a revoked credential modifies nothing, also if the credential
+// was revoked after the change was sent. Results are remembered for
+// ResultWindow and no longer.
 func TestConfigRevokedCredentialAndWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := fold.NewConfig()
@@ -150,19 +157,19 @@
 		drop := record.Change{ID: "drop", Ops: []record.ChangeOp{{Path: key, Base: 1, Delete: true}}}
 		late := record.Change{ID: "late", Credential: key, Scope: "/teams/a", Ops: []record.ChangeOp{{Path: "/teams/a/x", Value: "1"}}}
 		for offset, change := range []record.Change{put, drop, late} {
-			if err := c.Apply(uint64(offset), batchOf(t, "i", uint64(offset)+1, change)); err != nil {
+			if err := c.Apply(uint64(offset), newBatch(t, "i", uint64(offset)+1, change)); err != nil {
 				t.Fatal(err)
 			}
 		}
 		if r, _ := c.Result("late"); r.Verdict != fold.VerdictRevoked {
-			t.Fatalf("%+v", r)
+			t.Fatalf("the result of a change with a revoked credential is %+v", r)
 		}
 		gap := rapid.SampledFrom([]uint64{1, fold.ResultWindow - 1, fold.ResultWindow, fold.ResultWindow + 1, 2 * fold.ResultWindow}).Draw(t, "gap")
-		if err := c.Apply(2+gap, batchOf(t, "other", 1)); err != nil {
+		if err := c.Apply(2+gap, newBatch(t, "other", 1)); err != nil {
 			t.Fatal(err)
 		}
 		if _, known := c.Result("late"); known != (gap <= fold.ResultWindow) {
-			t.Fatalf("after %d offsets: known %v", gap, known)
+			t.Fatalf("%d offsets after the change: its result is remembered: %v, want the opposite", gap, known)
 		}
 	})
 }
--- a/internal/fold/ledger_snapshot.go
+++ b/internal/fold/ledger_snapshot.go
@@ -12,19 +12,21 @@
 	"guavapier/internal/record"
 )
 
-// ErrSnapshot says that bytes are not a snapshot that this version can use.
-var ErrSnapshot = eris.New("fold: not a usable snapshot")
+// ErrUnusableSnapshot is returned for bytes that are not a snapshot, and for a
+// snapshot in an encoding that this version does not support.
+var ErrUnusableSnapshot = eris.New("fold: not a usable snapshot")
 
-// The versions of the snapshots' encoding. A new field gets a new version, and
-// TestSnapshotHoldsEveryField fails until the state holds it.
+// Versions of the snapshots' encoding. A new field requires a new version;
+// TestSnapshotHoldsEveryField fails until the encoded state holds the field.
 const (
 	ledgerSnapshotVersion = 1
 	configSnapshotVersion = 1
 )
 
-// ledgerState is a Ledger's state without what can be derived from it: the
-// indexes of open grants and of shards by right. Every list is sorted or in
-// the order of its queue, so that equal states have equal bytes.
+// ledgerState is the encoded state of a Ledger. It omits what Restore can
+// derive: the indexes of open grants, the index of shards by right, and the set
+// of billed keys. Every list is sorted or in the order of its queue, so that
+// equal states encode to equal bytes.
 type ledgerState struct {
 	_       struct{} `cbor:",toarray"`
 	Version int
@@ -47,7 +49,7 @@
 type budgetState struct {
 	_      struct{} `cbor:",toarray"`
 	Row    Budget
-	TopUps []billKey
+	TopUps []identityHash
 }
 
 type grantState struct {
@@ -57,7 +59,7 @@
 	Billed  int64
 	Closed  bool
 	Returns uint64
-	Bills   []billKey
+	Bills   []identityHash
 }
 
 type closedState struct {
@@ -68,7 +70,7 @@
 
 type billState struct {
 	_     struct{} `cbor:",toarray"`
-	Key   billKey
+	Key   identityHash
 	Right record.RightID
 }
 
@@ -78,8 +80,8 @@
 	Claims []claimState
 	Order  []claimAgeState
 	Latest int64
-	Ended  []billKey
-	Opened []record.SessionOpened // In the order of opening.
+	Ended  []identityHash
+	Opened []record.SessionOpened // In the order in which they were opened.
 }
 
 type shardState struct {
@@ -91,22 +93,22 @@
 
 type claimState struct {
 	_       struct{} `cbor:",toarray"`
-	Key     billKey
+	Key     identityHash
 	Claim   record.Claim
 	Outcome record.Outcome
 }
 
 type claimAgeState struct {
 	_         struct{} `cbor:",toarray"`
-	Key       billKey
+	Key       identityHash
 	Run       record.RunID
 	UnixMilli int64
 }
 
-// Snapshot returns the state as bytes. Equal states give equal bytes.
+// Snapshot returns the encoded state. Equal states encode to equal bytes.
 func (l *Ledger) Snapshot() ([]byte, error) {
 	s := ledgerState{
-		Version: ledgerSnapshotVersion, Next: l.next, Swept: l.writers.swept,
+		Version: ledgerSnapshotVersion, Next: l.next, Swept: l.writers.lastSweep,
 		Writers: l.writers.state(), Claims: l.claims.state(),
 	}
 	for _, id := range slices.SortedFunc(maps.Keys(l.budgets), compareBudgets) {
@@ -117,7 +119,7 @@
 		g := l.grants[right]
 		s.Grants = append(s.Grants, grantState{Grant: g.Grant, Offset: g.Offset, Billed: g.Billed, Closed: g.Closed, Returns: g.Returns, Bills: g.bills})
 	}
-	for _, c := range l.closed.items[l.closed.head:] {
+	for _, c := range l.closedGrants.items[l.closedGrants.head:] {
 		s.Closed = append(s.Closed, closedState{Right: c.right, Offset: c.offset})
 	}
 	for _, b := range l.bills.order.items[l.bills.order.head:] {
@@ -138,24 +140,25 @@
 	return cmp.Or(cmp.Compare(a.Team, b.Team), cmp.Compare(a.Name, b.Name))
 }
 
-// Restore replaces the state by a snapshot's. After an error the state is as
-// it was. The windows must be those of the ledger that was copied.
+// Restore replaces the state with that of a snapshot. The ledger must have the
+// same windows as the one that the snapshot was taken of. It returns
+// ErrUnusableSnapshot, and then leaves the state unchanged.
 func (l *Ledger) Restore(data []byte) error {
 	var s ledgerState
 	if err := cbor.Unmarshal(data, &s); err != nil {
-		return eris.Wrap(ErrSnapshot, err.Error())
+		return eris.Wrap(ErrUnusableSnapshot, err.Error())
 	}
 	if s.Version != ledgerSnapshotVersion {
-		return eris.Wrapf(ErrSnapshot, "fold: ledger snapshot of version %d", s.Version)
+		return eris.Wrapf(ErrUnusableSnapshot, "fold: ledger snapshot has unsupported version %d", s.Version)
 	}
-	fresh := NewLedgerWith(l.windows)
-	fresh.next, fresh.writers.swept = s.Next, s.Swept
+	fresh := NewLedgerWithWindows(l.windows)
+	fresh.next, fresh.writers.lastSweep = s.Next, s.Swept
 	for _, w := range s.Writers {
-		fresh.writers.last[w.ID] = writer{seq: w.Seq, offset: w.Offset}
+		fresh.writers.lastBatches[w.ID] = lastBatch{seq: w.Seq, offset: w.Offset}
 	}
 	fresh.restoreBudgets(s)
 	for _, c := range s.Closed {
-		fresh.closed.push(closedGrant{right: c.Right, offset: c.Offset})
+		fresh.closedGrants.push(closedGrant{right: c.Right, offset: c.Offset})
 	}
 	for _, b := range s.Bills {
 		fresh.bills.seen[b.Key] = struct{}{}
@@ -166,10 +169,11 @@
 	return nil
 }
 
-// restoreBudgets rebuilds budgets, grants and the indexes of open grants.
+// restoreBudgets rebuilds the budgets, the grants and the indexes of open
+// grants.
 func (l *Ledger) restoreBudgets(s ledgerState) {
 	for _, b := range s.Budgets {
-		l.budgets[b.Row.ID] = &budget{Budget: b.Row, topUps: queue[billKey]{items: b.TopUps}, open: map[record.RightID]*Grant{}}
+		l.budgets[b.Row.ID] = &budget{Budget: b.Row, topUps: queue[identityHash]{items: b.TopUps}, openGrants: map[record.RightID]*Grant{}}
 	}
 	for _, row := range s.Grants {
 		g := &Grant{Grant: row.Grant, Offset: row.Offset, Billed: row.Billed, Closed: row.Closed, Returns: row.Returns, bills: row.Bills}
@@ -180,30 +184,30 @@
 		if g.Closed {
 			continue
 		}
-		l.held.add(g.Holder, g)
-		l.watched.add(g.Witness, g)
+		l.openByHolder.add(g.Holder, g)
+		l.openByWitness.add(g.Witness, g)
 		if b, ok := l.budgets[g.Budget]; ok {
-			b.open[g.Right] = g
+			b.openGrants[g.Right] = g
 		}
 	}
 }
 
 func (t *writerTable) state() []writerState {
-	out := make([]writerState, 0, len(t.last))
-	for _, id := range slices.Sorted(maps.Keys(t.last)) {
-		out = append(out, writerState{ID: id, Seq: t.last[id].seq, Offset: t.last[id].offset})
+	out := make([]writerState, 0, len(t.lastBatches))
+	for _, id := range slices.Sorted(maps.Keys(t.lastBatches)) {
+		out = append(out, writerState{ID: id, Seq: t.lastBatches[id].seq, Offset: t.lastBatches[id].offset})
 	}
 	return out
 }
 
-func compareKeys(a, b billKey) int { return bytes.Compare(a[:], b[:]) }
+func compareKeys(a, b identityHash) int { return bytes.Compare(a[:], b[:]) }
 
 func compareShards(a, b shardKey) int {
 	return cmp.Or(cmp.Compare(a.zone, b.zone), cmp.Compare(a.shard, b.shard))
 }
 
 func (t *claimTables) state() claimsState {
-	s := claimsState{Latest: t.latest, Ended: slices.SortedFunc(maps.Keys(t.ended), compareKeys)}
+	s := claimsState{Latest: t.latestUnixMilli, Ended: slices.SortedFunc(maps.Keys(t.endedSessions), compareKeys)}
 	for _, key := range slices.SortedFunc(maps.Keys(t.shards), compareShards) {
 		row := t.shards[key]
 		s.Shards = append(s.Shards, shardState{Shard: row.Shard, Offset: row.Offset, Closed: row.Closed})
@@ -214,18 +218,18 @@
 	for _, a := range t.order.items[t.order.head:] {
 		s.Order = append(s.Order, claimAgeState{Key: a.key, Run: a.run, UnixMilli: a.unixMilli})
 	}
-	for _, key := range t.opened.listed() {
-		s.Opened = append(s.Opened, t.opened.rows[key])
+	for _, key := range t.openSessions.keysInOrder() {
+		s.Opened = append(s.Opened, t.openSessions.rows[key])
 	}
 	return s
 }
 
 func (t *claimTables) restore(s claimsState) {
-	t.latest = s.Latest
+	t.latestUnixMilli = s.Latest
 	for _, row := range s.Shards {
 		shard := &Shard{Shard: row.Shard, Offset: row.Offset, Closed: row.Closed}
 		t.shards[shardKey{zone: row.Shard.Zone, shard: row.Shard.Shard}] = shard
-		t.current[row.Shard.Right] = shard
+		t.shardByRight[row.Shard.Right] = shard
 	}
 	for _, row := range s.Claims {
 		t.claims[row.Key] = &Claim{Claim: row.Claim, Outcome: row.Outcome}
@@ -234,9 +238,9 @@
 		t.order.push(claimAge{key: a.Key, run: a.Run, unixMilli: a.UnixMilli})
 	}
 	for _, key := range s.Ended {
-		t.ended[key] = struct{}{}
+		t.endedSessions[key] = struct{}{}
 	}
 	for _, r := range s.Opened {
-		t.opened.open(r)
+		t.openSessions.add(r)
 	}
 }
--- a/internal/ledger/renew.go
+++ b/internal/ledger/renew.go
@@ -214,7 +214,7 @@
 	grant := record.Grant{Right: record.NewRightID(), Budget: a.budget, Tokens: size, Holder: l.Self, Witness: witness, Zone: l.Zone}
 	offset, err := l.appendGrant(ctx, a, grant)
 	if err == nil {
-		err = a.partition.Wait(ctx, offset)
+		err = a.partition.AwaitOffset(ctx, offset)
 	}
 	if err != nil {
 		// It may still reach the log. Then syncAccounts finds it in the fold.
--- a/internal/ledger/watch.go
+++ b/internal/ledger/watch.go
@@ -64,7 +64,7 @@
 	ids := map[record.InstanceID]struct{}{}
 	for _, part := range l.Partitions {
 		part.View(func(f *fold.Ledger) {
-			for _, g := range f.WitnessedBy(l.Self) {
+			for _, g := range f.GrantsWitnessedBy(l.Self) {
 				ids[g.Holder] = struct{}{}
 			}
 		})
@@ -97,7 +97,7 @@
 func (l *Ledger) handleDeadInstances() {
 	for _, part := range l.Partitions {
 		var rows []fold.Grant
-		part.View(func(f *fold.Ledger) { rows = f.WitnessedBy(l.Self) })
+		part.View(func(f *fold.Ledger) { rows = f.GrantsWitnessedBy(l.Self) })
 		for _, row := range rows {
 			if _, isSealed := l.pendingCloses[row.Right]; !isSealed && l.isPresumedDead(row.Holder) {
 				l.sealGrant(part, row)
@@ -240,7 +240,7 @@
 		}
 		offset, err := l.Log.Append(ctx, part.Stream(), record.Close{Right: id, By: l.Self, Forced: true})
 		if err == nil {
-			err = part.Wait(ctx, offset)
+			err = part.AwaitOffset(ctx, offset)
 		}
 		if err != nil {
 			return fold.Grant{}, eris.Wrap(err, "ledger: forced close not confirmed, it may have taken effect")
--- a/internal/operator/close.go
+++ b/internal/operator/close.go
@@ -12,32 +12,33 @@
 	"guavapier/internal/record"
 )
 
-// handleCloseGrant closes a grant whose holder is gone for good; its risk is
-// told at ledger.Ledger.ForceClose.
-func (i *Interface) handleCloseGrant(w http.ResponseWriter, r *http.Request) {
-	closeRight(w, r, i, i.CloseGrant, ledger.ErrNoGrant, "grant")
+// handleCloseGrant closes a grant whose holder is permanently lost. For the risk of doing so
+// see ledger.Ledger.ForceClose.
+func (a *API) handleCloseGrant(w http.ResponseWriter, r *http.Request) {
+	forceClose(w, r, a, a.CloseGrant, ledger.ErrNoGrant, "grant")
 }
 
-// handleCloseShard closes a claim shard whose holder and witness are both gone
-// for good; its risk is told at claim.Holder.ForceClose.
-func (i *Interface) handleCloseShard(w http.ResponseWriter, r *http.Request) {
-	closeRight(w, r, i, i.CloseShard, claim.ErrNoShard, "shard")
+// handleCloseShard closes a claim shard whose holder and witness are both permanently lost.
+// For the risk of doing so see claim.Holder.ForceClose.
+func (a *API) handleCloseShard(w http.ResponseWriter, r *http.Request) {
+	forceClose(w, r, a, a.CloseShard, claim.ErrNoShard, "shard")
 }
 
-// closeRight closes the right that the route names. kind names it to people;
-// missing is the error for one that is not open.
-func closeRight[Row any](w http.ResponseWriter, r *http.Request, i *Interface,
-	closeOne func(context.Context, record.RightID) (Row, error), missing error, kind string,
+// forceClose closes the right whose ID is in the path by calling closeRight, and answers with
+// the closed row. errNotOpen is the error that closeRight returns if no such right is open;
+// kind is the right's name in messages and codes.
+func forceClose[Row any](w http.ResponseWriter, r *http.Request, a *API,
+	closeRight func(context.Context, record.RightID) (Row, error), errNotOpen error, kind string,
 ) {
-	ctx, cancel := context.WithTimeout(r.Context(), i.Patience)
+	ctx, cancel := context.WithTimeout(r.Context(), a.ConfirmTimeout)
 	defer cancel()
 	id := chi.URLParam(r, "id")
-	row, err := closeOne(ctx, record.RightID(id))
+	row, err := closeRight(ctx, record.RightID(id))
 	switch {
-	case errors.Is(err, missing):
+	case errors.Is(err, errNotOpen):
 		writeProblem(w, http.StatusNotFound, problem{Code: "no_open_" + kind, Message: "There is no open " + kind + " " + id + "."})
 	case err != nil:
-		writeUnknown(w, id, "/state", "The log has not confirmed the close in time; it may take effect yet. A retry is harmless.")
+		writeOutcomeUnknown(w, id, "/state", "The log has not confirmed the close in time; it may take effect yet. A retry is harmless.")
 	default:
 		writeJSON(w, http.StatusOK, row)
 	}
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -1,6 +1,6 @@
-// Package operator is the operators' HTTP interface: settings under paths,
-// top-ups, budgets, the state dump and the metrics. It has an address of its
-// own, which callers must not reach, and every route asks for a credential.
+// Package operator serves the HTTP API for operators: settings, top-ups, budgets,
+// forced closes, the state dump and the metrics. It has an address of its own, which
+// callers must not be able to reach, and every route requires a credential.
 package operator
 
 import (
@@ -18,84 +18,95 @@
 	"guavapier/internal/state"
 )
 
-// Appender appends records to the log; see logstore.Publisher.
+// Appender appends records to a stream of the log in one batch and returns the offset
+// of the batch; see logstore.Publisher. After an error the records may still be on the
+// log.
 type Appender interface {
 	Append(ctx context.Context, stream record.Stream, records ...record.Record) (uint64, error)
 }
 
-// Interface serves the operators' routes of one instance.
-type Interface struct {
-	// Token is the fleet operators' credential from the settings file.
-	Token   string
-	Log     Appender
-	Config  *replica.Replica[*fold.Config]
+// API serves the operators' HTTP API on one instance. Its fields must be set before
+// Handler is called.
+type API struct {
+	// FleetToken is the token of the settings file, which authenticates fleet operators.
+	FleetToken string
+	// Log takes changes and top-ups.
+	Log Appender
+	// Config holds the settings and the operators' keys.
+	Config *replica.Replica[*fold.Config]
+	// Ledgers holds the budgets, one replica for each ledger partition.
 	Ledgers []*replica.Replica[*fold.Ledger]
-	State   *state.Registry
+	// State holds the tables of the state dump.
+	State *state.Registry
+	// Metrics serves GET /metrics.
 	Metrics *metrics.Registry
-	// Instances gives the instance list as this instance knows it, with its
-	// own row as it is now.
+	// Instances returns the list of instances as this instance knows it, with its own
+	// row up to date.
 	Instances func() []logstore.Instance
-	// CloseGrant closes the grant of a holder that is gone for good; its risk
-	// is told at ledger.Ledger.ForceClose.
+	// CloseGrant closes the grant of a holder that is permanently lost. It returns
+	// ledger.ErrNoGrant if the grant isn't open. For the risk of closing it see
+	// ledger.Ledger.ForceClose.
 	CloseGrant func(context.Context, record.RightID) (fold.Grant, error)
-	// CloseShard closes a claim shard whose holder and witness are gone for
-	// good.
+	// CloseShard closes a claim shard whose holder and witness are permanently lost. It
+	// returns claim.ErrNoShard if the shard isn't open. For the risk of closing it see
+	// claim.Holder.ForceClose.
 	CloseShard func(context.Context, record.RightID) (fold.Shard, error)
-	// Patience is how long a change waits for the log before its outcome is
-	// called unknown.
-	Patience time.Duration
+	// ConfirmTimeout is how long a request waits for the log to confirm a record. After it,
+	// the answer is that the outcome is unknown.
+	ConfirmTimeout time.Duration
 }
 
-// access says who may use a route.
+// access is the set of operators that may use a route.
 type access int
 
 const (
-	// accessFleet is for fleet operators only.
+	// accessFleet admits fleet operators only.
 	accessFleet access = iota
-	// accessTeam is for fleet operators and for the operators of the team in
-	// the path.
+	// accessTeam admits fleet operators and the operators of the team in the path.
 	accessTeam
-	// accessScoped is for every operator; the handler shows and changes only
-	// what the operator's scope holds.
+	// accessScoped admits every operator; the handler shows and changes only what is in
+	// the operator's scope.
 	accessScoped
 )
 
-// route is one route; there is none without an access.
+// route is an HTTP route. Each has an access; the zero value is the strictest.
 type route struct {
 	method, pattern string
 	access          access
 	handler         http.HandlerFunc
 }
 
-func (i *Interface) routes() []route {
+func (a *API) routes() []route {
 	return []route{
-		{http.MethodGet, "/state", accessFleet, i.handleState},
-		{http.MethodGet, "/metrics", accessFleet, i.Metrics.ServeHTTP},
-		{http.MethodGet, "/teams", accessFleet, i.handleTeams},
-		{http.MethodPost, "/topups", accessFleet, i.handleTopUp},
-		{http.MethodPost, "/grants/{id}/close", accessFleet, i.handleCloseGrant},
-		{http.MethodPost, "/shards/{id}/close", accessFleet, i.handleCloseShard},
-		{http.MethodGet, "/budgets/{team}", accessTeam, i.handleBudgets},
-		{http.MethodGet, "/budgets/{team}/{name}", accessTeam, i.handleBudget},
-		{http.MethodPut, "/settings", accessScoped, i.handleChange},
-		{http.MethodGet, "/settings", accessScoped, i.handleSettings},
-		{http.MethodGet, "/history", accessScoped, i.handleHistory},
-		{http.MethodGet, "/changes/{id}", accessScoped, i.handleResult},
-		{http.MethodGet, "/applied", accessScoped, i.handleApplied},
-		{http.MethodGet, "/instances", accessScoped, i.handleInstances},
+		{http.MethodGet, "/state", accessFleet, a.handleGetState},
+		{http.MethodGet, "/metrics", accessFleet, a.Metrics.ServeHTTP},
+		{http.MethodGet, "/teams", accessFleet, a.handleListTeams},
+		{http.MethodPost, "/topups", accessFleet, a.handleTopUp},
+		{http.MethodPost, "/grants/{id}/close", accessFleet, a.handleCloseGrant},
+		{http.MethodPost, "/shards/{id}/close", accessFleet, a.handleCloseShard},
+		{http.MethodGet, "/budgets/{team}", accessTeam, a.handleListBudgets},
+		{http.MethodGet, "/budgets/{team}/{name}", accessTeam, a.handleGetBudget},
+		{http.MethodPut, "/settings", accessScoped, a.handlePutSettings},
+		{http.MethodGet, "/settings", accessScoped, a.handleGetSettings},
+		{http.MethodGet, "/history", accessScoped, a.handleHistory},
+		{http.MethodGet, "/changes/{id}", accessScoped, a.handleGetChange},
+		{http.MethodGet, "/applied", accessScoped, a.handleGetApplied},
+		{http.MethodGet, "/instances", accessScoped, a.handleListInstances},
 	}
 }
 
-// Handler returns the operators' routes.
-func (i *Interface) Handler() http.Handler {
+// Handler returns the HTTP routes of the API. Each authenticates the operator and checks
+// the route's access.
+func (a *API) Handler() http.Handler {
 	r := chi.NewRouter()
-	r.Use(i.authenticate)
-	for _, route := range i.routes() {
+	r.Use(a.authenticate)
+	for _, route := range a.routes() {
 		r.With(authorize(route.access)).Method(route.method, route.pattern, route.handler)
 	}
 	return r
 }
 
-func (i *Interface) handleState(w http.ResponseWriter, _ *http.Request) {
-	writeJSON(w, http.StatusOK, i.State.Dump())
+// handleGetState returns all tables of the state dump.
+func (a *API) handleGetState(w http.ResponseWriter, _ *http.Request) {
+	writeJSON(w, http.StatusOK, a.State.Dump())
 }
--- a/internal/record/fuzz_test.go
+++ b/internal/record/fuzz_test.go
@@ -8,9 +8,9 @@
 	"guavapier/internal/record"
 )
 
-// samples has one record of each kind that moves tokens, and one of a kind
-// from a newer version.
-func samples() []record.Record {
+// sampleRecords returns one record of each kind that moves tokens, and one of a
+// kind from a newer version.
+func sampleRecords() []record.Record {
 	key := record.RequestKey{Team: "dala", Session: "s", Key: "k"}
 	budget := record.BudgetID{Team: "dala", Name: "main"}
 	return []record.Record{
@@ -23,11 +23,12 @@
 	}
 }
 
-// FuzzDecodeBatch: no input panics, and what decodes keeps every record over a
-// round trip, unknown kinds included.
+// FuzzDecodeBatch checks that no input panics, that every decoded record can be
+// encoded again, and that a record of an unknown kind keeps its body over that
+// round trip.
 func FuzzDecodeBatch(f *testing.F) {
 	var all []record.Envelope
-	for n, r := range samples() {
+	for n, r := range sampleRecords() {
 		env, err := record.Encode(r)
 		if err != nil {
 			f.Fatal(err)
@@ -51,12 +52,12 @@
 			if err != nil {
 				continue
 			}
-			again, err := record.Encode(rec)
+			reencoded, err := record.Encode(rec)
 			if err != nil {
-				t.Fatalf("decoded %T does not encode: %v", rec, err)
+				t.Fatalf("decoded %T cannot be encoded again: %v", rec, err)
 			}
-			if _, unknown := rec.(record.Unknown); unknown && !bytes.Equal(again.Body, env.Body) {
-				t.Fatalf("unknown kind %d changed from %x to %x", env.Kind, env.Body, again.Body)
+			if _, unknown := rec.(record.Unknown); unknown && !bytes.Equal(reencoded.Body, env.Body) {
+				t.Fatalf("the body of unknown kind %d changed from %x to %x", env.Kind, env.Body, reencoded.Body)
 			}
 		}
 	})
--- a/internal/run/meter.go
+++ b/internal/run/meter.go
@@ -12,64 +12,77 @@
 	"guavapier/internal/endpoint"
 )
 
-// meter measures one placement for the decisions.
-type meter struct {
+// attemptMeter measures one attempt and reports the result to the dispatcher,
+// which uses it for later placements.
+type attemptMeter struct {
 	placement *dispatch.Placement
-	began     time.Time
+	startTime time.Time
 	result    decide.Result
 }
 
-func newMeter(p *dispatch.Placement) *meter { return &meter{placement: p, began: time.Now()} }
+// newAttemptMeter starts measuring an attempt. finish must be called once.
+func newAttemptMeter(p *dispatch.Placement) *attemptMeter {
+	return &attemptMeter{placement: p, startTime: time.Now()}
+}
 
-func (m *meter) token() {
+// onToken counts a token; the first one is reported at once.
+func (m *attemptMeter) onToken() {
 	if m.result.Tokens == 0 {
-		m.result.FirstToken = time.Since(m.began)
+		m.result.FirstToken = time.Since(m.startTime)
 		m.placement.ObserveFirstToken(m.result.FirstToken)
 	}
 	m.result.Tokens++
 }
 
-// done ends the placement. ctx is the run's: an attempt that failed because it
-// ended says nothing about the endpoint.
-func (m *meter) done(ctx context.Context, err error) {
-	m.result.Total = time.Since(m.began)
+// finish ends the placement with its result. ctx is the run's context: an attempt
+// that failed because the run was ended is marked as abandoned, since the
+// failure says nothing about the endpoint.
+func (m *attemptMeter) finish(ctx context.Context, err error) {
+	m.result.Total = time.Since(m.startTime)
 	m.result.Failed = err != nil
 	m.result.Abandoned = err != nil && ctx.Err() != nil
 	m.result.Stalled = errors.Is(err, endpoint.ErrSilent) || errors.Is(err, errStalled)
 	m.placement.Done(m.result)
 }
 
-// errStalled says that an endpoint's connection lives but brings no token.
-var errStalled = eris.New("run: no token within the progress limit")
+// errStalled is returned for an endpoint whose connection is alive, but brings no
+// token for Limits.ProgressTimeout.
+var errStalled = eris.New("run: no token within the progress timeout")
 
-// progress gives up an answer that has begun and stands still.
-type progress struct {
-	ctx    context.Context
-	cancel context.CancelCauseFunc
-	limit  time.Duration
-	timer  *time.Timer
+// progressWatch cancels the reading of an answer that has tokens but gets no
+// further ones in time.
+type progressWatch struct {
+	ctx     context.Context
+	cancel  context.CancelCauseFunc
+	timeout time.Duration
+	timer   *time.Timer
 }
 
-// watchProgress watches from the first token on, or at once for an answer that
-// has begun on another connection.
-func (r *Runner) watchProgress(ctx context.Context, begun bool) (context.Context, *progress) {
+// watchProgress returns a context that is cancelled with errStalled when the
+// answer stalls. The timeout runs from the first token on, or from now if
+// hasTokens says that the answer has tokens from an earlier connection. stop must
+// be called.
+func (r *Runner) watchProgress(ctx context.Context, hasTokens bool) (context.Context, *progressWatch) {
 	ctx, cancel := context.WithCancelCause(ctx)
-	p := &progress{ctx: ctx, cancel: cancel, limit: r.Limits.Progress}
-	p.timer = time.AfterFunc(p.limit, func() { cancel(errStalled) })
-	if !begun {
+	p := &progressWatch{ctx: ctx, cancel: cancel, timeout: r.Limits.ProgressTimeout}
+	p.timer = time.AfterFunc(p.timeout, func() { cancel(errStalled) })
+	if !hasTokens {
 		p.timer.Stop()
 	}
 	return ctx, p
 }
 
-func (p *progress) token() { p.timer.Reset(p.limit) }
+// onToken restarts the timeout.
+func (p *progressWatch) onToken() { p.timer.Reset(p.timeout) }
 
-func (p *progress) stop() {
+// stop ends the watch and cancels its context.
+func (p *progressWatch) stop() {
 	p.timer.Stop()
 	p.cancel(context.Canceled)
 }
 
-func (p *progress) explain(err error) error {
+// withCause returns err, joined with errStalled if the watch cancelled the reading.
+func (p *progressWatch) withCause(err error) error {
 	if errors.Is(context.Cause(p.ctx), errStalled) {
 		return errors.Join(errStalled, err)
 	}
--- a/internal/run/settle.go
+++ b/internal/run/settle.go
@@ -6,39 +6,41 @@
 	"guavapier/internal/ledger"
 )
 
-// settleLater settles a run after its caller has its final answer: neither a
-// slow log nor a dead endpoint may hold that back. Until then the reservation
-// stands.
-func (r *Runner) settleLater(ctx context.Context, g *generation, reserved ledger.Reservation, err error) {
+// settleInBackground settles a run without delaying the caller's final answer by a
+// slow log or a dead endpoint. The reservation stays in force until then.
+func (r *Runner) settleInBackground(ctx context.Context, g *generation, reserved ledger.Reservation, err error) {
 	ctx = context.WithoutCancel(ctx)
 	r.background.Go(func() { r.settle(ctx, g, reserved, err) })
 }
 
-// settle bills a run once: what it used, what its endpoint says it used where
-// it has no whole answer, or else the whole reservation. The team never pays
-// more than was reserved, and nothing runs free.
+// settle bills a run once. A completed answer is billed by its usage, a run that
+// was never sent costs nothing, and any other run is billed by the usage that
+// its endpoint reports, or by the whole reservation without such a report. The
+// team never pays more than was reserved, and no executed run is free.
 func (r *Runner) settle(ctx context.Context, g *generation, reserved ledger.Reservation, err error) {
 	used := g.result.Usage.Prompt + g.result.Usage.Completion
 	switch {
-	case err != nil && !g.started:
+	case err != nil && !g.mayHaveRun:
 		used = 0
 	case err != nil:
-		used = r.usedWithoutAnswer(ctx, g, reserved)
+		used = r.usageWithoutAnswer(ctx, g, reserved)
 	}
 	used = min(used, reserved.Tokens)
-	if err := r.Accounts.Settle(ctx, g.chat.Team.Budget, reserved, used); err != nil {
+	if err := r.Budgets.Settle(ctx, g.chat.Team.Budget, reserved, used); err != nil {
 		r.OnError(err)
 	}
 }
 
-// usedWithoutAnswer stops the run and asks its endpoint what it came to.
-func (r *Runner) usedWithoutAnswer(ctx context.Context, g *generation, reserved ledger.Reservation) int64 {
-	ctx, stop := context.WithTimeout(ctx, r.Limits.Control)
+// usageWithoutAnswer cancels the run at its last endpoint and returns the tokens
+// that the endpoint reports for it. It returns the whole reservation if the
+// endpoint does not confirm the cancellation or does not report.
+func (r *Runner) usageWithoutAnswer(ctx context.Context, g *generation, reserved ledger.Reservation) int64 {
+	ctx, stop := context.WithTimeout(ctx, r.Limits.ControlTimeout)
 	defer stop()
-	if err := r.Engines.Cancel(ctx, g.base, g.order.Run, g.order.Attempt); err != nil {
+	if err := r.Engines.Cancel(ctx, g.lastBase, g.order.Run, g.order.Attempt); err != nil {
 		return reserved.Tokens
 	}
-	state, err := r.Engines.State(ctx, g.base, g.order.Run)
+	state, err := r.Engines.State(ctx, g.lastBase, g.order.Run)
 	if err != nil {
 		return reserved.Tokens
 	}
--- a/internal/server/operators.go
+++ b/internal/server/operators.go
@@ -19,9 +19,9 @@
 const changePatience = 5 * time.Second
 
 func (s *Server) operatorsHandler() http.Handler {
-	o := &operator.Interface{
-		Token: s.secrets.Operator, Log: s.publisher, Config: s.config, Ledgers: s.partitions,
-		State: s.tables, Metrics: s.metrics, Instances: s.instances, Patience: changePatience,
+	o := &operator.API{
+		FleetToken: s.secrets.Operator, Log: s.publisher, Config: s.config, Ledgers: s.partitions,
+		State: s.tables, Metrics: s.metrics, Instances: s.instances, ConfirmTimeout: changePatience,
 		CloseGrant: s.budgets.ForceClose, CloseShard: s.holder.ForceClose,
 	}
 	return s.metrics.Measure(metrics.OperatorsHTTP, o.Handler())
@@ -66,12 +66,12 @@
 
 // streamRow is one row of the state dump's table of streams.
 type streamRow struct {
-	Stream   record.Stream `json:"stream"`
-	Next     uint64        `json:"next"`
-	First    uint64        `json:"first_kept"`
-	Current  bool          `json:"current"`
-	Gap      bool          `json:"gap"`
-	Snapshot snapshot.Seen `json:"snapshot"`
+	Stream   record.Stream    `json:"stream"`
+	Next     uint64           `json:"next"`
+	First    uint64           `json:"first_kept"`
+	Current  bool             `json:"current"`
+	Gap      bool             `json:"gap"`
+	Snapshot snapshot.Summary `json:"snapshot"`
 }
 
 func (s *Server) streamRows() []streamRow {
@@ -79,7 +79,7 @@
 	for _, st := range s.streams() {
 		rows = append(rows, streamRow{
 			Stream: st.Stream(), Next: st.Next(), First: s.subscriber.OldestOffset(st.Stream()),
-			Current: s.subscriber.IsCaughtUp(st.Stream()), Gap: st.Gap(), Snapshot: st.Newest(),
+			Current: s.subscriber.IsCaughtUp(st.Stream()), Gap: st.HasGap(), Snapshot: st.NewestSnapshot(),
 		})
 	}
 	return rows
--- a/internal/server/operators_test.go
+++ b/internal/server/operators_test.go
@@ -33,7 +33,7 @@
 	s.Instance = settings.Instance{Name: "a1", Zone: "hall-a", Callers: anyPort, Operators: anyPort, Peers: anyPort}
 	s.Platform.URL = p.URL
 	secrets := server.Secrets{
-		Sessions: session.Keyring{Current: "k1", Keys: map[string][]byte{"k1": []byte("key")}}, Operator: operatorToken,
+		Sessions: session.Keyring{CurrentKeyID: "k1", Keys: map[string][]byte{"k1": []byte("key")}}, Operator: operatorToken,
 	}
 	srv, err := server.New(s, secrets, zerolog.Nop())
 	if err != nil {
@@ -112,7 +112,7 @@
 // Nothing of the operators' interface answers on the callers' address.
 func TestCallersAddressHasNoOperatorsRoute(t *testing.T) {
 	srv := startServer(t)
-	routes := (&operator.Interface{Metrics: metrics.New()}).Handler().(chi.Routes)
+	routes := (&operator.API{Metrics: metrics.New()}).Handler().(chi.Routes)
 	walked := 0
 	err := chi.Walk(routes, func(method, route string, _ http.Handler, _ ...func(http.Handler) http.Handler) error {
 		walked++
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -64,7 +64,7 @@
 	relay      *relay.Log
 	budgets    *ledger.Ledger
 	holder     *claim.Holder
-	claims     *claim.Fleet
+	claims     *claim.Client
 	runner     *run.Runner
 	draining   atomic.Bool
 	inFlight   atomic.Int64 // Callers' requests that have no whole answer yet.
@@ -113,10 +113,10 @@
 		return nil, err
 	}
 	srv.runner = &run.Runner{
-		Claims: srv.claims, Accounts: srv.budgets,
+		Claims: srv.claims, Budgets: srv.budgets,
 		Placer: srv.dispatcher, Endpoints: srv.endpoints,
 		Engines: srv.clients.engines, Services: srv.clients.services,
-		Finder: srv.finder(), Repeats: repeatRules{srv.config}, Limits: runLimits(s.Limits), Leaving: srv.leaving,
+		RunFinder: srv.finder(), RepeatRules: repeatRules{srv.config}, Limits: runLimits(s.Limits), OnEndpointLeaving: srv.leaving,
 		OnError: func(err error) { log.Error().Err(err).Msg("run: background error") },
 	}
 	srv.registerTables()
@@ -198,15 +198,15 @@
 
 func (s *Server) callersHandler() http.Handler {
 	limits := s.settings.Limits
-	c := &entry.Callers{
-		Zone: record.Zone(s.settings.Instance.Zone), Config: s.config, Sessions: s.secrets.Sessions, Runner: s.runner,
-		Ends: session.Ends{Log: s.publisher, Partitions: s.partitions},
+	c := &entry.API{
+		Zone: record.Zone(s.settings.Instance.Zone), Config: s.config, SessionKeys: s.secrets.Sessions, Runner: s.runner,
+		SessionRegistry: session.Registry{Log: s.publisher, Partitions: s.partitions},
 		Limits: entry.Limits{
-			BodyBytes: limits.BodyBytes, AnswerBytes: int(limits.AnswerBytes), MaxTokens: limits.MaxTokens,
-			BytesPerToken: limits.PromptBytesPerToken, Read: readWithin, Write: writeWithin, Heartbeat: callerHeartbeat,
-			FirstToken: limits.FirstToken.D(), ServiceAnswer: limits.ServiceAnswer.D(),
+			MaxBodyBytes: limits.BodyBytes, MaxAnswerBytes: int(limits.AnswerBytes), MaxTokens: limits.MaxTokens,
+			MinPromptBytesPerToken: limits.PromptBytesPerToken, BodyReadTimeout: readWithin, WriteTimeout: writeWithin, HeartbeatInterval: callerHeartbeat,
+			FirstTokenTimeout: limits.FirstToken.D(), ServiceAnswerTimeout: limits.ServiceAnswer.D(),
 		},
-		Ready: func() bool { return !s.draining.Load() && s.members.Seen() && s.current() },
+		IsReady: func() bool { return !s.draining.Load() && s.members.HasList() && s.current() },
 	}
 	return s.metrics.Measure(metrics.CallersHTTP, s.countInFlight(c.Handler()))
 }
