--- a/internal/claim/world_test.go
+++ b/internal/claim/world_test.go
@@ -91,7 +91,7 @@
 	n.cancel = cancel
 	n.partition = replica.New(record.LedgerStream(0), fold.NewLedger())
 	n.log = logstore.NewPublisher(n, n.id, logstore.PublisherOptions{
-		Linger: 5 * time.Millisecond, RetryEvery: 50 * time.Millisecond, MaxRecords: 100,
+		Linger: 5 * time.Millisecond, RetryInterval: 50 * time.Millisecond, MaxRecords: 100,
 	})
 	n.holder = claim.NewHolder(claim.Dependencies{
 		Self: logstore.Instance{ID: n.id, Zone: homeZone}, Log: n.log, Caller: n, Members: n,
--- a/internal/logstore/subscriber_test.go
+++ b/internal/logstore/subscriber_test.go
@@ -13,22 +13,23 @@
 	"guavapier/internal/record"
 )
 
-// busyLog never has an empty page: each read finds entries, pages of them
-// full, and then one at a time. Up to trimmed it has dropped everything.
+// busyLog is a log whose reads never return an empty page: pages are full up to offset
+// fullPagesEnd and hold one entry after it. Entries before firstOffset are trimmed.
 type busyLog struct {
 	logstore.Log
-	trimmed, full uint64
+	firstOffset, fullPagesEnd uint64
 }
 
+// pageLength is the number of entries of a full page.
 const pageLength = 5
 
 func (l *busyLog) Read(_ context.Context, _ record.Stream, from uint64, _ time.Duration) (logstore.Page, error) {
-	if from < l.trimmed {
-		return logstore.Page{First: l.trimmed}, logstore.ErrTrimmed
+	if from < l.firstOffset {
+		return logstore.Page{First: l.firstOffset}, logstore.ErrTrimmed
 	}
-	page := logstore.Page{First: l.trimmed}
+	page := logstore.Page{First: l.firstOffset}
 	length := uint64(1)
-	if from < l.full {
+	if from < l.fullPagesEnd {
 		length = pageLength
 	}
 	for n := range length {
@@ -37,20 +38,20 @@
 	return page, nil
 }
 
-// A stream is current once its end was seen, also under a steady flow; not
-// before; and a start that fails is tried again.
+// Guards against a subscriber that never counts as caught up while other instances append all the
+// time, that counts as caught up before the end, or that stops after a failed StartOffsetFunc.
 func TestSubscriberIsCurrentAtTheEndOfABusyStream(t *testing.T) {
 	defer goleak.VerifyNone(t)
-	log := &busyLog{trimmed: 10, full: 30}
+	log := &busyLog{firstOffset: 10, fullPagesEnd: 30}
 	var starts atomic.Int32
 	start := func(context.Context, record.Stream) (uint64, error) {
 		switch starts.Add(1) {
 		case 1:
-			return 0, nil // It has aged out.
+			return 0, nil // This offset has aged out.
 		case 2:
 			return 0, errors.New("no snapshot yet")
 		default:
-			return log.trimmed, nil
+			return log.firstOffset, nil
 		}
 	}
 	sub := logstore.NewSubscriber(log, start)
@@ -58,20 +59,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for n := uint64(0); n < log.full-log.trimmed; n++ {
+	for n := uint64(0); n < log.fullPagesEnd-log.firstOffset; n++ {
 		msg := <-messages
-		if sub.Current(record.ConfigStream) {
-			t.Fatalf("current after %d entries", n)
+		if sub.IsCaughtUp(record.ConfigStream) {
+			t.Fatalf("caught up after %d entries, before the end", n)
 		}
 		msg.Ack()
 	}
 	(<-messages).Ack()
-	<-messages // The next one: the page before it was noted.
-	if !sub.Current(record.ConfigStream) {
-		t.Error("not current at the end")
+	<-messages // From the next page: the one before it was observed.
+	if !sub.IsCaughtUp(record.ConfigStream) {
+		t.Error("not caught up at the end")
 	}
 	if got := starts.Load(); got != 3 {
-		t.Errorf("%d starts", got)
+		t.Errorf("%d calls of the StartOffsetFunc, want 3", got)
 	}
 	if err := sub.Close(); err != nil {
 		t.Error(err)
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -52,14 +52,14 @@
 	mu sync.Mutex
 	// list is the latest list that was read. It is kept while the platform is
 	// unavailable.
-	list           logstore.List
+	list           logstore.MemberList
 	hasList        bool
 	lastAnswerAt   time.Time // Time of the platform's latest answer.
 	addresses      map[record.InstanceID]string
 	unreachable    map[record.InstanceID]struct{}
 	probeRound     int
 	lastProbeRound map[record.InstanceID]int // Round of each peer's latest heartbeat.
-	listeners      []func(logstore.List)
+	listeners      []func(logstore.MemberList)
 
 	// announced is the latest successful announcement of this instance, and
 	// announcedAt its time. Only the goroutine that runs refresh uses them.
@@ -81,7 +81,7 @@
 
 // OnList adds a function that is called with each list that is read. All
 // functions must be added before Run.
-func (m *Members) OnList(f func(logstore.List)) { m.listeners = append(m.listeners, f) }
+func (m *Members) OnList(f func(logstore.MemberList)) { m.listeners = append(m.listeners, f) }
 
 // Run announces this instance, reads the instance list and sends heartbeats
 // until ctx ends.
@@ -134,7 +134,7 @@
 }
 
 // setList replaces the list and drops the state of peers that are not on it.
-func (m *Members) setList(list logstore.List) {
+func (m *Members) setList(list logstore.MemberList) {
 	addresses := make(map[record.InstanceID]string, len(list.Instances))
 	for _, in := range list.Instances {
 		addresses[in.ID] = in.Peer
@@ -151,7 +151,7 @@
 }
 
 // List returns the latest list that was read.
-func (m *Members) List() logstore.List {
+func (m *Members) List() logstore.MemberList {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.list
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -21,7 +21,7 @@
 // in a synctest bubble, which fails a test that leaks goroutines.
 type simFleet struct {
 	mu          sync.Mutex
-	list        logstore.List
+	list        logstore.MemberList
 	unavailable bool
 	silent      map[record.InstanceID]bool
 	pings       map[record.InstanceID]int
@@ -29,13 +29,13 @@
 
 func (f *simFleet) Announce(context.Context, logstore.Instance) error { return nil }
 
-func (f *simFleet) List(context.Context) (logstore.List, error) {
+func (f *simFleet) List(context.Context) (logstore.MemberList, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.unavailable {
-		return logstore.List{}, logstore.ErrUnavailable
+		return logstore.MemberList{}, logstore.ErrUnavailable
 	}
-	return logstore.List{Instances: slices.Clone(f.list.Instances)}, nil
+	return logstore.MemberList{Instances: slices.Clone(f.list.Instances)}, nil
 }
 
 func (f *simFleet) Ping(ctx context.Context, to record.InstanceID) error {
@@ -68,7 +68,7 @@
 func runWithMembers(t *testing.T, size int, steps func(*simFleet, *membership.Members)) {
 	t.Helper()
 	synctest.Test(t, func(*testing.T) {
-		f := &simFleet{list: logstore.List{Instances: instances(size)}, silent: map[record.InstanceID]bool{}, pings: map[record.InstanceID]int{}}
+		f := &simFleet{list: logstore.MemberList{Instances: instances(size)}, silent: map[record.InstanceID]bool{}, pings: map[record.InstanceID]int{}}
 		m := membership.New(f, func() logstore.Instance { return logstore.Instance{ID: "i001", Zone: "z1"} }, zerolog.Nop())
 		ctx, cancel := context.WithCancel(context.Background())
 		var running sync.WaitGroup
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -13,32 +13,33 @@
 	"guavapier/internal/record"
 )
 
-// Bounds of a Server.
+// Limits of a Server.
 const (
-	// MaxConns bounds open connections. A fleet of 410 instances has at most
-	// one from each, and twice that while connections are replaced.
+	// MaxConns limits the open connections. In a fleet of 410 instances there is at most one
+	// from each, and two from each while connections are replaced.
 	MaxConns = 1024
-	// maxCalls bounds the calls at work for one connection; further ones wait
-	// in the connection, so that one peer cannot take all memory.
-	maxCalls = 256
-	// silentAfter ends a connection on which a caller sent nothing, not even
-	// its heartbeats.
-	silentAfter = 15 * time.Second
+	// maxCallsPerConn limits the calls of one connection that are served at the same time.
+	// Further calls stay unread on the connection, so that a peer cannot exhaust this
+	// instance's memory.
+	maxCallsPerConn = 256
+	// requestReadTimeout is how long a caller may send nothing, not even a heartbeat, before
+	// its connection is closed.
+	requestReadTimeout = 15 * time.Second
 
 	serviceName = "peer.Service"
 	pingMethod  = serviceName + ".Ping"
 )
 
-// errNoAddress says that the instance list has no address of the peer.
-var errNoAddress = eris.New("peer: no address known")
+// errNoAddress reports that Addresses has no address of the instance to call.
+var errNoAddress = eris.New("peer: address of the instance not known")
 
-// Ping is the argument and the answer of the heartbeat.
+// Ping is the empty argument and reply of the heartbeat method.
 type Ping struct{}
 
-// Service has the methods that this package itself serves.
+// Service has the net/rpc methods that each Server serves.
 type Service struct{}
 
-// Ping answers a heartbeat.
+// Ping replies to a heartbeat.
 func (Service) Ping(Ping, *Ping) error { return nil }
 
 // Server serves calls from peers. It is safe for concurrent use.
@@ -46,29 +47,31 @@
 	self record.InstanceID
 	rpc  *rpc.Server
 
-	mu      sync.Mutex
+	mu      sync.Mutex // Guards conns and closed.
 	conns   map[net.Conn]struct{}
 	closed  bool
-	running sync.WaitGroup
+	running sync.WaitGroup // One for each connection in conns.
 }
 
-// NewServer returns a server that answers as self. It serves Ping.
+// NewServer returns a server for the calls to the instance self. It serves Ping; other methods are
+// added with Register.
 func NewServer(self record.InstanceID) *Server {
 	s := &Server{self: self, rpc: rpc.NewServer(), conns: map[net.Conn]struct{}{}}
 	if err := s.Register(serviceName, Service{}); err != nil {
-		panic(err) // The methods above have the form that net/rpc wants.
+		panic(err) // Not possible: Service has a method of the form that net/rpc requires.
 	}
 	return s
 }
 
-// Register serves a receiver's methods, in the form that net/rpc wants, as
-// name.Method. net/rpc gives methods no context: each must end by a bound of
-// its own. Register everything before Serve.
+// Register makes the server serve the receiver's methods as name.Method. They must have the form
+// that net/rpc requires. net/rpc passes them no context, so each must bound its own duration.
+// All receivers must be registered before Serve is called.
 func (s *Server) Register(name string, receiver any) error {
-	return eris.Wrapf(s.rpc.RegisterName(name, receiver), "peer: register %s", name)
+	return eris.Wrapf(s.rpc.RegisterName(name, receiver), "peer: register service %s", name)
 }
 
-// Serve accepts peers until the listener is closed; see Close.
+// Serve accepts connections and serves their calls until the listener is closed, for which it
+// returns nil. See Close.
 func (s *Server) Serve(l net.Listener) error {
 	for {
 		conn, err := l.Accept()
@@ -76,18 +79,18 @@
 			return nil
 		}
 		if err != nil {
-			return eris.Wrap(err, "peer: accept")
+			return eris.Wrap(err, "peer: accept connection")
 		}
-		if !s.add(conn) {
+		if !s.addConn(conn) {
 			_ = conn.Close()
 			continue
 		}
-		go s.serve(conn)
+		go s.serveConn(conn)
 	}
 }
 
-// Close ends all connections and waits until their calls have ended. Close the
-// listener first.
+// Close closes all connections and waits until the calls on them have ended. The listener must be
+// closed before.
 func (s *Server) Close() {
 	s.mu.Lock()
 	s.closed = true
@@ -98,7 +101,8 @@
 	s.running.Wait()
 }
 
-func (s *Server) add(conn net.Conn) bool {
+// addConn registers a connection. It returns false if the server is closed or has MaxConns.
+func (s *Server) addConn(conn net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed || len(s.conns) >= MaxConns {
@@ -109,42 +113,43 @@
 	return true
 }
 
-func (s *Server) serve(conn net.Conn) {
+// serveConn does the handshake on a connection and serves its calls until it is closed.
+func (s *Server) serveConn(conn net.Conn) {
 	defer s.running.Done()
 	defer func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		delete(s.conns, conn)
 	}()
-	f := newFrames(conn, DefaultWrite)
-	if err := admit(conn, f, s.self, DefaultDial); err != nil {
+	f := newFramedConn(conn, DefaultWriteTimeout)
+	if err := serverHandshake(conn, f, s.self, DefaultDialTimeout); err != nil {
 		_ = conn.Close()
 		return
 	}
-	f.start()
-	// ServeCodec returns when the connection has ended and its calls too.
-	s.rpc.ServeCodec(&serverCodec{conn: conn, frames: f, calls: make(chan struct{}, maxCalls)})
+	f.startWriter()
+	// ServeCodec returns when the connection is closed and its calls have ended.
+	s.rpc.ServeCodec(&serverCodec{conn: conn, framed: f, callSlots: make(chan struct{}, maxCallsPerConn)})
 }
 
-// serverCodec is net/rpc's server codec over frames.
+// serverCodec implements rpc.ServerCodec over a framedConn.
 type serverCodec struct {
-	conn   net.Conn
-	frames *frames
-	body   cbor.RawMessage
-	calls  chan struct{} // One token for each call at work.
+	conn      net.Conn
+	framed    *framedConn
+	body      cbor.RawMessage // Body of the request whose header was read last.
+	callSlots chan struct{}   // Holds one token for each call being served.
 }
 
 var _ rpc.ServerCodec = (*serverCodec)(nil)
 
-// ReadRequestHeader implements rpc.ServerCodec. It waits while too many calls
-// are at work.
+// ReadRequestHeader implements rpc.ServerCodec. It blocks while maxCallsPerConn calls of the
+// connection are being served.
 func (c *serverCodec) ReadRequestHeader(r *rpc.Request) error {
-	_ = c.conn.SetReadDeadline(time.Now().Add(silentAfter))
+	_ = c.conn.SetReadDeadline(time.Now().Add(requestReadTimeout))
 	var m message
-	if err := c.frames.receive(&m); err != nil {
+	if err := c.framed.receive(&m); err != nil {
 		return err
 	}
-	c.calls <- struct{}{}
+	c.callSlots <- struct{}{}
 	r.ServiceMethod, r.Seq = m.Header.Method, m.Header.Seq
 	c.body = m.Body
 	return nil
@@ -158,28 +163,28 @@
 	return cbor.Unmarshal(c.body, args)
 }
 
-// WriteResponse implements rpc.ServerCodec; net/rpc calls it once for each
-// request that was read.
+// WriteResponse implements rpc.ServerCodec. net/rpc calls it once for each request that was read.
+// If the reply is too large, it sends the error text of ErrTooLarge instead.
 func (c *serverCodec) WriteResponse(r *rpc.Response, reply any) error {
-	<-c.calls
+	<-c.callSlots
 	body, err := cbor.Marshal(reply)
 	if err != nil {
 		return eris.Wrap(err, "peer: encode reply")
 	}
 	h := header{Method: r.ServiceMethod, Seq: r.Seq, Error: r.Error}
-	err = c.frames.send(message{Header: h, Body: body})
+	err = c.framed.send(message{Header: h, Body: body})
 	if errors.Is(err, ErrTooLarge) {
 		h.Error = ErrTooLarge.Error()
-		err = c.frames.send(message{Header: h, Body: cborNull})
+		err = c.framed.send(message{Header: h, Body: cborNull})
 	}
 	return err
 }
 
-// cborNull is the encoding of no value.
+// cborNull is the CBOR encoding of null, the body of a response without a reply.
 var cborNull = cbor.RawMessage{0xf6}
 
 // Close implements rpc.ServerCodec.
 func (c *serverCodec) Close() error {
-	c.frames.close(rpc.ErrShutdown)
+	c.framed.close(rpc.ErrShutdown)
 	return nil
 }
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -93,10 +93,10 @@
 	}
 	srv.client = logstore.NewClient(s.Platform.URL, s.Platform.Timeout.D())
 	if srv.links.requiresTLS(settings.InterfacePlatform) {
-		srv.client.Secure(srv.links.outsideCA.Dial)
+		srv.client.SetTLSDialer(srv.links.outsideCA.Dial)
 	}
 	srv.publisher = logstore.NewPublisher(srv.client, srv.id, logstore.PublisherOptions{
-		Linger: s.Ledger.Linger.D(), RetryEvery: publishRetryInterval, MaxRecords: maxRecordsPerBatch,
+		Linger: s.Ledger.Linger.D(), RetryInterval: publishRetryInterval, MaxRecords: maxRecordsPerBatch,
 	})
 	srv.config = replica.New(record.ConfigStream, fold.NewConfig())
 	for n := range s.Ledger.Partitions {
--- a/internal/server/streams.go
+++ b/internal/server/streams.go
@@ -53,7 +53,7 @@
 // and credentials.
 func (s *Server) isCurrent() bool {
 	for _, st := range s.followedStreams() {
-		if !s.subscriber.Current(st.Stream()) {
+		if !s.subscriber.IsCaughtUp(st.Stream()) {
 			return false
 		}
 	}
@@ -102,7 +102,7 @@
 // snapshotWriter returns the writer of snapshots of all followed streams.
 func (s *Server) snapshotWriter() *snapshot.Writer {
 	w := &snapshot.Writer{
-		Log: s.publisher, FirstOffset: s.subscriber.First, MaxAge: s.settings.Snapshots.Every.D(),
+		Log: s.publisher, FirstOffset: s.subscriber.OldestOffset, MaxAge: s.settings.Snapshots.Every.D(),
 		OnWritten: func(name record.Stream, covers uint64, bytes int) {
 			s.metrics.Counter(metrics.SnapshotsWritten).Inc(1)
 			s.log.Info().Str("stream", string(name)).Uint64("covers", covers).Int("bytes", bytes).Msg("snapshot: written")
--- a/internal/server/table.go
+++ b/internal/server/table.go
@@ -38,7 +38,7 @@
 }
 
 // update recomputes the endpoints and team weights from a newly read list.
-func (t *endpointTable) update(list logstore.List) {
+func (t *endpointTable) update(list logstore.MemberList) {
 	rows := make([]decide.Endpoint, 0, len(list.Endpoints))
 	targets := make([]endpoint.Target, 0, len(list.Endpoints))
 	t.mu.Lock()
--- a/internal/standin/keyed.go
+++ b/internal/standin/keyed.go
@@ -9,7 +9,7 @@
 )
 
 // Keyed is an in-memory log of keyed topics that simulates outages, lost
-// answers and compaction. It implements logstore.Keyed and is safe for
+// answers and compaction. It implements logstore.KeyedLog and is safe for
 // concurrent use. The zero value isn't usable; use NewKeyed.
 type Keyed struct {
 	mu          sync.Mutex
@@ -93,7 +93,7 @@
 	k.append(topic, []logstore.KeyedRecord{{Key: key, Value: value}})
 }
 
-// Newest implements logstore.Keyed. The records are in no order.
+// Newest implements logstore.KeyedLog. The records are in no order.
 func (k *Keyed) Newest(_ context.Context, topic logstore.Topic) (logstore.KeyedPage, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -111,7 +111,7 @@
 	return page, nil
 }
 
-// Follow implements logstore.Keyed. It blocks for up to wait while there are no
+// Follow implements logstore.KeyedLog. It blocks for up to wait while there are no
 // records from offset from on.
 func (k *Keyed) Follow(ctx context.Context, topic logstore.Topic, from uint64, wait time.Duration) (logstore.KeyedPage, error) {
 	timer := time.NewTimer(wait)
@@ -150,10 +150,10 @@
 	return logstore.KeyedPage{Records: records, Next: end, End: end}, k.changed, nil
 }
 
-// Put implements logstore.Keyed. It rejects an older epoch of the writer with
+// Put implements logstore.KeyedLog. It rejects an older epoch of the writer with
 // ErrFenced. Within an epoch it rejects a sequence other than the next one with
 // ErrSequence, except that repeating the last one succeeds without effect.
-func (k *Keyed) Put(_ context.Context, topic logstore.Topic, w logstore.Write, records []logstore.KeyedRecord) error {
+func (k *Keyed) Put(_ context.Context, topic logstore.Topic, w logstore.WriteID, records []logstore.KeyedRecord) error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.writes++
