--- a/internal/gateway/counted.go
+++ b/internal/gateway/counted.go
@@ -39,7 +39,7 @@
 
 // countOutcome increments the counter of the outcome that err stands for.
 func (c instrumentedStore) countOutcome(err error) {
-	c.metrics.Counter(metrics.GatewayStore + storeOutcome(err)).Inc(1)
+	c.metrics.Counter(metrics.GatewayStoreCallsPrefix + storeOutcome(err)).Inc(1)
 }
 
 // storeOutcome returns the suffix of the metric that counts calls with this result.
--- a/internal/gateway/observe.go
+++ b/internal/gateway/observe.go
@@ -25,13 +25,13 @@
 		return map[string]int64{"version": g.stateVersion(), "age_ms": g.stateFreshness.age().Milliseconds()}
 	})
 	g.metrics.Gauge(metrics.GatewayInstances, func() int64 { return int64(g.budgets.Accounts.Instances()) })
-	g.metrics.Gauge(metrics.GatewayState, g.stateVersion)
+	g.metrics.Gauge(metrics.GatewayStateVersion, g.stateVersion)
 	g.metrics.Gauge(metrics.GatewayStateAge, func() int64 { return g.stateFreshness.age().Milliseconds() })
-	g.metrics.Gauge(metrics.GatewayListAge, func() int64 { return g.endpoints.freshness.age().Milliseconds() })
-	g.metrics.Gauge(metrics.GatewayHeldBack, func() int64 { return g.quarantine.Table.CountQuarantined(time.Now()) })
+	g.metrics.Gauge(metrics.GatewayEndpointsAge, func() int64 { return g.endpoints.freshness.age().Milliseconds() })
+	g.metrics.Gauge(metrics.GatewayQuarantinedRequests, func() int64 { return g.quarantine.Table.CountQuarantined(time.Now()) })
 	g.registerBudgetGauges()
 	if g.platform.LinesDropped != nil {
-		g.metrics.Gauge(metrics.GatewayDropped, g.platform.LinesDropped)
+		g.metrics.Gauge(metrics.GatewayLinesDropped, g.platform.LinesDropped)
 	}
 }
 
@@ -58,9 +58,9 @@
 // sends and of the link's load, in percent.
 func (g *Gateway) registerBudgetGauges() {
 	for name, value := range map[string]func(prepaid.Balance) int64{
-		metrics.GatewayHeld: func(b prepaid.Balance) int64 { return b.Claimed + b.Received - b.Transferred - b.Settled - b.Reserved },
-		metrics.GatewayUsed: func(b prepaid.Balance) int64 { return b.Settled + b.Reserved },
-		metrics.GatewayLost: func(b prepaid.Balance) int64 { return b.Lost },
+		metrics.GatewayBudgetHeld: func(b prepaid.Balance) int64 { return b.Claimed + b.Received - b.Transferred - b.Settled - b.Reserved },
+		metrics.GatewayBudgetUsed: func(b prepaid.Balance) int64 { return b.Settled + b.Reserved },
+		metrics.GatewayBudgetLost: func(b prepaid.Balance) int64 { return b.Lost },
 	} {
 		g.metrics.Gauge(name, func() int64 {
 			sum := int64(0)
@@ -70,12 +70,12 @@
 			return sum
 		})
 	}
-	g.metrics.Gauge(metrics.GatewayReadAge, func() int64 { return g.budgets.Accounts.Balance("", g.clock()).ReadAgeMS })
-	g.metrics.Gauge(metrics.GatewayTouchAge, func() int64 { return g.budgets.Accounts.Balance("", g.clock()).RenewalAgeMS })
-	g.metrics.Gauge(metrics.GatewayReclaimed, g.budgets.ReclaimedTokens)
-	g.metrics.Gauge(metrics.GatewayRepeats, func() int64 { allowed, _ := g.retryLimiter.Counts(); return allowed })
+	g.metrics.Gauge(metrics.GatewayBudgetReadAge, func() int64 { return g.budgets.Accounts.Balance("", g.clock()).ReadAgeMS })
+	g.metrics.Gauge(metrics.GatewayBudgetRenewalAge, func() int64 { return g.budgets.Accounts.Balance("", g.clock()).RenewalAgeMS })
+	g.metrics.Gauge(metrics.GatewayBudgetReclaimed, g.budgets.ReclaimedTokens)
+	g.metrics.Gauge(metrics.GatewayRetries, func() int64 { allowed, _ := g.retryLimiter.Counts(); return allowed })
 	g.metrics.Gauge(metrics.GatewayLinkLoad, func() int64 { return int64(100 * g.linkShedder.Load()) })
-	g.metrics.Gauge(metrics.GatewayRepeatsDenied, func() int64 { _, denied := g.retryLimiter.Counts(); return denied })
+	g.metrics.Gauge(metrics.GatewayRetriesDenied, func() int64 { _, denied := g.retryLimiter.Counts(); return denied })
 }
 
 // requestObserver returns the callback that records a finished request in the metrics.
@@ -83,7 +83,7 @@
 	requests := g.metrics.Counter(metrics.GatewayRequests)
 	attempts := g.metrics.Counter(metrics.GatewayAttempts)
 	latency := g.metrics.Histogram(metrics.GatewayLatency)
-	firstByte := g.metrics.Histogram(metrics.GatewayFirst)
+	firstByte := g.metrics.Histogram(metrics.GatewayHeaderLatency)
 	return func(e forward.RequestSummary) {
 		requests.Inc(1)
 		attempts.Inc(int64(e.Attempts))
@@ -92,7 +92,7 @@
 			firstByte.Update(e.TimeToHeader.Microseconds())
 		}
 		if e.Reason != "" {
-			g.metrics.Counter(metrics.GatewayEnds + strings.ReplaceAll(string(e.Reason), " ", "_")).Inc(1)
+			g.metrics.Counter(metrics.GatewayEndsPrefix + strings.ReplaceAll(string(e.Reason), " ", "_")).Inc(1)
 		}
 	}
 }
--- a/internal/metrics/catalogue.go
+++ b/internal/metrics/catalogue.go
@@ -15,11 +15,11 @@
 	OperatorRefusals   = "operators.refusals"
 	OperatorFaults     = "operators.faults"
 	OperatorLatency    = "operators.latency"
-	ConfigNext         = "config.next_offset"
+	ConfigNextOffset   = "config.next_offset"
 	ConfigValues       = "config.values"
-	LedgerNext         = "ledger.next_offset"
-	BatchesPassed      = "replica.batches_passed_over"
-	RecordsLost        = "replica.records_aged_out"
+	LedgerNextOffset   = "ledger.next_offset"
+	BatchesSkipped     = "replica.batches_passed_over"
+	RecordsAgedOut     = "replica.records_aged_out"
 	SnapshotsWritten   = "snapshot.written"
 	SnapshotsRestored  = "snapshot.restored"
 	SnapshotsDiscarded = "snapshot.discarded"
@@ -57,11 +57,11 @@
 		{OperatorRefusals, KindCounter, "requests", "Of these, answered with a 4xx status."},
 		{OperatorFaults, KindCounter, "requests", "Of these, answered with a 5xx status, unknown outcomes included."},
 		{OperatorLatency, KindHistogram, "microseconds", "From a request's arrival to the end of its answer."},
-		{ConfigNext, KindGauge, "offset", "Offset after the last applied entry of the configuration stream."},
+		{ConfigNextOffset, KindGauge, "offset", "Offset after the last applied entry of the configuration stream."},
 		{ConfigValues, KindGauge, "values", "Values under paths."},
-		{LedgerNext, KindGauge, "offset", "Sum over the ledger partitions of the offset after the last applied entry."},
-		{BatchesPassed, KindCounter, "batches", "Batches that could not be decoded and were passed over."},
-		{RecordsLost, KindCounter, "times", "Times that records aged out before this instance had read them."},
+		{LedgerNextOffset, KindGauge, "offset", "Sum over the ledger partitions of the offset after the last applied entry."},
+		{BatchesSkipped, KindCounter, "batches", "Batches that could not be decoded and were passed over."},
+		{RecordsAgedOut, KindCounter, "times", "Times that records aged out before this instance had read them."},
 		{SnapshotsWritten, KindCounter, "snapshots", "Snapshots that this instance has written."},
 		{SnapshotsRestored, KindCounter, "snapshots", "Snapshots from which this instance has restored a stream's tables."},
 		{SnapshotsDiscarded, KindCounter, "chunks", "Chunks and snapshots that were damaged and not used."},
@@ -71,12 +71,12 @@
 }
 
 // Reference returns the catalogue as a table in Markdown.
-func Reference() string { return referenceOf(Catalogue()) }
+func Reference() string { return markdownTable(Catalogue()) }
 
 // GatewayReference returns a gateway's catalogue as a table in Markdown.
-func GatewayReference() string { return referenceOf(GatewayCatalogue()) }
+func GatewayReference() string { return markdownTable(GatewayCatalogue()) }
 
-func referenceOf(catalogue []Metric) string {
+func markdownTable(catalogue []Metric) string {
 	var b strings.Builder
 	b.WriteString("| metric | kind | unit | what it says |\n| --- | --- | --- | --- |\n")
 	for _, m := range catalogue {
--- a/internal/metrics/http.go
+++ b/internal/metrics/http.go
@@ -8,27 +8,27 @@
 	gometrics "github.com/rcrowley/go-metrics"
 )
 
-// HTTPNames are the metrics of one HTTP interface.
-type HTTPNames struct {
+// HTTPMetricNames are the metrics of one HTTP interface.
+type HTTPMetricNames struct {
 	Requests, Refusals, Faults, Latency string
 }
 
 // CallersHTTP and OperatorsHTTP name the metrics of the two interfaces.
 var (
-	CallersHTTP   = HTTPNames{Requests: CallerRequests, Refusals: CallerRefusals, Faults: CallerFaults, Latency: CallerLatency}
-	OperatorsHTTP = HTTPNames{Requests: OperatorRequests, Refusals: OperatorRefusals, Faults: OperatorFaults, Latency: OperatorLatency}
+	CallersHTTP   = HTTPMetricNames{Requests: CallerRequests, Refusals: CallerRefusals, Faults: CallerFaults, Latency: CallerLatency}
+	OperatorsHTTP = HTTPMetricNames{Requests: OperatorRequests, Refusals: OperatorRefusals, Faults: OperatorFaults, Latency: OperatorLatency}
 )
 
-// measured is an HTTP handler whose answers are counted.
-type measured struct {
+// instrumentedHandler is an HTTP handler whose answers are counted.
+type instrumentedHandler struct {
 	next                       http.Handler
 	requests, refusals, faults gometrics.Counter
 	latency                    gometrics.Histogram
 }
 
-// Measure counts the requests that next answers.
-func (r *Registry) Measure(names HTTPNames, next http.Handler) http.Handler {
-	return &measured{
+// Instrument counts the requests that next answers.
+func (r *Registry) Instrument(names HTTPMetricNames, next http.Handler) http.Handler {
+	return &instrumentedHandler{
 		next:     next,
 		requests: r.Counter(names.Requests), refusals: r.Counter(names.Refusals), faults: r.Counter(names.Faults),
 		latency: r.Histogram(names.Latency),
@@ -36,21 +36,21 @@
 }
 
 // ServeHTTP implements http.Handler.
-func (m *measured) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	began := time.Now()
-	answer := middleware.NewWrapResponseWriter(w, r.ProtoMajor)
+func (h *instrumentedHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	start := time.Now()
+	response := middleware.NewWrapResponseWriter(w, r.ProtoMajor)
 	// Deferred, since a handler may abort its answer by a panic.
-	defer func() { m.count(answer.Status(), time.Since(began)) }()
-	m.next.ServeHTTP(answer, r)
+	defer func() { h.record(response.Status(), time.Since(start)) }()
+	h.next.ServeHTTP(response, r)
 }
 
-func (m *measured) count(status int, took time.Duration) {
-	m.requests.Inc(1)
-	m.latency.Update(took.Microseconds())
+func (h *instrumentedHandler) record(status int, latency time.Duration) {
+	h.requests.Inc(1)
+	h.latency.Update(latency.Microseconds())
 	switch status / 100 {
 	case 4:
-		m.refusals.Inc(1)
+		h.refusals.Inc(1)
 	case 5:
-		m.faults.Inc(1)
+		h.faults.Inc(1)
 	}
 }
--- a/internal/metrics/text.go
+++ b/internal/metrics/text.go
@@ -9,8 +9,8 @@
 	gometrics "github.com/rcrowley/go-metrics"
 )
 
-// percentiles are those that a histogram shows.
-var percentiles = []float64{0.5, 0.9, 0.99}
+// quantiles are those that a histogram shows.
+var quantiles = []float64{0.5, 0.9, 0.99}
 
 // ServeText writes all metrics as text, one value a line in the common
 // exposition format: dots become underscores, histograms are summaries.
@@ -19,11 +19,11 @@
 	names := r.Names()
 	slices.Sort(names)
 	for _, name := range names {
-		_, _ = w.Write([]byte(textOf(strings.ReplaceAll(name, ".", "_"), r.all.Get(name))))
+		_, _ = w.Write([]byte(formatMetric(strings.ReplaceAll(name, ".", "_"), r.registry.Get(name))))
 	}
 }
 
-func textOf(name string, metric any) string {
+func formatMetric(name string, metric any) string {
 	switch m := metric.(type) {
 	case gometrics.Counter:
 		return fmt.Sprintf("# TYPE %s counter\n%s %d\n", name, name, m.Count())
@@ -33,8 +33,8 @@
 		h := m.Snapshot()
 		var b strings.Builder
 		fmt.Fprintf(&b, "# TYPE %s summary\n", name)
-		for i, value := range h.Percentiles(percentiles) {
-			fmt.Fprintf(&b, "%s{quantile=\"%g\"} %g\n", name, percentiles[i], value)
+		for i, value := range h.Percentiles(quantiles) {
+			fmt.Fprintf(&b, "%s{quantile=\"%g\"} %g\n", name, quantiles[i], value)
 		}
 		fmt.Fprintf(&b, "%s_sum %d\n%s_count %d\n", name, h.Sum(), name, h.Count())
 		return b.String()
--- a/internal/server/operators.go
+++ b/internal/server/operators.go
@@ -24,7 +24,7 @@
 		State: s.tables, Metrics: s.metrics, Instances: s.instances, ConfirmTimeout: changePatience,
 		CloseGrant: s.budgets.ForceClose, CloseShard: s.holder.ForceClose,
 	}
-	return s.metrics.Measure(metrics.OperatorsHTTP, o.Handler())
+	return s.metrics.Instrument(metrics.OperatorsHTTP, o.Handler())
 }
 
 // instances returns the instance list with this instance's row as it is now.
@@ -86,19 +86,19 @@
 }
 
 func (s *Server) registerMetrics() {
-	s.metrics.Gauge(metrics.ConfigNext, func() int64 { return int64(s.config.Next()) })
+	s.metrics.Gauge(metrics.ConfigNextOffset, func() int64 { return int64(s.config.Next()) })
 	s.metrics.Gauge(metrics.ConfigValues, func() (n int64) {
 		s.config.View(func(f *fold.Config) { n = int64(f.Len()) })
 		return n
 	})
-	s.metrics.Gauge(metrics.LedgerNext, func() (sum int64) {
+	s.metrics.Gauge(metrics.LedgerNextOffset, func() (sum int64) {
 		for _, p := range s.partitions {
 			sum += int64(p.Next())
 		}
 		return sum
 	})
 	for _, name := range []string{
-		metrics.BatchesPassed, metrics.RecordsLost, metrics.SnapshotsWritten, metrics.SnapshotsRestored, metrics.SnapshotsDiscarded,
+		metrics.BatchesSkipped, metrics.RecordsAgedOut, metrics.SnapshotsWritten, metrics.SnapshotsRestored, metrics.SnapshotsDiscarded,
 	} {
 		s.metrics.Counter(name)
 	}
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -208,7 +208,7 @@
 		},
 		IsReady: func() bool { return !s.draining.Load() && s.members.Seen() && s.current() },
 	}
-	return s.metrics.Measure(metrics.CallersHTTP, s.countInFlight(c.Handler()))
+	return s.metrics.Instrument(metrics.CallersHTTP, s.countInFlight(c.Handler()))
 }
 
 func (s *Server) countInFlight(next http.Handler) http.Handler {
--- a/internal/server/streams.go
+++ b/internal/server/streams.go
@@ -35,7 +35,7 @@
 
 func (s *Server) follow(ctx context.Context) error {
 	onError := func(err error) {
-		s.metrics.Counter(metrics.BatchesPassed).Inc(1)
+		s.metrics.Counter(metrics.BatchesSkipped).Inc(1)
 		s.log.Error().Err(err).Msg("replica: batch passed over")
 	}
 	var sources []replica.Source
@@ -77,7 +77,7 @@
 		return 0, err
 	}
 	st.SetGap()
-	s.metrics.Counter(metrics.RecordsLost).Inc(1)
+	s.metrics.Counter(metrics.RecordsAgedOut).Inc(1)
 	whole, _, discarded, err := snapshot.Find(ctx, s.client, st.Stream())
 	s.metrics.Counter(metrics.SnapshotsDiscarded).Inc(int64(discarded))
 	if err == nil {
