--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -42,30 +42,30 @@
 
 func usagef(format string, args ...any) error { return usageError{text: fmt.Sprintf(format, args...)} }
 
-// output is what a command reads from and writes to.
-type output struct {
+// stdio is what a command reads from and writes to.
+type stdio struct {
 	in       io.Reader
 	out, err io.Writer
 }
 
 // Main runs the command line and returns the exit code.
 func Main(args []string, stdin io.Reader, stdout, stderr io.Writer) int {
-	o := output{in: stdin, out: stdout, err: stderr}
+	std := stdio{in: stdin, out: stdout, err: stderr}
 	// Never undone: a signal that comes once more while the process leaves would end
 	// it by its default action, and an orderly end would look like a failure.
 	ctx, _ := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
-	root := rootCommand(o)
-	command := commandOf(root, args)
+	root := rootCommand(std)
+	command := findCommand(root, args)
 	if err := root.Parse(args); err != nil {
-		return o.exitCode(command, usageOf(command, err))
+		return std.handleError(command, asUsageError(command, err))
 	}
-	return o.exitCode(command, root.Run(ctx))
+	return std.handleError(command, root.Run(ctx))
 }
 
-var wrongValue = regexp.MustCompile(`for flag -([a-z-]+)`)
+var invalidFlagValue = regexp.MustCompile(`for flag -([a-z-]+)`)
 
-// usageOf makes a usage error of the flag package's error.
-func usageOf(command *ffcli.Command, err error) error {
+// asUsageError makes a usage error of the flag package's error.
+func asUsageError(command *ffcli.Command, err error) error {
 	if errors.Is(err, flag.ErrHelp) {
 		return err
 	}
@@ -73,7 +73,7 @@
 	if name, undefined := strings.CutPrefix(text, "flag provided but not defined: "); undefined {
 		return usagef("there is no flag %s, only %s", name, flagNames(command))
 	}
-	if m := wrongValue.FindStringSubmatch(text); m != nil {
+	if m := invalidFlagValue.FindStringSubmatch(text); m != nil {
 		if f := command.FlagSet.Lookup(m[1]); f != nil && f.DefValue != "" {
 			return usagef("%s; allowed: a value like %s", text, f.DefValue)
 		}
@@ -87,33 +87,33 @@
 	return strings.Join(names, ", ")
 }
 
-func (o output) exitCode(command *ffcli.Command, err error) int {
+func (std stdio) handleError(command *ffcli.Command, err error) int {
 	var usage usageError
 	var findings settings.Findings
 	switch {
 	case err == nil:
 		return exitOK
 	case errors.Is(err, flag.ErrHelp):
-		fmt.Fprintln(o.out, ffcli.DefaultUsageFunc(command))
+		fmt.Fprintln(std.out, ffcli.DefaultUsageFunc(command))
 		return exitOK
 	case errors.As(err, &usage):
-		fmt.Fprintf(o.err, "guavapier: %s; usage: %s\n", usage.text, command.ShortUsage)
+		fmt.Fprintf(std.err, "guavapier: %s; usage: %s\n", usage.text, command.ShortUsage)
 		return exitUsage
 	case errors.As(err, &findings):
-		fmt.Fprintln(o.err, findings.Error())
+		fmt.Fprintln(std.err, findings.Error())
 		return exitFailure
 	default:
-		fmt.Fprintln(o.err, "guavapier: "+err.Error())
+		fmt.Fprintln(std.err, "guavapier: "+err.Error())
 		return exitFailure
 	}
 }
 
-// commandOf returns the command that args name, as far as they do.
-func commandOf(root *ffcli.Command, args []string) *ffcli.Command {
+// findCommand returns the command that args name, as far as they do.
+func findCommand(root *ffcli.Command, args []string) *ffcli.Command {
 	for _, arg := range args {
 		for _, sub := range root.Subcommands {
 			if strings.EqualFold(sub.Name, arg) {
-				return commandOf(sub, args[1:])
+				return findCommand(sub, args[1:])
 			}
 		}
 		if !strings.HasPrefix(arg, "-") {
@@ -124,33 +124,33 @@
 	return root
 }
 
-func rootCommand(o output) *ffcli.Command {
-	return parent("guavapier", "guavapier <command> [flags]", "A router fleet for prepaid token budgets.",
+func rootCommand(std stdio) *ffcli.Command {
+	return groupCommand("guavapier", "guavapier <command> [flags]", "A router fleet for prepaid token budgets.",
 		"guavapier serve -standalone",
-		serveCommand(o),
-		checkCommand(o),
-		explainCommand(o),
-		reportCommand(o),
-		settingsCommand(o),
-		teamCommand(o),
-		budgetCommand(o),
-		shardCommand(o),
-		sessionCommand(o),
-		stateCommand(o),
-		standinCommand(o),
-		loadCommand(o),
-		versionCommand(o),
+		serveCommand(std),
+		checkCommand(std),
+		explainCommand(std),
+		reportCommand(std),
+		settingsCommand(std),
+		teamCommand(std),
+		budgetCommand(std),
+		shardCommand(std),
+		sessionCommand(std),
+		stateCommand(std),
+		standinCommand(std),
+		loadCommand(std),
+		versionCommand(std),
 	)
 }
 
-// parent returns a command that only has commands below it.
-func parent(name, usage, help, example string, subs ...*ffcli.Command) *ffcli.Command {
+// groupCommand returns a command that only has commands below it.
+func groupCommand(name, usage, help, example string, subs ...*ffcli.Command) *ffcli.Command {
 	names := make([]string, len(subs))
 	for i, sub := range subs {
 		names[i] = sub.Name
 	}
 	return &ffcli.Command{
-		Name: name, ShortUsage: usage, ShortHelp: help, LongHelp: exampleText(example),
+		Name: name, ShortUsage: usage, ShortHelp: help, LongHelp: formatExample(example),
 		FlagSet: newFlagSet(name), Subcommands: subs,
 		Exec: func(_ context.Context, args []string) error {
 			if len(args) == 0 {
@@ -161,8 +161,8 @@
 	}
 }
 
-// leaf describes a command that does something.
-type leaf struct {
+// leafCommand describes a command that does something.
+type leafCommand struct {
 	usage, help, example string
 	flags                *flag.FlagSet
 	// args names the arguments that the command takes.
@@ -170,14 +170,14 @@
 	run  func(ctx context.Context, args []string) error
 }
 
-// command returns the leaf as a command; its name is the last word of usage
+// build returns the leaf as a build; its name is the last word of usage
 // before flags and arguments.
-func (l leaf) command(name string) *ffcli.Command {
+func (l leafCommand) build(name string) *ffcli.Command {
 	if l.flags == nil {
 		l.flags = newFlagSet(name)
 	}
 	return &ffcli.Command{
-		Name: name, ShortUsage: l.usage, ShortHelp: l.help, LongHelp: exampleText(l.example),
+		Name: name, ShortUsage: l.usage, ShortHelp: l.help, LongHelp: formatExample(l.example),
 		FlagSet: l.flags, Options: []ff.Option{ff.WithEnvVarPrefix(envPrefix)},
 		Exec: func(ctx context.Context, args []string) error {
 			if err := checkArgs(l.args, args); err != nil {
@@ -200,7 +200,7 @@
 	return nil
 }
 
-func exampleText(example string) string {
+func formatExample(example string) string {
 	return "EXAMPLE\n  " + strings.ReplaceAll(example, "\n", "\n  ")
 }
 
@@ -210,14 +210,14 @@
 	return fs
 }
 
-func versionCommand(o output) *ffcli.Command {
-	return leaf{
+func versionCommand(std stdio) *ffcli.Command {
+	return leafCommand{
 		usage: "guavapier version", help: "Print the version.", example: "guavapier version",
 		run: func(context.Context, []string) error {
-			fmt.Fprintln(o.out, "guavapier "+version)
+			fmt.Fprintln(std.out, "guavapier "+version)
 			return nil
 		},
-	}.command("version")
+	}.build("version")
 }
 
 const version = "0.1.0"
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -13,7 +13,7 @@
 	"github.com/peterbourgon/ff/v3/ffcli"
 )
 
-func run(stdin string, args ...string) (code int, stdout, stderr string) {
+func runCommand(stdin string, args ...string) (code int, stdout, stderr string) {
 	var out, err bytes.Buffer
 	code = Main(args, strings.NewReader(stdin), &out, &err)
 	return code, out.String(), err.String()
@@ -21,27 +21,27 @@
 
 // Each case is a command line; what it prints and its exit code are compared.
 func TestCommandLines(t *testing.T) {
-	t.Setenv(tokenVariable, "")
-	t.Setenv(keyVariable, "")
+	t.Setenv(tokenEnvVar, "")
+	t.Setenv(keyEnvVar, "")
 	datadriven.RunTest(t, "testdata/usage", func(_ *testing.T, d *datadriven.TestData) string {
-		code, stdout, stderr := run("", strings.Fields(d.Input)...)
+		code, stdout, stderr := runCommand("", strings.Fields(d.Input)...)
 		return fmt.Sprintf("%sexit %d\n%s", stdout, code, stderr)
 	})
 }
 
-// walk calls visit for each command with the words that name it.
-func walk(c *ffcli.Command, words []string, visit func(c *ffcli.Command, words []string)) {
+// walkCommands calls visit for each command with the words that name it.
+func walkCommands(c *ffcli.Command, words []string, visit func(c *ffcli.Command, words []string)) {
 	visit(c, words)
 	for _, sub := range c.Subcommands {
-		walk(sub, append(words[:len(words):len(words)], sub.Name), visit)
+		walkCommands(sub, append(words[:len(words):len(words)], sub.Name), visit)
 	}
 }
 
 func TestEveryCommandHasHelpExampleAndUsageErrors(t *testing.T) {
-	root := rootCommand(output{out: io.Discard, err: io.Discard})
-	walk(root, nil, func(c *ffcli.Command, words []string) {
+	root := rootCommand(stdio{out: io.Discard, err: io.Discard})
+	walkCommands(root, nil, func(c *ffcli.Command, words []string) {
 		name := strings.Join(append([]string{"guavapier"}, words...), " ")
-		code, stdout, stderr := run("", append(words[:len(words):len(words)], "-h")...)
+		code, stdout, stderr := runCommand("", append(words[:len(words):len(words)], "-h")...)
 		if code != exitOK || stderr != "" || !strings.Contains(stdout, c.ShortHelp) {
 			t.Errorf("%s -h: exit %d, stderr %q, stdout %q", name, code, stderr, stdout)
 		}
@@ -50,7 +50,7 @@
 			checkExample(t, name, strings.TrimSpace(example))
 		}
 		for _, wrong := range []string{"-no-such-flag", "surplus a b c d"} {
-			code, stdout, stderr := run("", append(words[:len(words):len(words)], strings.Fields(wrong)...)...)
+			code, stdout, stderr := runCommand("", append(words[:len(words):len(words)], strings.Fields(wrong)...)...)
 			if code != exitUsage || stdout != "" || strings.Count(stderr, "\n") != 1 || !strings.Contains(stderr, "usage: "+c.ShortUsage) {
 				t.Errorf("%s %s: exit %d, stdout %q, stderr %q", name, wrong, code, stdout, stderr)
 			}
@@ -65,7 +65,7 @@
 		t.Errorf("%s: its example is %q", name, example)
 		return
 	}
-	fresh := rootCommand(output{out: io.Discard, err: io.Discard})
+	fresh := rootCommand(stdio{out: io.Discard, err: io.Discard})
 	if err := fresh.Parse(strings.Fields(example)[1:]); err != nil {
 		t.Errorf("%s: its example %q: %v", name, example, err)
 	}
@@ -77,19 +77,19 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	code, _, stderr := run("", "serve", "-standalone", "-callers", l.Addr().String())
+	code, _, stderr := runCommand("", "serve", "-standalone", "-callers", l.Addr().String())
 	if code != exitFailure || !strings.Contains(stderr, l.Addr().String()) || !strings.Contains(stderr, "another address") {
 		t.Errorf("exit %d: %s", code, stderr)
 	}
 }
 
-func TestWishesOfAFile(t *testing.T) {
+func TestAValuesFileIsFlattenedToPaths(t *testing.T) {
 	file := t.TempDir() + "/f.toml"
 	text := "[teams.dala]\ndefault_budget = \"main\"\n[teams.dala.budgets.main]\nlean = 0.5\n[fleet.engines.e1]\nslots = 8\n"
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	got, err := readWishes(file)
+	got, err := readValuesFile(file)
 	want := "[{/fleet/engines/e1/slots 8 false} {/teams/dala/budgets/main/lean 0.5 false} {/teams/dala/default_budget main false}]"
 	if err != nil || fmt.Sprint(got) != want {
 		t.Errorf("%v %v, want %s", got, err, want)
--- a/internal/cli/client.go
+++ b/internal/cli/client.go
@@ -21,64 +21,64 @@
 )
 
 const (
-	tokenVariable   = envPrefix + "_TOKEN"
-	keyVariable     = envPrefix + "_KEY"
-	callTimeout     = 30 * time.Second
-	maxAnswerBytes  = 64 << 20
-	operatorsNotice = "the operators' address of any instance (instance.operators in its settings)"
+	tokenEnvVar          = envPrefix + "_TOKEN"
+	keyEnvVar            = envPrefix + "_KEY"
+	callTimeout          = 30 * time.Second
+	maxResponseBytes     = 64 << 20
+	operatorsAddressHelp = "the operators' address of any instance (instance.operators in its settings)"
 )
 
 // client calls the operators' or the callers' interface of an instance.
 type client struct {
-	o          output
-	addr, file *string
-	json       *bool
-	// ca names the authorities' file; empty for an interface without TLS.
-	ca *string
-	// variable is where the secret stands if no file is named.
-	variable string
+	std              stdio
+	addr, secretFile *string
+	jsonOutput       *bool
+	// caFile names the authorities' file; empty for an interface without TLS.
+	caFile *string
+	// secretEnvVar is where the secret stands if no file is named.
+	secretEnvVar string
 }
 
-// operatorFlags adds the flags that every command for operators has.
-func operatorFlags(o output, fs *flag.FlagSet) client {
+// newOperatorClient adds the flags that every command for operators has.
+func newOperatorClient(std stdio, fs *flag.FlagSet) client {
 	return client{
-		o: o, variable: tokenVariable,
-		addr: fs.String("addr", "127.0.0.1:8081", "`IP:port`, "+operatorsNotice),
-		ca:   fs.String("ca", "", "PEM `file` of the authorities that sign the instances' certificates, for an address with TLS"),
-		file: fs.String("token-file", "", "`file` with the operator token; else the token is taken from "+tokenVariable),
-		json: fs.Bool("json", false, "print JSON for programs"),
+		std: std, secretEnvVar: tokenEnvVar,
+		addr:       fs.String("addr", "127.0.0.1:8081", "`IP:port`, "+operatorsAddressHelp),
+		caFile:     fs.String("ca", "", "PEM `file` of the authorities that sign the instances' certificates, for an address with TLS"),
+		secretFile: fs.String("token-file", "", "`file` with the operator token; else the token is taken from "+tokenEnvVar),
+		jsonOutput: fs.Bool("json", false, "print JSON for programs"),
 	}
 }
 
-// callerFlags adds the flags that every command for callers has.
-func callerFlags(o output, fs *flag.FlagSet) client {
+// newCallerClient adds the flags that every command for callers has.
+func newCallerClient(std stdio, fs *flag.FlagSet) client {
 	return client{
-		o: o, variable: keyVariable,
-		addr: fs.String("addr", "127.0.0.1:8080", "`IP:port`, the callers' address of any instance"),
-		ca:   fs.String("ca", "", "PEM `file` of the authorities that sign the instances' certificates, for an address with TLS"),
-		file: fs.String("key-file", "", "`file` with the API key; else the key is taken from "+keyVariable),
-		json: fs.Bool("json", false, "print JSON for programs"),
+		std: std, secretEnvVar: keyEnvVar,
+		addr:       fs.String("addr", "127.0.0.1:8080", "`IP:port`, the callers' address of any instance"),
+		caFile:     fs.String("ca", "", "PEM `file` of the authorities that sign the instances' certificates, for an address with TLS"),
+		secretFile: fs.String("key-file", "", "`file` with the API key; else the key is taken from "+keyEnvVar),
+		jsonOutput: fs.Bool("json", false, "print JSON for programs"),
 	}
 }
 
 func (c client) secret() (string, error) {
-	if *c.file != "" {
-		return readSecret(*c.file)
+	if *c.secretFile != "" {
+		return readSecret(*c.secretFile)
 	}
-	if secret := strings.TrimSpace(os.Getenv(c.variable)); secret != "" {
+	if secret := strings.TrimSpace(os.Getenv(c.secretEnvVar)); secret != "" {
 		return secret, nil
 	}
-	return "", usagef("a credential is missing: name its file by flag, or set %s", c.variable)
+	return "", usagef("a credential is missing: name its file by flag, or set %s", c.secretEnvVar)
 }
 
-// refusal is an answer that is not 2xx.
-type refusal struct {
+// responseError is an answer that is not 2xx.
+type responseError struct {
 	status int
 	body   []byte
 }
 
-// problem is the part of a refusal that is told to people.
-type problem struct {
+// errorDetails is the part of a refusal that is told to people.
+type errorDetails struct {
 	Code     string    `json:"code"`
 	Message  string    `json:"message"`
 	ID       string    `json:"id"`
@@ -93,31 +93,31 @@
 	Problem string `json:"problem"`
 }
 
-func (r refusal) problem() problem {
+func (e responseError) details() errorDetails {
 	var body struct {
-		Error problem `json:"error"`
+		Error errorDetails `json:"error"`
 	}
-	_ = json.Unmarshal(r.body, &body)
+	_ = json.Unmarshal(e.body, &body)
 	return body.Error
 }
 
 // Error tells everything that the instance said, findings one a line.
-func (r refusal) Error() string {
-	p := r.problem()
-	if p.Code == "" {
-		return fmt.Sprintf("the instance answered %d: %s", r.status, bytes.TrimSpace(r.body))
+func (e responseError) Error() string {
+	details := e.details()
+	if details.Code == "" {
+		return fmt.Sprintf("the instance answered %d: %s", e.status, bytes.TrimSpace(e.body))
 	}
-	lines := []string{fmt.Sprintf("refused (%s): %s", p.Code, p.Message)}
-	for _, f := range p.Findings {
+	lines := []string{fmt.Sprintf("refused (%s): %s", details.Code, details.Message)}
+	for _, f := range details.Findings {
 		lines = append(lines, f.Path+": "+f.Problem)
 	}
-	if p.Result != nil {
-		for _, v := range p.Result.Lost {
-			lines = append(lines, v.Path+": "+v.standing())
+	if details.Result != nil {
+		for _, v := range details.Result.Lost {
+			lines = append(lines, v.Path+": "+v.describeCurrent())
 		}
 	}
-	if p.ID != "" {
-		lines = append(lines, "The identity is "+p.ID+"; give it with -id when you retry.")
+	if details.ID != "" {
+		lines = append(lines, "The identity is "+details.ID+"; give it with -id when you retry.")
 	}
 	return strings.Join(lines, "\n")
 }
@@ -131,7 +131,7 @@
 	if _, err := netip.ParseAddrPort(*c.addr); err != nil {
 		return usagef("the address is %q; allowed: IP:port", *c.addr)
 	}
-	scheme, httpClient, err := c.link()
+	scheme, httpClient, err := c.httpClient()
 	if err != nil {
 		return err
 	}
@@ -145,12 +145,12 @@
 	return nil
 }
 
-// link returns the scheme and the HTTP client for the address.
-func (c client) link() (string, *http.Client, error) {
-	if *c.ca == "" {
+// httpClient returns the scheme and the HTTP client for the address.
+func (c client) httpClient() (string, *http.Client, error) {
+	if *c.caFile == "" {
 		return "http", http.DefaultClient, nil
 	}
-	source, err := tlsconf.New(tlsconf.Files{CA: *c.ca}, func(error) {})
+	source, err := tlsconf.New(tlsconf.Files{CA: *c.caFile}, func(error) {})
 	if err != nil {
 		return "", nil, err
 	}
@@ -160,15 +160,15 @@
 func send(ctx context.Context, httpClient *http.Client, method, url, secret string, body any) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	var text io.Reader
+	var payload io.Reader
 	if body != nil {
 		data, err := json.Marshal(body)
 		if err != nil {
 			return nil, eris.Wrap(err, "encode the request")
 		}
-		text = bytes.NewReader(data)
+		payload = bytes.NewReader(data)
 	}
-	req, err := http.NewRequestWithContext(ctx, method, url, text)
+	req, err := http.NewRequestWithContext(ctx, method, url, payload)
 	if err != nil {
 		return nil, eris.Wrap(err, "build the request")
 	}
@@ -178,24 +178,24 @@
 		return nil, eris.Wrap(err, "the instance did not answer; it may have done what it was asked to")
 	}
 	defer resp.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
 		return nil, eris.Wrap(err, "the instance's answer was cut off")
 	}
 	if resp.StatusCode/100 != 2 {
-		return nil, refusal{status: resp.StatusCode, body: data}
+		return nil, responseError{status: resp.StatusCode, body: data}
 	}
 	return data, nil
 }
 
-// show prints rows as JSON, or as a table for people.
-func (c client) show(rows any, header string, table func(add func(cells ...any))) error {
-	if *c.json {
-		enc := json.NewEncoder(c.o.out)
+// print prints rows as JSON, or as a table for people.
+func (c client) print(rows any, header string, table func(add func(cells ...any))) error {
+	if *c.jsonOutput {
+		enc := json.NewEncoder(c.std.out)
 		enc.SetIndent("", "  ")
 		return enc.Encode(rows)
 	}
-	w := tabwriter.NewWriter(c.o.out, 0, 4, 2, ' ', 0)
+	w := tabwriter.NewWriter(c.std.out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, header)
 	table(func(cells ...any) {
 		texts := make([]string, len(cells))
@@ -207,8 +207,8 @@
 	return w.Flush()
 }
 
-// isRefused says whether err is a refusal with that code.
-func isRefused(err error, code string) bool {
-	var r refusal
-	return errors.As(err, &r) && r.problem().Code == code
+// hasErrorCode says whether err is a refusal with that code.
+func hasErrorCode(err error, code string) bool {
+	var r responseError
+	return errors.As(err, &r) && r.details().Code == code
 }
--- a/internal/cli/drain.go
+++ b/internal/cli/drain.go
@@ -11,9 +11,9 @@
 	"guavapier/internal/server"
 )
 
-// runUntilCut runs an instance. The end of ctx (the first signal) drains it; a
+// runUntilSecondSignal runs an instance. The end of ctx (the first signal) drains it; a
 // second signal ends the process at once.
-func runUntilCut(ctx context.Context, srv *server.Server) error {
+func runUntilSecondSignal(ctx context.Context, srv *server.Server) error {
 	done := make(chan error, 1)
 	go func() { done <- srv.Run(ctx) }()
 	select {
--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -14,17 +14,17 @@
 	"github.com/rotisserie/eris"
 )
 
-// maxLogLine bounds one line of a log.
-const maxLogLine = 1 << 20
+// maxLogLineBytes bounds one line of a log.
+const maxLogLineBytes = 1 << 20
 
-func explainCommand(o output) *ffcli.Command {
-	return leaf{
+func explainCommand(std stdio) *ffcli.Command {
+	return leafCommand{
 		usage:   "guavapier explain ID < LOG",
 		help:    "Print one request's story from the logs of any instances, in order.",
 		example: "guavapier explain 9c41d07be2a35f68 < entry-1.log",
 		args:    []string{"ID"},
 		run: func(_ context.Context, args []string) error {
-			lines, err := storyOf(o.in, args[0])
+			lines, err := requestLines(std.in, args[0])
 			if err != nil {
 				return err
 			}
@@ -32,24 +32,24 @@
 				return eris.Errorf("cli: no line names request %q; was its instance's log read?", args[0])
 			}
 			for _, line := range lines {
-				fmt.Fprintln(o.out, line)
+				fmt.Fprintln(std.out, line)
 			}
 			return nil
 		},
-	}.command("explain")
+	}.build("explain")
 }
 
-// storyOf returns the lines that name a request, by time. A line may have
+// requestLines returns the lines that name a request, by time. A line may have
 // something in front of its JSON object, such as the name of a host.
-func storyOf(log io.Reader, id string) ([]string, error) {
-	type told struct {
-		at, text string
+func requestLines(log io.Reader, id string) ([]string, error) {
+	type entry struct {
+		time, text string
 	}
-	var story []told
+	var entries []entry
 	scanner := bufio.NewScanner(log)
-	scanner.Buffer(nil, maxLogLine)
+	scanner.Buffer(nil, maxLogLineBytes)
 	for scanner.Scan() {
-		front, object, ok := strings.Cut(scanner.Text(), "{")
+		prefix, object, ok := strings.Cut(scanner.Text(), "{")
 		if !ok {
 			continue
 		}
@@ -57,22 +57,22 @@
 		if err := json.Unmarshal([]byte("{"+object), &fields); err != nil || fields["request"] != id {
 			continue // Not a line of ours, or of another request.
 		}
-		at, _ := fields["time"].(string)
-		story = append(story, told{at: at, text: strings.TrimSpace(strings.TrimSpace(front) + " " + toldLine(fields))})
+		time, _ := fields["time"].(string)
+		entries = append(entries, entry{time: time, text: strings.TrimSpace(strings.TrimSpace(prefix) + " " + formatLine(fields))})
 	}
 	if err := scanner.Err(); err != nil {
 		return nil, eris.Wrap(err, "cli: read log")
 	}
-	slices.SortStableFunc(story, func(a, b told) int { return cmp.Compare(a.at, b.at) })
-	lines := make([]string, len(story))
-	for i, t := range story {
-		lines[i] = t.text
+	slices.SortStableFunc(entries, func(a, b entry) int { return cmp.Compare(a.time, b.time) })
+	lines := make([]string, len(entries))
+	for i, e := range entries {
+		lines[i] = e.text
 	}
 	return lines, nil
 }
 
-// toldLine writes a line's message first, then its fields by name.
-func toldLine(fields map[string]any) string {
+// formatLine writes a line's message first, then its fields by name.
+func formatLine(fields map[string]any) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%v %v", fields["time"], fields["message"])
 	names := make([]string, 0, len(fields))
--- a/internal/cli/load.go
+++ b/internal/cli/load.go
@@ -13,20 +13,20 @@
 	"guavapier/internal/load"
 )
 
-func loadCommand(o output) *ffcli.Command {
+func loadCommand(std stdio) *ffcli.Command {
 	fs := newFlagSet("load")
-	c := callerFlags(o, fs)
+	c := newCallerClient(std, fs)
 	trace := fs.String("trace", "", "`file` of the trace, JSON lines")
 	targets := fs.String("targets", "", "instances' base `URLs`, parted by commas, used in turn; else the one at -addr")
 	speed := fs.Float64("speed", 1, "`factor` by which the trace is replayed faster than recorded")
 	direct := fs.Bool("direct", false, "the targets are engines: measure what the router adds")
-	standIn := fs.Bool("standin", false, "stand-ins answer, so check each answer's content")
-	return leaf{
+	standin := fs.Bool("standin", false, "stand-ins answer, so check each answer's content")
+	return leafCommand{
 		usage: "guavapier load [flags] -trace FILE", help: "Replay a trace of requests and compare the outcomes with those it states.",
 		example: "guavapier load -standin -trace examples/traces/dala-vibro.jsonl -targets http://127.0.1.1:8080,http://127.0.1.2:8080",
 		flags:   fs,
 		run: func(ctx context.Context, _ []string) error {
-			options := load.Options{Trace: *trace, Speed: *speed, Direct: *direct, StandIn: *standIn}
+			options := load.Options{Trace: *trace, Speed: *speed, Direct: *direct, StandIn: *standin}
 			switch {
 			case *trace == "":
 				return usagef("-trace FILE is missing")
@@ -44,9 +44,9 @@
 			if err != nil {
 				return err
 			}
-			return c.showReport(report)
+			return c.printReport(report)
 		},
-	}.command("load")
+	}.build("load")
 }
 
 // targetURLs returns the instances to send to, addr if none is named.
@@ -67,10 +67,10 @@
 	return urls, nil
 }
 
-// showReport fails where a stated outcome was not met.
-func (c client) showReport(r load.Report) error {
+// printReport fails where a stated outcome was not met.
+func (c client) printReport(r load.Report) error {
 	header := "CLASS\tSENT\tANSWERED\tNOT RUN\tUNKNOWN\tPARTIAL\tWRONG\tLATE\tFIRST P50\tFIRST P99\tWHOLE P50\tWHOLE P99"
-	err := c.show(r, header, func(add func(...any)) {
+	err := c.print(r, header, func(add func(...any)) {
 		for _, k := range r.Classes {
 			add(k.Name, k.Sent, k.Answered, k.NotRun, k.Unknown, k.Partial, k.Wrong, k.Late,
 				round(k.FirstP50), round(k.FirstP99), round(k.WholeP50), round(k.WholeP99))
--- a/internal/cli/reload.go
+++ b/internal/cli/reload.go
@@ -11,23 +11,23 @@
 	"guavapier/internal/settings"
 )
 
-// lookEvery is how often the settings file is looked at: it may change without
+// reloadInterval is how often the settings file is looked at: it may change without
 // a signal.
-const lookEvery = 2 * time.Second
+const reloadInterval = 2 * time.Second
 
 // reloader applies a settings file again when it changes.
 type reloader struct {
 	file string
-	// last is the text in force: a change between the first read of the file and
+	// lastText is the text in force: a change between the first read of the file and
 	// the first look at it is one too.
-	last  []byte
-	apply func(settings.Gateway)
-	log   zerolog.Logger
+	lastText []byte
+	apply    func(settings.Gateway)
+	log      zerolog.Logger
 }
 
 // run looks at the file now and then and on each hangup, until ctx ends.
 func (r *reloader) run(ctx context.Context, hangups <-chan os.Signal) {
-	ticker := time.NewTicker(lookEvery)
+	ticker := time.NewTicker(reloadInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -37,17 +37,17 @@
 		case <-ctx.Done():
 			return
 		}
-		r.look()
+		r.reloadIfChanged()
 	}
 }
 
-// look applies the file if it has changed and is right.
-func (r *reloader) look() {
+// reloadIfChanged applies the file if it has changed and is right.
+func (r *reloader) reloadIfChanged() {
 	data, err := os.ReadFile(r.file)
-	if err != nil || bytes.Equal(data, r.last) {
+	if err != nil || bytes.Equal(data, r.lastText) {
 		return // A file that is being replaced is read at the next look.
 	}
-	r.last = data
+	r.lastText = data
 	s, err := settings.ParseGateway(r.file, data)
 	if err != nil {
 		r.log.Error().Err(err).Msg("gateway: changed settings are wrong; the last ones stay in force")
--- a/internal/cli/reload_test.go
+++ b/internal/cli/reload_test.go
@@ -34,7 +34,7 @@
 		t.Fatal(err)
 	}
 	applied := make(chan settings.Gateway, 1)
-	r := &reloader{file: file, last: text, apply: func(s settings.Gateway) { applied <- s }, log: zerolog.Nop()}
+	r := &reloader{file: file, lastText: text, apply: func(s settings.Gateway) { applied <- s }, log: zerolog.Nop()}
 	hangups := make(chan os.Signal, 1)
 	hangups <- syscall.SIGHUP
 	go r.run(t.Context(), hangups)
--- a/internal/cli/report.go
+++ b/internal/cli/report.go
@@ -12,14 +12,14 @@
 	"guavapier/internal/report"
 )
 
-// reportSpan is the span of a report's rows where none is given.
-const reportSpan = 2 * time.Second
+// defaultReportSpan is the span of a report's rows where none is given.
+const defaultReportSpan = 2 * time.Second
 
-func reportCommand(o output) *ffcli.Command {
+func reportCommand(std stdio) *ffcli.Command {
 	flags := newFlagSet("report")
-	span := flags.Duration("span", reportSpan, "length of a row of the table over time")
+	span := flags.Duration("span", defaultReportSpan, "length of a row of the table over time")
 	svg := flags.String("svg", "", "file for a plot over time; none if empty")
-	return leaf{
+	return leafCommand{
 		usage:   "guavapier report [flags] < LOG",
 		help:    "Sum up from logs what became of requests, by route, availability zone and time.",
 		example: "guavapier report -svg requests.svg < entry-1.log",
@@ -28,46 +28,46 @@
 			if *span <= 0 {
 				return usagef("-span is %s, it must be above 0", *span)
 			}
-			return writeReport(o, *span, *svg)
+			return writeReport(std, *span, *svg)
 		},
-	}.command("report")
+	}.build("report")
 }
 
-func writeReport(o output, span time.Duration, svg string) error {
-	log, err := report.Read(o.in)
+func writeReport(std stdio, span time.Duration, svg string) error {
+	log, err := report.Read(std.in)
 	if err != nil {
 		return err
 	}
 	if len(log.Requests) == 0 {
 		return eris.New("cli: the log tells of no request's end; was an instance's log read?")
 	}
-	over := log.GroupByTime(span)
+	byTime := log.GroupByTime(span)
 	tables := []report.Table{
 		log.GroupBy("route", func(e report.Request) string { return e.Route }),
 		log.GroupBy("availability zone", func(e report.Request) string { return e.Zone }),
-		over,
+		byTime,
 	}
 	for _, t := range tables {
-		if err := t.WriteText(o.out); err != nil {
+		if err := t.WriteText(std.out); err != nil {
 			return err
 		}
-		fmt.Fprintln(o.out)
+		fmt.Fprintln(std.out)
 	}
 	if log.MissingLines > 0 {
-		fmt.Fprintf(o.out, "%d lines of any kind were thinned or dropped: the counts lack some of them\n", log.MissingLines)
+		fmt.Fprintf(std.out, "%d lines of any kind were thinned or dropped: the counts lack some of them\n", log.MissingLines)
 	}
 	if svg == "" {
 		return nil
 	}
-	return writePlot(over, span, svg)
+	return writePlot(byTime, span, svg)
 }
 
-func writePlot(over report.Table, span time.Duration, path string) error {
+func writePlot(byTime report.Table, span time.Duration, path string) error {
 	file, err := os.Create(path)
 	if err != nil {
 		return eris.Wrap(err, "cli: create the plot's file")
 	}
-	if err := over.WriteSVG(file, span); err != nil {
+	if err := byTime.WriteSVG(file, span); err != nil {
 		_ = file.Close()
 		return err
 	}
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -15,19 +15,19 @@
 	"guavapier/internal/settings"
 )
 
-// logLines is how many log lines wait for a slow reader.
-const logLines = 4096
+// logBufferLines is how many log lines wait for a slow reader.
+const logBufferLines = 4096
 
-// settingsVariable names the settings file where no flag does.
-const settingsVariable = "GUAVAPIER_CONFIG"
+// settingsEnvVar names the settings file where no flag does.
+const settingsEnvVar = "GUAVAPIER_CONFIG"
 
-func serveCommand(o output) *ffcli.Command {
+func serveCommand(std stdio) *ffcli.Command {
 	fs := newFlagSet("serve")
-	file := fs.String("settings", os.Getenv(settingsVariable), "settings `file` of this instance; the default is $"+settingsVariable)
+	file := fs.String("settings", os.Getenv(settingsEnvVar), "settings `file` of this instance; the default is $"+settingsEnvVar)
 	standalone := fs.Bool("standalone", false, "run one instance with built-in stand-ins on loopback")
 	callers := fs.String("callers", "127.0.0.1:0", "with -standalone: `IP:port` for callers; port 0 lets the kernel choose")
 	operators := fs.String("operators", "127.0.0.1:0", "with -standalone: `IP:port` for operators")
-	return leaf{
+	return leafCommand{
 		usage: "guavapier serve -settings FILE | guavapier serve -standalone [-callers IP:port] [-operators IP:port]",
 		help:  "Run an instance, or with -standalone one instance with built-in stand-ins on loopback.",
 		example: "guavapier serve -settings examples/guavapier.toml\n" +
@@ -38,20 +38,20 @@
 			case *standalone && *file != "":
 				return usagef("it takes -settings FILE or -standalone, not both")
 			case *standalone:
-				return runStandalone(ctx, o, *callers, *operators)
+				return runStandalone(ctx, std, *callers, *operators)
 			case *file == "":
 				return usagef("it needs -settings FILE or -standalone")
 			}
-			outliveLogReader()
+			ignoreBrokenPipe()
 			if settings.IsGateway(*file) {
-				return runGateway(ctx, o, *file)
+				return runGateway(ctx, std, *file)
 			}
-			return runInstance(ctx, o, *file)
+			return runInstance(ctx, std, *file)
 		},
-	}.command("serve")
+	}.build("serve")
 }
 
-func runInstance(ctx context.Context, o output, file string) error {
+func runInstance(ctx context.Context, std stdio, file string) error {
 	hangups := catchHangups()
 	s, err := settings.Load(file)
 	if err != nil {
@@ -62,8 +62,8 @@
 		return err
 	}
 	// Lines never wait for their reader: it may stop, and callers go on.
-	ring := logging.NewRing(o.err, logLines)
-	defer func() { _ = ring.CloseWithin(lastLines) }() // Lines that are lost then can't be told.
+	ring := logging.NewRingWriter(std.err, logBufferLines)
+	defer func() { _ = ring.CloseWithTimeout(logFlushTimeout) }() // Lines that are lost then can't be told.
 	log, err := logging.New(s.Log, ring)
 	if err != nil {
 		return err
@@ -72,8 +72,8 @@
 	if err != nil {
 		return err
 	}
-	go tellHangups(hangups, log)
-	return runUntilCut(ctx, srv)
+	go logHangups(hangups, log)
+	return runUntilSecondSignal(ctx, srv)
 }
 
 func loadSecrets(s settings.Settings) (server.Secrets, error) {
@@ -102,8 +102,8 @@
 	return secret, nil
 }
 
-func checkCommand(o output) *ffcli.Command {
-	return leaf{
+func checkCommand(std stdio) *ffcli.Command {
+	return leafCommand{
 		usage: "guavapier check FILE", help: "Report everything that is wrong with a settings file.",
 		example: "guavapier check examples/guavapier.toml",
 		args:    []string{"FILE"},
@@ -111,10 +111,10 @@
 			if err := checkFile(args[0]); err != nil {
 				return err
 			}
-			fmt.Fprintln(o.out, args[0]+": ok")
+			fmt.Fprintln(std.out, args[0]+": ok")
 			return nil
 		},
-	}.command("check")
+	}.build("check")
 }
 
 func checkFile(file string) error {
--- a/internal/cli/session.go
+++ b/internal/cli/session.go
@@ -9,9 +9,9 @@
 	"github.com/peterbourgon/ff/v3/ffcli"
 )
 
-func sessionCommand(o output) *ffcli.Command {
-	return parent("session", "guavapier session open|list|show|end", "Open, list and end the sessions of a team, with its API key.",
-		"guavapier session open", sessionOpen(o), sessionList(o), sessionShow(o), sessionEnd(o))
+func sessionCommand(std stdio) *ffcli.Command {
+	return groupCommand("session", "guavapier session open|list|show|end", "Open, list and end the sessions of a team, with its API key.",
+		"guavapier session open", sessionOpen(std), sessionList(std), sessionShow(std), sessionEnd(std))
 }
 
 // sessionRow is a session on the callers' interface. The token is given only
@@ -23,10 +23,10 @@
 	Ended bool   `json:"ended,omitempty"`
 }
 
-func sessionOpen(o output) *ffcli.Command {
+func sessionOpen(std stdio) *ffcli.Command {
 	fs := newFlagSet("open")
-	c := callerFlags(o, fs)
-	return leaf{
+	c := newCallerClient(std, fs)
+	return leafCommand{
 		usage: "guavapier session open [flags]", help: "Open a session and print its token; -json prints its id as well.",
 		example: "guavapier session open -key-file dala.key",
 		flags:   fs,
@@ -35,19 +35,19 @@
 			if err := c.call(ctx, http.MethodPost, "/v1/sessions", nil, &row); err != nil {
 				return err
 			}
-			if *c.json {
-				return c.show(row, "", nil)
+			if *c.jsonOutput {
+				return c.print(row, "", nil)
 			}
-			fmt.Fprintln(o.out, row.Token)
+			fmt.Fprintln(std.out, row.Token)
 			return nil
 		},
-	}.command("open")
+	}.build("open")
 }
 
-func sessionList(o output) *ffcli.Command {
+func sessionList(std stdio) *ffcli.Command {
 	fs := newFlagSet("list")
-	c := callerFlags(o, fs)
-	return leaf{
+	c := newCallerClient(std, fs)
+	return leafCommand{
 		usage: "guavapier session list [flags]", help: "List the team's open sessions, oldest first.",
 		example: "guavapier session list -key-file dala.key",
 		flags:   fs,
@@ -58,19 +58,19 @@
 			if err := c.call(ctx, http.MethodGet, "/v1/sessions", nil, &list); err != nil {
 				return err
 			}
-			return c.show(list.Sessions, "SESSION\tHOME", func(add func(...any)) {
+			return c.print(list.Sessions, "SESSION\tHOME", func(add func(...any)) {
 				for _, row := range list.Sessions {
 					add(row.ID, row.Home)
 				}
 			})
 		},
-	}.command("list")
+	}.build("list")
 }
 
-func sessionShow(o output) *ffcli.Command {
+func sessionShow(std stdio) *ffcli.Command {
 	fs := newFlagSet("show")
-	c := callerFlags(o, fs)
-	return leaf{
+	c := newCallerClient(std, fs)
+	return leafCommand{
 		usage: "guavapier session show [flags] SESSION", help: "Say whether a session was ended.",
 		example: "guavapier session show 7d3c3a53-6c1b-4f0e-8a53-3f2d6f1f9a10",
 		flags:   fs, args: []string{"SESSION"},
@@ -79,15 +79,15 @@
 			if err := c.call(ctx, http.MethodGet, "/v1/sessions/"+url.PathEscape(args[0]), nil, &row); err != nil {
 				return err
 			}
-			return c.show(row, "SESSION\tENDED", func(add func(...any)) { add(row.ID, row.Ended) })
+			return c.print(row, "SESSION\tENDED", func(add func(...any)) { add(row.ID, row.Ended) })
 		},
-	}.command("show")
+	}.build("show")
 }
 
-func sessionEnd(o output) *ffcli.Command {
+func sessionEnd(std stdio) *ffcli.Command {
 	fs := newFlagSet("end")
-	c := callerFlags(o, fs)
-	return leaf{
+	c := newCallerClient(std, fs)
+	return leafCommand{
 		usage: "guavapier session end [flags] SESSION", help: "End a session for good.",
 		example: "guavapier session end 7d3c3a53-6c1b-4f0e-8a53-3f2d6f1f9a10",
 		flags:   fs, args: []string{"SESSION"},
@@ -95,8 +95,8 @@
 			if err := c.call(ctx, http.MethodDelete, "/v1/sessions/"+url.PathEscape(args[0]), nil, nil); err != nil {
 				return err
 			}
-			fmt.Fprintln(o.out, "ended "+args[0])
+			fmt.Fprintln(std.out, "ended "+args[0])
 			return nil
 		},
-	}.command("end")
+	}.build("end")
 }
--- a/internal/cli/settings.go
+++ b/internal/cli/settings.go
@@ -26,8 +26,8 @@
 	Change  string `json:"change"`
 }
 
-// standing tells who set a value and with what.
-func (v valueRow) standing() string {
+// describeCurrent tells who set a value and with what.
+func (v valueRow) describeCurrent() string {
 	if v.Version == 0 {
 		return "has no value any more"
 	}
@@ -52,27 +52,27 @@
 	Delete bool   `json:"delete,omitempty"`
 }
 
-func settingsCommand(o output) *ffcli.Command {
-	return parent("settings", "guavapier settings get|put|list|history|wait", "Read and change the settings under paths.",
+func settingsCommand(std stdio) *ffcli.Command {
+	return groupCommand("settings", "guavapier settings get|put|list|history|wait", "Read and change the settings under paths.",
 		"guavapier settings list /teams/dala",
-		settingsGet(o), settingsPut(o), settingsList(o), settingsHistory(o), settingsWait(o))
+		settingsGet(std), settingsPut(std), settingsList(std), settingsHistory(std), settingsWait(std))
 }
 
-func (c client) values(ctx context.Context, prefix string) ([]valueRow, error) {
+func (c client) listValues(ctx context.Context, prefix string) ([]valueRow, error) {
 	var rows []valueRow
 	err := c.call(ctx, http.MethodGet, "/settings?prefix="+url.QueryEscape(prefix), nil, &rows)
 	return rows, err
 }
 
-func settingsGet(o output) *ffcli.Command {
+func settingsGet(std stdio) *ffcli.Command {
 	fs := newFlagSet("get")
-	c := operatorFlags(o, fs)
-	return leaf{
+	c := newOperatorClient(std, fs)
+	return leafCommand{
 		usage: "guavapier settings get [flags] PATH", help: "Print the value at a path.",
 		example: "guavapier settings get /teams/dala/default_budget",
 		flags:   fs, args: []string{"PATH"},
 		run: func(ctx context.Context, args []string) error {
-			rows, err := c.values(ctx, args[0])
+			rows, err := c.listValues(ctx, args[0])
 			if err != nil {
 				return err
 			}
@@ -80,43 +80,43 @@
 				if row.Path != args[0] {
 					continue
 				}
-				if *c.json {
-					return c.show(row, "", nil)
+				if *c.jsonOutput {
+					return c.print(row, "", nil)
 				}
-				fmt.Fprintln(o.out, row.Value)
+				fmt.Fprintln(std.out, row.Value)
 				return nil
 			}
 			return fmt.Errorf("there is no value at %s", args[0])
 		},
-	}.command("get")
+	}.build("get")
 }
 
-func settingsList(o output) *ffcli.Command {
+func settingsList(std stdio) *ffcli.Command {
 	fs := newFlagSet("list")
-	c := operatorFlags(o, fs)
-	return leaf{
+	c := newOperatorClient(std, fs)
+	return leafCommand{
 		usage: "guavapier settings list [flags] PATH", help: "List the values at and below a path; / for all.",
 		example: "guavapier settings list /teams/dala",
 		flags:   fs, args: []string{"PATH"},
 		run: func(ctx context.Context, args []string) error {
-			rows, err := c.values(ctx, strings.TrimSuffix(args[0], "/"))
+			rows, err := c.listValues(ctx, strings.TrimSuffix(args[0], "/"))
 			if err != nil {
 				return err
 			}
-			return c.show(rows, "PATH\tVALUE\tVERSION\tBY", func(add func(...any)) {
+			return c.print(rows, "PATH\tVALUE\tVERSION\tBY", func(add func(...any)) {
 				for _, r := range rows {
 					add(r.Path, r.Value, r.Version, r.By)
 				}
 			})
 		},
-	}.command("list")
+	}.build("list")
 }
 
-func settingsHistory(o output) *ffcli.Command {
+func settingsHistory(std stdio) *ffcli.Command {
 	fs := newFlagSet("history")
-	c := operatorFlags(o, fs)
+	c := newOperatorClient(std, fs)
 	limit := fs.Int("limit", 20, "`changes` to show, at most 1000")
-	return leaf{
+	return leafCommand{
 		usage: "guavapier settings history [flags] PATH", help: "List the last changes at and below a path; / for all.",
 		example: "guavapier settings history -limit 5 /teams/dala",
 		flags:   fs, args: []string{"PATH"},
@@ -126,80 +126,80 @@
 			if err := c.call(ctx, http.MethodGet, "/history?"+query.Encode(), nil, &rows); err != nil {
 				return err
 			}
-			return c.show(rows, "TIME\tBY\tVERDICT\tCHANGE\tPATH\tVALUE", func(add func(...any)) {
+			return c.print(rows, "TIME\tBY\tVERDICT\tCHANGE\tPATH\tVALUE", func(add func(...any)) {
 				for _, r := range rows {
 					for _, op := range r.Ops {
-						add(time.UnixMilli(r.UnixMilli).UTC().Format(time.RFC3339), r.By, r.Verdict, r.ID, op.Path, op.text())
+						add(time.UnixMilli(r.UnixMilli).UTC().Format(time.RFC3339), r.By, r.Verdict, r.ID, op.Path, op.displayValue())
 					}
 				}
 			})
 		},
-	}.command("history")
+	}.build("history")
 }
 
-func (o opRow) text() string {
+func (o opRow) displayValue() string {
 	if o.Delete {
 		return "(deleted)"
 	}
 	return o.Value
 }
 
-func settingsPut(o output) *ffcli.Command {
+func settingsPut(std stdio) *ffcli.Command {
 	fs := newFlagSet("put")
-	c := operatorFlags(o, fs)
+	c := newOperatorClient(std, fs)
 	p := putOptions{
-		file:   fs.String("f", "", "TOML `file` with tables named as the paths: [teams.dala.budgets.main]"),
-		remove: fs.String("delete", "", "`path` to delete"),
-		yes:    fs.Bool("yes", false, "do not ask, for scripts"),
-		id:     fs.String("id", "", "`identity` of the change, for a retry; else a new one is drawn"),
-		by:     fs.String("by", os.Getenv("USER"), "`note` on who changes, for the history"),
+		file:       fs.String("f", "", "TOML `file` with tables named as the paths: [teams.dala.budgets.main]"),
+		deletePath: fs.String("delete", "", "`path` to delete"),
+		yes:        fs.Bool("yes", false, "do not ask, for scripts"),
+		id:         fs.String("id", "", "`identity` of the change, for a retry; else a new one is drawn"),
+		by:         fs.String("by", os.Getenv("USER"), "`note` on who changes, for the history"),
 	}
-	cmd := leaf{
+	cmd := leafCommand{
 		usage: "guavapier settings put [flags] -f FILE.toml | [flags] PATH VALUE | [flags] -delete PATH",
 		help:  "Change settings, all of them or none.",
 		example: "guavapier settings put -f dala.toml\n" +
 			"guavapier settings put -yes /teams/dala/budgets/main/lean 0.8",
 		flags: fs,
-	}.command("put")
+	}.build("put")
 	cmd.Exec = func(ctx context.Context, args []string) error {
-		wanted, err := p.wanted(args)
+		desired, err := p.desiredValues(args)
 		if err != nil {
 			return err
 		}
-		return c.put(ctx, p, wanted)
+		return c.put(ctx, p, desired)
 	}
 	return cmd
 }
 
 type putOptions struct {
-	file, remove, id, by *string
-	yes                  *bool
+	file, deletePath, id, by *string
+	yes                      *bool
 }
 
-// wanted returns what the command line asks for.
-func (p putOptions) wanted(args []string) ([]wish, error) {
+// desiredValues returns what the command line asks for.
+func (p putOptions) desiredValues(args []string) ([]desiredValue, error) {
 	switch {
-	case *p.file != "" && *p.remove == "" && len(args) == 0:
-		return readWishes(*p.file)
-	case *p.remove != "" && *p.file == "" && len(args) == 0:
-		return []wish{{path: *p.remove, remove: true}}, nil
-	case len(args) == 2 && *p.file == "" && *p.remove == "" && !strings.HasPrefix(args[0], "-"):
-		return []wish{{path: args[0], value: args[1]}}, nil
+	case *p.file != "" && *p.deletePath == "" && len(args) == 0:
+		return readValuesFile(*p.file)
+	case *p.deletePath != "" && *p.file == "" && len(args) == 0:
+		return []desiredValue{{path: *p.deletePath, isDelete: true}}, nil
+	case len(args) == 2 && *p.file == "" && *p.deletePath == "" && !strings.HasPrefix(args[0], "-"):
+		return []desiredValue{{path: args[0], value: args[1]}}, nil
 	}
 	return nil, usagef("it takes one of -f FILE, -delete PATH, or PATH and VALUE")
 }
 
 // put shows the difference, asks, and sends the change on the versions shown.
-func (c client) put(ctx context.Context, p putOptions, wanted []wish) error {
-	request, err := c.difference(ctx, wanted)
+func (c client) put(ctx context.Context, p putOptions, desired []desiredValue) error {
+	request, err := c.prepareChange(ctx, desired)
 	if err != nil {
 		return err
 	}
 	if len(request.Ops) == 0 {
-		fmt.Fprintln(c.o.out, "Nothing to change.")
+		fmt.Fprintln(c.std.out, "Nothing to change.")
 		return nil
 	}
-	if !*p.yes && !confirm(c.o) {
+	if !*p.yes && !confirm(c.std) {
 		return errors.New("nothing was changed")
 	}
 	request.ID, request.By = *p.id, *p.by
@@ -208,44 +208,44 @@
 	}
 	var result changeRow
 	err = c.call(ctx, http.MethodPut, "/settings", request, &result)
-	var said refusal
-	if err != nil && !errors.As(err, &said) {
+	var rejected responseError
+	if err != nil && !errors.As(err, &rejected) {
 		return fmt.Errorf("%w\nThe identity is %s; give it with -id when you retry", err, request.ID)
 	}
 	if err != nil {
 		return err
 	}
-	if *c.json {
-		return c.show(result, "", nil)
+	if *c.jsonOutput {
+		return c.print(result, "", nil)
 	}
-	fmt.Fprintf(c.o.out, "accepted %s at offset %d\n", result.ID, result.Offset)
+	fmt.Fprintf(c.std.out, "accepted %s at offset %d\n", result.ID, result.Offset)
 	return nil
 }
 
-// difference compares with what stands, prints it, and returns the change.
-func (c client) difference(ctx context.Context, wanted []wish) (operator.ChangeRequest, error) {
+// prepareChange compares with what stands, prints it, and returns the change.
+func (c client) prepareChange(ctx context.Context, desired []desiredValue) (operator.ChangeRequest, error) {
 	var request operator.ChangeRequest
-	var shown strings.Builder
-	for _, w := range wanted {
-		rows, err := c.values(ctx, w.path)
+	var diff strings.Builder
+	for _, d := range desired {
+		rows, err := c.listValues(ctx, d.path)
 		if err != nil {
 			return request, err
 		}
-		op, text, differs := w.against(rows)
-		if differs {
+		op, opDiff, changed := d.diff(rows)
+		if changed {
 			request.Ops = append(request.Ops, op)
-			shown.WriteString(text)
+			diff.WriteString(opDiff)
 		}
 	}
-	if !*c.json {
-		fmt.Fprint(c.o.out, shown.String())
+	if !*c.jsonOutput {
+		fmt.Fprint(c.std.out, diff.String())
 	}
 	return request, nil
 }
 
-func confirm(o output) bool {
-	fmt.Fprint(o.out, "Change this? [y/N] ")
-	line, _ := bufio.NewReader(o.in).ReadString('\n')
+func confirm(std stdio) bool {
+	fmt.Fprint(std.out, "Change this? [y/N] ")
+	line, _ := bufio.NewReader(std.in).ReadString('\n')
 	answer := strings.ToLower(strings.TrimSpace(line))
 	return answer == "y" || answer == "yes"
 }
--- a/internal/cli/signals.go
+++ b/internal/cli/signals.go
@@ -17,15 +17,15 @@
 	return signals
 }
 
-// tellHangups writes a line for each hangup, for an instance that has nothing to
+// logHangups writes a line for each hangup, for an instance that has nothing to
 // reload: its settings change through operators' calls.
-func tellHangups(hangups <-chan os.Signal, log zerolog.Logger) {
+func logHangups(hangups <-chan os.Signal, log zerolog.Logger) {
 	for range hangups {
 		log.Info().Msg("server: SIGHUP, nothing to reload")
 	}
 }
 
-// outliveLogReader lets writes to a standard output that nobody reads any more
+// ignoreBrokenPipe lets writes to a standard output that nobody reads any more
 // fail. By default the signal that they raise ends the process, and with it
 // whatever callers have under way.
-func outliveLogReader() { signal.Ignore(syscall.SIGPIPE) }
+func ignoreBrokenPipe() { signal.Ignore(syscall.SIGPIPE) }
--- a/internal/cli/standalone.go
+++ b/internal/cli/standalone.go
@@ -34,11 +34,11 @@
 // runStandalone runs an instance and all its stand-ins in this process. The
 // stand-ins outlive the end of ctx until the instance has drained: it returns
 // its grants to the platform.
-func runStandalone(ctx context.Context, o output, callers, operators string) error {
-	outside, stop := context.WithCancel(context.WithoutCancel(ctx))
+func runStandalone(ctx context.Context, std stdio, callers, operators string) error {
+	standinCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
-	group, outside := errgroup.WithContext(outside)
-	url, err := startStandins(outside, group)
+	group, standinCtx := errgroup.WithContext(standinCtx)
+	url, err := startStandins(standinCtx, group)
 	if err != nil {
 		return err
 	}
@@ -50,7 +50,7 @@
 		Sessions: session.Keyring{Current: "k1", Keys: map[string][]byte{"k1": []byte("standalone-only")}},
 		Operator: sampleOperator,
 	}
-	log, err := logging.New(s.Log, o.err)
+	log, err := logging.New(s.Log, std.err)
 	if err != nil {
 		return err
 	}
@@ -60,18 +60,18 @@
 	}
 	group.Go(func() error {
 		defer stop()
-		return runUntilCut(ctx, srv)
+		return runUntilSecondSignal(ctx, srv)
 	})
 	if err := seedSample(ctx, srv.OperatorsAddr()); err != nil {
 		return err
 	}
-	printExamples(o, srv.CallersAddr(), srv.OperatorsAddr())
+	printExamples(std, srv.CallersAddr(), srv.OperatorsAddr())
 	return group.Wait()
 }
 
 func startStandins(ctx context.Context, group *errgroup.Group) (platformURL string, err error) {
-	p := standin.NewPlatform(standin.PlatformOptions{AppendsPerSecond: 300, InstanceTTL: 5 * time.Second})
-	if platformURL, err = serveLoopback(ctx, group, p.Handler()); err != nil {
+	platform := standin.NewPlatform(standin.PlatformOptions{AppendsPerSecond: 300, InstanceTTL: 5 * time.Second})
+	if platformURL, err = serveLoopback(ctx, group, platform.Handler()); err != nil {
 		return "", err
 	}
 	var endpoints []standin.ListedEndpoint
@@ -87,7 +87,7 @@
 		return "", err
 	}
 	endpoints = append(endpoints, standin.ListedEndpoint{Name: "service-1", Zone: "local", URL: url, Service: "rig"})
-	p.SetEndpoints(endpoints)
+	platform.SetEndpoints(endpoints)
 	return platformURL, nil
 }
 
@@ -112,14 +112,14 @@
 	change := operator.ChangeRequest{ID: "sample", By: "standalone", Ops: []record.ChangeOp{
 		{Path: config.APIKeyPath(sampleTeam, sampleKey), Value: "sample key"},
 	}}
-	if err := operatorCall(ctx, http.MethodPut, "http://"+operators+"/settings", change); err != nil {
+	if err := callOperatorAPI(ctx, http.MethodPut, "http://"+operators+"/settings", change); err != nil {
 		return err
 	}
 	topUp := operator.TopUpRequest{Team: sampleTeam, Budget: "main", Tokens: sampleTokens, ID: "sample", By: "standalone"}
-	return operatorCall(ctx, http.MethodPost, "http://"+operators+"/topups", topUp)
+	return callOperatorAPI(ctx, http.MethodPost, "http://"+operators+"/topups", topUp)
 }
 
-func operatorCall(ctx context.Context, method, url string, body any) error {
+func callOperatorAPI(ctx context.Context, method, url string, body any) error {
 	data, err := json.Marshal(body)
 	if err != nil {
 		return eris.Wrap(err, "cli: encode")
@@ -140,8 +140,8 @@
 	return nil
 }
 
-func printExamples(o output, callers, operators string) {
-	fmt.Fprintf(o.out, `Ready. Try:
+func printExamples(std stdio, callers, operators string) {
+	fmt.Fprintf(std.out, `Ready. Try:
 
   curl -s http://%[1]s/v1/chat/completions -H 'Authorization: Bearer %[3]s' \
     -d '{"model":"%[4]s","max_tokens":8,"messages":[{"role":"user","content":"hello"}]}'
--- a/internal/cli/standin.go
+++ b/internal/cli/standin.go
@@ -15,13 +15,13 @@
 	"guavapier/internal/standin"
 )
 
-func standinCommand(o output) *ffcli.Command {
-	return parent("standin", "guavapier standin platform|engine|service", "Run a stand-in of an outside system, for tests and first runs.",
+func standinCommand(std stdio) *ffcli.Command {
+	return groupCommand("standin", "guavapier standin platform|engine|service", "Run a stand-in of an outside system, for tests and first runs.",
 		"guavapier standin platform -listen 127.0.0.1:9000",
-		standinPlatform(o), standinEngine(o), standinService(o))
+		standinPlatform(std), standinEngine(std), standinService(std))
 }
 
-func standinPlatform(o output) *ffcli.Command {
+func standinPlatform(std stdio) *ffcli.Command {
 	fs := newFlagSet("platform")
 	listen := fs.String("listen", "127.0.0.1:9000", "`IP:port` to listen on; port 0 lets the kernel choose")
 	rate := fs.Float64("appends", 300, "append rate limit per second")
@@ -32,11 +32,11 @@
 		p := standin.NewPlatform(standin.PlatformOptions{
 			AppendsPerSecond: *rate, Retain: *retain, RetainFor: *retainFor, ListLag: *lag, InstanceTTL: 5 * time.Second,
 		})
-		return serveHTTP(ctx, o, *listen, p.Handler())
+		return serveHTTP(ctx, std, *listen, p.Handler())
 	})
 }
 
-func standinEngine(o output) *ffcli.Command {
+func standinEngine(std stdio) *ffcli.Command {
 	fs := newFlagSet("engine")
 	listen := fs.String("listen", "127.0.0.1:9100", "`IP:port` to listen on; port 0 lets the kernel choose")
 	model := fs.String("model", "small", "model that it serves")
@@ -46,39 +46,39 @@
 	heartbeat := fs.Duration("heartbeat", 500*time.Millisecond, "time between comments on a stream without tokens")
 	ignoreFence := fs.Bool("ignore-fence", false, "obey orders with an old fencing number")
 	return standinLeaf(fs, "engine", "Run a model engine.", func(ctx context.Context) error {
-		return serveHTTP(ctx, o, *listen, standin.NewEngine(standin.EngineOptions{
+		return serveHTTP(ctx, std, *listen, standin.NewEngine(standin.EngineOptions{
 			Model: *model, Step: *step, Slots: *slots, CacheTokens: *cache, Heartbeat: *heartbeat, IgnoreFence: *ignoreFence,
 		}).Handler())
 	})
 }
 
-func standinService(o output) *ffcli.Command {
+func standinService(std stdio) *ffcli.Command {
 	fs := newFlagSet("service")
 	listen := fs.String("listen", "127.0.0.1:9200", "`IP:port` to listen on; port 0 lets the kernel choose")
 	leaving := fs.Bool("leaving", false, "refuse all calls from the start")
 	return standinLeaf(fs, "service", "Run a plain service.", func(ctx context.Context) error {
 		s := standin.NewService()
 		s.SetFaults(standin.ServiceFaults{Leaving: *leaving})
-		return serveHTTP(ctx, o, *listen, s.Handler())
+		return serveHTTP(ctx, std, *listen, s.Handler())
 	})
 }
 
 func standinLeaf(fs *flag.FlagSet, name, help string, run func(context.Context) error) *ffcli.Command {
-	return leaf{
+	return leafCommand{
 		usage: "guavapier standin " + name + " [flags]", help: help,
 		example: "guavapier standin " + name + " -listen 127.0.0.1:0",
 		flags:   fs,
 		run:     func(ctx context.Context, _ []string) error { return run(ctx) },
-	}.command(name)
+	}.build(name)
 }
 
 // serveHTTP serves until ctx ends and prints the bound address first.
-func serveHTTP(ctx context.Context, o output, listen string, h http.Handler) error {
+func serveHTTP(ctx context.Context, std stdio, listen string, h http.Handler) error {
 	l, err := net.Listen("tcp", listen)
 	if err != nil {
 		return eris.Wrap(err, "cli: listen")
 	}
-	fmt.Fprintln(o.out, "listening on "+l.Addr().String())
+	fmt.Fprintln(std.out, "listening on "+l.Addr().String())
 	srv := &http.Server{Handler: h, ReadHeaderTimeout: 10 * time.Second}
 	stop := context.AfterFunc(ctx, func() { _ = srv.Close() })
 	defer stop()
--- a/internal/cli/team.go
+++ b/internal/cli/team.go
@@ -16,14 +16,14 @@
 	"guavapier/internal/record"
 )
 
-const keyBytes = 24
+const secretBytes = 24
 
-func teamCommand(o output) *ffcli.Command {
-	return parent("team", "guavapier team create|list", "Create and list teams.", "guavapier team list", teamCreate(o), teamList(o))
+func teamCommand(std stdio) *ffcli.Command {
+	return groupCommand("team", "guavapier team create|list", "Create and list teams.", "guavapier team list", teamCreate(std), teamList(std))
 }
 
-// newTeam is what team create prints. The keys are shown this once.
-type newTeam struct {
+// createdTeam is what team create prints. The keys are shown this once.
+type createdTeam struct {
 	Team        string `json:"team"`
 	APIKey      string `json:"api_key"`
 	OperatorKey string `json:"operator_key"`
@@ -31,11 +31,11 @@
 	Offset      uint64 `json:"offset"`
 }
 
-func teamCreate(o output) *ffcli.Command {
+func teamCreate(std stdio) *ffcli.Command {
 	fs := newFlagSet("create")
-	c := operatorFlags(o, fs)
+	c := newOperatorClient(std, fs)
 	by := fs.String("by", os.Getenv("USER"), "`note` on who creates it, for the history")
-	return leaf{
+	return leafCommand{
 		usage: "guavapier team create [flags] TEAM", help: "Create a team with an API key and an operator key, and print them once.",
 		example: "guavapier team create dala",
 		flags:   fs, args: []string{"TEAM"},
@@ -45,48 +45,48 @@
 			}
 			return c.createTeam(ctx, args[0], *by)
 		},
-	}.command("create")
+	}.build("create")
 }
 
 func (c client) createTeam(ctx context.Context, name, by string) error {
 	team := record.Team(name)
-	if rows, err := c.values(ctx, config.TeamPath(team)); err != nil || len(rows) > 0 {
+	if rows, err := c.listValues(ctx, config.TeamPath(team)); err != nil || len(rows) > 0 {
 		if err == nil {
 			err = fmt.Errorf("team %s exists", name)
 		}
 		return err
 	}
-	made := newTeam{Team: name, APIKey: newKey(name), OperatorKey: newKey(name), Change: uuid.NewString()}
+	created := createdTeam{Team: name, APIKey: newCredential(name), OperatorKey: newCredential(name), Change: uuid.NewString()}
 	// The default budget's path has no value yet, so one of two operators who
 	// create the same team at once loses.
-	request := operator.ChangeRequest{ID: made.Change, By: by, Ops: []record.ChangeOp{
+	request := operator.ChangeRequest{ID: created.Change, By: by, Ops: []record.ChangeOp{
 		{Path: config.DefaultBudgetPath(team), Value: "main"},
-		{Path: config.APIKeyPath(team, made.APIKey), Value: "first key"},
-		{Path: config.OperatorKeyPath(team, made.OperatorKey), Value: "first operator"},
+		{Path: config.APIKeyPath(team, created.APIKey), Value: "first key"},
+		{Path: config.OperatorKeyPath(team, created.OperatorKey), Value: "first operator"},
 	}}
 	var result changeRow
 	if err := c.call(ctx, http.MethodPut, "/settings", request, &result); err != nil {
 		return err
 	}
-	made.Offset = result.Offset
-	if *c.json {
-		return c.show(made, "", nil)
+	created.Offset = result.Offset
+	if *c.jsonOutput {
+		return c.print(created, "", nil)
 	}
-	fmt.Fprintf(c.o.out, "team %s created\nAPI key:      %s\noperator key: %s\nThe keys are not shown again.\n", made.Team, made.APIKey, made.OperatorKey)
+	fmt.Fprintf(c.std.out, "team %s created\nAPI key:      %s\noperator key: %s\nThe keys are not shown again.\n", created.Team, created.APIKey, created.OperatorKey)
 	return nil
 }
 
-// newKey draws a credential of the form team:secret.
-func newKey(team string) string {
-	secret := make([]byte, keyBytes)
+// newCredential draws a credential of the form team:secret.
+func newCredential(team string) string {
+	secret := make([]byte, secretBytes)
 	_, _ = rand.Read(secret) // Never fails; see crypto/rand.
 	return team + ":" + base64.RawURLEncoding.EncodeToString(secret)
 }
 
-func teamList(o output) *ffcli.Command {
+func teamList(std stdio) *ffcli.Command {
 	fs := newFlagSet("list")
-	c := operatorFlags(o, fs)
-	return leaf{
+	c := newOperatorClient(std, fs)
+	return leafCommand{
 		usage: "guavapier team list [flags]", help: "List the teams.", example: "guavapier team list -json",
 		flags: fs,
 		run: func(ctx context.Context, _ []string) error {
@@ -94,11 +94,11 @@
 			if err := c.call(ctx, http.MethodGet, "/teams", nil, &rows); err != nil {
 				return err
 			}
-			return c.show(rows, "TEAM\tVALUES", func(add func(...any)) {
+			return c.print(rows, "TEAM\tVALUES", func(add func(...any)) {
 				for _, r := range rows {
 					add(r.Team, r.Values)
 				}
 			})
 		},
-	}.command("list")
+	}.build("list")
 }
--- a/internal/cli/wait.go
+++ b/internal/cli/wait.go
@@ -19,39 +19,39 @@
 	Applied uint64 `json:"applied"`
 }
 
-const waitPoll = 200 * time.Millisecond
+const waitPollInterval = 200 * time.Millisecond
 
-func settingsWait(o output) *ffcli.Command {
+func settingsWait(std stdio) *ffcli.Command {
 	fs := newFlagSet("wait")
-	c := operatorFlags(o, fs)
-	limit := fs.Duration("timeout", 30*time.Second, "longest `duration` to wait")
-	return leaf{
+	c := newOperatorClient(std, fs)
+	timeout := fs.Duration("timeout", 30*time.Second, "longest `duration` to wait")
+	return leafCommand{
 		usage: "guavapier settings wait [flags] CHANGE", help: "Wait until every listed instance has a change in force.",
 		example: "guavapier settings wait -timeout 10s 0b6f3c1e-8f57-4f0e-9d5c-0c5b8a3f1a11",
 		flags:   fs, args: []string{"CHANGE"},
 		run: func(ctx context.Context, args []string) error {
-			ctx, cancel := context.WithTimeout(ctx, *limit)
+			ctx, cancel := context.WithTimeout(ctx, *timeout)
 			defer cancel()
-			began := time.Now()
-			offset, err := c.waitResult(ctx, args[0])
+			start := time.Now()
+			offset, err := c.awaitAccepted(ctx, args[0])
 			if err != nil {
 				return err
 			}
-			rows, err := c.waitInForce(ctx, offset)
+			rows, err := c.awaitApplied(ctx, offset)
 			if err != nil {
 				return err
 			}
-			if *c.json {
-				return c.show(rows, "", nil)
+			if *c.jsonOutput {
+				return c.print(rows, "", nil)
 			}
-			fmt.Fprintf(o.out, "in force on %d instances after %s\n", len(rows), time.Since(began).Round(time.Millisecond))
+			fmt.Fprintf(std.out, "in force on %d instances after %s\n", len(rows), time.Since(start).Round(time.Millisecond))
 			return nil
 		},
-	}.command("wait")
+	}.build("wait")
 }
 
-// waitResult returns the offset of an accepted change.
-func (c client) waitResult(ctx context.Context, id string) (uint64, error) {
+// awaitAccepted returns the offset of an accepted change.
+func (c client) awaitAccepted(ctx context.Context, id string) (uint64, error) {
 	for {
 		var result changeRow
 		err := c.call(ctx, http.MethodGet, "/changes/"+url.PathEscape(id), nil, &result)
@@ -60,38 +60,38 @@
 			return result.Offset, nil
 		case err == nil:
 			return 0, fmt.Errorf("change %s was refused: %s", id, result.Verdict)
-		case !isRefused(err, "no_such_change"):
+		case !hasErrorCode(err, "no_such_change"):
 			return 0, err
 		}
-		if !sleep(ctx, waitPoll) {
+		if !sleep(ctx, waitPollInterval) {
 			return 0, err
 		}
 	}
 }
 
-// waitInForce returns the instances once all have applied the offset. Leaving
+// awaitApplied returns the instances once all have applied the offset. Leaving
 // instances take no new requests and are not waited for.
-func (c client) waitInForce(ctx context.Context, offset uint64) ([]instanceRow, error) {
+func (c client) awaitApplied(ctx context.Context, offset uint64) ([]instanceRow, error) {
 	for {
-		var rows, behind []instanceRow
+		var rows, lagging []instanceRow
 		if err := c.call(ctx, http.MethodGet, "/instances", nil, &rows); err != nil {
 			return nil, err
 		}
 		for _, r := range rows {
 			if !r.Leaving && r.Applied <= offset {
-				behind = append(behind, r)
+				lagging = append(lagging, r)
 			}
 		}
-		if len(behind) == 0 {
+		if len(lagging) == 0 {
 			return rows, nil
 		}
-		if !sleep(ctx, waitPoll) {
-			return nil, fmt.Errorf("not in force on %s", names(behind, offset))
+		if !sleep(ctx, waitPollInterval) {
+			return nil, fmt.Errorf("not in force on %s", formatLagging(lagging, offset))
 		}
 	}
 }
 
-func names(rows []instanceRow, offset uint64) string {
+func formatLagging(rows []instanceRow, offset uint64) string {
 	texts := make([]string, len(rows))
 	for i, r := range rows {
 		texts[i] = fmt.Sprintf("%s in %s (%d offsets behind)", r.ID, r.Zone, offset+1-r.Applied)
--- a/internal/cli/wishes.go
+++ b/internal/cli/wishes.go
@@ -12,35 +12,35 @@
 	"guavapier/internal/record"
 )
 
-// wish is a value that an operator wants at a path, or a path without one.
-type wish struct {
+// desiredValue is a value that an operator wants at a path, or a path without one.
+type desiredValue struct {
 	path, value string
-	remove      bool
+	isDelete    bool
 }
 
-// against compares a wish with what stands. It returns the operation on the
+// diff compares a wish with what stands. It returns the operation on the
 // version that was seen, and the difference for people.
-func (w wish) against(rows []valueRow) (op record.ChangeOp, text string, differs bool) {
-	var now valueRow
+func (d desiredValue) diff(rows []valueRow) (op record.ChangeOp, diff string, changed bool) {
+	var current valueRow
 	for _, row := range rows {
-		if row.Path == w.path {
-			now = row
+		if row.Path == d.path {
+			current = row
 		}
 	}
-	op = record.ChangeOp{Path: w.path, Base: now.Version, Value: w.value, Delete: w.remove}
-	if now.Version > 0 {
-		text = fmt.Sprintf("- %s = %q\n", w.path, now.Value)
+	op = record.ChangeOp{Path: d.path, Base: current.Version, Value: d.value, Delete: d.isDelete}
+	if current.Version > 0 {
+		diff = fmt.Sprintf("- %s = %q\n", d.path, current.Value)
 	}
-	if w.remove {
-		return op, text, now.Version > 0
+	if d.isDelete {
+		return op, diff, current.Version > 0
 	}
-	text += fmt.Sprintf("+ %s = %q\n", w.path, w.value)
-	return op, text, now.Version == 0 || now.Value != w.value
+	diff += fmt.Sprintf("+ %s = %q\n", d.path, d.value)
+	return op, diff, current.Version == 0 || current.Value != d.value
 }
 
-// readWishes reads a TOML file whose tables are named as the paths: the key
+// readValuesFile reads a TOML file whose tables are named as the paths: the key
 // lean in [teams.dala.budgets.main] is /teams/dala/budgets/main/lean.
-func readWishes(file string) ([]wish, error) {
+func readValuesFile(file string) ([]desiredValue, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
 		return nil, eris.Wrap(err, "read the settings")
@@ -49,31 +49,31 @@
 	if err := toml.Unmarshal(data, &tree); err != nil {
 		return nil, fmt.Errorf("%s: %w", file, err)
 	}
-	wishes, err := flatten("", tree)
+	values, err := flatten("", tree)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", file, err)
 	}
-	slices.SortFunc(wishes, func(a, b wish) int { return cmp.Compare(a.path, b.path) })
-	return wishes, nil
+	slices.SortFunc(values, func(a, b desiredValue) int { return cmp.Compare(a.path, b.path) })
+	return values, nil
 }
 
-func flatten(path string, tree map[string]any) ([]wish, error) {
-	var out []wish
+func flatten(path string, tree map[string]any) ([]desiredValue, error) {
+	var out []desiredValue
 	for key, v := range tree {
-		below := path + "/" + key
+		childPath := path + "/" + key
 		switch v := v.(type) {
 		case map[string]any:
-			wishes, err := flatten(below, v)
+			values, err := flatten(childPath, v)
 			if err != nil {
 				return nil, err
 			}
-			out = append(out, wishes...)
+			out = append(out, values...)
 		case string, bool, int64, float64:
-			out = append(out, wish{path: below, value: fmt.Sprint(v)})
+			out = append(out, desiredValue{path: childPath, value: fmt.Sprint(v)})
 		case interface{ String() string }:
-			out = append(out, wish{path: below, value: v.String()})
+			out = append(out, desiredValue{path: childPath, value: v.String()})
 		default:
-			return nil, fmt.Errorf("%s: is a list; allowed: one value", below)
+			return nil, fmt.Errorf("%s: is a list; allowed: one value", childPath)
 		}
 	}
 	return out, nil
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -20,12 +20,12 @@
 
 // New returns a logger that writes to w. The level must be one that the
 // settings allow.
-func New(l settings.Log, w io.Writer) (zerolog.Logger, error) {
-	level, err := zerolog.ParseLevel(l.Level)
+func New(cfg settings.Log, w io.Writer) (zerolog.Logger, error) {
+	level, err := zerolog.ParseLevel(cfg.Level)
 	if err != nil {
-		return zerolog.Logger{}, eris.Wrapf(err, "logging: level %q", l.Level)
+		return zerolog.Logger{}, eris.Wrapf(err, "logging: level %q", cfg.Level)
 	}
-	if l.Format == "console" {
+	if cfg.Format == "console" {
 		w = zerolog.ConsoleWriter{Out: w, NoColor: true}
 	}
 	return zerolog.New(w).Level(level).With().Timestamp().Logger(), nil
@@ -33,8 +33,8 @@
 
 // Prefix documents the messages of one part.
 type Prefix struct {
-	Name string
-	Part string
+	Name        string
+	Description string
 }
 
 // Prefixes lists every prefix.
@@ -61,7 +61,7 @@
 	var b strings.Builder
 	b.WriteString("| prefix | part |\n| --- | --- |\n")
 	for _, p := range Prefixes() {
-		fmt.Fprintf(&b, "| `%s:` | %s |\n", p.Name, p.Part)
+		fmt.Fprintf(&b, "| `%s:` | %s |\n", p.Name, p.Description)
 	}
 	return b.String()
 }
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -11,7 +11,7 @@
 	"guavapier/internal/logging"
 )
 
-var message = regexp.MustCompile(`\.Msgf?\(([^)]*)`)
+var messagePattern = regexp.MustCompile(`\.Msgf?\(([^)]*)`)
 
 // Every message in the source begins with a documented prefix.
 func TestEveryMessageHasItsPrefix(t *testing.T) {
@@ -28,7 +28,7 @@
 		if err != nil {
 			return err
 		}
-		for _, m := range message.FindAllStringSubmatch(string(source), -1) {
+		for _, m := range messagePattern.FindAllStringSubmatch(string(source), -1) {
 			messages++
 			prefix, _, ok := strings.Cut(strings.TrimPrefix(m[1], "\""), ": ")
 			if !ok || !known[prefix] {
--- a/internal/logging/ring_test.go
+++ b/internal/logging/ring_test.go
@@ -14,21 +14,21 @@
 	"guavapier/internal/logging"
 )
 
-// blocked is a reader of the output that takes nothing until it is released.
-type blocked struct {
+// blockedWriter is a reader of the output that takes nothing until it is released.
+type blockedWriter struct {
 	release chan struct{}
 	mu      sync.Mutex
 	text    strings.Builder
 }
 
-func (b *blocked) Write(p []byte) (int, error) {
+func (b *blockedWriter) Write(p []byte) (int, error) {
 	<-b.release
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.text.Write(p)
 }
 
-func (b *blocked) String() string {
+func (b *blockedWriter) String() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.text.String()
@@ -37,8 +37,8 @@
 // A reader that stops must neither hold up requests nor make memory grow; what
 // is lost is counted and told.
 func TestAStoppedReaderBlocksNothing(t *testing.T) {
-	out := &blocked{release: make(chan struct{})}
-	ring := logging.NewRing(out, 100)
+	out := &blockedWriter{release: make(chan struct{})}
+	ring := logging.NewRingWriter(out, 100)
 	log := zerolog.New(ring)
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
@@ -47,12 +47,12 @@
 	}
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	if grown := int64(after.HeapInuse) - int64(before.HeapInuse); grown > 8<<20 {
-		t.Errorf("the heap grew by %d bytes", grown)
+	if growth := int64(after.HeapInuse) - int64(before.HeapInuse); growth > 8<<20 {
+		t.Errorf("the heap grew by %d bytes", growth)
 	}
 	close(out.release)
-	for limit := time.Now().Add(20 * time.Second); !strings.Contains(out.String(), "logging: lines dropped"); {
-		if time.Now().After(limit) {
+	for deadline := time.Now().Add(20 * time.Second); !strings.Contains(out.String(), "logging: lines dropped"); {
+		if time.Now().After(deadline) {
 			t.Fatal("dropped lines are not told")
 		}
 		time.Sleep(5 * time.Millisecond)
@@ -68,13 +68,13 @@
 // the ring fill; the instance has ended, and Close waits for the reader. Cause: Close
 // had no limit.
 func TestAStoppedReaderHoldsUpNoEnd(t *testing.T) {
-	out := &blocked{release: make(chan struct{})}
+	out := &blockedWriter{release: make(chan struct{})}
 	t.Cleanup(func() { close(out.release) })
-	ring := logging.NewRing(out, 100)
+	ring := logging.NewRingWriter(out, 100)
 	log := zerolog.New(ring)
 	log.Info().Msg("logging: test")
 	closed := make(chan error, 1)
-	go func() { closed <- ring.CloseWithin(50 * time.Millisecond) }()
+	go func() { closed <- ring.CloseWithTimeout(50 * time.Millisecond) }()
 	select {
 	case err := <-closed:
 		if err == nil {
@@ -88,15 +88,15 @@
 // What was written before the end is read whole by a reader that takes it, as slowly
 // as the time that is left allows: the last lines tell how a process ended.
 func TestTheLastLinesAreWritten(t *testing.T) {
-	const lines, each = 20, 10 * time.Millisecond
+	const lines, delay = 20, 10 * time.Millisecond
 	synctest.Test(t, func(t *testing.T) { // Time stands still while anything runs.
-		out := &slow{each: each}
-		ring := logging.NewRing(out, 2*lines)
+		out := &slowWriter{delay: delay}
+		ring := logging.NewRingWriter(out, 2*lines)
 		log := zerolog.New(ring)
 		for range lines {
 			log.Info().Msg("logging: test")
 		}
-		if err := ring.CloseWithin(2 * lines * each); err != nil {
+		if err := ring.CloseWithTimeout(2 * lines * delay); err != nil {
 			t.Fatal(err)
 		}
 		if got := strings.Count(out.text.String(), "logging: test"); got != lines {
@@ -105,32 +105,32 @@
 	})
 }
 
-// slow is a reader of the output that takes its time for each line.
-type slow struct {
-	each time.Duration
-	text strings.Builder
+// slowWriter is a reader of the output that takes its time for each line.
+type slowWriter struct {
+	delay time.Duration
+	text  strings.Builder
 }
 
-func (s *slow) Write(p []byte) (int, error) {
-	time.Sleep(s.each)
+func (s *slowWriter) Write(p []byte) (int, error) {
+	time.Sleep(s.delay)
 	return s.text.Write(p)
 }
 
-// closer is an output that notes whether it was closed.
-type closer struct {
+// closeRecorder is an output that notes whether it was closed.
+type closeRecorder struct {
 	bytes.Buffer
 	closed bool
 }
 
-func (c *closer) Close() error {
+func (c *closeRecorder) Close() error {
 	c.closed = true
 	return nil
 }
 
 // The ring does not own its output: what ends after it still writes there.
 func TestTheEndOfARingLeavesItsOutputOpen(t *testing.T) {
-	var out closer
-	if err := logging.NewRing(&out, 16).CloseWithin(time.Second); err != nil || out.closed {
+	var out closeRecorder
+	if err := logging.NewRingWriter(&out, 16).CloseWithTimeout(time.Second); err != nil || out.closed {
 		t.Errorf("%v, closed: %v", err, out.closed)
 	}
 }
