--- a/internal/logging/limit.go
+++ b/internal/logging/limit.go
@@ -7,12 +7,13 @@
 	"github.com/rs/zerolog"
 )
 
-// RateLimiter thins lines that come too fast. It implements zerolog.Sampler.
+// RateLimiter suppresses log lines above a rate. It implements zerolog.Sampler
+// and is safe for concurrent use.
 //
-// It is made for a flood of requests at one instance: each refused request
-// writes two lines, and an instance of a fifth of a core that wrote them all no
-// longer followed the log in time. Lines of each level have a number a second of
-// their own, so that ordinary ones never push out warnings; errors always pass.
+// It protects an instance that is flooded with requests. Each refused request
+// writes two lines, and an instance with a fifth of a core that wrote all of them
+// fell behind in reading the fleet's log streams. Each level has a limit of its
+// own, so that info lines never displace warnings. Errors are never suppressed.
 type RateLimiter struct {
 	linesPerSecond int
 	now            func() time.Time
@@ -23,14 +24,16 @@
 	suppressed    int64
 }
 
-// NewRateLimiter returns a Limit of so many lines a second and level.
+// NewRateLimiter returns a RateLimiter that passes up to linesPerSecond lines of
+// each level below error in each second of the clock.
 func NewRateLimiter(linesPerSecond int) *RateLimiter { return newRateLimiter(linesPerSecond, time.Now) }
 
 func newRateLimiter(linesPerSecond int, now func() time.Time) *RateLimiter {
 	return &RateLimiter{linesPerSecond: linesPerSecond, now: now, linesByLevel: map[zerolog.Level]int{}}
 }
 
-// Sample implements zerolog.Sampler.
+// Sample reports whether a line of this level is to be written. It implements
+// zerolog.Sampler.
 func (l *RateLimiter) Sample(level zerolog.Level) bool {
 	if level >= zerolog.ErrorLevel {
 		return true
@@ -49,7 +52,7 @@
 	return true
 }
 
-// Suppressed returns how many lines did not pass.
+// Suppressed returns the number of lines suppressed so far.
 func (l *RateLimiter) Suppressed() int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/logging/limit_test.go
+++ b/internal/logging/limit_test.go
@@ -8,6 +8,7 @@
 	"github.com/rs/zerolog"
 )
 
+// Each level has its own limit a second, and errors have none.
 func TestAFloodOfLinesIsThinnedByLevel(t *testing.T) {
 	now := time.Unix(100, 0)
 	limiter := newRateLimiter(50, func() time.Time { return now })
@@ -24,14 +25,14 @@
 		log.Error().Msg("logging: error")
 	}
 	if got := bytes.Count(out.Bytes(), []byte("\n")); got != 50+10+10 {
-		t.Errorf("%d lines in the first second, want 70", got)
+		t.Errorf("%d lines written in the first second, want 70", got)
 	}
 	if got := limiter.Suppressed(); got != 950 {
-		t.Errorf("%d lines counted as thinned, want 950", got)
+		t.Errorf("%d lines counted as suppressed, want 950", got)
 	}
 	now = now.Add(time.Second)
 	logInfoLines()
 	if got := bytes.Count(out.Bytes(), []byte("\n")); got != 120 {
-		t.Errorf("%d lines after the second one, want 120", got)
+		t.Errorf("%d lines written after the next second, want 120", got)
 	}
 }
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,5 +1,6 @@
-// Package logging makes an instance's logger. Every message begins with the
-// fixed prefix of its part, as in "ledger: grant taken"; Prefixes lists them.
+// Package logging creates an instance's logger. Every message begins with the
+// prefix of the component that logs it, as in "ledger: grant taken"; Prefixes
+// lists them.
 package logging
 
 import (
@@ -13,17 +14,18 @@
 	"guavapier/internal/settings"
 )
 
-// timeFormat has the milliseconds that order a request's lines.
+// timeFormat is RFC 3339 with milliseconds, which are needed to sort the lines of
+// one request.
 const timeFormat = "2006-01-02T15:04:05.000Z07:00"
 
 func init() { zerolog.TimeFieldFormat = timeFormat }
 
-// New returns a logger that writes to w. The level must be one that the
-// settings allow.
+// New returns a logger that writes to w, as JSON lines or, with the format
+// "console", as text. It fails if the level is not one of zerolog's.
 func New(cfg settings.Log, w io.Writer) (zerolog.Logger, error) {
 	level, err := zerolog.ParseLevel(cfg.Level)
 	if err != nil {
-		return zerolog.Logger{}, eris.Wrapf(err, "logging: level %q", cfg.Level)
+		return zerolog.Logger{}, eris.Wrapf(err, "logging: unknown level %q", cfg.Level)
 	}
 	if cfg.Format == "console" {
 		w = zerolog.ConsoleWriter{Out: w, NoColor: true}
@@ -31,13 +33,14 @@
 	return zerolog.New(w).Level(level).With().Timestamp().Logger(), nil
 }
 
-// Prefix documents the messages of one part.
+// Prefix documents the messages of one component: their prefix without the colon,
+// and what they are about.
 type Prefix struct {
 	Name        string
 	Description string
 }
 
-// Prefixes lists every prefix.
+// Prefixes lists the prefixes of all log messages.
 func Prefixes() []Prefix {
 	return []Prefix{
 		{"server", "Start, drain and end of the instance."},
@@ -56,7 +59,8 @@
 	}
 }
 
-// Reference returns the prefixes as a table in Markdown.
+// Reference returns Prefixes as a Markdown table, as it is in the operators'
+// manual.
 func Reference() string {
 	var b strings.Builder
 	b.WriteString("| prefix | part |\n| --- | --- |\n")
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -13,7 +13,8 @@
 
 var messagePattern = regexp.MustCompile(`\.Msgf?\(([^)]*)`)
 
-// Every message in the source begins with a documented prefix.
+// Every log message in the product's source begins with a prefix that Prefixes
+// lists. The source is searched by text for calls of Msg and Msgf.
 func TestEveryMessageHasItsPrefix(t *testing.T) {
 	known := map[string]bool{}
 	for _, p := range logging.Prefixes() {
@@ -32,7 +33,7 @@
 			messages++
 			prefix, _, ok := strings.Cut(strings.TrimPrefix(m[1], "\""), ": ")
 			if !ok || !known[prefix] {
-				t.Errorf("%s: message %s has no known prefix", path, m[1])
+				t.Errorf("%s: message %s has no prefix listed in Prefixes", path, m[1])
 			}
 		}
 		return nil
@@ -41,7 +42,7 @@
 		t.Fatal(err)
 	}
 	if messages == 0 {
-		t.Fatal("no message was found")
+		t.Fatal("no log message found in the source")
 	}
 }
 
--- a/internal/logging/ring.go
+++ b/internal/logging/ring.go
@@ -10,24 +10,28 @@
 	"github.com/rs/zerolog/diode"
 )
 
-// ringPollInterval is how often the ring's reader looks for lines.
+// ringPollInterval is the interval at which buffered lines are written to the
+// output.
 const ringPollInterval = 20 * time.Millisecond
 
-// ErrFlushTimeout says that the output's reader did not take the last lines in time.
-var ErrFlushTimeout = eris.New("logging: last lines not taken by the output's reader")
+// ErrFlushTimeout reports that the output did not accept all buffered lines in
+// time.
+var ErrFlushTimeout = eris.New("logging: the output did not accept the last lines in time")
 
-// RingWriter is a writer that never blocks: lines wait for the reader of the output
-// in a ring, and the oldest are dropped and counted when it is full.
+// RingWriter is a non-blocking writer in front of an output that may block. It
+// buffers lines in a ring; when the ring is full, the oldest are dropped and
+// counted.
 type RingWriter struct {
 	io.WriteCloser
 	dropped atomic.Int64
 }
 
-// NewRingWriter returns a Ring of so many lines in front of w.
+// NewRingWriter returns a RingWriter that buffers up to capacity lines for w. It
+// writes a line to w whenever it has dropped some.
 func NewRingWriter(w io.Writer, capacity int) *RingWriter {
 	r := &RingWriter{}
-	// The writer's Close closes what it writes to, if it can: the output must stay
-	// open for what is written after the ring.
+	// diode.Writer closes an output that implements io.Closer. This one must stay
+	// open for what is written after the ring is closed.
 	unclosable := struct{ io.Writer }{w}
 	r.WriteCloser = diode.NewWriter(unclosable, capacity, ringPollInterval, func(missed int) {
 		r.dropped.Add(int64(missed))
@@ -36,8 +40,10 @@
 	return r
 }
 
-// CloseWithTimeout writes the lines that are left, for that long at most. A reader that
-// takes none must not keep the process from ending: its lines are given up.
+// CloseWithTimeout flushes the buffered lines to the output and closes the ring,
+// not the output. If that takes longer than timeout it returns ErrFlushTimeout
+// and the remaining lines may be lost: an output that nobody reads must not keep
+// the process from exiting.
 func (r *RingWriter) CloseWithTimeout(timeout time.Duration) error {
 	closed := make(chan error, 1)
 	go func() { closed <- r.Close() }()
@@ -49,5 +55,5 @@
 	}
 }
 
-// Dropped returns how many lines were dropped.
+// Dropped returns the number of lines dropped so far.
 func (r *RingWriter) Dropped() int64 { return r.dropped.Load() }
--- a/internal/logging/ring_test.go
+++ b/internal/logging/ring_test.go
@@ -14,7 +14,7 @@
 	"guavapier/internal/logging"
 )
 
-// blockedWriter is a reader of the output that takes nothing until it is released.
+// blockedWriter is an output whose writes block until release is closed.
 type blockedWriter struct {
 	release chan struct{}
 	mu      sync.Mutex
@@ -34,8 +34,9 @@
 	return b.text.String()
 }
 
-// A reader that stops must neither hold up requests nor make memory grow; what
-// is lost is counted and told.
+// Guards against an output that nobody reads: its logger must not block and must
+// not use ever more memory. Dropped lines are counted, and a log line reports
+// them once the output is read again.
 func TestAStoppedReaderBlocksNothing(t *testing.T) {
 	out := &blockedWriter{release: make(chan struct{})}
 	ring := logging.NewRingWriter(out, 100)
@@ -48,25 +49,24 @@
 	runtime.GC()
 	runtime.ReadMemStats(&after)
 	if growth := int64(after.HeapInuse) - int64(before.HeapInuse); growth > 8<<20 {
-		t.Errorf("the heap grew by %d bytes", growth)
+		t.Errorf("the heap grew by %d bytes, want at most 8 MiB", growth)
 	}
 	close(out.release)
 	for deadline := time.Now().Add(20 * time.Second); !strings.Contains(out.String(), "logging: lines dropped"); {
 		if time.Now().After(deadline) {
-			t.Fatal("dropped lines are not told")
+			t.Fatal("no log line reports the dropped lines within 20 s")
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
 	if ring.Dropped() < 15_000 {
-		t.Errorf("%d lines counted as dropped", ring.Dropped())
+		t.Errorf("%d lines counted as dropped, want at least 15000 of 20000", ring.Dropped())
 	}
 	_ = ring.Close()
 }
 
-// What callers saw: nothing; by reading, a process whose output is full and not read
-// is killed at its end. Order of events: the reader of the output stops; the pipe and
-// the ring fill; the instance has ended, and Close waits for the reader. Cause: Close
-// had no limit.
+// Guards against a Close that waits without limit for an output that nobody reads:
+// once the pipe and the ring are full, an instance that has shut down would not
+// exit until it is killed.
 func TestAStoppedReaderHoldsUpNoEnd(t *testing.T) {
 	out := &blockedWriter{release: make(chan struct{})}
 	t.Cleanup(func() { close(out.release) })
@@ -78,18 +78,18 @@
 	select {
 	case err := <-closed:
 		if err == nil {
-			t.Error("lines are left, and Close says nothing")
+			t.Error("no error although a line could not be written")
 		}
 	case <-time.After(5 * time.Second):
-		t.Fatal("still waiting after 5 s")
+		t.Fatal("CloseWithTimeout of 50 ms has not returned after 5 s")
 	}
 }
 
-// What was written before the end is read whole by a reader that takes it, as slowly
-// as the time that is left allows: the last lines tell how a process ended.
+// An output that is slow but accepts lines within the timeout receives all of them:
+// the last lines tell how a process ended.
 func TestTheLastLinesAreWritten(t *testing.T) {
 	const lines, delay = 20, 10 * time.Millisecond
-	synctest.Test(t, func(t *testing.T) { // Time stands still while anything runs.
+	synctest.Test(t, func(t *testing.T) { // The fake clock only advances while all goroutines are blocked.
 		out := &slowWriter{delay: delay}
 		ring := logging.NewRingWriter(out, 2*lines)
 		log := zerolog.New(ring)
@@ -100,12 +100,12 @@
 			t.Fatal(err)
 		}
 		if got := strings.Count(out.text.String(), "logging: test"); got != lines {
-			t.Errorf("%d of %d lines", got, lines)
+			t.Errorf("%d of %d lines written", got, lines)
 		}
 	})
 }
 
-// slowWriter is a reader of the output that takes its time for each line.
+// slowWriter is an output whose writes take delay each.
 type slowWriter struct {
 	delay time.Duration
 	text  strings.Builder
@@ -116,7 +116,7 @@
 	return s.text.Write(p)
 }
 
-// closeRecorder is an output that notes whether it was closed.
+// closeRecorder is an output that records whether it was closed.
 type closeRecorder struct {
 	bytes.Buffer
 	closed bool
@@ -127,10 +127,11 @@
 	return nil
 }
 
-// The ring does not own its output: what ends after it still writes there.
+// The ring does not own its output: code that runs after the ring is closed still
+// writes there.
 func TestTheEndOfARingLeavesItsOutputOpen(t *testing.T) {
 	var out closeRecorder
 	if err := logging.NewRingWriter(&out, 16).CloseWithTimeout(time.Second); err != nil || out.closed {
-		t.Errorf("%v, closed: %v", err, out.closed)
+		t.Errorf("error %v, output closed: %v; want no error and an open output", err, out.closed)
 	}
 }
--- a/internal/metrics/catalogue.go
+++ b/internal/metrics/catalogue.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// The metrics' names.
+// Names of the metrics of a server instance.
 const (
 	CallerRequests     = "callers.requests"
 	CallerRefusals     = "callers.refusals"
@@ -27,18 +27,20 @@
 	HeapBytes          = "process.heap"
 )
 
-// Kind is the kind of a metric.
+// Kind is the type of a metric's values.
 type Kind string
 
-// The kinds. A counter only rises while the process lives; a histogram has
-// count, min, max, mean and percentiles.
+// A counter never decreases while the process runs. A gauge is a current value.
+// A histogram is published with its count, minimum, maximum, mean and
+// percentiles.
 const (
 	KindCounter   Kind = "counter"
 	KindGauge     Kind = "gauge"
 	KindHistogram Kind = "histogram"
 )
 
-// Metric documents one metric.
+// Metric documents one metric: its name, kind, unit of measurement and a
+// sentence for operators.
 type Metric struct {
 	Name string
 	Kind Kind
@@ -46,7 +48,8 @@
 	Help string
 }
 
-// Catalogue lists every metric that an instance publishes.
+// Catalogue lists every metric that a server instance publishes. See
+// GatewayCatalogue for those of a gateway instance.
 func Catalogue() []Metric {
 	return []Metric{
 		{CallerRequests, KindCounter, "requests", "Requests on the callers' address that have been answered."},
@@ -70,10 +73,12 @@
 	}
 }
 
-// Reference returns the catalogue as a table in Markdown.
+// Reference returns Catalogue as a Markdown table, as it is in the operators'
+// manual.
 func Reference() string { return markdownTable(Catalogue()) }
 
-// GatewayReference returns a gateway's catalogue as a table in Markdown.
+// GatewayReference returns GatewayCatalogue as a Markdown table, as it is in
+// the operators' manual.
 func GatewayReference() string { return markdownTable(GatewayCatalogue()) }
 
 func markdownTable(catalogue []Metric) string {
--- a/internal/metrics/gateway.go
+++ b/internal/metrics/gateway.go
@@ -1,6 +1,6 @@
 package metrics
 
-// The metrics of a gateway instance.
+// Names of the metrics of a gateway instance.
 const (
 	GatewayRequests            = "gateway.requests"
 	GatewayAttempts            = "gateway.attempts"
@@ -18,20 +18,21 @@
 	GatewayBudgetReadAge       = "gateway.budget_read_age"
 	GatewayBudgetRenewalAge    = "gateway.budget_touch_age"
 	GatewayBudgetReclaimed     = "gateway.budget_reclaimed"
-	// GatewayStoreCallsPrefix begins the name of each counter of calls to the store; the
-	// outcome follows.
+	// GatewayStoreCallsPrefix is followed by the outcome of a call to the store.
+	// Each outcome has a counter of its own.
 	GatewayStoreCallsPrefix = "gateway.store."
-	// GatewayRetries and GatewayRepeatsDenied count sends beyond a request's first.
+	// GatewayRetries counts the sends of a request after its first, and
+	// GatewayRetriesDenied those that the retry limit did not allow.
 	GatewayRetries       = "gateway.repeats"
 	GatewayRetriesDenied = "gateway.repeats_denied"
 	GatewayLinkLoad      = "gateway.link_load"
-	// GatewayEndsPrefix begins the name of each counter of requests that ended
-	// without an endpoint's answer; the reason follows.
+	// GatewayEndsPrefix is followed by the reason why a request ended without a
+	// response of an endpoint. Each reason has a counter of its own.
 	GatewayEndsPrefix = "gateway.ends."
 )
 
-// GatewayCatalogue lists every metric that a gateway instance publishes; the
-// names under GatewayEnds are completed by the reason.
+// GatewayCatalogue lists every metric that a gateway instance publishes. The two
+// prefixes stand for all names that begin with them.
 func GatewayCatalogue() []Metric {
 	return []Metric{
 		{GatewayRequests, KindCounter, "requests", "Callers' requests that have ended."},
--- a/internal/metrics/http.go
+++ b/internal/metrics/http.go
@@ -8,25 +8,29 @@
 	gometrics "github.com/rcrowley/go-metrics"
 )
 
-// HTTPMetricNames are the metrics of one HTTP interface.
+// HTTPMetricNames names the metrics of one HTTP interface: counters of all
+// requests, of responses with a 4xx status (Refusals) and with a 5xx status
+// (Faults), and a histogram of latencies in microseconds.
 type HTTPMetricNames struct {
 	Requests, Refusals, Faults, Latency string
 }
 
-// CallersHTTP and OperatorsHTTP name the metrics of the two interfaces.
+// CallersHTTP and OperatorsHTTP name the metrics of the callers' and the
+// operators' interface.
 var (
 	CallersHTTP   = HTTPMetricNames{Requests: CallerRequests, Refusals: CallerRefusals, Faults: CallerFaults, Latency: CallerLatency}
 	OperatorsHTTP = HTTPMetricNames{Requests: OperatorRequests, Refusals: OperatorRefusals, Faults: OperatorFaults, Latency: OperatorLatency}
 )
 
-// instrumentedHandler is an HTTP handler whose answers are counted.
+// instrumentedHandler records the status and latency of each response of next.
 type instrumentedHandler struct {
 	next                       http.Handler
 	requests, refusals, faults gometrics.Counter
 	latency                    gometrics.Histogram
 }
 
-// Instrument counts the requests that next answers.
+// Instrument returns a handler that passes requests to next and records their
+// number, status class and latency under the given names.
 func (r *Registry) Instrument(names HTTPMetricNames, next http.Handler) http.Handler {
 	return &instrumentedHandler{
 		next:     next,
@@ -39,7 +43,7 @@
 func (h *instrumentedHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	start := time.Now()
 	response := middleware.NewWrapResponseWriter(w, r.ProtoMajor)
-	// Deferred, since a handler may abort its answer by a panic.
+	// Deferred, so that a response that its handler aborts with a panic counts too.
 	defer func() { h.record(response.Status(), time.Since(start)) }()
 	h.next.ServeHTTP(response, r)
 }
--- a/internal/metrics/text.go
+++ b/internal/metrics/text.go
@@ -9,11 +9,11 @@
 	gometrics "github.com/rcrowley/go-metrics"
 )
 
-// quantiles are those that a histogram shows.
+// quantiles are the quantiles published for each histogram.
 var quantiles = []float64{0.5, 0.9, 0.99}
 
-// ServeText writes all metrics as text, one value a line in the common
-// exposition format: dots become underscores, histograms are summaries.
+// ServeText writes all metrics in the Prometheus text exposition format, sorted
+// by name. Dots in names become underscores, and histograms become summaries.
 func (r *Registry) ServeText(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "text/plain; version=0.0.4")
 	names := r.Names()
@@ -23,6 +23,8 @@
 	}
 }
 
+// formatMetric returns the type line and the samples of one metric, or "" if it is
+// not a counter, gauge or histogram.
 func formatMetric(name string, metric any) string {
 	switch m := metric.(type) {
 	case gometrics.Counter:
