--- a/cmd/guavapier/main.go
+++ b/cmd/guavapier/main.go
@@ -1,4 +1,5 @@
-// Command guavapier is a router fleet for prepaid token budgets.
+// Command guavapier runs an instance of a fleet of routers that spend prepaid token
+// budgets, and holds the tools to operate, load and inspect the fleet.
 package main
 
 import (
--- a/internal/cli/budget.go
+++ b/internal/cli/budget.go
@@ -22,6 +22,8 @@
 		"guavapier budget topup dala main 1000000", budgetShow(std), budgetTopUp(std), budgetClose(std))
 }
 
+// printBudgets prints budgets in tokens. Free tokens are prepaid and not yet
+// committed to a grant.
 func (c client) printBudgets(rows []fold.Budget) error {
 	return c.print(rows, "TEAM\tBUDGET\tPREPAID\tCOMMITTED\tBILLED\tFREE", func(add func(...any)) {
 		for _, b := range rows {
@@ -70,6 +72,8 @@
 	}.build("topup")
 }
 
+// topUp sends a top-up and prints the budget. If the outcome is unknown, the error
+// names the identity with which a retry counts only once.
 func (c client) topUp(ctx context.Context, request operator.TopUpRequest) error {
 	var row fold.Budget
 	err := c.call(ctx, http.MethodPost, "/topups", request, &row)
@@ -85,7 +89,7 @@
 	}
 }
 
-// closeGrantWarning is told before a grant is closed by hand.
+// closeGrantWarning is printed before an operator closes a grant.
 const closeGrantWarning = "Close a grant only if its holder and witness are gone for good. If the holder is alive\n" +
 	"behind a cut, it may go on spending until it reads the close, above what was prepaid;\n" +
 	"what it ran and had not billed yet stays unbilled."
@@ -108,7 +112,9 @@
 	}.build("close")
 }
 
-// confirmAndClose tells the risk, asks unless yes, and closes a right by hand.
+// confirmAndClose prints the warning, asks for confirmation unless yes is set, and
+// closes a right (a grant or a claim shard) by a POST to path. The closed right is
+// decoded into row.
 func (c client) confirmAndClose(ctx context.Context, std stdio, yes bool, warning, path string, row any) error {
 	fmt.Fprintln(std.err, warning)
 	if !yes && !confirm(std) {
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,8 +1,8 @@
-// Package cli is the command tree.
+// Package cli implements the commands of the guavapier binary.
 //
-// Output for people goes to stdout, with -json for programs; errors go to
-// stderr. The exit code is 0 when the command did what it was asked to, 1 when
-// it failed, and 2 for a wrong flag or argument, which is told in one line.
+// Results go to stdout, as text for people or with -json as JSON for programs.
+// Errors go to stderr. The exit code is 0 if the command succeeded, 1 if it
+// failed, and 2 for an invalid flag or argument, which is reported in one line.
 package cli
 
 import (
@@ -24,35 +24,36 @@
 	"guavapier/internal/settings"
 )
 
-// The exit codes.
+// Exit codes of the process.
 const (
 	exitOK      = 0
 	exitFailure = 1
 	exitUsage   = 2
 )
 
-// envPrefix begins the environment variable of each flag: -token-file is
-// GUAVAPIER_TOKEN_FILE.
+// envPrefix begins the name of the environment variable that sets a flag:
+// GUAVAPIER_TOKEN_FILE sets -token-file.
 const envPrefix = "GUAVAPIER"
 
-// usageError is a wrong flag or argument; its text says what would be right.
+// usageError reports an invalid flag or argument. Its text says what is allowed.
 type usageError struct{ text string }
 
 func (u usageError) Error() string { return u.text }
 
 func usagef(format string, args ...any) error { return usageError{text: fmt.Sprintf(format, args...)} }
 
-// stdio is what a command reads from and writes to.
+// stdio holds the standard streams of a command.
 type stdio struct {
 	in       io.Reader
 	out, err io.Writer
 }
 
-// Main runs the command line and returns the exit code.
+// Main runs the command that args name, without the program's name, and returns
+// the exit code. SIGINT and SIGTERM cancel the command's context.
 func Main(args []string, stdin io.Reader, stdout, stderr io.Writer) int {
 	std := stdio{in: stdin, out: stdout, err: stderr}
-	// Never undone: a signal that comes once more while the process leaves would end
-	// it by its default action, and an orderly end would look like a failure.
+	// The signals are never released: a further one during an orderly exit would kill
+	// the process by its default action, which would look like a failure.
 	ctx, _ := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	root := rootCommand(std)
 	command := findCommand(root, args)
@@ -64,7 +65,8 @@
 
 var invalidFlagValue = regexp.MustCompile(`for flag -([a-z-]+)`)
 
-// asUsageError makes a usage error of the flag package's error.
+// asUsageError converts an error of the flag package to a usageError that names
+// the allowed flags or shows a valid value. It returns flag.ErrHelp unchanged.
 func asUsageError(command *ffcli.Command, err error) error {
 	if errors.Is(err, flag.ErrHelp) {
 		return err
@@ -108,7 +110,8 @@
 	}
 }
 
-// findCommand returns the command that args name, as far as they do.
+// findCommand returns the deepest command that the leading words of args name,
+// skipping flags.
 func findCommand(root *ffcli.Command, args []string) *ffcli.Command {
 	for _, arg := range args {
 		for _, sub := range root.Subcommands {
@@ -143,7 +146,7 @@
 	)
 }
 
-// groupCommand returns a command that only has commands below it.
+// groupCommand returns a command that has subcommands and does nothing itself.
 func groupCommand(name, usage, help, example string, subs ...*ffcli.Command) *ffcli.Command {
 	names := make([]string, len(subs))
 	for i, sub := range subs {
@@ -161,17 +164,17 @@
 	}
 }
 
-// leafCommand describes a command that does something.
+// leafCommand describes a command without subcommands.
 type leafCommand struct {
 	usage, help, example string
 	flags                *flag.FlagSet
-	// args names the arguments that the command takes.
+	// args names the command's arguments, all of which are required.
 	args []string
 	run  func(ctx context.Context, args []string) error
 }
 
-// build returns the leaf as a build; its name is the last word of usage
-// before flags and arguments.
+// build returns the ffcli command. Its name is the last word of usage before flags
+// and arguments.
 func (l leafCommand) build(name string) *ffcli.Command {
 	if l.flags == nil {
 		l.flags = newFlagSet(name)
@@ -188,6 +191,8 @@
 	}
 }
 
+// checkArgs returns a usageError if the number of arguments is wrong or a flag
+// follows an argument, where the flag package does not parse it.
 func checkArgs(want, got []string) error {
 	for _, arg := range got {
 		if len(arg) > 1 && strings.HasPrefix(arg, "-") {
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -19,7 +19,8 @@
 	return code, out.String(), err.String()
 }
 
-// Each case is a command line; what it prints and its exit code are compared.
+// Each case in testdata/usage is a command line with its expected stdout, exit
+// code and stderr.
 func TestCommandLines(t *testing.T) {
 	t.Setenv(tokenEnvVar, "")
 	t.Setenv(keyEnvVar, "")
@@ -29,7 +30,8 @@
 	})
 }
 
-// walkCommands calls visit for each command with the words that name it.
+// walkCommands calls visit for c and all commands below it, with the words that
+// name each on the command line.
 func walkCommands(c *ffcli.Command, words []string, visit func(c *ffcli.Command, words []string)) {
 	visit(c, words)
 	for _, sub := range c.Subcommands {
@@ -58,16 +60,17 @@
 	})
 }
 
-// checkExample parses the example on a fresh tree, without running it.
+// checkExample checks that the example begins with the command's name and parses.
+// It does not run the example.
 func checkExample(t *testing.T, name, example string) {
 	t.Helper()
 	if !strings.HasPrefix(example+" ", name+" ") {
-		t.Errorf("%s: its example is %q", name, example)
+		t.Errorf("%s: example %q does not begin with the command's name", name, example)
 		return
 	}
 	fresh := rootCommand(stdio{out: io.Discard, err: io.Discard})
 	if err := fresh.Parse(strings.Fields(example)[1:]); err != nil {
-		t.Errorf("%s: its example %q: %v", name, example, err)
+		t.Errorf("%s: example %q does not parse: %v", name, example, err)
 	}
 }
 
@@ -79,7 +82,7 @@
 	defer l.Close()
 	code, _, stderr := runCommand("", "serve", "-standalone", "-callers", l.Addr().String())
 	if code != exitFailure || !strings.Contains(stderr, l.Addr().String()) || !strings.Contains(stderr, "another address") {
-		t.Errorf("exit %d: %s", code, stderr)
+		t.Errorf("exit code %d, stderr %q; want the address in use and the advice to give another", code, stderr)
 	}
 }
 
@@ -92,6 +95,6 @@
 	got, err := readValuesFile(file)
 	want := "[{/fleet/engines/e1/slots 8 false} {/teams/dala/budgets/main/lean 0.5 false} {/teams/dala/default_budget main false}]"
 	if err != nil || fmt.Sprint(got) != want {
-		t.Errorf("%v %v, want %s", got, err, want)
+		t.Errorf("values %v, error %v; want %s", got, err, want)
 	}
 }
--- a/internal/cli/client.go
+++ b/internal/cli/client.go
@@ -28,18 +28,22 @@
 	operatorsAddressHelp = "the operators' address of any instance (instance.operators in its settings)"
 )
 
-// client calls the operators' or the callers' interface of an instance.
+// client calls the operators' or the callers' HTTP interface of an instance and
+// prints the results. The pointers are values of command-line flags.
 type client struct {
 	std              stdio
 	addr, secretFile *string
 	jsonOutput       *bool
-	// caFile names the authorities' file; empty for an interface without TLS.
+	// caFile is a PEM file of certificate authorities; empty for an interface
+	// without TLS.
 	caFile *string
-	// secretEnvVar is where the secret stands if no file is named.
+	// secretEnvVar is the environment variable with the credential, read if
+	// secretFile is empty.
 	secretEnvVar string
 }
 
-// newOperatorClient adds the flags that every command for operators has.
+// newOperatorClient returns a client of the operators' interface and adds its flags
+// to fs.
 func newOperatorClient(std stdio, fs *flag.FlagSet) client {
 	return client{
 		std: std, secretEnvVar: tokenEnvVar,
@@ -50,7 +54,8 @@
 	}
 }
 
-// newCallerClient adds the flags that every command for callers has.
+// newCallerClient returns a client of the callers' interface and adds its flags to
+// fs.
 func newCallerClient(std stdio, fs *flag.FlagSet) client {
 	return client{
 		std: std, secretEnvVar: keyEnvVar,
@@ -61,6 +66,7 @@
 	}
 }
 
+// secret returns the credential from the file or the environment variable.
 func (c client) secret() (string, error) {
 	if *c.secretFile != "" {
 		return readSecret(*c.secretFile)
@@ -71,13 +77,13 @@
 	return "", usagef("a credential is missing: name its file by flag, or set %s", c.secretEnvVar)
 }
 
-// responseError is an answer that is not 2xx.
+// responseError is a response whose status is not 2xx.
 type responseError struct {
 	status int
 	body   []byte
 }
 
-// errorDetails is the part of a refusal that is told to people.
+// errorDetails is the part of an error response that is printed.
 type errorDetails struct {
 	Code     string    `json:"code"`
 	Message  string    `json:"message"`
@@ -88,11 +94,14 @@
 	} `json:"result"`
 }
 
+// finding is one invalid value of a rejected change.
 type finding struct {
 	Path    string `json:"path"`
 	Problem string `json:"problem"`
 }
 
+// details decodes the error response. All fields are empty if it is not JSON of
+// that form.
 func (e responseError) details() errorDetails {
 	var body struct {
 		Error errorDetails `json:"error"`
@@ -101,11 +110,12 @@
 	return body.Error
 }
 
-// Error tells everything that the instance said, findings one a line.
+// Error returns the instance's error message, followed by one line for each
+// finding and each value that another change has set in the meantime.
 func (e responseError) Error() string {
 	details := e.details()
 	if details.Code == "" {
-		return fmt.Sprintf("the instance answered %d: %s", e.status, bytes.TrimSpace(e.body))
+		return fmt.Sprintf("the instance responded with status %d: %s", e.status, bytes.TrimSpace(e.body))
 	}
 	lines := []string{fmt.Sprintf("refused (%s): %s", details.Code, details.Message)}
 	for _, f := range details.Findings {
@@ -122,7 +132,8 @@
 	return strings.Join(lines, "\n")
 }
 
-// call sends body as JSON and decodes the answer into out, if not nil.
+// call sends a request with body as JSON, if not nil, and decodes the JSON response
+// into out, if not nil. It returns a responseError if the status is not 2xx.
 func (c client) call(ctx context.Context, method, path string, body, out any) error {
 	secret, err := c.secret()
 	if err != nil {
@@ -140,12 +151,13 @@
 		return err
 	}
 	if err := json.Unmarshal(data, out); err != nil {
-		return eris.Wrap(err, "the instance's answer could not be read")
+		return eris.Wrap(err, "the instance's response could not be decoded")
 	}
 	return nil
 }
 
-// httpClient returns the scheme and the HTTP client for the address.
+// httpClient returns the URL scheme and the HTTP client for the address: https if
+// certificate authorities are given, else http.
 func (c client) httpClient() (string, *http.Client, error) {
 	if *c.caFile == "" {
 		return "http", http.DefaultClient, nil
@@ -157,6 +169,8 @@
 	return "https", &http.Client{Transport: &http.Transport{DialTLSContext: source.Dial}}, nil
 }
 
+// send sends a request within callTimeout and returns the body of a 2xx response,
+// up to maxResponseBytes.
 func send(ctx context.Context, httpClient *http.Client, method, url, secret string, body any) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -175,12 +189,12 @@
 	req.Header.Set("Authorization", "Bearer "+secret)
 	resp, err := httpClient.Do(req)
 	if err != nil {
-		return nil, eris.Wrap(err, "the instance did not answer; it may have done what it was asked to")
+		return nil, eris.Wrap(err, "no response from the instance; it may have executed the request")
 	}
 	defer resp.Body.Close()
 	data, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
-		return nil, eris.Wrap(err, "the instance's answer was cut off")
+		return nil, eris.Wrap(err, "the instance's response ended early")
 	}
 	if resp.StatusCode/100 != 2 {
 		return nil, responseError{status: resp.StatusCode, body: data}
@@ -188,7 +202,8 @@
 	return data, nil
 }
 
-// print prints rows as JSON, or as a table for people.
+// print prints rows as JSON if -json is set. Otherwise it prints a table with a
+// tab-separated header; table calls add once for each row.
 func (c client) print(rows any, header string, table func(add func(cells ...any))) error {
 	if *c.jsonOutput {
 		enc := json.NewEncoder(c.std.out)
@@ -207,7 +222,7 @@
 	return w.Flush()
 }
 
-// hasErrorCode says whether err is a refusal with that code.
+// hasErrorCode reports whether err is a responseError with this code.
 func hasErrorCode(err error, code string) bool {
 	var r responseError
 	return errors.As(err, &r) && r.details().Code == code
--- a/internal/cli/drain.go
+++ b/internal/cli/drain.go
@@ -11,8 +11,8 @@
 	"guavapier/internal/server"
 )
 
-// runUntilSecondSignal runs an instance. The end of ctx (the first signal) drains it; a
-// second signal ends the process at once.
+// runUntilSecondSignal runs an instance. When the first signal cancels ctx, the
+// instance drains; a second signal aborts the drain with an error.
 func runUntilSecondSignal(ctx context.Context, srv *server.Server) error {
 	done := make(chan error, 1)
 	go func() { done <- srv.Run(ctx) }()
@@ -28,6 +28,6 @@
 	case err := <-done:
 		return err
 	case <-second:
-		return eris.Errorf("cut off by a second signal with %d requests in flight", srv.InFlight())
+		return eris.Errorf("stopped by a second signal with %d requests in flight", srv.InFlight())
 	}
 }
--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -14,7 +14,7 @@
 	"github.com/rotisserie/eris"
 )
 
-// maxLogLineBytes bounds one line of a log.
+// maxLogLineBytes bounds the length of one log line. A longer one is an error.
 const maxLogLineBytes = 1 << 20
 
 func explainCommand(std stdio) *ffcli.Command {
@@ -39,8 +39,9 @@
 	}.build("explain")
 }
 
-// requestLines returns the lines that name a request, by time. A line may have
-// something in front of its JSON object, such as the name of a host.
+// requestLines returns the log lines whose "request" field is id, formatted and
+// sorted by time. Text in front of a line's JSON object, such as a host name, is
+// kept.
 func requestLines(log io.Reader, id string) ([]string, error) {
 	type entry struct {
 		time, text string
@@ -55,7 +56,7 @@
 		}
 		var fields map[string]any
 		if err := json.Unmarshal([]byte("{"+object), &fields); err != nil || fields["request"] != id {
-			continue // Not a line of ours, or of another request.
+			continue // Not an instance's log line, or one of another request.
 		}
 		time, _ := fields["time"].(string)
 		entries = append(entries, entry{time: time, text: strings.TrimSpace(strings.TrimSpace(prefix) + " " + formatLine(fields))})
@@ -71,7 +72,8 @@
 	return lines, nil
 }
 
-// formatLine writes a line's message first, then its fields by name.
+// formatLine returns a line's time and message, followed by its other fields as
+// name=JSON, sorted by name. The level and the request are left out.
 func formatLine(fields map[string]any) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%v %v", fields["time"], fields["message"])
--- a/internal/cli/explain_test.go
+++ b/internal/cli/explain_test.go
@@ -6,6 +6,8 @@
 	"testing"
 )
 
+// explainLog holds lines of two requests out of order, with a host name in front,
+// and lines that are not JSON.
 const explainLog = `entry-2 {"level":"warn","request":"r1","status":503,"reason":"budget not at hand","time":"2026-01-01T00:00:00.020Z","message":"forward: request ended"}
 no line of ours
 {"broken
@@ -16,7 +18,7 @@
 func TestExplainTellsOneRequestInOrder(t *testing.T) {
 	var out, errs bytes.Buffer
 	if code := Main([]string{"explain", "r1"}, strings.NewReader(explainLog), &out, &errs); code != exitOK {
-		t.Fatalf("code %d: %s", code, errs.String())
+		t.Fatalf("exit code %d, want 0: %s", code, errs.String())
 	}
 	want := `entry-2 2026-01-01T00:00:00.010Z forward: budget refused budget={"at_hand":5} team="org"
 entry-2 2026-01-01T00:00:00.020Z forward: request ended reason="budget not at hand" status=503
@@ -29,6 +31,6 @@
 func TestExplainSaysWhenNothingIsKnown(t *testing.T) {
 	var out, errs bytes.Buffer
 	if code := Main([]string{"explain", "r9"}, strings.NewReader(explainLog), &out, &errs); code != exitFailure || !strings.Contains(errs.String(), "no line names request") {
-		t.Errorf("code %d: %s", code, errs.String())
+		t.Errorf("exit code %d, stderr %q; want 1 and that no line names the request", code, errs.String())
 	}
 }
--- a/internal/cli/gateway.go
+++ b/internal/cli/gateway.go
@@ -14,10 +14,12 @@
 	"guavapier/platform"
 )
 
-// logFlushTimeout is the time for a log's last lines where no instance was started.
+// logFlushTimeout bounds the flush of the last log lines at exit, unless a gateway
+// instance has run and set the time that is left of its shutdown.
 const logFlushTimeout = time.Second
 
-// runGateway runs an instance on the outside platform.
+// runGateway runs a gateway instance, which serves an outside platform, until ctx
+// ends and the instance has drained.
 func runGateway(ctx context.Context, std stdio, file string) error {
 	hangups := catchHangups()
 	text, err := os.ReadFile(file)
@@ -30,7 +32,7 @@
 	}
 	ring := logging.NewRingWriter(std.out, s.Log.Buffer)
 	flushTimeout := logFlushTimeout
-	defer func() { _ = ring.CloseWithTimeout(flushTimeout) }() // Lines that are lost then can't be told.
+	defer func() { _ = ring.CloseWithTimeout(flushTimeout) }() // An error could no longer be logged.
 	log, err := logging.New(settings.Log{Level: s.Log.Level, Format: s.Log.Format}, ring)
 	if err != nil {
 		return err
@@ -49,7 +51,7 @@
 	if err != nil {
 		return err
 	}
-	// Settings apply until the instance has ended, also while it drains.
+	// Settings are reloaded until the instance has stopped, also while it drains.
 	reloadCtx, stopReload := context.WithCancel(context.WithoutCancel(ctx))
 	defer stopReload()
 	r := &reloader{file: file, lastText: text, apply: g.Reload, log: log}
--- a/internal/cli/load.go
+++ b/internal/cli/load.go
@@ -49,7 +49,8 @@
 	}.build("load")
 }
 
-// targetURLs returns the instances to send to, addr if none is named.
+// targetURLs splits a comma-separated list of base URLs of the form http://IP:port.
+// An empty list stands for the instance at addr.
 func targetURLs(list, addr string) ([]string, error) {
 	if list == "" {
 		list = "http://" + addr
@@ -67,7 +68,8 @@
 	return urls, nil
 }
 
-// printReport fails where a stated outcome was not met.
+// printReport prints a row for each class of requests. It returns an error if the
+// trace states an outcome that was not met.
 func (c client) printReport(r load.Report) error {
 	header := "CLASS\tSENT\tANSWERED\tNOT RUN\tUNKNOWN\tPARTIAL\tWRONG\tLATE\tFIRST P50\tFIRST P99\tWHOLE P50\tWHOLE P99"
 	err := c.print(r, header, func(add func(...any)) {
--- a/internal/cli/reload.go
+++ b/internal/cli/reload.go
@@ -11,21 +11,21 @@
 	"guavapier/internal/settings"
 )
 
-// reloadInterval is how often the settings file is looked at: it may change without
-// a signal.
+// reloadInterval is the interval at which the settings file is checked for changes,
+// as it may change without a signal.
 const reloadInterval = 2 * time.Second
 
-// reloader applies a settings file again when it changes.
+// reloader applies a gateway's settings file whenever it changes.
 type reloader struct {
 	file string
-	// lastText is the text in force: a change between the first read of the file and
-	// the first look at it is one too.
+	// lastText is the file's content when it was last read. It begins with the content
+	// that the instance started with, so that a change during the start is detected.
 	lastText []byte
 	apply    func(settings.Gateway)
 	log      zerolog.Logger
 }
 
-// run looks at the file now and then and on each hangup, until ctx ends.
+// run checks the file at each reloadInterval and on each SIGHUP, until ctx ends.
 func (r *reloader) run(ctx context.Context, hangups <-chan os.Signal) {
 	ticker := time.NewTicker(reloadInterval)
 	defer ticker.Stop()
@@ -41,16 +41,17 @@
 	}
 }
 
-// reloadIfChanged applies the file if it has changed and is right.
+// reloadIfChanged applies the file if its content has changed and is valid. Invalid
+// settings are logged once and not applied.
 func (r *reloader) reloadIfChanged() {
 	data, err := os.ReadFile(r.file)
 	if err != nil || bytes.Equal(data, r.lastText) {
-		return // A file that is being replaced is read at the next look.
+		return // A file that is missing while it is replaced is read at the next check.
 	}
 	r.lastText = data
 	s, err := settings.ParseGateway(r.file, data)
 	if err != nil {
-		r.log.Error().Err(err).Msg("gateway: changed settings are wrong; the last ones stay in force")
+		r.log.Error().Err(err).Msg("gateway: changed settings are invalid; the previous ones stay in force")
 		return
 	}
 	r.apply(s)
--- a/internal/cli/reload_test.go
+++ b/internal/cli/reload_test.go
@@ -14,8 +14,9 @@
 	"guavapier/internal/settings"
 )
 
-// Settings that changed while an instance started, with a hangup, were never
-// applied: the first look at the file took the changed text for the one in force.
+// Guards against a reloader that takes the content at its first check for the one
+// in force: settings that change while the instance starts, with a SIGHUP, would
+// never be applied.
 func TestAChangeWhileAnInstanceStartsIsApplied(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/settings.toml.tmpl")
 	if err != nil {
@@ -43,9 +44,9 @@
 	select {
 	case s := <-applied:
 		if s.Retries.Extra != 70 {
-			t.Errorf("%d sends", s.Retries.Extra)
+			t.Errorf("retries.extra is %d, want 70", s.Retries.Extra)
 		}
 	case <-ctx.Done():
-		t.Fatal("not applied")
+		t.Fatal("changed settings not applied within 10 s")
 	}
 }
--- a/internal/cli/report.go
+++ b/internal/cli/report.go
@@ -12,7 +12,8 @@
 	"guavapier/internal/report"
 )
 
-// defaultReportSpan is the span of a report's rows where none is given.
+// defaultReportSpan is the time that a row of the table over time covers, unless
+// -span is given.
 const defaultReportSpan = 2 * time.Second
 
 func reportCommand(std stdio) *ffcli.Command {
@@ -33,13 +34,16 @@
 	}.build("report")
 }
 
+// writeReport reads a log from standard input and prints the outcomes of requests by
+// route, availability zone and time. If svg is not empty, it is the file to which
+// the outcomes over time are plotted.
 func writeReport(std stdio, span time.Duration, svg string) error {
 	log, err := report.Read(std.in)
 	if err != nil {
 		return err
 	}
 	if len(log.Requests) == 0 {
-		return eris.New("cli: the log tells of no request's end; was an instance's log read?")
+		return eris.New("cli: the log has no line of an ended request; was an instance's log read?")
 	}
 	byTime := log.GroupByTime(span)
 	tables := []report.Table{
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -15,10 +15,12 @@
 	"guavapier/internal/settings"
 )
 
-// logBufferLines is how many log lines wait for a slow reader.
+// logBufferLines is the number of log lines buffered while standard error is not
+// read fast enough.
 const logBufferLines = 4096
 
-// settingsEnvVar names the settings file where no flag does.
+// settingsEnvVar is the environment variable with the settings file, used if
+// -settings is not given.
 const settingsEnvVar = "GUAVAPIER_CONFIG"
 
 func serveCommand(std stdio) *ffcli.Command {
@@ -51,6 +53,8 @@
 	}.build("serve")
 }
 
+// runInstance runs a server instance until ctx ends and it has drained, or until a
+// second signal.
 func runInstance(ctx context.Context, std stdio, file string) error {
 	hangups := catchHangups()
 	s, err := settings.Load(file)
@@ -61,9 +65,10 @@
 	if err != nil {
 		return err
 	}
-	// Lines never wait for their reader: it may stop, and callers go on.
+	// Logging must never block: whoever reads standard error may stop, while callers
+	// still need their responses.
 	ring := logging.NewRingWriter(std.err, logBufferLines)
-	defer func() { _ = ring.CloseWithTimeout(logFlushTimeout) }() // Lines that are lost then can't be told.
+	defer func() { _ = ring.CloseWithTimeout(logFlushTimeout) }() // An error could no longer be logged.
 	log, err := logging.New(s.Log, ring)
 	if err != nil {
 		return err
@@ -76,6 +81,8 @@
 	return runUntilSecondSignal(ctx, srv)
 }
 
+// loadSecrets reads the session keys and the operator token from the files that the
+// settings name.
 func loadSecrets(s settings.Settings) (server.Secrets, error) {
 	secrets := server.Secrets{Sessions: session.Keyring{Current: s.Sessions.CurrentKey, Keys: map[string][]byte{}}}
 	for id, file := range s.Sessions.KeyFiles {
@@ -90,10 +97,12 @@
 	return secrets, err
 }
 
+// readSecret returns the content of a file without surrounding white space. An
+// empty secret is an error.
 func readSecret(file string) (string, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
-		return "", eris.Wrap(err, "cli: read secret")
+		return "", eris.Wrap(err, "cli: read secret file")
 	}
 	secret := strings.TrimSpace(string(data))
 	if secret == "" {
@@ -117,6 +126,7 @@
 	}.build("check")
 }
 
+// checkFile validates a settings file of a server or a gateway instance.
 func checkFile(file string) error {
 	if settings.IsGateway(file) {
 		_, err := settings.LoadGateway(file)
--- a/internal/cli/session.go
+++ b/internal/cli/session.go
@@ -14,8 +14,8 @@
 		"guavapier session open", sessionOpen(std), sessionList(std), sessionShow(std), sessionEnd(std))
 }
 
-// sessionRow is a session on the callers' interface. The token is given only
-// when it is opened.
+// sessionRow is a session as the callers' interface returns it. The token is only
+// in the response that opens the session.
 type sessionRow struct {
 	ID    string `json:"id"`
 	Token string `json:"token,omitempty"`
--- a/internal/cli/settings.go
+++ b/internal/cli/settings.go
@@ -17,7 +17,8 @@
 	"guavapier/internal/operator"
 )
 
-// valueRow is one value under a path.
+// valueRow is the value of one path, as the operators' interface returns it, with
+// its version and the change that set it. Version 0 is a path without a value.
 type valueRow struct {
 	Path    string `json:"path"`
 	Value   string `json:"value"`
@@ -26,15 +27,18 @@
 	Change  string `json:"change"`
 }
 
-// describeCurrent tells who set a value and with what.
+// describeCurrent describes a path's value for an operator whose change it
+// conflicts with: the value, who set it and by which change.
 func (v valueRow) describeCurrent() string {
 	if v.Version == 0 {
-		return "has no value any more"
+		return "no longer has a value"
 	}
 	return fmt.Sprintf("is %q, set by %s with change %s (version %d)", v.Value, v.By, v.Change, v.Version)
 }
 
-// changeRow is the result of a change.
+// changeRow is the result of a change, or one entry of the history. Offset is its
+// offset in the configuration stream. Lost holds the current values of paths that
+// have changed since the base version of the change.
 type changeRow struct {
 	ID        string     `json:"id"`
 	Accepted  bool       `json:"accepted"`
@@ -46,6 +50,7 @@
 	Lost      []valueRow `json:"lost,omitempty"`
 }
 
+// opRow is one operation of a change: it sets a path's value or deletes it.
 type opRow struct {
 	Path   string `json:"path"`
 	Value  string `json:"value,omitempty"`
@@ -58,6 +63,7 @@
 		settingsGet(std), settingsPut(std), settingsList(std), settingsHistory(std), settingsWait(std))
 }
 
+// listValues returns the values of all paths that are prefix or below it.
 func (c client) listValues(ctx context.Context, prefix string) ([]valueRow, error) {
 	var rows []valueRow
 	err := c.call(ctx, http.MethodGet, "/settings?prefix="+url.QueryEscape(prefix), nil, &rows)
@@ -137,6 +143,7 @@
 	}.build("history")
 }
 
+// displayValue returns the value for a table of the history.
 func (o opRow) displayValue() string {
 	if o.Delete {
 		return "(deleted)"
@@ -171,12 +178,14 @@
 	return cmd
 }
 
+// putOptions holds the flags of settings put.
 type putOptions struct {
 	file, deletePath, id, by *string
 	yes                      *bool
 }
 
-// desiredValues returns what the command line asks for.
+// desiredValues returns the values and deletions that the command line asks for.
+// Exactly one of -f, -delete and two arguments is allowed.
 func (p putOptions) desiredValues(args []string) ([]desiredValue, error) {
 	switch {
 	case *p.file != "" && *p.deletePath == "" && len(args) == 0:
@@ -189,7 +198,10 @@
 	return nil, usagef("it takes one of -f FILE, -delete PATH, or PATH and VALUE")
 }
 
-// put shows the difference, asks, and sends the change on the versions shown.
+// put prints the difference from the current values, asks for confirmation unless
+// -yes is set, and sends the change. The change is rejected if a value is no longer
+// at the version that was shown. If the outcome is unknown, the error names the
+// change's identity for a retry.
 func (c client) put(ctx context.Context, p putOptions, desired []desiredValue) error {
 	request, err := c.prepareChange(ctx, desired)
 	if err != nil {
@@ -222,7 +234,8 @@
 	return nil
 }
 
-// prepareChange compares with what stands, prints it, and returns the change.
+// prepareChange compares the desired with the current values, prints the difference
+// unless -json is set, and returns a change of the values that differ.
 func (c client) prepareChange(ctx context.Context, desired []desiredValue) (operator.ChangeRequest, error) {
 	var request operator.ChangeRequest
 	var diff strings.Builder
@@ -243,6 +256,8 @@
 	return request, nil
 }
 
+// confirm asks on standard output and reports whether the answer read from standard
+// input is yes.
 func confirm(std stdio) bool {
 	fmt.Fprint(std.out, "Change this? [y/N] ")
 	line, _ := bufio.NewReader(std.in).ReadString('\n')
--- a/internal/cli/shard.go
+++ b/internal/cli/shard.go
@@ -9,7 +9,7 @@
 	"guavapier/internal/fold"
 )
 
-// closeShardWarning is told before a claim shard is closed by hand.
+// closeShardWarning is printed before an operator closes a claim shard.
 const closeShardWarning = "Close a claim shard only if its holder and its witness are gone for good. A call that\n" +
 	"ran under a claim that only these two knew can run again if its caller retries; and a\n" +
 	"holder and witness that are alive behind a cut go on counting claims."
--- a/internal/cli/standalone.go
+++ b/internal/cli/standalone.go
@@ -22,7 +22,8 @@
 	"guavapier/internal/standin"
 )
 
-// The sample team of a standalone run.
+// The sample team of a standalone run: its name, API key, operator token, prepaid
+// tokens and model.
 const (
 	sampleTeam     = "sample"
 	sampleKey      = "sample:secret"
@@ -31,9 +32,10 @@
 	sampleModel    = "small"
 )
 
-// runStandalone runs an instance and all its stand-ins in this process. The
-// stand-ins outlive the end of ctx until the instance has drained: it returns
-// its grants to the platform.
+// runStandalone runs a server instance with stand-ins for the platform, engines and
+// a service in this process, and prints example requests. After ctx ends, the
+// stand-ins run until the instance has drained, as it returns its grants to the
+// platform.
 func runStandalone(ctx context.Context, std stdio, callers, operators string) error {
 	standinCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
@@ -69,6 +71,8 @@
 	return group.Wait()
 }
 
+// startStandins starts the stand-ins on loopback and lists the endpoints on the
+// platform, whose URL it returns. They stop when ctx ends.
 func startStandins(ctx context.Context, group *errgroup.Group) (platformURL string, err error) {
 	platform := standin.NewPlatform(standin.PlatformOptions{AppendsPerSecond: 300, InstanceTTL: 5 * time.Second})
 	if platformURL, err = serveLoopback(ctx, group, platform.Handler()); err != nil {
@@ -91,6 +95,8 @@
 	return platformURL, nil
 }
 
+// serveLoopback serves h on a free loopback port until ctx ends and returns the base
+// URL.
 func serveLoopback(ctx context.Context, group *errgroup.Group, h http.Handler) (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -107,7 +113,8 @@
 	return "http://" + l.Addr().String(), nil
 }
 
-// seedSample creates the sample team and its prepaid budget.
+// seedSample creates the sample team and its prepaid budget through the operators'
+// interface at the given IP:port.
 func seedSample(ctx context.Context, operators string) error {
 	change := operator.ChangeRequest{ID: "sample", By: "standalone", Ops: []record.ChangeOp{
 		{Path: config.APIKeyPath(sampleTeam, sampleKey), Value: "sample key"},
@@ -119,10 +126,12 @@
 	return callOperatorAPI(ctx, http.MethodPost, "http://"+operators+"/topups", topUp)
 }
 
+// callOperatorAPI sends body as JSON with the sample operator's token. A status
+// other than 200 is an error.
 func callOperatorAPI(ctx context.Context, method, url string, body any) error {
 	data, err := json.Marshal(body)
 	if err != nil {
-		return eris.Wrap(err, "cli: encode")
+		return eris.Wrap(err, "cli: encode request")
 	}
 	req, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(data))
 	if err != nil {
@@ -140,6 +149,7 @@
 	return nil
 }
 
+// printExamples prints curl commands for the callers' and the operators' address.
 func printExamples(std stdio, callers, operators string) {
 	fmt.Fprintf(std.out, `Ready. Try:
 
--- a/internal/cli/standin.go
+++ b/internal/cli/standin.go
@@ -63,6 +63,7 @@
 	})
 }
 
+// standinLeaf returns a command that runs a stand-in until ctx ends.
 func standinLeaf(fs *flag.FlagSet, name, help string, run func(context.Context) error) *ffcli.Command {
 	return leafCommand{
 		usage: "guavapier standin " + name + " [flags]", help: help,
@@ -72,7 +73,8 @@
 	}.build(name)
 }
 
-// serveHTTP serves until ctx ends and prints the bound address first.
+// serveHTTP listens on an IP:port, prints the bound address and serves h until ctx
+// ends.
 func serveHTTP(ctx context.Context, std stdio, listen string, h http.Handler) error {
 	l, err := net.Listen("tcp", listen)
 	if err != nil {
--- a/internal/cli/team.go
+++ b/internal/cli/team.go
@@ -16,13 +16,15 @@
 	"guavapier/internal/record"
 )
 
+// secretBytes is the length of a credential's random secret.
 const secretBytes = 24
 
 func teamCommand(std stdio) *ffcli.Command {
 	return groupCommand("team", "guavapier team create|list", "Create and list teams.", "guavapier team list", teamCreate(std), teamList(std))
 }
 
-// createdTeam is what team create prints. The keys are shown this once.
+// createdTeam is the output of team create. It is the only time that the keys are
+// shown.
 type createdTeam struct {
 	Team        string `json:"team"`
 	APIKey      string `json:"api_key"`
@@ -48,17 +50,19 @@
 	}.build("create")
 }
 
+// createTeam creates a team with a default budget and one key of each kind. It fails
+// if the team has any values.
 func (c client) createTeam(ctx context.Context, name, by string) error {
 	team := record.Team(name)
 	if rows, err := c.listValues(ctx, config.TeamPath(team)); err != nil || len(rows) > 0 {
 		if err == nil {
-			err = fmt.Errorf("team %s exists", name)
+			err = fmt.Errorf("team %s already exists", name)
 		}
 		return err
 	}
 	created := createdTeam{Team: name, APIKey: newCredential(name), OperatorKey: newCredential(name), Change: uuid.NewString()}
-	// The default budget's path has no value yet, so one of two operators who
-	// create the same team at once loses.
+	// The change requires that the default budget's path has no value. Of two
+	// operators who create the same team at the same time, only one succeeds.
 	request := operator.ChangeRequest{ID: created.Change, By: by, Ops: []record.ChangeOp{
 		{Path: config.DefaultBudgetPath(team), Value: "main"},
 		{Path: config.APIKeyPath(team, created.APIKey), Value: "first key"},
@@ -76,7 +80,7 @@
 	return nil
 }
 
-// newCredential draws a credential of the form team:secret.
+// newCredential returns a random credential of the form team:secret.
 func newCredential(team string) string {
 	secret := make([]byte, secretBytes)
 	_, _ = rand.Read(secret) // Never fails; see crypto/rand.
--- a/internal/cli/wait.go
+++ b/internal/cli/wait.go
@@ -11,7 +11,9 @@
 	"github.com/peterbourgon/ff/v3/ffcli"
 )
 
-// instanceRow is one instance of the instance list.
+// instanceRow is one instance of the instance list, as the operators' interface
+// returns it. Applied is the offset after the last entry of the configuration stream
+// that the instance has applied.
 type instanceRow struct {
 	ID      string `json:"id"`
 	Zone    string `json:"zone"`
@@ -19,6 +21,7 @@
 	Applied uint64 `json:"applied"`
 }
 
+// waitPollInterval is the pause between two requests while waiting for a change.
 const waitPollInterval = 200 * time.Millisecond
 
 func settingsWait(std stdio) *ffcli.Command {
@@ -50,7 +53,8 @@
 	}.build("wait")
 }
 
-// awaitAccepted returns the offset of an accepted change.
+// awaitAccepted waits until a change has a result and returns its offset. It returns
+// an error if the change was rejected, or has no result when ctx ends.
 func (c client) awaitAccepted(ctx context.Context, id string) (uint64, error) {
 	for {
 		var result changeRow
@@ -69,8 +73,9 @@
 	}
 }
 
-// awaitApplied returns the instances once all have applied the offset. Leaving
-// instances take no new requests and are not waited for.
+// awaitApplied waits until all listed instances have applied the entry at offset and
+// returns them. It does not wait for leaving instances, which take no new requests.
+// If ctx ends first, the error names the instances that lag behind.
 func (c client) awaitApplied(ctx context.Context, offset uint64) ([]instanceRow, error) {
 	for {
 		var rows, lagging []instanceRow
@@ -91,6 +96,7 @@
 	}
 }
 
+// formatLagging lists instances with the number of offsets that each lags behind.
 func formatLagging(rows []instanceRow, offset uint64) string {
 	texts := make([]string, len(rows))
 	for i, r := range rows {
@@ -99,6 +105,7 @@
 	return strings.Join(texts, ", ")
 }
 
+// sleep waits for d and reports whether it did so before ctx ended.
 func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-time.After(d):
--- a/internal/cli/wishes.go
+++ b/internal/cli/wishes.go
@@ -12,14 +12,16 @@
 	"guavapier/internal/record"
 )
 
-// desiredValue is a value that an operator wants at a path, or a path without one.
+// desiredValue is a value that a path is to have, or with isDelete a path that is to
+// have none.
 type desiredValue struct {
 	path, value string
 	isDelete    bool
 }
 
-// diff compares a wish with what stands. It returns the operation on the
-// version that was seen, and the difference for people.
+// diff compares the desired with the path's current value, if rows have it. It returns
+// the operation based on the current version, the difference as lines with - and +,
+// and whether the value changes.
 func (d desiredValue) diff(rows []valueRow) (op record.ChangeOp, diff string, changed bool) {
 	var current valueRow
 	for _, row := range rows {
@@ -38,12 +40,13 @@
 	return op, diff, current.Version == 0 || current.Value != d.value
 }
 
-// readValuesFile reads a TOML file whose tables are named as the paths: the key
-// lean in [teams.dala.budgets.main] is /teams/dala/budgets/main/lean.
+// readValuesFile reads a TOML file whose tables are named after paths: the key lean in
+// [teams.dala.budgets.main] is /teams/dala/budgets/main/lean. It returns the values
+// sorted by path.
 func readValuesFile(file string) ([]desiredValue, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
-		return nil, eris.Wrap(err, "read the settings")
+		return nil, eris.Wrap(err, "read the settings file")
 	}
 	var tree map[string]any
 	if err := toml.Unmarshal(data, &tree); err != nil {
@@ -57,6 +60,8 @@
 	return values, nil
 }
 
+// flatten returns the values of a TOML table and of the tables in it, with path in
+// front of their keys. Lists are an error.
 func flatten(path string, tree map[string]any) ([]desiredValue, error) {
 	var out []desiredValue
 	for key, v := range tree {
