--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -84,7 +84,7 @@
 // loadSecrets reads the session keys and the operator token from the files that the
 // settings name.
 func loadSecrets(s settings.Settings) (server.Secrets, error) {
-	secrets := server.Secrets{Sessions: session.Keyring{Current: s.Sessions.CurrentKey, Keys: map[string][]byte{}}}
+	secrets := server.Secrets{Sessions: session.Keyring{CurrentKeyID: s.Sessions.CurrentKey, Keys: map[string][]byte{}}}
 	for id, file := range s.Sessions.KeyFiles {
 		key, err := readSecret(file)
 		if err != nil {
--- a/internal/cli/standalone.go
+++ b/internal/cli/standalone.go
@@ -49,7 +49,7 @@
 	s.Platform.URL = url
 	s.Log = settings.Log{Level: "info", Format: "console"}
 	secrets := server.Secrets{
-		Sessions: session.Keyring{Current: "k1", Keys: map[string][]byte{"k1": []byte("standalone-only")}},
+		Sessions: session.Keyring{CurrentKeyID: "k1", Keys: map[string][]byte{"k1": []byte("standalone-only")}},
 		Operator: sampleOperator,
 	}
 	log, err := logging.New(s.Log, std.err)
--- a/internal/entry/door_test.go
+++ b/internal/entry/door_test.go
@@ -34,7 +34,7 @@
 	testSigningKey = "0123456789abcdef"
 )
 
-// unlimitedAccounts implements run.Accounts with a budget that never runs out.
+// unlimitedAccounts implements run.Budgets with a budget that never runs out.
 type unlimitedAccounts struct{}
 
 func (unlimitedAccounts) Reserve(_ context.Context, _ record.RequestKey, run record.RunID, _ record.BudgetID, tokens int64) (ledger.Reservation, error) {
@@ -80,7 +80,7 @@
 	}
 }
 
-// endpointURLs implements run.Endpoints by a table of URLs.
+// endpointURLs implements run.EndpointDirectory by a table of URLs.
 type endpointURLs map[string]string
 
 func (u endpointURLs) URL(name string) (string, bool) { url, ok := u[name]; return url, ok }
@@ -117,12 +117,12 @@
 	opts := endpoint.Options{Connect: time.Second, Silence: 500 * time.Millisecond, Control: time.Second, AnswerBytes: 1 << 16}
 	var counts endpoint.Counts
 	runner := &run.Runner{
-		Claims: &singleRunClaims{}, Accounts: unlimitedAccounts{}, Placer: dispatcher, Endpoints: endpointURLs{"e1": engine.URL},
+		Claims: &singleRunClaims{}, Budgets: unlimitedAccounts{}, Placer: dispatcher, Endpoints: endpointURLs{"e1": engine.URL},
 		Engines: endpoint.NewHTTPEngines(opts, &counts), Services: endpoint.NewHTTPServices(opts, &counts),
-		Limits:  run.Limits{Endpoints: 2, Resumes: 1, Progress: 10 * time.Second, Linger: time.Minute, Control: 2 * time.Second},
-		Leaving: func(string) {}, OnError: func(err error) { t.Error(err) },
+		Limits:            run.Limits{MaxEndpoints: 2, MaxResumes: 1, ProgressTimeout: 10 * time.Second, LingerTimeout: time.Minute, ControlTimeout: 2 * time.Second},
+		OnEndpointLeaving: func(string) {}, OnError: func(err error) { t.Error(err) },
 	}
-	s.sessionKeys = session.Keyring{Current: "k1", Keys: map[string][]byte{"k1": []byte(testSigningKey)}}
+	s.sessionKeys = session.Keyring{CurrentKeyID: "k1", Keys: map[string][]byte{"k1": []byte(testSigningKey)}}
 	api := &API{
 		Zone: "hall-a", Config: replica.New(record.ConfigStream, f), SessionKeys: s.sessionKeys, Runner: runner,
 		Limits: Limits{
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -79,7 +79,7 @@
 	// SessionKeys signs and verifies session tokens and event IDs.
 	SessionKeys session.Keyring
 	// SessionRegistry lists open sessions and records which have ended.
-	SessionRegistry session.Ends
+	SessionRegistry session.Registry
 	// Runner executes chat completions and service calls.
 	Runner *run.Runner
 	Limits Limits
--- a/internal/entry/eventid.go
+++ b/internal/entry/eventid.go
@@ -21,7 +21,7 @@
 // team: with the ID alone, the team can resume the answer at any instance, and no
 // other team can.
 func (a *API) eventID(team record.Team, run record.RunID, n int) string {
-	return string(run) + "." + strconv.Itoa(n) + "." + runSignature(a.SessionKeys.Keys[a.SessionKeys.Current], team, run)
+	return string(run) + "." + strconv.Itoa(n) + "." + runSignature(a.SessionKeys.Keys[a.SessionKeys.CurrentKeyID], team, run)
 }
 
 // runSignature returns the hex signature of a run and its team under one of the
@@ -34,20 +34,20 @@
 
 // parseLastEventID returns the position in an earlier answer that the request's
 // Last-Event-ID names, or the zero Position without the header.
-func (a *API) parseLastEventID(r *http.Request) (run.Position, *requestError) {
+func (a *API) parseLastEventID(r *http.Request) (run.ResumePosition, *requestError) {
 	text := r.Header.Get(HeaderLastEventID)
 	if text == "" {
-		return run.Position{}, nil
+		return run.ResumePosition{}, nil
 	}
 	parts := strings.Split(text, ".")
 	if len(parts) == 3 {
 		n, err := strconv.Atoi(parts[1])
 		id := record.RunID(parts[0])
 		if err == nil && n > 0 && a.isRunSignature(authenticatedTeam(r).Name, id, parts[2]) {
-			return run.Position{Run: id, Tokens: n}, nil
+			return run.ResumePosition{Run: id, Tokens: n}, nil
 		}
 	}
-	return run.Position{}, badRequest("invalid_last_event_id", "%s must be the id of an event of an earlier answer to this team.", HeaderLastEventID)
+	return run.ResumePosition{}, badRequest("invalid_last_event_id", "%s must be the id of an event of an earlier answer to this team.", HeaderLastEventID)
 }
 
 // isRunSignature reports whether signature is valid under any of the session keys,
--- a/internal/entry/request.go
+++ b/internal/entry/request.go
@@ -58,7 +58,7 @@
 func (a *API) parseCommon(r *http.Request, body []byte) (run.Request, *requestError) {
 	team := authenticatedTeam(r)
 	req := run.Request{
-		Team: team, Digest: requestDigest(r, body), First: r.Header.Get(HeaderFirstAttempt) == "true",
+		Team: team, Digest: requestDigest(r, body), FirstAttempt: r.Header.Get(HeaderFirstAttempt) == "true",
 	}
 	id, reqErr := a.verifySession(r, team.Name)
 	if reqErr != nil {
@@ -72,10 +72,10 @@
 	if !isValidIdempotencyKey(key) {
 		return req, badRequest("invalid_idempotency_key", "%s must be at most %d visible ASCII characters.", HeaderIdempotencyKey, maxIdempotencyKeyBytes)
 	}
-	req.Keyed = key != ""
-	if !req.Keyed {
+	req.HasCallerKey = key != ""
+	if !req.HasCallerKey {
 		// No retry can refer to this request, so a key made up here never has to be remembered.
-		key, req.First = string(record.NewRunID()), true
+		key, req.FirstAttempt = string(record.NewRunID()), true
 	}
 	req.Key = record.RequestKey{Team: team.Name, Session: req.Session.ID, Key: key}
 	return req, nil
--- a/internal/entry/service.go
+++ b/internal/entry/service.go
@@ -45,7 +45,7 @@
 	if reqErr != nil {
 		return run.Call{}, reqErr
 	}
-	common.Wait = a.Limits.ServiceAnswerTimeout
+	common.MaxWait = a.Limits.ServiceAnswerTimeout
 	common.Priority = decide.PriorityCall
 	call := run.Call{
 		Request: common, Service: chi.URLParam(r, "service"), Method: r.Method, Query: r.URL.RawQuery,
@@ -55,7 +55,7 @@
 	if !isCanonicalPath(r.URL.Path) {
 		return call, badRequest("malformed_path", "The path must not have empty or dot segments.")
 	}
-	if !common.Keyed && !a.Runner.Repeatable(call.Service, call.Method, call.Path) {
+	if !common.HasCallerKey && !a.Runner.Repeatable(call.Service, call.Method, call.Path) {
 		return call, badRequest("idempotency_key_missing", "A call that may not be repeated needs an %s.", HeaderIdempotencyKey)
 	}
 	return call, nil
--- a/internal/entry/session.go
+++ b/internal/entry/session.go
@@ -30,7 +30,7 @@
 }
 
 func (a *API) handleOpenSession(w http.ResponseWriter, r *http.Request) {
-	id, token, err := a.SessionKeys.Open(authenticatedTeam(r).Name, a.Zone)
+	id, token, err := a.SessionKeys.Issue(authenticatedTeam(r).Name, a.Zone)
 	if err != nil {
 		writeProblem(w, http.StatusInternalServerError, problem{Type: typeServer, Code: "no_signing_key", Message: err.Error(), Outcome: record.OutcomeNotRun})
 		return
@@ -45,7 +45,7 @@
 func (a *API) addToSessionList(ctx context.Context, id session.Identity) {
 	ctx, cancel := context.WithTimeout(ctx, sessionListTimeout)
 	defer cancel()
-	_ = a.SessionRegistry.List(ctx, id, time.Now())
+	_ = a.SessionRegistry.RecordOpened(ctx, id, time.Now())
 }
 
 type sessionList struct {
@@ -55,7 +55,7 @@
 // handleListSessions lists the team's open sessions, oldest first.
 func (a *API) handleListSessions(w http.ResponseWriter, r *http.Request) {
 	list := sessionList{Sessions: []sessionBody{}}
-	for _, row := range a.SessionRegistry.Listed(authenticatedTeam(r).Name) {
+	for _, row := range a.SessionRegistry.OpenSessions(authenticatedTeam(r).Name) {
 		list.Sessions = append(list.Sessions, sessionBody{ID: string(row.Session), Home: string(row.Zone)})
 	}
 	writeJSON(w, http.StatusOK, list)
@@ -66,7 +66,7 @@
 // reliably.
 func (a *API) handleGetSession(w http.ResponseWriter, r *http.Request) {
 	id := record.SessionID(chi.URLParam(r, "id"))
-	writeJSON(w, http.StatusOK, sessionBody{ID: string(id), Ended: a.SessionRegistry.Ended(authenticatedTeam(r).Name, id)})
+	writeJSON(w, http.StatusOK, sessionBody{ID: string(id), Ended: a.SessionRegistry.IsEnded(authenticatedTeam(r).Name, id)})
 }
 
 // handleEndSession ends a session of the caller's team.
@@ -97,7 +97,7 @@
 	if err != nil || id.Team != team {
 		return id, &requestError{status: http.StatusForbidden, problem: invalidRequest("invalid_session", "The session is not valid for this team.")}
 	}
-	if a.SessionRegistry.Ended(team, id.ID) {
+	if a.SessionRegistry.IsEnded(team, id.ID) {
 		return id, &requestError{status: http.StatusForbidden, problem: sessionEndedProblem(r)}
 	}
 	return id, nil
--- a/internal/entry/stream.go
+++ b/internal/entry/stream.go
@@ -26,7 +26,7 @@
 	return chatCompletion{ID: run, Object: "chat.completion.chunk", Created: s.created, Model: s.model, Choices: choices}
 }
 
-// sendToken sends one token; it is a run.Sink.
+// sendToken sends one token; it is a run.TokenSink.
 func (s *chatStream) sendToken(run record.RunID, t endpoint.Token) error {
 	delta := &chatDelta{Content: t.Text}
 	if t.Index == 0 {
@@ -38,7 +38,7 @@
 // finish sends the end of a complete answer: the finish reason, the usage if the caller
 // asked for it, and the closing event.
 func (s *chatStream) finish(result run.ChatResult, withUsage bool) {
-	_ = s.send("", s.newChunk(result.Run, chatChoice{Delta: &chatDelta{}, FinishReason: &result.Finish}))
+	_ = s.send("", s.newChunk(result.Run, chatChoice{Delta: &chatDelta{}, FinishReason: &result.FinishReason}))
 	if withUsage {
 		usage := s.newChunk(result.Run)
 		usage.Usage = newChatUsage(result.Usage)
