--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -15,19 +15,21 @@
 	"guavapier/internal/settings"
 )
 
-// logLines is how many log lines wait for a slow reader.
-const logLines = 4096
+// logBufferLines is the number of log lines buffered while standard error is not
+// read fast enough.
+const logBufferLines = 4096
 
-// settingsVariable names the settings file where no flag does.
-const settingsVariable = "GUAVAPIER_CONFIG"
+// settingsEnvVar is the environment variable with the settings file, used if
+// -settings is not given.
+const settingsEnvVar = "GUAVAPIER_CONFIG"
 
-func serveCommand(o output) *ffcli.Command {
+func serveCommand(std stdio) *ffcli.Command {
 	fs := newFlagSet("serve")
-	file := fs.String("settings", os.Getenv(settingsVariable), "settings `file` of this instance; the default is $"+settingsVariable)
+	file := fs.String("settings", os.Getenv(settingsEnvVar), "settings `file` of this instance; the default is $"+settingsEnvVar)
 	standalone := fs.Bool("standalone", false, "run one instance with built-in stand-ins on loopback")
 	callers := fs.String("callers", "127.0.0.1:0", "with -standalone: `IP:port` for callers; port 0 lets the kernel choose")
 	operators := fs.String("operators", "127.0.0.1:0", "with -standalone: `IP:port` for operators")
-	return leaf{
+	return leafCommand{
 		usage: "guavapier serve -settings FILE | guavapier serve -standalone [-callers IP:port] [-operators IP:port]",
 		help:  "Run an instance, or with -standalone one instance with built-in stand-ins on loopback.",
 		example: "guavapier serve -settings examples/guavapier.toml\n" +
@@ -38,20 +40,22 @@
 			case *standalone && *file != "":
 				return usagef("it takes -settings FILE or -standalone, not both")
 			case *standalone:
-				return runStandalone(ctx, o, *callers, *operators)
+				return runStandalone(ctx, std, *callers, *operators)
 			case *file == "":
 				return usagef("it needs -settings FILE or -standalone")
 			}
-			outliveLogReader()
+			ignoreBrokenPipe()
 			if settings.IsGatewayFile(*file) {
-				return runGateway(ctx, o, *file)
+				return runGateway(ctx, std, *file)
 			}
-			return runInstance(ctx, o, *file)
+			return runInstance(ctx, std, *file)
 		},
-	}.command("serve")
+	}.build("serve")
 }
 
-func runInstance(ctx context.Context, o output, file string) error {
+// runInstance runs a server instance until ctx ends and it has drained, or until a
+// second signal.
+func runInstance(ctx context.Context, std stdio, file string) error {
 	hangups := catchHangups()
 	s, err := settings.Load(file)
 	if err != nil {
@@ -61,9 +65,10 @@
 	if err != nil {
 		return err
 	}
-	// Lines never wait for their reader: it may stop, and callers go on.
-	ring := logging.NewRing(o.err, logLines)
-	defer func() { _ = ring.CloseWithin(lastLines) }() // Lines that are lost then can't be told.
+	// Logging must never block: whoever reads standard error may stop, while callers
+	// still need their responses.
+	ring := logging.NewRingWriter(std.err, logBufferLines)
+	defer func() { _ = ring.CloseWithTimeout(logFlushTimeout) }() // An error could no longer be logged.
 	log, err := logging.New(s.Log, ring)
 	if err != nil {
 		return err
@@ -72,10 +77,12 @@
 	if err != nil {
 		return err
 	}
-	go tellHangups(hangups, log)
-	return runUntilCut(ctx, srv)
+	go logHangups(hangups, log)
+	return runUntilSecondSignal(ctx, srv)
 }
 
+// loadSecrets reads the session keys and the operator token from the files that the
+// settings name.
 func loadSecrets(s settings.Settings) (server.Secrets, error) {
 	secrets := server.Secrets{Sessions: session.Keyring{CurrentKeyID: s.Sessions.CurrentKey, Keys: map[string][]byte{}}}
 	for id, file := range s.Sessions.KeyFiles {
@@ -90,10 +97,12 @@
 	return secrets, err
 }
 
+// readSecret returns the content of a file without surrounding white space. An
+// empty secret is an error.
 func readSecret(file string) (string, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
-		return "", eris.Wrap(err, "cli: read secret")
+		return "", eris.Wrap(err, "cli: read secret file")
 	}
 	secret := strings.TrimSpace(string(data))
 	if secret == "" {
@@ -102,8 +111,8 @@
 	return secret, nil
 }
 
-func checkCommand(o output) *ffcli.Command {
-	return leaf{
+func checkCommand(std stdio) *ffcli.Command {
+	return leafCommand{
 		usage: "guavapier check FILE", help: "Report everything that is wrong with a settings file.",
 		example: "guavapier check examples/guavapier.toml",
 		args:    []string{"FILE"},
@@ -111,12 +120,13 @@
 			if err := checkFile(args[0]); err != nil {
 				return err
 			}
-			fmt.Fprintln(o.out, args[0]+": ok")
+			fmt.Fprintln(std.out, args[0]+": ok")
 			return nil
 		},
-	}.command("check")
+	}.build("check")
 }
 
+// checkFile validates a settings file of a server or a gateway instance.
 func checkFile(file string) error {
 	if settings.IsGatewayFile(file) {
 		_, err := settings.LoadGateway(file)
--- a/internal/cli/standalone.go
+++ b/internal/cli/standalone.go
@@ -22,7 +22,8 @@
 	"guavapier/internal/standin"
 )
 
-// The sample team of a standalone run.
+// The sample team of a standalone run: its name, API key, operator token, prepaid
+// tokens and model.
 const (
 	sampleTeam     = "sample"
 	sampleKey      = "sample:secret"
@@ -31,14 +32,15 @@
 	sampleModel    = "small"
 )
 
-// runStandalone runs an instance and all its stand-ins in this process. The
-// stand-ins outlive the end of ctx until the instance has drained: it returns
-// its grants to the platform.
-func runStandalone(ctx context.Context, o output, callers, operators string) error {
-	outside, stop := context.WithCancel(context.WithoutCancel(ctx))
+// runStandalone runs a server instance with stand-ins for the platform, engines and
+// a service in this process, and prints example requests. After ctx ends, the
+// stand-ins run until the instance has drained, as it returns its grants to the
+// platform.
+func runStandalone(ctx context.Context, std stdio, callers, operators string) error {
+	standinCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
-	group, outside := errgroup.WithContext(outside)
-	url, err := startStandins(outside, group)
+	group, standinCtx := errgroup.WithContext(standinCtx)
+	url, err := startStandins(standinCtx, group)
 	if err != nil {
 		return err
 	}
@@ -50,7 +52,7 @@
 		Sessions: session.Keyring{CurrentKeyID: "k1", Keys: map[string][]byte{"k1": []byte("standalone-only")}},
 		Operator: sampleOperator,
 	}
-	log, err := logging.New(s.Log, o.err)
+	log, err := logging.New(s.Log, std.err)
 	if err != nil {
 		return err
 	}
@@ -60,18 +62,20 @@
 	}
 	group.Go(func() error {
 		defer stop()
-		return runUntilCut(ctx, srv)
+		return runUntilSecondSignal(ctx, srv)
 	})
 	if err := seedSample(ctx, srv.OperatorsAddr()); err != nil {
 		return err
 	}
-	printExamples(o, srv.CallersAddr(), srv.OperatorsAddr())
+	printExamples(std, srv.CallersAddr(), srv.OperatorsAddr())
 	return group.Wait()
 }
 
+// startStandins starts the stand-ins on loopback and lists the endpoints on the
+// platform, whose URL it returns. They stop when ctx ends.
 func startStandins(ctx context.Context, group *errgroup.Group) (platformURL string, err error) {
-	p := standin.NewPlatform(standin.PlatformOptions{AppendsPerSecond: 300, InstanceTTL: 5 * time.Second})
-	if platformURL, err = serveLoopback(ctx, group, p.Handler()); err != nil {
+	platform := standin.NewPlatform(standin.PlatformOptions{AppendsPerSecond: 300, InstanceTTL: 5 * time.Second})
+	if platformURL, err = serveLoopback(ctx, group, platform.Handler()); err != nil {
 		return "", err
 	}
 	var endpoints []standin.ListedEndpoint
@@ -87,10 +91,12 @@
 		return "", err
 	}
 	endpoints = append(endpoints, standin.ListedEndpoint{Name: "service-1", Zone: "local", URL: url, Service: "rig"})
-	p.SetEndpoints(endpoints)
+	platform.SetEndpoints(endpoints)
 	return platformURL, nil
 }
 
+// serveLoopback serves h on a free loopback port until ctx ends and returns the base
+// URL.
 func serveLoopback(ctx context.Context, group *errgroup.Group, h http.Handler) (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -107,22 +113,25 @@
 	return "http://" + l.Addr().String(), nil
 }
 
-// seedSample creates the sample team and its prepaid budget.
+// seedSample creates the sample team and its prepaid budget through the operators'
+// interface at the given IP:port.
 func seedSample(ctx context.Context, operators string) error {
 	change := operator.ChangeRequest{ID: "sample", By: "standalone", Ops: []record.ChangeOp{
 		{Path: config.APIKeyPath(sampleTeam, sampleKey), Value: "sample key"},
 	}}
-	if err := operatorCall(ctx, http.MethodPut, "http://"+operators+"/settings", change); err != nil {
+	if err := callOperatorAPI(ctx, http.MethodPut, "http://"+operators+"/settings", change); err != nil {
 		return err
 	}
 	topUp := operator.TopUpRequest{Team: sampleTeam, Budget: "main", Tokens: sampleTokens, ID: "sample", By: "standalone"}
-	return operatorCall(ctx, http.MethodPost, "http://"+operators+"/topups", topUp)
+	return callOperatorAPI(ctx, http.MethodPost, "http://"+operators+"/topups", topUp)
 }
 
-func operatorCall(ctx context.Context, method, url string, body any) error {
+// callOperatorAPI sends body as JSON with the sample operator's token. A status
+// other than 200 is an error.
+func callOperatorAPI(ctx context.Context, method, url string, body any) error {
 	data, err := json.Marshal(body)
 	if err != nil {
-		return eris.Wrap(err, "cli: encode")
+		return eris.Wrap(err, "cli: encode request")
 	}
 	req, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(data))
 	if err != nil {
@@ -140,8 +149,9 @@
 	return nil
 }
 
-func printExamples(o output, callers, operators string) {
-	fmt.Fprintf(o.out, `Ready. Try:
+// printExamples prints curl commands for the callers' and the operators' address.
+func printExamples(std stdio, callers, operators string) {
+	fmt.Fprintf(std.out, `Ready. Try:
 
   curl -s http://%[1]s/v1/chat/completions -H 'Authorization: Bearer %[3]s' \
     -d '{"model":"%[4]s","max_tokens":8,"messages":[{"role":"user","content":"hello"}]}'
--- a/internal/logging/limit.go
+++ b/internal/logging/limit.go
@@ -7,51 +7,54 @@
 	"github.com/rs/zerolog"
 )
 
-// Limit thins lines that come too fast. It implements zerolog.Sampler.
+// RateLimiter suppresses log lines above a rate. It implements zerolog.Sampler
+// and is safe for concurrent use.
 //
-// It is made for a flood of requests at one instance: each refused request
-// writes two lines, and an instance of a fifth of a core that wrote them all no
-// longer followed the log in time. Lines of each level have a number a second of
-// their own, so that ordinary ones never push out warnings; errors always pass.
-type Limit struct {
-	perSecond int
-	now       func() time.Time
-
-	mu      sync.Mutex
-	second  int64
-	written map[zerolog.Level]int
-	thinned int64
+// It protects an instance that is flooded with requests. Each refused request
+// writes two lines, and an instance with a fifth of a core that wrote all of them
+// fell behind in reading the fleet's log streams. Each level has a limit of its
+// own, so that info lines never displace warnings. Errors are never suppressed.
+type RateLimiter struct {
+	linesPerSecond int
+	now            func() time.Time
+
+	mu            sync.Mutex
+	currentSecond int64
+	linesByLevel  map[zerolog.Level]int
+	suppressed    int64
 }
 
-// NewLimit returns a Limit of so many lines a second and level.
-func NewLimit(perSecond int) *Limit { return newLimit(perSecond, time.Now) }
+// NewRateLimiter returns a RateLimiter that passes up to linesPerSecond lines of
+// each level below error in each second of the clock.
+func NewRateLimiter(linesPerSecond int) *RateLimiter { return newRateLimiter(linesPerSecond, time.Now) }
 
-func newLimit(perSecond int, now func() time.Time) *Limit {
-	return &Limit{perSecond: perSecond, now: now, written: map[zerolog.Level]int{}}
+func newRateLimiter(linesPerSecond int, now func() time.Time) *RateLimiter {
+	return &RateLimiter{linesPerSecond: linesPerSecond, now: now, linesByLevel: map[zerolog.Level]int{}}
 }
 
-// Sample implements zerolog.Sampler.
-func (l *Limit) Sample(level zerolog.Level) bool {
+// Sample reports whether a line of this level is to be written. It implements
+// zerolog.Sampler.
+func (l *RateLimiter) Sample(level zerolog.Level) bool {
 	if level >= zerolog.ErrorLevel {
 		return true
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if second := l.now().Unix(); second != l.second {
-		l.second = second
-		clear(l.written)
+	if second := l.now().Unix(); second != l.currentSecond {
+		l.currentSecond = second
+		clear(l.linesByLevel)
 	}
-	l.written[level]++
-	if l.written[level] > l.perSecond {
-		l.thinned++
+	l.linesByLevel[level]++
+	if l.linesByLevel[level] > l.linesPerSecond {
+		l.suppressed++
 		return false
 	}
 	return true
 }
 
-// Thinned returns how many lines did not pass.
-func (l *Limit) Thinned() int64 {
+// Suppressed returns the number of lines suppressed so far.
+func (l *RateLimiter) Suppressed() int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.thinned
+	return l.suppressed
 }
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -11,9 +11,10 @@
 	"guavapier/internal/logging"
 )
 
-var message = regexp.MustCompile(`\.Msgf?\(([^)]*)`)
+var messagePattern = regexp.MustCompile(`\.Msgf?\(([^)]*)`)
 
-// Every message in the source begins with a documented prefix.
+// Every log message in the product's source begins with a prefix that Prefixes
+// lists. The source is searched by text for calls of Msg and Msgf.
 func TestEveryMessageHasItsPrefix(t *testing.T) {
 	known := map[string]bool{}
 	for _, p := range logging.Prefixes() {
@@ -28,11 +29,11 @@
 		if err != nil {
 			return err
 		}
-		for _, m := range message.FindAllStringSubmatch(string(source), -1) {
+		for _, m := range messagePattern.FindAllStringSubmatch(string(source), -1) {
 			messages++
 			prefix, _, ok := strings.Cut(strings.TrimPrefix(m[1], "\""), ": ")
 			if !ok || !known[prefix] {
-				t.Errorf("%s: message %s has no known prefix", path, m[1])
+				t.Errorf("%s: message %s has no prefix listed in Prefixes", path, m[1])
 			}
 		}
 		return nil
@@ -41,7 +42,7 @@
 		t.Fatal(err)
 	}
 	if messages == 0 {
-		t.Fatal("no message was found")
+		t.Fatal("no log message found in the source")
 	}
 }
 
--- a/internal/metrics/catalogue.go
+++ b/internal/metrics/catalogue.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// The metrics' names.
+// Names of the metrics of a server instance.
 const (
 	CallerRequests     = "callers.requests"
 	CallerRefusals     = "callers.refusals"
@@ -15,11 +15,11 @@
 	OperatorRefusals   = "operators.refusals"
 	OperatorFaults     = "operators.faults"
 	OperatorLatency    = "operators.latency"
-	ConfigNext         = "config.next_offset"
+	ConfigNextOffset   = "config.next_offset"
 	ConfigValues       = "config.values"
-	LedgerNext         = "ledger.next_offset"
-	BatchesPassed      = "replica.batches_passed_over"
-	RecordsLost        = "replica.records_aged_out"
+	LedgerNextOffset   = "ledger.next_offset"
+	BatchesSkipped     = "replica.batches_passed_over"
+	RecordsAgedOut     = "replica.records_aged_out"
 	SnapshotsWritten   = "snapshot.written"
 	SnapshotsRestored  = "snapshot.restored"
 	SnapshotsDiscarded = "snapshot.discarded"
@@ -27,18 +27,20 @@
 	HeapBytes          = "process.heap"
 )
 
-// Kind is the kind of a metric.
+// Kind is the type of a metric's values.
 type Kind string
 
-// The kinds. A counter only rises while the process lives; a histogram has
-// count, min, max, mean and percentiles.
+// A counter never decreases while the process runs. A gauge is a current value.
+// A histogram is published with its count, minimum, maximum, mean and
+// percentiles.
 const (
 	KindCounter   Kind = "counter"
 	KindGauge     Kind = "gauge"
 	KindHistogram Kind = "histogram"
 )
 
-// Metric documents one metric.
+// Metric documents one metric: its name, kind, unit of measurement and a
+// sentence for operators.
 type Metric struct {
 	Name string
 	Kind Kind
@@ -46,7 +48,8 @@
 	Help string
 }
 
-// Catalogue lists every metric that an instance publishes.
+// Catalogue lists every metric that a server instance publishes. See
+// GatewayCatalogue for those of a gateway instance.
 func Catalogue() []Metric {
 	return []Metric{
 		{CallerRequests, KindCounter, "requests", "Requests on the callers' address that have been answered."},
@@ -57,11 +60,11 @@
 		{OperatorRefusals, KindCounter, "requests", "Of these, answered with a 4xx status."},
 		{OperatorFaults, KindCounter, "requests", "Of these, answered with a 5xx status, unknown outcomes included."},
 		{OperatorLatency, KindHistogram, "microseconds", "From a request's arrival to the end of its answer."},
-		{ConfigNext, KindGauge, "offset", "Offset after the last applied entry of the configuration stream."},
+		{ConfigNextOffset, KindGauge, "offset", "Offset after the last applied entry of the configuration stream."},
 		{ConfigValues, KindGauge, "values", "Values under paths."},
-		{LedgerNext, KindGauge, "offset", "Sum over the ledger partitions of the offset after the last applied entry."},
-		{BatchesPassed, KindCounter, "batches", "Batches that could not be decoded and were passed over."},
-		{RecordsLost, KindCounter, "times", "Times that records aged out before this instance had read them."},
+		{LedgerNextOffset, KindGauge, "offset", "Sum over the ledger partitions of the offset after the last applied entry."},
+		{BatchesSkipped, KindCounter, "batches", "Batches that could not be decoded and were passed over."},
+		{RecordsAgedOut, KindCounter, "times", "Times that records aged out before this instance had read them."},
 		{SnapshotsWritten, KindCounter, "snapshots", "Snapshots that this instance has written."},
 		{SnapshotsRestored, KindCounter, "snapshots", "Snapshots from which this instance has restored a stream's tables."},
 		{SnapshotsDiscarded, KindCounter, "chunks", "Chunks and snapshots that were damaged and not used."},
@@ -70,13 +73,15 @@
 	}
 }
 
-// Reference returns the catalogue as a table in Markdown.
-func Reference() string { return referenceOf(Catalogue()) }
+// Reference returns Catalogue as a Markdown table, as it is in the operators'
+// manual.
+func Reference() string { return markdownTable(Catalogue()) }
 
-// GatewayReference returns a gateway's catalogue as a table in Markdown.
-func GatewayReference() string { return referenceOf(GatewayCatalogue()) }
+// GatewayReference returns GatewayCatalogue as a Markdown table, as it is in
+// the operators' manual.
+func GatewayReference() string { return markdownTable(GatewayCatalogue()) }
 
-func referenceOf(catalogue []Metric) string {
+func markdownTable(catalogue []Metric) string {
 	var b strings.Builder
 	b.WriteString("| metric | kind | unit | what it says |\n| --- | --- | --- | --- |\n")
 	for _, m := range catalogue {
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -224,7 +224,7 @@
 		},
 		IsReady: func() bool { return !s.draining.Load() && s.members.HasList() && s.isCurrent() },
 	}
-	return s.metrics.Measure(metrics.CallersHTTP, s.countInFlight(c.Handler()))
+	return s.metrics.Instrument(metrics.CallersHTTP, s.countInFlight(c.Handler()))
 }
 
 // countInFlight wraps a handler so that InFlight counts its requests.
--- a/internal/server/streams.go
+++ b/internal/server/streams.go
@@ -38,7 +38,7 @@
 // batch that can't be applied is counted, logged and skipped.
 func (s *Server) followStreams(ctx context.Context) error {
 	onError := func(err error) {
-		s.metrics.Counter(metrics.BatchesPassed).Inc(1)
+		s.metrics.Counter(metrics.BatchesSkipped).Inc(1)
 		s.log.Error().Err(err).Msg("replica: batch passed over")
 	}
 	var sources []replica.Source
@@ -84,7 +84,7 @@
 		return 0, err
 	}
 	st.SetGap()
-	s.metrics.Counter(metrics.RecordsLost).Inc(1)
+	s.metrics.Counter(metrics.RecordsAgedOut).Inc(1)
 	found, _, discarded, err := snapshot.Find(ctx, s.client, st.Stream())
 	s.metrics.Counter(metrics.SnapshotsDiscarded).Inc(int64(discarded))
 	if err == nil {
