--- a/internal/linkload/shedder_test.go
+++ b/internal/linkload/shedder_test.go
@@ -132,7 +132,7 @@
 
 // If the links of all instances are equally full, moving callers between them gains
 // nothing. Instances shed for at most 40 % of the time.
-func TestAFullFleetSeldomSheds(t *testing.T) {
+func TestEquallyFullLinksSeldomShed(t *testing.T) {
 	z := newSimulatedZone(t, 10, 10)
 	for _, i := range z.instances {
 		i.callerMbps = 9.5
--- a/internal/operator/budgets.go
+++ b/internal/operator/budgets.go
@@ -47,7 +47,7 @@
 	if !config.ValidName(t.ID) {
 		add("id", fmt.Sprintf("is %q; allowed: letters, digits, dots, dashes, underscores; at most 100", t.ID))
 	}
-	if len(t.By) > maxByBytes {
+	if len(t.By) > maxRequesterNoteBytes {
 		add("by", "is too long; allowed: at most 100 bytes")
 	}
 	return out
--- a/internal/operator/changes.go
+++ b/internal/operator/changes.go
@@ -15,10 +15,10 @@
 )
 
 const (
-	// maxByBytes bounds the note in a request's field by.
-	maxByBytes          = 100
-	defaultHistoryLimit = 20
-	maxHistoryLimit     = 1000
+	// maxRequesterNoteBytes bounds the note in a request's field by.
+	maxRequesterNoteBytes = 100
+	defaultHistoryLimit   = 20
+	maxHistoryLimit       = 1000
 )
 
 // ChangeRequest is the body of PUT /settings. ID makes the request idempotent: the change
@@ -67,7 +67,7 @@
 	if !config.ValidName(req.ID) {
 		findings = append(findings, config.Finding{Path: "id", Problem: "is " + strconv.Quote(req.ID) + "; allowed: letters, digits, dots, dashes, underscores; at most 100"})
 	}
-	if len(req.By) > maxByBytes {
+	if len(req.By) > maxRequesterNoteBytes {
 		findings = append(findings, config.Finding{Path: "by", Problem: "is too long; allowed: at most 100 bytes"})
 	}
 	return findings
@@ -127,7 +127,7 @@
 	id := chi.URLParam(r, "id")
 	result, known := a.changeResult(id)
 	if !known || !mayReadPaths(authenticatedOperator(r), result.Ops) {
-		nextOffset := strconv.FormatUint(a.Config.Next(), 10)
+		nextOffset := strconv.FormatUint(a.Config.NextOffset(), 10)
 		writeProblem(w, http.StatusNotFound, problem{
 			Code: "no_such_change", ID: id,
 			Message: "Up to offset " + nextOffset + " the log has no such change; it may come yet, or be older than what is remembered.",
--- a/internal/placement/speed.go
+++ b/internal/placement/speed.go
@@ -45,13 +45,13 @@
 // tokensPerMS returns the estimated prefill speed in tokens per millisecond.
 func (s *speedEstimator) tokensPerMS() float64 { return 1 / s.msPerToken }
 
-// equalSpeedFactor is the ratio up to which endpoints count as equally fast. The
+// maxEqualSpeedRatio is the ratio up to which endpoints count as equally fast. The
 // estimates of identical endpoints differ by 10 to 20 %.
-const equalSpeedFactor = 1.6
+const maxEqualSpeedRatio = 1.6
 
 // normalizeSpeeds sets the speeds that the costs of the service's endpoints are computed
 // with: the default speed, times the ratio of the endpoint's estimate to the geometric
-// mean of all if that is outside equalSpeedFactor. The costs of other kinds are balanced
+// mean of all if that is outside maxEqualSpeedRatio. The costs of other kinds are balanced
 // against the default speed, and only differences in cost decide on an endpoint.
 func (t *Table) normalizeSpeeds(service string) {
 	logSum, count := 0.0, 0.0
@@ -67,7 +67,7 @@
 			continue
 		}
 		e.normalizedTokensPerMS = defaultTokensPerMS
-		if ratio := e.speed.tokensPerMS() / geometricMean; ratio < 1/equalSpeedFactor || ratio > equalSpeedFactor {
+		if ratio := e.speed.tokensPerMS() / geometricMean; ratio < 1/maxEqualSpeedRatio || ratio > maxEqualSpeedRatio {
 			e.normalizedTokensPerMS *= ratio
 		}
 	}
--- a/internal/prepaid/keeper.go
+++ b/internal/prepaid/keeper.go
@@ -34,9 +34,9 @@
 	// LogReachableTTL is how long after the last read the log counts as reachable.
 	// Requests wait for a claim only while it does.
 	LogReachableTTL = 1500 * time.Millisecond
-	// resolveInterval is the pause between two rounds of repeating calls whose replies
+	// lostReplyRetryInterval is the pause between two rounds of repeating calls whose replies
 	// were lost.
-	resolveInterval = 500 * time.Millisecond
+	lostReplyRetryInterval = 500 * time.Millisecond
 	// claimTimeout is how long a request waits for a claim before it asks other
 	// instances: two round trips to the log, and time for one claim that collides with
 	// another instance's.
@@ -232,7 +232,7 @@
 // resolveLostReplies periodically repeats calls to other instances whose replies were lost.
 func (c *Controller) resolveLostReplies(ctx context.Context) {
 	for ctx.Err() == nil {
-		logstore.Pause(ctx, resolveInterval, nil)
+		logstore.Pause(ctx, lostReplyRetryInterval, nil)
 		c.Peers.ResolveLostReplies(ctx, c.Accounts)
 	}
 }
--- a/internal/prepaid/reclaim.go
+++ b/internal/prepaid/reclaim.go
@@ -57,9 +57,9 @@
 }
 
 // reclaimedTokens returns how many tokens the final record returns in comparison with the last one.
-func reclaimedTokens(was, final ClaimRecord) int64 {
+func reclaimedTokens(last, final ClaimRecord) int64 {
 	sum := int64(0)
-	for i, claim := range was.Claims {
+	for i, claim := range last.Claims {
 		sum += claim.Claimed - final.Claims[i].Claimed
 	}
 	return sum
--- a/internal/run/chat.go
+++ b/internal/run/chat.go
@@ -23,7 +23,7 @@
 	if ticket.Join {
 		return r.joinChat(ctx, c, ticket, sink, r.locateByClaim(c))
 	}
-	result, err := r.executeChat(ctx, c, ticket.Run, &joinedRun{order: c.newOrder(ticket.Run), sink: sink})
+	result, err := r.executeChat(ctx, c, ticket.Run, &joinedRun{runRequest: c.newRunRequest(ticket.Run), sink: sink})
 	return result, c.retractNotRun(ticket, err)
 }
 
@@ -66,11 +66,11 @@
 
 // generation is the state of one chat run while endpoints generate its answer.
 type generation struct {
-	chat    Chat
-	binding *callerBinding
-	order   endpoint.RunRequest
-	text    answerText
-	result  ChatResult
+	chat       Chat
+	binding    *callerBinding
+	runRequest endpoint.RunRequest
+	text       answerText
+	result     ChatResult
 	// excluded names the endpoints that failed, which are not tried again.
 	excluded []string
 	lastBase string // Base URL of the last endpoint that may have accepted an order.
@@ -83,7 +83,7 @@
 
 // newGeneration returns the state of a run that has no tokens yet.
 func newGeneration(c Chat, run record.RunID, b *callerBinding) *generation {
-	return &generation{chat: c, binding: b, order: c.newOrder(run), result: ChatResult{Run: run}}
+	return &generation{chat: c, binding: b, runRequest: c.newRunRequest(run), result: ChatResult{Run: run}}
 }
 
 // continueFrom sets the generation to continue after the tokens that joined has
@@ -91,10 +91,10 @@
 // then, so the limit on the wait for it is lifted.
 func (g *generation) continueFrom(joined *joinedRun) {
 	g.mayHaveRun = joined.takenOver
-	if joined.order.ResumeFrom == 0 {
+	if joined.runRequest.ResumeFrom == 0 {
 		return
 	}
-	g.order.ResumeFrom, g.order.Attempt = joined.order.ResumeFrom, joined.order.Attempt
+	g.runRequest.ResumeFrom, g.runRequest.Attempt = joined.runRequest.ResumeFrom, joined.runRequest.Attempt
 	g.text.add(endpoint.Token{Text: joined.text.String()})
 	g.lastTokenTime = time.Now()
 	g.binding.firstTokenTimer.Stop()
@@ -102,15 +102,15 @@
 
 // deliver passes a token to the caller and advances the order's offset past it.
 func (g *generation) deliver(t endpoint.Token) {
-	g.order.ResumeFrom = t.Index + 1
+	g.runRequest.ResumeFrom = t.Index + 1
 	g.lastTokenTime = time.Now()
 	g.text.add(t)
-	g.binding.deliver(g.order.Run, t)
+	g.binding.deliver(g.runRequest.Run, t)
 }
 
 // setResult sets the usage and finish reason of the completed answer. Completion
 // counts the tokens of the whole answer, whichever endpoints generated them.
 func (g *generation) setResult(u endpoint.Usage, reason string) {
-	g.result.Usage = endpoint.Usage{Prompt: u.Prompt, Cached: u.Cached, Completion: int64(g.order.ResumeFrom)}
+	g.result.Usage = endpoint.Usage{Prompt: u.Prompt, Cached: u.Cached, Completion: int64(g.runRequest.ResumeFrom)}
 	g.result.FinishReason = reason
 }
--- a/internal/run/takeover_test.go
+++ b/internal/run/takeover_test.go
@@ -26,9 +26,9 @@
 // connection after the first token.
 func (b *testBench) startOrder(c Chat, run record.RunID, at string) {
 	b.t.Helper()
-	order := c.newOrder(run)
-	order.Attempt = 1
-	stream, err := b.Engines.Start(context.Background(), b.urls[at], order)
+	runRequest := c.newRunRequest(run)
+	runRequest.Attempt = 1
+	stream, err := b.Engines.Start(context.Background(), b.urls[at], runRequest)
 	if err != nil {
 		b.t.Fatal(err)
 	}
