--- a/internal/linkload/shedder.go
+++ b/internal/linkload/shedder.go
@@ -41,7 +41,7 @@
 	load        float64    // Utilisation of the busier direction; 1 is full.
 	shedding    bool
 	shedStart   time.Duration // Start of the latest phase of shedding.
-	cooldownEnd time.Duration // Earliest start of the next one.
+	cooldownEnd time.Duration // Earliest start of the next phase of shedding.
 }
 
 // sample is a reading of the Meter.
--- a/internal/linkload/shedder_test.go
+++ b/internal/linkload/shedder_test.go
@@ -25,7 +25,7 @@
 type simulatedInstance struct {
 	shedder      *linkload.Shedder
 	total        linkload.ByteCounts
-	failedChecks int           // Consecutive ones.
+	failedChecks int           // Consecutive failed health checks.
 	callerMbps   float64       // Traffic that callers send on open connections, in Mbit/s.
 	shedTime     time.Duration // Total time of shedding.
 	fullTime     time.Duration // Total time with more than 90 % of the link in demand.
--- a/internal/load/player.go
+++ b/internal/load/player.go
@@ -16,7 +16,7 @@
 
 // outcomeKind classifies the outcome of a request. The last two are faults of the
 // instances: partial is an incomplete answer, wrong an answer with content that
-// the request can't have, or of a repeated call.
+// the request can't have, or one that shows that a call was executed more than once.
 type outcomeKind string
 
 const (
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -27,7 +27,7 @@
 	NotRun   int    `json:"not_run"`  // Refused, without effect.
 	Unknown  int    `json:"unknown"`  // Failed; may have been executed.
 	Partial  int    `json:"partial"`  // Incomplete answers.
-	Wrong    int    `json:"wrong"`    // Answers with the content of another request, or of a repeated call.
+	Wrong    int    `json:"wrong"`    // Answers with the content of another request, or to a call that was executed more than once.
 	Late     int    `json:"late"`     // Answered, but beyond MaxFirstTokenMs or MaxTotalMs.
 	// Quantiles, over answered requests, of the time from the start of the first
 	// attempt to the first token and to the end of the answer.
--- a/internal/load/trace.go
+++ b/internal/load/trace.go
@@ -29,8 +29,8 @@
 	Name     string `json:"name"`
 	Kind     Kind   `json:"kind"`
 	Priority int    `json:"priority,omitempty"`
-	Service  string `json:"service,omitempty"` // For calls.
-	Path     string `json:"path,omitempty"`    // For calls, the path within the service, with a leading slash.
+	Service  string `json:"service,omitempty"` // The called service; only for KindCall.
+	Path     string `json:"path,omitempty"`    // The path within the service, with a leading slash; only for KindCall.
 	// MaxFirstTokenMs and MaxTotalMs are the limits, in milliseconds, for the
 	// time to the first token and to the end of the answer; 0 is no limit. An
 	// answer beyond either is late.
--- a/internal/logstore/client.go
+++ b/internal/logstore/client.go
@@ -105,14 +105,15 @@
 	return list, nil
 }
 
-// loadCachedList returns the last list and its entity tag, which is empty before the first.
+// loadCachedList returns the last member list that was read and its entity tag, which is
+// empty if none was read.
 func (c *Client) loadCachedList() (string, MemberList) {
 	c.cacheMu.Lock()
 	defer c.cacheMu.Unlock()
 	return c.cachedETag, c.cachedList
 }
 
-// storeCachedList replaces the last list and its entity tag.
+// storeCachedList replaces the cached member list and its entity tag.
 func (c *Client) storeCachedList(etag string, list MemberList) {
 	c.cacheMu.Lock()
 	defer c.cacheMu.Unlock()
--- a/internal/logstore/follower.go
+++ b/internal/logstore/follower.go
@@ -18,7 +18,7 @@
 	PollTimeout time.Duration
 	// ReadInterval is the pause after a read that succeeded.
 	ReadInterval time.Duration
-	// Trigger ends that pause early; see Notify. May be nil.
+	// Trigger ends the pause after a read early; see Notify. May be nil.
 	Trigger <-chan struct{}
 	// ReloadThreshold is how long reads may fail before the follower reloads instead of
 	// reading all records written meanwhile; 0 means never. It saves reading where few keys
--- a/internal/operator/access.go
+++ b/internal/operator/access.go
@@ -67,8 +67,8 @@
 func authenticatedOperator(r *http.Request) config.Operator {
 	operator, ok := r.Context().Value(operatorContextKey{}).(config.Operator)
 	if !ok {
-		// No credential was checked. The operator of a team that doesn't exist has no
-		// permissions.
+		// No credential was checked. The request gets an operator without permissions,
+		// whose team doesn't exist.
 		return config.Operator{Team: "-"}
 	}
 	return operator
--- a/internal/operator/changes.go
+++ b/internal/operator/changes.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	// maxRequesterNoteBytes bounds the note in a request's field by.
+	// maxRequesterNoteBytes bounds the note on who asks, in a request's field by.
 	maxRequesterNoteBytes = 100
 	defaultHistoryLimit   = 20
 	maxHistoryLimit       = 1000
--- a/internal/operator/problem.go
+++ b/internal/operator/problem.go
@@ -20,8 +20,8 @@
 	Findings []config.Finding `json:"findings,omitempty"`
 	// Result is the result of a change that was not accepted, with the changes that came first.
 	Result *fold.ChangeResult `json:"result,omitempty"`
-	// ID and StatusPath tell how to look up an unknown outcome: ID is that of the change, top-up
-	// or right, StatusPath the path of this API to read.
+	// ID and StatusPath tell how to look up an unknown outcome: ID is that of the change, top-up,
+	// grant or shard, StatusPath the path of this API to read.
 	ID         string `json:"id,omitempty"`
 	StatusPath string `json:"ask,omitempty"`
 }
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -38,8 +38,13 @@
 	// Exclude lists the IDs of endpoints that the request has already been sent to.
 	Exclude []string
 
-	preferred                     *endpointState // See Table.preferredEndpoint.
-	bestSource, alternativeSource fetchSource    // See Table.fetchSources.
+	// preferred is the endpoint that all instances choose first for the prompt; see
+	// Table.preferredEndpoint.
+	preferred *endpointState
+	// bestSource is the endpoint from which the prompt's shared parts can most likely be
+	// fetched, alternativeSource the one for a request that is placed on bestSource
+	// itself; see Table.fetchSources.
+	bestSource, alternativeSource fetchSource
 }
 
 // endpointState is an endpoint with what the table knows of its load, cache and speed.
--- a/internal/placement/speed.go
+++ b/internal/placement/speed.go
@@ -31,7 +31,7 @@
 	minTokensPerMS, maxTokensPerMS = 10.0, 1000.0
 	// estimatedQuantile is the share of the TTFTs that lie below the estimate.
 	estimatedQuantile = 0.3
-	// maxStep is the upper bound of the relative change by one answer.
+	// maxStep is the upper bound of the relative change of an estimate by one answer.
 	maxStep = 0.06
 	// crossoverTokens is the number of uncached tokens above which a TTFT says more
 	// about the prefill speed than about the base time.
--- a/internal/prepaid/draft.go
+++ b/internal/prepaid/draft.go
@@ -125,7 +125,8 @@
 }
 
 // prepareClaims computes the claims and spending bounds of all budgets. urgent reports that a
-// waiting request needs one that grows; changed that the record differs from the last one.
+// waiting request needs a claim that grows; changed that a claim differs from the last record
+// that was published.
 func (a *Accounts) prepareClaims(now time.Duration) (claims []BudgetClaim, urgent, changed bool) {
 	totals := a.fleetTotals()
 	for _, team := range a.sortedTeams() {
--- a/internal/prepaid/keeper.go
+++ b/internal/prepaid/keeper.go
@@ -34,8 +34,8 @@
 	// LogReachableTTL is how long after the last read the log counts as reachable.
 	// Requests wait for a claim only while it does.
 	LogReachableTTL = 1500 * time.Millisecond
-	// lostReplyRetryInterval is the pause between two rounds of repeating calls whose replies
-	// were lost.
+	// lostReplyRetryInterval is the pause between two rounds of repeating calls to other
+	// instances whose replies were lost.
 	lostReplyRetryInterval = 500 * time.Millisecond
 	// claimTimeout is how long a request waits for a claim before it asks other
 	// instances: two round trips to the log, and time for one claim that collides with
--- a/internal/prepaid/reclaim.go
+++ b/internal/prepaid/reclaim.go
@@ -56,7 +56,8 @@
 	return rec
 }
 
-// reclaimedTokens returns how many tokens the final record returns in comparison with the last one.
+// reclaimedTokens returns how many fewer tokens final, see finalRecord, claims than last, the
+// last record that was read from the process.
 func reclaimedTokens(last, final ClaimRecord) int64 {
 	sum := int64(0)
 	for i, claim := range last.Claims {
--- a/internal/quarantine/gossip.go
+++ b/internal/quarantine/gossip.go
@@ -49,7 +49,7 @@
 		if !s.logUnavailable.Load() || len(neighbours) == 0 {
 			continue
 		}
-		slices.Sort(neighbours) // In a fixed order each has its turn.
+		slices.Sort(neighbours) // In a fixed order, so that each neighbour is called in turn.
 		s.exchangeWith(ctx, neighbours[turn%len(neighbours)])
 	}
 }
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -19,7 +19,7 @@
 	// Endpoints are the IDs of the endpoints that crashed while serving the request,
 	// the latest last.
 	Endpoints []string `cbor:"3,keyasint"`
-	// UnderWay is how long the request had been in progress on the last of them.
+	// UnderWay is how long the request had been in progress on the last of these endpoints.
 	UnderWay time.Duration `cbor:"4,keyasint,omitempty"`
 	// Crashes is the number of endpoints that crashed one after the other.
 	Crashes int `cbor:"5,keyasint"`
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -97,8 +97,8 @@
 // extraShare returns this instance's share of Budget.Extra.
 func (l *Limiter) extraShare() float64 { return safetyFactor * l.budget.Extra / float64(l.instances) }
 
-// maxEarned returns how many repeats requests may accumulate: as many as the
-// part of the share that may be used at once.
+// maxEarned returns how many repeats CountRequest may add on top of those of
+// Extra that may be used at once: the same number again.
 func (l *Limiter) maxEarned() float64 { return l.extraShare() * burstShare }
 
 // refill returns the service's bucket with the tokens that have accrued until
--- a/internal/run/chat_test.go
+++ b/internal/run/chat_test.go
@@ -254,7 +254,7 @@
 	}
 }
 
-// unboundedEngines has engines generate 100 times the ordered maximum.
+// unboundedEngines has engines generate 100 times the requested maximum.
 type unboundedEngines struct{ endpoint.Engines }
 
 func (e unboundedEngines) Start(ctx context.Context, base string, o endpoint.RunRequest) (endpoint.Stream, error) {
--- a/internal/run/run.go
+++ b/internal/run/run.go
@@ -149,7 +149,8 @@
 	ResumeFrom ResumePosition
 }
 
-// newRunRequest returns the order for an engine, from the start of the answer.
+// newRunRequest returns the request that has an engine generate the answer from its
+// start.
 func (c Chat) newRunRequest(run record.RunID) endpoint.RunRequest {
 	return endpoint.RunRequest{
 		Run: run, Priority: int(c.Priority), Model: c.Model, Messages: c.Messages, ExtraFields: c.Params, MaxTokens: c.MaxTokens,
