--- a/internal/linkload/shedder_test.go
+++ b/internal/linkload/shedder_test.go
@@ -25,7 +25,7 @@
 type simulatedInstance struct {
 	shedder      *linkload.Shedder
 	total        linkload.ByteCounts
-	failedChecks int           // Consecutive ones.
+	failedChecks int           // Consecutive failed health checks.
 	callerMbps   float64       // Traffic that callers send on open connections, in Mbit/s.
 	shedTime     time.Duration // Total time of shedding.
 	fullTime     time.Duration // Total time with more than 90 % of the link in demand.
@@ -132,7 +132,7 @@
 
 // If the links of all instances are equally full, moving callers between them gains
 // nothing. Instances shed for at most 40 % of the time.
-func TestAFullFleetSeldomSheds(t *testing.T) {
+func TestEquallyFullLinksSeldomShed(t *testing.T) {
 	z := newSimulatedZone(t, 10, 10)
 	for _, i := range z.instances {
 		i.callerMbps = 9.5
