--- a/test/process/budget_test.go
+++ b/test/process/budget_test.go
@@ -11,47 +11,47 @@
 )
 
 const (
-	prepaidTokens = 1_000_000
-	shortAnswer   = 5
-	longAnswer    = 400
+	prepaidTokens     = 1_000_000
+	shortAnswerTokens = 5
+	longAnswerTokens  = 400
 )
 
 // budgetSite is a site with two instances in one zone and one in another. The
 // last one, alone in its zone, is the owner of what its callers draw; its
 // witness is one of the others.
-type budgetSite struct {
-	site
-	witnesses []*instance
-	holder    *instance
-	key       string
-	used      int64 // Tokens of the answers that callers got.
+type budgetDeployment struct {
+	deployment
+	witnesses  []*instance
+	holder     *instance
+	key        string
+	usedTokens int64 // Tokens of the answers that callers got.
 }
 
-func startBudgetSite(t *testing.T) *budgetSite {
+func startBudgetDeployment(t *testing.T) *budgetDeployment {
 	t.Helper()
-	s := &budgetSite{site: startSite(t)}
+	s := &budgetDeployment{deployment: startDeployment(t)}
 	s.witnesses = []*instance{
 		startInstance(t, "a1", "hall-a", s.platform, ""),
 		startInstance(t, "a2", "hall-a", s.platform, ""),
 	}
 	s.holder = startInstance(t, "b1", "hall-b", s.platform, "")
-	s.key = seedTeam(t, s.witnesses[0].operators, "dala", prepaidTokens)
+	s.key = seedTeam(t, s.witnesses[0].operatorsURL, "dala", prepaidTokens)
 	for _, in := range append([]*instance{s.holder}, s.witnesses...) {
 		eventually(t, "credential in force", func() bool {
-			return call(http.MethodPost, in.callers+"/v1/chat/completions", s.key, map[string]any{}).status == http.StatusBadRequest
+			return call(http.MethodPost, in.callersURL+"/v1/chat/completions", s.key, map[string]any{}).status == http.StatusBadRequest
 		})
 		eventually(t, "budget known", func() bool {
-			return call(http.MethodGet, in.operators+"/budgets/dala/main", operatorToken, nil).status == http.StatusOK
+			return call(http.MethodGet, in.operatorsURL+"/budgets/dala/main", operatorToken, nil).status == http.StatusOK
 		})
 	}
-	s.ask(t, s.holder)
+	s.sendShortRequest(t, s.holder)
 	return s
 }
 
 // ask sends a short request that must be answered, and counts its tokens.
-func (s *budgetSite) ask(t *testing.T, in *instance) {
+func (s *budgetDeployment) sendShortRequest(t *testing.T, in *instance) {
 	t.Helper()
-	got := mustCall(t, http.MethodPost, in.callers+"/v1/chat/completions", s.key, chatBody(shortAnswer, false))
+	got := mustCall(t, http.MethodPost, in.callersURL+"/v1/chat/completions", s.key, chatBody(shortAnswerTokens, false))
 	var completion struct {
 		Usage struct {
 			Total int64 `json:"total_tokens"`
@@ -60,28 +60,28 @@
 	if err := json.Unmarshal([]byte(got.body), &completion); err != nil {
 		t.Fatal(err)
 	}
-	s.used += completion.Usage.Total
+	s.usedTokens += completion.Usage.Total
 }
 
 // startLong starts a long answer at the holder and returns once it runs.
-func (s *budgetSite) startLong(t *testing.T) <-chan answer {
+func (s *budgetDeployment) startLongRequest(t *testing.T) <-chan response {
 	t.Helper()
-	before := generated(t, s.engines)
-	got := make(chan answer, 1)
+	before := generatedTokens(t, s.engines)
+	got := make(chan response, 1)
 	go func() {
-		got <- call(http.MethodPost, s.holder.callers+"/v1/chat/completions", s.key, chatBody(longAnswer, true))
+		got <- call(http.MethodPost, s.holder.callersURL+"/v1/chat/completions", s.key, chatBody(longAnswerTokens, true))
 	}()
-	eventually(t, "the long answer runs", func() bool { return generated(t, s.engines) > before+10 })
+	eventually(t, "the long answer runs", func() bool { return generatedTokens(t, s.engines) > before+10 })
 	return got
 }
 
-func (s *budgetSite) fault(t *testing.T, f standin.PlatformFaults) {
+func (s *budgetDeployment) setPlatformFaults(t *testing.T, f standin.PlatformFaults) {
 	t.Helper()
 	mustCall(t, http.MethodPut, s.platform+"/faults", "", f)
 }
 
 // engineTokens is what the engines count: prompts and answers.
-func (s *budgetSite) engineTokens(t *testing.T) int64 {
+func (s *budgetDeployment) engineTokens(t *testing.T) int64 {
 	t.Helper()
 	var sum int64
 	for _, engine := range s.engines {
@@ -99,11 +99,11 @@
 // audit waits until the log has the bills that want asks for, and compares
 // them with the engines: nothing ran unbilled, nothing was billed twice, and
 // the budget holds.
-func (s *budgetSite) audit(t *testing.T, in *instance, want func(budgetRow) bool) budgetRow {
+func (s *budgetDeployment) awaitBilling(t *testing.T, in *instance, want func(budgetRow) bool) budgetRow {
 	t.Helper()
 	var row budgetRow
 	eventually(t, "bills on the log", func() bool {
-		row = budget(t, in.operators, "dala")
+		row = readBudget(t, in.operatorsURL, "dala")
 		return want(row)
 	})
 	ran := s.engineTokens(t)
@@ -114,70 +114,70 @@
 }
 
 // exact says that callers' answers are billed, each once.
-func (s *budgetSite) exact(row budgetRow) bool { return row.Billed == s.used }
+func (s *budgetDeployment) allAnswersBilled(row budgetRow) bool { return row.Billed == s.usedTokens }
 
 // closed says that every grant has been closed.
-func closed(row budgetRow) bool { return row.Billed == row.Committed }
+func allGrantsClosed(row budgetRow) bool { return row.Billed == row.Committed }
 
 func TestKilledHolderIsBilledOnceAndReturnsItsGrant(t *testing.T) {
-	s := startBudgetSite(t)
-	got := s.startLong(t)
+	s := startBudgetDeployment(t)
+	got := s.startLongRequest(t)
 	s.holder.kill()
 	<-got
-	row := s.audit(t, s.witnesses[0], closed)
-	if most := s.used + longAnswer + 100; row.Billed <= s.used || row.Billed > most {
-		t.Fatalf("billed %d, want over %d for the cut-off run and at most %d", row.Billed, s.used, most)
+	row := s.awaitBilling(t, s.witnesses[0], allGrantsClosed)
+	if maxBilled := s.usedTokens + longAnswerTokens + 100; row.Billed <= s.usedTokens || row.Billed > maxBilled {
+		t.Fatalf("billed %d, want over %d for the cut-off run and at most %d", row.Billed, s.usedTokens, maxBilled)
 	}
-	s.ask(t, s.witnesses[1])
+	s.sendShortRequest(t, s.witnesses[1])
 }
 
 func TestFrozenHolderCannotSpendItsSealedGrant(t *testing.T) {
-	s := startBudgetSite(t)
-	got := s.startLong(t)
+	s := startBudgetDeployment(t)
+	got := s.startLongRequest(t)
 	s.holder.signal(syscall.SIGSTOP)
-	sealed := s.audit(t, s.witnesses[0], closed)
+	sealed := s.awaitBilling(t, s.witnesses[0], allGrantsClosed)
 	s.holder.signal(syscall.SIGCONT)
 	select {
 	case <-got:
-	case <-time.After(waitLimit):
+	case <-time.After(waitTimeout):
 		t.Fatal("no end of the long answer")
 	}
-	s.used = sealed.Billed
+	s.usedTokens = sealed.Billed
 	eventually(t, "the resumed instance serves again", func() bool {
-		return call(http.MethodPost, s.holder.callers+"/v1/chat/completions", s.key, map[string]any{}).status == http.StatusBadRequest
+		return call(http.MethodPost, s.holder.callersURL+"/v1/chat/completions", s.key, map[string]any{}).status == http.StatusBadRequest
 	})
-	s.ask(t, s.holder)
-	s.audit(t, s.witnesses[0], s.exact)
+	s.sendShortRequest(t, s.holder)
+	s.awaitBilling(t, s.witnesses[0], s.allAnswersBilled)
 }
 
 func TestBudgetsServeThroughALogOutage(t *testing.T) {
-	s := startBudgetSite(t)
-	s.fault(t, standin.PlatformFaults{Outage: true})
+	s := startBudgetDeployment(t)
+	s.setPlatformFaults(t, standin.PlatformFaults{Outage: true})
 	for range 5 {
-		s.ask(t, s.holder)
+		s.sendShortRequest(t, s.holder)
 	}
-	s.fault(t, standin.PlatformFaults{})
-	s.audit(t, s.witnesses[0], s.exact)
+	s.setPlatformFaults(t, standin.PlatformFaults{})
+	s.awaitBilling(t, s.witnesses[0], s.allAnswersBilled)
 }
 
 func TestLostAnswersBillOnce(t *testing.T) {
-	s := startBudgetSite(t)
+	s := startBudgetDeployment(t)
 	for _, in := range append(s.witnesses, s.holder, s.holder) {
-		s.fault(t, standin.PlatformFaults{LoseAnswers: 3})
-		s.ask(t, in)
+		s.setPlatformFaults(t, standin.PlatformFaults{LoseAnswers: 3})
+		s.sendShortRequest(t, in)
 	}
-	s.fault(t, standin.PlatformFaults{})
-	s.audit(t, s.witnesses[0], s.exact)
+	s.setPlatformFaults(t, standin.PlatformFaults{})
+	s.awaitBilling(t, s.witnesses[0], s.allAnswersBilled)
 }
 
 func TestDrainReturnsEveryGrant(t *testing.T) {
-	s := startBudgetSite(t)
+	s := startBudgetDeployment(t)
 	s.holder.signal(syscall.SIGTERM)
 	if code := s.holder.exitCode(); code != 0 {
 		t.Fatalf("exit code %d", code)
 	}
-	row := s.audit(t, s.witnesses[0], s.exact)
-	if !closed(row) {
+	row := s.awaitBilling(t, s.witnesses[0], s.allAnswersBilled)
+	if !allGrantsClosed(row) {
 		t.Fatalf("left %d tokens in grants", row.Committed-row.Billed)
 	}
 }
--- a/test/process/capacity_measure_test.go
+++ b/test/process/capacity_measure_test.go
@@ -21,24 +21,24 @@
 //	go test -tags measure -count=1 -v -run Capacity ./test/process
 
 const (
-	userHz    = 100 // Clock ticks a second in /proc/PID/stat.
-	quietSpan = 20 * time.Second
-	quietIn   = 5 * time.Second
+	userHz             = 100 // Clock ticks a second in /proc/PID/stat.
+	idleSampleDuration = 20 * time.Second
+	idleWarmup         = 5 * time.Second
 )
 
 // usage is what a process has taken so far.
-type usage struct {
+type processUsage struct {
 	cpu time.Duration
 	rss int64 // Bytes now.
 	// io is the bytes read and written by system calls, sockets included.
 	io int64
 }
 
-func (u usage) sub(o usage) usage {
-	return usage{cpu: u.cpu - o.cpu, rss: u.rss - o.rss, io: u.io - o.io}
+func (u processUsage) sub(o processUsage) processUsage {
+	return processUsage{cpu: u.cpu - o.cpu, rss: u.rss - o.rss, io: u.io - o.io}
 }
 
-func usageOf(t *testing.T, p *process) usage {
+func readUsage(t *testing.T, p *process) processUsage {
 	t.Helper()
 	read := func(name string) string {
 		data, err := os.ReadFile(fmt.Sprintf("/proc/%d/%s", p.cmd.Process.Pid, name))
@@ -54,7 +54,7 @@
 		}
 		return n
 	}
-	var u usage
+	var u processUsage
 	stat := read("stat")
 	fields := strings.Fields(stat[strings.LastIndex(stat, ")")+1:])
 	u.cpu = time.Duration(number(fields[11])+number(fields[12])) * time.Second / userHz
@@ -70,7 +70,7 @@
 // TestCapacityQuietInstance takes what an instance spends without any request,
 // by the number of instances and of endpoints.
 func TestCapacityQuietInstance(t *testing.T) {
-	plainBinary(t)
+	useBinaryWithoutRaceDetector(t)
 	for _, size := range []struct{ instances, endpoints int }{{1, 4}, {4, 4}, {8, 4}, {16, 4}, {4, 16}, {4, 64}} {
 		f := &fleet{t: t}
 		var platform *process
@@ -84,12 +84,12 @@
 		for n := range size.instances {
 			f.instances = append(f.instances, startInstance(t, fmt.Sprint("a", n), "hall-a", f.platform, ""))
 		}
-		time.Sleep(quietIn)
-		before := usageOf(t, f.instances[0].process)
-		time.Sleep(quietSpan)
-		spent := usageOf(t, f.instances[0].process).sub(before)
+		time.Sleep(idleWarmup)
+		before := readUsage(t, f.instances[0].process)
+		time.Sleep(idleSampleDuration)
+		spent := readUsage(t, f.instances[0].process).sub(before)
 		t.Logf("instances=%d endpoints=%d: %.2f%% of a core, %.0f B/s read and written, %.1f MB resident", size.instances, size.endpoints,
-			100*spent.cpu.Seconds()/quietSpan.Seconds(), float64(spent.io)/quietSpan.Seconds(), float64(before.rss)/1e6)
+			100*spent.cpu.Seconds()/idleSampleDuration.Seconds(), float64(spent.io)/idleSampleDuration.Seconds(), float64(before.rss)/1e6)
 		for _, in := range f.instances {
 			in.kill()
 		}
@@ -100,52 +100,52 @@
 // TestCapacityOpenStreams takes an instance's memory for an open stream and
 // its processor time for a token, by the number of streams.
 func TestCapacityOpenStreams(t *testing.T) {
-	plainBinary(t)
+	useBinaryWithoutRaceDetector(t)
 	const slots, tokens = 4000, 200
 	_, platform := startStandin(t, "platform", "-lag", listLag)
 	_, url := startStandin(t, "engine", "-slots", strconv.Itoa(slots), "-step", "40ms")
 	mustCall(t, http.MethodPut, platform+"/endpoints", "", []map[string]any{{"name": "engine-1", "zone": "hall-a", "url": url, "model": "small"}})
 	in := startInstance(t, "a1", "hall-a", platform, "")
-	key := seedTeam(t, in.operators, "dala", 1_000_000_000)
-	mustCall(t, http.MethodPut, in.operators+"/settings", operatorToken, record.Change{ID: "slots", Ops: []record.ChangeOp{
+	key := seedTeam(t, in.operatorsURL, "dala", 1_000_000_000)
+	mustCall(t, http.MethodPut, in.operatorsURL+"/settings", operatorToken, record.Change{ID: "slots", Ops: []record.ChangeOp{
 		{Path: "/fleet/engines/engine-1/slots", Value: strconv.Itoa(slots)},
 	}})
 	time.Sleep(time.Second)
 	for _, streams := range []int{100, 400, 1600} {
-		before := usageOf(t, in.process)
+		before := readUsage(t, in.process)
 		began := time.Now()
-		var whole int64
+		var completed int64
 		var mu sync.Mutex
 		var wait sync.WaitGroup
 		for range streams {
 			wait.Go(func() {
-				a := call(http.MethodPost, in.callers+"/v1/chat/completions", key, chatBody(tokens, true))
+				a := call(http.MethodPost, in.callersURL+"/v1/chat/completions", key, chatBody(tokens, true))
 				_, done := streamText(a.body)
 				mu.Lock()
 				defer mu.Unlock()
 				if done {
-					whole++
+					completed++
 				}
 			})
 		}
 		time.Sleep(tokens * 40 * time.Millisecond / 2)
-		middle := usageOf(t, in.process)
+		middle := readUsage(t, in.process)
 		wait.Wait()
-		spent := usageOf(t, in.process).sub(before)
+		spent := readUsage(t, in.process).sub(before)
 		t.Logf("streams=%d: %d whole in %v, %.1f kB resident a stream, %.1f us processor time a token, %.0f B read and written a token",
-			streams, whole, time.Since(began).Round(time.Millisecond), float64(middle.rss-before.rss)/1e3/float64(streams),
-			float64(spent.cpu.Microseconds())/float64(whole*tokens), float64(spent.io)/float64(whole*tokens))
+			streams, completed, time.Since(began).Round(time.Millisecond), float64(middle.rss-before.rss)/1e3/float64(streams),
+			float64(spent.cpu.Microseconds())/float64(completed*tokens), float64(spent.io)/float64(completed*tokens))
 	}
 }
 
 // applied returns the sum of the offsets that an instance has applied: how many
 // appends the whole fleet has made.
-func applied(t *testing.T, in *instance) (sum float64) {
+func totalAppends(t *testing.T, in *instance) (sum float64) {
 	t.Helper()
 	var dump struct {
 		Applied map[string]float64 `json:"applied"`
 	}
-	if err := json.Unmarshal([]byte(mustCall(t, http.MethodGet, in.operators+"/state", operatorToken, nil).body), &dump); err != nil {
+	if err := json.Unmarshal([]byte(mustCall(t, http.MethodGet, in.operatorsURL+"/state", operatorToken, nil).body), &dump); err != nil {
 		t.Fatal(err)
 	}
 	for _, offset := range dump.Applied {
@@ -158,7 +158,7 @@
 // service call at its instance and at the other one of the zone, and the
 // fleet's appends.
 func TestCapacityRequests(t *testing.T) {
-	plainBinary(t)
+	useBinaryWithoutRaceDetector(t)
 	f := startFleet(t, 0, 2)
 	_, url := startStandin(t, "engine", "-slots", "4000", "-step", "3ms")
 	mustCall(t, http.MethodPut, f.platform+"/endpoints", "", []map[string]any{
@@ -167,23 +167,23 @@
 	})
 	time.Sleep(time.Second)
 	in, other := f.instances[0], f.instances[1]
-	ways := map[string]func(n, i int) answer{
-		"short request": func(int, int) answer {
-			return call(http.MethodPost, in.callers+"/v1/chat/completions", f.key, chatBody(1, false))
+	requestKinds := map[string]func(n, i int) response{
+		"short request": func(int, int) response {
+			return call(http.MethodPost, in.callersURL+"/v1/chat/completions", f.key, chatBody(1, false))
 		},
-		"service call": func(n, i int) answer {
-			return call(http.MethodPost, in.callers+"/v1/services/rig/setpoint", f.key, map[string]any{"g": 1}, "Idempotency-Key", fmt.Sprint(n, "-", i, "-", time.Now().UnixNano()))
+		"service call": func(n, i int) response {
+			return call(http.MethodPost, in.callersURL+"/v1/services/rig/setpoint", f.key, map[string]any{"g": 1}, "Idempotency-Key", fmt.Sprint(n, "-", i, "-", time.Now().UnixNano()))
 		},
 	}
-	for name, send := range ways {
+	for name, send := range requestKinds {
 		for _, callers := range []int{1, 4, 16} {
-			const each = 400
-			before, beforeOther, appended := usageOf(t, in.process), usageOf(t, other.process), applied(t, in)
+			const requestsPerCaller = 400
+			before, beforeOther, appended := readUsage(t, in.process), readUsage(t, other.process), totalAppends(t, in)
 			began := time.Now()
 			var wait sync.WaitGroup
 			for n := range callers {
 				wait.Go(func() {
-					for i := range each {
+					for i := range requestsPerCaller {
 						if a := send(n, i); a.status != http.StatusOK {
 							t.Errorf("%d %s", a.status, a.body)
 							return
@@ -192,11 +192,11 @@
 				})
 			}
 			wait.Wait()
-			total, took := float64(callers*each), time.Since(began).Seconds()
-			spent, spentOther := usageOf(t, in.process).sub(before), usageOf(t, other.process).sub(beforeOther)
+			total, elapsed := float64(callers*requestsPerCaller), time.Since(began).Seconds()
+			spent, spentOther := readUsage(t, in.process).sub(before), readUsage(t, other.process).sub(beforeOther)
 			t.Logf("%s, callers=%d: %.0f/s, %.0f us processor time each here, %.0f us at the other instance, %.0f and %.0f B read and written each, %.1f appends/s",
-				name, callers, total/took, float64(spent.cpu.Microseconds())/total, float64(spentOther.cpu.Microseconds())/total,
-				float64(spent.io)/total, float64(spentOther.io)/total, (applied(t, in)-appended)/took)
+				name, callers, total/elapsed, float64(spent.cpu.Microseconds())/total, float64(spentOther.cpu.Microseconds())/total,
+				float64(spent.io)/total, float64(spentOther.io)/total, (totalAppends(t, in)-appended)/elapsed)
 		}
 	}
 }
--- a/test/process/claim_test.go
+++ b/test/process/claim_test.go
@@ -17,31 +17,31 @@
 
 // rig is a site with a team whose calls of the plain service may not be
 // repeated.
-type rig struct {
-	site
-	t       *testing.T
-	fleet   []*instance
-	key     string
-	session string
+type callFixture struct {
+	deployment
+	t         *testing.T
+	instances []*instance
+	key       string
+	session   string
 }
 
-func startRig(t *testing.T, names ...string) *rig {
+func startCallFixture(t *testing.T, names ...string) *callFixture {
 	t.Helper()
-	r := &rig{site: startSite(t), t: t}
+	r := &callFixture{deployment: startDeployment(t), t: t}
 	for _, name := range names {
-		r.fleet = append(r.fleet, startInstance(t, name, "hall-a", r.platform, ""))
+		r.instances = append(r.instances, startInstance(t, name, "hall-a", r.platform, ""))
 	}
-	r.key = seedTeam(t, r.fleet[0].operators, "dala", 1_000_000)
-	r.ready(r.fleet...)
+	r.key = seedTeam(t, r.instances[0].operatorsURL, "dala", 1_000_000)
+	r.openTeamSession(r.instances...)
 	return r
 }
 
 // ready waits for the team's key and opens its session.
-func (r *rig) ready(fleet ...*instance) {
+func (r *callFixture) openTeamSession(fleet ...*instance) {
 	r.t.Helper()
 	for _, in := range fleet {
 		eventually(r.t, "credential in force", func() bool {
-			return call(http.MethodPost, in.callers+"/v1/sessions", r.key, nil).status == http.StatusCreated
+			return call(http.MethodPost, in.callersURL+"/v1/sessions", r.key, nil).status == http.StatusCreated
 		})
 	}
 	r.session = openSession(r.t, fleet[0], r.key).Token
@@ -55,7 +55,7 @@
 func openSession(t *testing.T, in *instance, key string) openedSession {
 	t.Helper()
 	var s openedSession
-	if err := json.Unmarshal([]byte(mustCall(t, http.MethodPost, in.callers+"/v1/sessions", key, nil).body), &s); err != nil {
+	if err := json.Unmarshal([]byte(mustCall(t, http.MethodPost, in.callersURL+"/v1/sessions", key, nil).body), &s); err != nil {
 		t.Fatal(err)
 	}
 	return s
@@ -63,13 +63,13 @@
 
 // attempt is one attempt of a call; each call has a path of its own, so that
 // the service counts its runs.
-func (r *rig) attempt(in *instance, name string, body any, first bool) answer {
-	return call(http.MethodPost, in.callers+"/v1/services/rig/"+name, r.key, body,
+func (r *callFixture) sendAttempt(in *instance, name string, body any, first bool) response {
+	return call(http.MethodPost, in.callersURL+"/v1/services/rig/"+name, r.key, body,
 		"Idempotency-Key", name, "X-Session", r.session, "X-First-Attempt", fmt.Sprint(first))
 }
 
 // runs is how often each call ran at the service.
-func (r *rig) runs(name string) int {
+func (r *callFixture) runCount(name string) int {
 	r.t.Helper()
 	var paths map[string]int
 	if err := json.Unmarshal([]byte(mustCall(r.t, http.MethodGet, r.service+"/paths", "", nil).body), &paths); err != nil {
@@ -79,7 +79,7 @@
 }
 
 // outcome is what an attempt's caller knows of the call.
-func outcome(a answer) string {
+func reportedOutcome(a response) string {
 	if a.err != nil {
 		return "unknown"
 	}
@@ -97,10 +97,10 @@
 
 // persist retries a call at one instance after the other, as a caller does,
 // until it is answered or its tries are used up.
-func (r *rig) persist(name string, from, tries int) string {
+func (r *callFixture) retryUntilAnswered(name string, from, tries int) string {
 	last := ""
 	for try := range tries {
-		last = outcome(r.attempt(r.fleet[(from+try)%len(r.fleet)], name, nil, try == 0))
+		last = reportedOutcome(r.sendAttempt(r.instances[(from+try)%len(r.instances)], name, nil, try == 0))
 		if last == "answered" {
 			break
 		}
@@ -111,32 +111,32 @@
 
 // storm sends many calls at once, causes a fault in their midst, and checks
 // what the service ran against what the callers were told.
-func (r *rig) storm(prefix string, fault func()) {
+func (r *callFixture) sendCallsDuringFault(prefix string, fault func()) {
 	r.t.Helper()
 	const calls, tries = 24, 12
 	mustCall(r.t, http.MethodPut, r.service+"/faults", "", map[string]any{"slow_ms": 100})
-	told := make([]string, calls)
+	outcomes := make([]string, calls)
 	var running sync.WaitGroup
 	for n := range calls {
 		running.Go(func() {
 			time.Sleep(time.Duration(n) * 20 * time.Millisecond)
-			told[n] = r.persist(fmt.Sprint(prefix, n), n, tries)
+			outcomes[n] = r.retryUntilAnswered(fmt.Sprint(prefix, n), n, tries)
 		})
 	}
 	time.Sleep(200 * time.Millisecond)
 	fault()
 	running.Wait()
-	r.audit(prefix, told)
+	r.checkRunCounts(prefix, outcomes)
 }
 
-func (r *rig) audit(prefix string, told []string) {
+func (r *callFixture) checkRunCounts(prefix string, outcomes []string) {
 	r.t.Helper()
 	count := map[string]int{}
-	for n, what := range told {
-		count[what]++
-		ran := r.runs(fmt.Sprint(prefix, n))
-		if ran > 1 || what == "answered" && ran != 1 || what == "not_run" && ran != 0 {
-			r.t.Errorf("call %d was told %q and ran %d times", n, what, ran)
+	for n, outcome := range outcomes {
+		count[outcome]++
+		ran := r.runCount(fmt.Sprint(prefix, n))
+		if ran > 1 || outcome == "answered" && ran != 1 || outcome == "not_run" && ran != 0 {
+			r.t.Errorf("call %d was told %q and ran %d times", n, outcome, ran)
 		}
 	}
 	r.t.Logf("%s: told %v", prefix, count)
@@ -147,170 +147,170 @@
 
 // recovers checks that calls of every claim shard are answered by the given
 // instances in the end.
-func (r *rig) recovers(prefix string, fleet ...*instance) {
+func (r *callFixture) requireCallsAnswered(prefix string, fleet ...*instance) {
 	r.t.Helper()
 	for n := range 16 {
 		name := fmt.Sprint(prefix, n)
 		eventually(r.t, "call "+name+" answered", func() bool {
-			return outcome(r.attempt(fleet[n%len(fleet)], name, nil, true)) == "answered"
+			return reportedOutcome(r.sendAttempt(fleet[n%len(fleet)], name, nil, true)) == "answered"
 		})
-		if ran := r.runs(name); ran != 1 {
+		if ran := r.runCount(name); ran != 1 {
 			r.t.Errorf("call %s ran %d times", name, ran)
 		}
 	}
 }
 
 func TestRetryElsewhereJoinsTheCall(t *testing.T) {
-	r := startRig(t, "a1", "a2", "a3")
-	r.recovers("warm-", r.fleet...)
+	r := startCallFixture(t, "a1", "a2", "a3")
+	r.requireCallsAnswered("warm-", r.instances...)
 	for n := range 6 {
 		name := fmt.Sprint("call-", n)
-		want := r.attempt(r.fleet[n%3], name, "body", true)
+		want := r.sendAttempt(r.instances[n%3], name, "body", true)
 		if want.status != http.StatusOK {
 			t.Fatalf("first attempt: %d %s", want.status, want.body)
 		}
-		for _, in := range r.fleet {
-			if got := r.attempt(in, name, "body", false); got.status != http.StatusOK || got.body != want.body {
+		for _, in := range r.instances {
+			if got := r.sendAttempt(in, name, "body", false); got.status != http.StatusOK || got.body != want.body {
 				t.Fatalf("retry: %d %s, want %s", got.status, got.body, want.body)
 			}
-			if got := r.attempt(in, name, "other body", false); got.status != http.StatusUnprocessableEntity {
+			if got := r.sendAttempt(in, name, "other body", false); got.status != http.StatusUnprocessableEntity {
 				t.Fatalf("another body: %d %s", got.status, got.body)
 			}
 		}
-		if ran := r.runs(name); ran != 1 {
+		if ran := r.runCount(name); ran != 1 {
 			t.Fatalf("ran %d times", ran)
 		}
 	}
 }
 
 func TestSessionEndsEverywhere(t *testing.T) {
-	r := startRig(t, "a1", "a2")
-	s := openSession(t, r.fleet[0], r.key)
+	r := startCallFixture(t, "a1", "a2")
+	s := openSession(t, r.instances[0], r.key)
 	r.session = s.Token
-	r.recovers("before-", r.fleet...)
-	other := seedTeam(t, r.fleet[0].operators, "other", 1)
+	r.requireCallsAnswered("before-", r.instances...)
+	other := seedTeam(t, r.instances[0].operatorsURL, "other", 1)
 	eventually(t, "other team's credential in force", func() bool {
-		return call(http.MethodDelete, r.fleet[1].callers+"/v1/sessions/"+s.ID, other, nil).status == http.StatusNoContent
+		return call(http.MethodDelete, r.instances[1].callersURL+"/v1/sessions/"+s.ID, other, nil).status == http.StatusNoContent
 	})
-	stolen := call(http.MethodPost, r.fleet[1].callers+"/v1/services/rig/x", other, nil, "Idempotency-Key", "x", "X-Session", s.Token)
+	stolen := call(http.MethodPost, r.instances[1].callersURL+"/v1/services/rig/x", other, nil, "Idempotency-Key", "x", "X-Session", s.Token)
 	if stolen.status != http.StatusForbidden {
 		t.Fatalf("another team used the session: %d", stolen.status)
 	}
-	if got := r.attempt(r.fleet[1], "after-other", nil, true); got.status != http.StatusOK {
+	if got := r.sendAttempt(r.instances[1], "after-other", nil, true); got.status != http.StatusOK {
 		t.Fatalf("another team ended the session: %d %s", got.status, got.body)
 	}
 	listed := func(in *instance, key string) bool {
-		return strings.Contains(mustCall(t, http.MethodGet, in.callers+"/v1/sessions", key, nil).body, s.ID)
+		return strings.Contains(mustCall(t, http.MethodGet, in.callersURL+"/v1/sessions", key, nil).body, s.ID)
 	}
-	for _, in := range r.fleet {
+	for _, in := range r.instances {
 		eventually(t, "session listed", func() bool { return listed(in, r.key) })
 		if listed(in, other) {
 			t.Fatal("another team sees the session")
 		}
 	}
-	mustCall(t, http.MethodDelete, r.fleet[1].callers+"/v1/sessions/"+s.ID, r.key, nil)
-	for n, in := range r.fleet {
+	mustCall(t, http.MethodDelete, r.instances[1].callersURL+"/v1/sessions/"+s.ID, r.key, nil)
+	for n, in := range r.instances {
 		eventually(t, "session off the list", func() bool { return !listed(in, r.key) })
 		eventually(t, "session ended", func() bool {
-			return r.attempt(in, fmt.Sprint("ended-", n), nil, true).status == http.StatusForbidden
+			return r.sendAttempt(in, fmt.Sprint("ended-", n), nil, true).status == http.StatusForbidden
 		})
 	}
 }
 
 func TestCallsRunOnceWhenAnInstanceIsKilled(t *testing.T) {
-	r := startRig(t, "a1", "a2", "a3")
-	r.recovers("warm-", r.fleet...)
-	r.storm("kill-", r.fleet[0].kill)
-	r.recovers("after-", r.fleet[1:]...)
+	r := startCallFixture(t, "a1", "a2", "a3")
+	r.requireCallsAnswered("warm-", r.instances...)
+	r.sendCallsDuringFault("kill-", r.instances[0].kill)
+	r.requireCallsAnswered("after-", r.instances[1:]...)
 }
 
 // A drained instance hands its claims over: no call is lost to its callers.
 func TestCallsGoOnWhenAnInstanceLeaves(t *testing.T) {
-	r := startRig(t, "a1", "a2", "a3")
-	r.recovers("warm-", r.fleet...)
-	before := r.attempt(r.fleet[1], "before", nil, true)
-	r.storm("leave-", func() { r.fleet[0].signal(syscall.SIGTERM) })
-	if code := r.fleet[0].exitCode(); code != 0 {
+	r := startCallFixture(t, "a1", "a2", "a3")
+	r.requireCallsAnswered("warm-", r.instances...)
+	before := r.sendAttempt(r.instances[1], "before", nil, true)
+	r.sendCallsDuringFault("leave-", func() { r.instances[0].signal(syscall.SIGTERM) })
+	if code := r.instances[0].exitCode(); code != 0 {
 		t.Errorf("exit code %d", code)
 	}
-	r.recovers("after-", r.fleet[1:]...)
-	if again := r.attempt(r.fleet[2], "before", nil, false); before.status != http.StatusOK || again.err != nil || r.runs("before") != 1 {
-		t.Errorf("retry after the handover: %d, then %d %v, ran %d times", before.status, again.status, again.err, r.runs("before"))
+	r.requireCallsAnswered("after-", r.instances[1:]...)
+	if again := r.sendAttempt(r.instances[2], "before", nil, false); before.status != http.StatusOK || again.err != nil || r.runCount("before") != 1 {
+		t.Errorf("retry after the handover: %d, then %d %v, ran %d times", before.status, again.status, again.err, r.runCount("before"))
 	}
 }
 
 func TestCallsRunOnceWhenAnInstanceFreezes(t *testing.T) {
-	r := startRig(t, "a1", "a2", "a3")
-	r.recovers("warm-", r.fleet...)
-	frozen := r.fleet[0]
-	r.storm("freeze-", func() {
+	r := startCallFixture(t, "a1", "a2", "a3")
+	r.requireCallsAnswered("warm-", r.instances...)
+	frozen := r.instances[0]
+	r.sendCallsDuringFault("freeze-", func() {
 		frozen.signal(syscall.SIGSTOP)
-		awake := *r
-		awake.fleet = r.fleet[1:]
-		awake.recovers("meanwhile-", awake.fleet...)
+		responsive := *r
+		responsive.instances = r.instances[1:]
+		responsive.requireCallsAnswered("meanwhile-", responsive.instances...)
 		frozen.signal(syscall.SIGCONT)
 	})
-	r.recovers("after-", r.fleet...)
+	r.requireCallsAnswered("after-", r.instances...)
 }
 
 func TestCallsWhileThePlatformIsAway(t *testing.T) {
-	r := startRig(t, "a1", "a2", "a3")
-	careful := seedTeam(t, r.fleet[0].operators, "careful", 1_000)
-	mustCall(t, http.MethodPut, r.fleet[0].operators+"/settings", operatorToken, record.Change{ID: "careful", By: "test", Ops: []record.ChangeOp{
+	r := startCallFixture(t, "a1", "a2", "a3")
+	refusingKey := seedTeam(t, r.instances[0].operatorsURL, "careful", 1_000)
+	mustCall(t, http.MethodPut, r.instances[0].operatorsURL+"/settings", operatorToken, record.Change{ID: "careful", By: "test", Ops: []record.ChangeOp{
 		{Path: claim.WhenLogUnavailablePath("careful"), Value: claim.ModeRefuseValue},
 	}})
-	r.recovers("warm-", r.fleet...)
+	r.requireCallsAnswered("warm-", r.instances...)
 	serving := r.session
 	refusing := *r
-	refusing.key = careful
-	refusing.ready(r.fleet...)
-	refusing.recovers("careful-warm-", r.fleet...)
+	refusing.key = refusingKey
+	refusing.openTeamSession(r.instances...)
+	refusing.requireCallsAnswered("careful-warm-", r.instances...)
 	r.session = serving
 	mustCall(t, http.MethodPut, r.platform+"/faults", "", map[string]any{"outage": true})
 	for n := range 8 {
-		in := r.fleet[n%3]
-		if got := r.attempt(in, fmt.Sprint("served-", n), nil, true); got.status != http.StatusOK {
+		in := r.instances[n%3]
+		if got := r.sendAttempt(in, fmt.Sprint("served-", n), nil, true); got.status != http.StatusOK {
 			t.Errorf("serve: %d %s", got.status, got.body)
 		}
 		name := fmt.Sprint("refused-", n)
 		for _, first := range []bool{true, false} {
-			got := refusing.attempt(in, name, nil, first)
-			if outcome(got) != "not_run" || got.header.Get("Retry-After") == "" || r.runs(name) != 0 {
-				t.Errorf("refuse: %d %s, ran %d times", got.status, got.body, r.runs(name))
+			got := refusing.sendAttempt(in, name, nil, first)
+			if reportedOutcome(got) != "not_run" || got.header.Get("Retry-After") == "" || r.runCount(name) != 0 {
+				t.Errorf("refuse: %d %s, ran %d times", got.status, got.body, r.runCount(name))
 			}
 		}
 	}
 	mustCall(t, http.MethodPut, r.platform+"/faults", "", map[string]any{"outage": false})
-	refusing.recovers("refused-", r.fleet...)
-	r.recovers("served-", r.fleet...)
+	refusing.requireCallsAnswered("refused-", r.instances...)
+	r.requireCallsAnswered("served-", r.instances...)
 }
 
 // Holder and witness die at once: nobody left can say what they counted, so
 // calls are refused until an operator says that both are gone.
 func TestShardsOfADeadPairWaitForTheOperator(t *testing.T) {
-	r := startRig(t, "a1", "a2")
-	r.recovers("warm-", r.fleet...)
+	r := startCallFixture(t, "a1", "a2")
+	r.requireCallsAnswered("warm-", r.instances...)
 	eventually(t, "all shards have a witness", func() bool {
-		rows := shards(t, r.fleet[0])
+		rows := claimShards(t, r.instances[0])
 		return len(rows) >= 16 && !slices.ContainsFunc(rows, func(s shardRow) bool { return s.Witness == "" || s.Closed })
 	})
-	for _, in := range r.fleet {
+	for _, in := range r.instances {
 		in.kill()
 	}
 	next := startInstance(t, "a3", "hall-a", r.platform, "")
-	r.ready(next)
+	r.openTeamSession(next)
 	for n := range 2 {
 		name := fmt.Sprint("refused-", n)
-		first := outcome(r.attempt(next, name, nil, true))
-		retry := outcome(r.attempt(next, name, nil, false))
-		if first != "not_run" || retry != "unknown" || r.runs(name) != 0 {
-			t.Errorf("before the close: told %q, then %q, ran %d times", first, retry, r.runs(name))
+		first := reportedOutcome(r.sendAttempt(next, name, nil, true))
+		retry := reportedOutcome(r.sendAttempt(next, name, nil, false))
+		if first != "not_run" || retry != "unknown" || r.runCount(name) != 0 {
+			t.Errorf("before the close: told %q, then %q, ran %d times", first, retry, r.runCount(name))
 		}
 	}
-	for _, s := range shards(t, next) {
-		mustCall(t, http.MethodPost, next.operators+"/shards/"+s.Right+"/close", operatorToken, nil)
+	for _, s := range claimShards(t, next) {
+		mustCall(t, http.MethodPost, next.operatorsURL+"/shards/"+s.Right+"/close", operatorToken, nil)
 	}
-	r.recovers("refused-", next)
+	r.requireCallsAnswered("refused-", next)
 }
 
 // shardRow is one claim shard of a state dump.
@@ -319,12 +319,12 @@
 	Closed         bool
 }
 
-func shards(t *testing.T, in *instance) []shardRow {
+func claimShards(t *testing.T, in *instance) []shardRow {
 	t.Helper()
 	var state struct {
 		Claims []shardRow `json:"claims"`
 	}
-	dump := mustCall(t, http.MethodGet, in.operators+"/state", operatorToken, nil).body
+	dump := mustCall(t, http.MethodGet, in.operatorsURL+"/state", operatorToken, nil).body
 	if err := json.Unmarshal([]byte(dump), &state); err != nil {
 		t.Fatal(err)
 	}
--- a/test/process/config_test.go
+++ b/test/process/config_test.go
@@ -17,18 +17,18 @@
 const (
 	// shortRetention keeps few entries, so that everything written early in a
 	// test has aged out by its end.
-	shortRetention = 200
-	snapshotsOften = "[snapshots]\nevery = \"1s\"\n"
+	retainedEntries   = 200
+	frequentSnapshots = "[snapshots]\nevery = \"1s\"\n"
 )
 
-func leanPath(n int) string { return fmt.Sprintf("/teams/dala/budgets/b%d/lean", n) }
+func conservatismPath(n int) string { return fmt.Sprintf("/teams/dala/budgets/b%d/lean", n) }
 
 // putSetting sends one change of one path.
-func putSetting(operators, id string, op record.ChangeOp) answer {
+func putChange(operators, id string, op record.ChangeOp) response {
 	return call(http.MethodPut, operators+"/settings", operatorToken, operator.ChangeRequest{ID: id, By: "test", Ops: []record.ChangeOp{op}})
 }
 
-func settingsOf(t *testing.T, operators string) map[string]fold.Value {
+func readSettings(t *testing.T, operators string) map[string]fold.Value {
 	t.Helper()
 	var rows []fold.Value
 	if err := json.Unmarshal([]byte(mustCall(t, http.MethodGet, operators+"/settings", operatorToken, nil).body), &rows); err != nil {
@@ -42,7 +42,7 @@
 }
 
 // firstKept returns the oldest offset that the log keeps of a stream.
-func firstKept(t *testing.T, operators string, stream record.Stream) uint64 {
+func firstKeptOffset(t *testing.T, operators string, stream record.Stream) uint64 {
 	t.Helper()
 	var state struct {
 		Streams []struct {
@@ -65,52 +65,52 @@
 // Every record of the seed ages out, all instances are replaced, and nothing
 // is lost or goes back.
 func TestNothingRevertsOverRetentionAndReplacement(t *testing.T) {
-	_, platform := startStandin(t, "platform", "-lag", listLag, "-retain", fmt.Sprint(shortRetention))
+	_, platform := startStandin(t, "platform", "-lag", listLag, "-retain", fmt.Sprint(retainedEntries))
 	old := []*instance{
-		startInstance(t, "a1", "hall-a", platform, snapshotsOften),
-		startInstance(t, "b1", "hall-b", platform, snapshotsOften),
+		startInstance(t, "a1", "hall-a", platform, frequentSnapshots),
+		startInstance(t, "b1", "hall-b", platform, frequentSnapshots),
 	}
-	seedTeam(t, old[0].operators, "dala", 1_000_000)
-	if got := putSetting(old[0].operators, "seed-lean", record.ChangeOp{Path: leanPath(0), Value: "0.25"}); got.status != http.StatusOK {
+	seedTeam(t, old[0].operatorsURL, "dala", 1_000_000)
+	if got := putChange(old[0].operatorsURL, "seed-lean", record.ChangeOp{Path: conservatismPath(0), Value: "0.25"}); got.status != http.StatusOK {
 		t.Fatalf("%+v", got)
 	}
-	var fill sync.WaitGroup
-	fill.Go(func() { fillConfig(t, old[0].operators) })
-	fill.Go(func() {
-		for n := range shortRetention + shortRetention/2 {
-			topUp(t, old[1].operators, "dala", fmt.Sprint("fill-", n), 1)
+	var fillers sync.WaitGroup
+	fillers.Go(func() { writeFillerChanges(t, old[0].operatorsURL) })
+	fillers.Go(func() {
+		for n := range retainedEntries + retainedEntries/2 {
+			topUp(t, old[1].operatorsURL, "dala", fmt.Sprint("fill-", n), 1)
 		}
 	})
-	fill.Wait()
+	fillers.Wait()
 	ledger := record.LedgerStream(record.TeamPartition("dala", 8))
 	for _, stream := range []record.Stream{record.ConfigStream, ledger} {
-		if firstKept(t, old[0].operators, stream) == 0 {
+		if firstKeptOffset(t, old[0].operatorsURL, stream) == 0 {
 			t.Fatalf("nothing of %s has aged out: the test shows nothing", stream)
 		}
 	}
-	wantSettings, wantBudget := settingsOf(t, old[0].operators), budget(t, old[1].operators, "dala")
+	wantSettings, wantBudget := readSettings(t, old[0].operatorsURL), readBudget(t, old[1].operatorsURL, "dala")
 	for _, in := range old {
 		in.kill()
 	}
-	replaced := startInstance(t, "a2", "hall-a", platform, snapshotsOften)
-	if got := settingsOf(t, replaced.operators); !reflect.DeepEqual(got, wantSettings) {
+	replacement := startInstance(t, "a2", "hall-a", platform, frequentSnapshots)
+	if got := readSettings(t, replacement.operatorsURL); !reflect.DeepEqual(got, wantSettings) {
 		t.Errorf("settings differ: %v, want %v", got, wantSettings)
 	}
-	if got := budget(t, replaced.operators, "dala"); got != wantBudget || got.Prepaid != 1_000_000+shortRetention+shortRetention/2 {
+	if got := readBudget(t, replacement.operatorsURL, "dala"); got != wantBudget || got.Prepaid != 1_000_000+retainedEntries+retainedEntries/2 {
 		t.Errorf("budget %+v, want %+v", got, wantBudget)
 	}
 	// A retry of a top-up that is not on the log any more counts no second time.
-	topUp(t, replaced.operators, "dala", fmt.Sprint("fill-", shortRetention+shortRetention/2-1), 1)
-	if got := budget(t, replaced.operators, "dala"); got != wantBudget {
+	topUp(t, replacement.operatorsURL, "dala", fmt.Sprint("fill-", retainedEntries+retainedEntries/2-1), 1)
+	if got := readBudget(t, replacement.operatorsURL, "dala"); got != wantBudget {
 		t.Errorf("a retried top-up counted twice: %+v, want %+v", got, wantBudget)
 	}
 }
 
 // fillConfig changes one path until the seed has aged out.
-func fillConfig(t *testing.T, operators string) {
+func writeFillerChanges(t *testing.T, operators string) {
 	base := uint64(0)
-	for n := range shortRetention + shortRetention/2 {
-		got := putSetting(operators, fmt.Sprint("fill-", n), record.ChangeOp{Path: leanPath(1), Value: "0.5", Base: base})
+	for n := range retainedEntries + retainedEntries/2 {
+		got := putChange(operators, fmt.Sprint("fill-", n), record.ChangeOp{Path: conservatismPath(1), Value: "0.5", Base: base})
 		var result fold.ChangeResult
 		if err := json.Unmarshal([]byte(got.body), &result); err != nil || got.status != http.StatusOK {
 			t.Errorf("%+v", got)
@@ -123,21 +123,21 @@
 // On a log that drops by age nothing else may happen after the last change;
 // the state outlives it all the same.
 func TestQuietStreamOutlivesTheRetention(t *testing.T) {
-	const kept = 4 * time.Second
-	_, platform := startStandin(t, "platform", "-lag", listLag, "-retain-for", kept.String())
-	in := startInstance(t, "a1", "hall-a", platform, snapshotsOften)
-	seedTeam(t, in.operators, "dala", 1_000_000)
-	want := settingsOf(t, in.operators)
+	const retention = 4 * time.Second
+	_, platform := startStandin(t, "platform", "-lag", listLag, "-retain-for", retention.String())
+	in := startInstance(t, "a1", "hall-a", platform, frequentSnapshots)
+	seedTeam(t, in.operatorsURL, "dala", 1_000_000)
+	want := readSettings(t, in.operatorsURL)
 	ledger := record.LedgerStream(record.TeamPartition("dala", 8))
 	eventually(t, "the seed has aged out", func() bool {
-		return firstKept(t, in.operators, record.ConfigStream) > 0 && firstKept(t, in.operators, ledger) > 0
+		return firstKeptOffset(t, in.operatorsURL, record.ConfigStream) > 0 && firstKeptOffset(t, in.operatorsURL, ledger) > 0
 	})
 	in.kill()
-	replaced := startInstance(t, "a2", "hall-a", platform, snapshotsOften)
-	if got := settingsOf(t, replaced.operators); !reflect.DeepEqual(got, want) {
+	replacement := startInstance(t, "a2", "hall-a", platform, frequentSnapshots)
+	if got := readSettings(t, replacement.operatorsURL); !reflect.DeepEqual(got, want) {
 		t.Errorf("settings differ: %v, want %v", got, want)
 	}
-	if got := budget(t, replaced.operators, "dala"); got.Prepaid != 1_000_000 {
+	if got := readBudget(t, replacement.operatorsURL, "dala"); got.Prepaid != 1_000_000 {
 		t.Errorf("budget %+v", got)
 	}
 }
@@ -150,8 +150,8 @@
 	for range retain + 1 {
 		mustCall(t, http.MethodPost, platform+"/log/"+string(record.ConfigStream), "", "no batch")
 	}
-	_, line := start(t, "server: serving", "serve", "-settings", instanceSettings(t, "a1", "hall-a", platform, ""))
-	var at serving
+	_, line := startProcess(t, "server: serving", "serve", "-settings", instanceSettings(t, "a1", "hall-a", platform, ""))
+	var at listenAddresses
 	if err := json.Unmarshal([]byte(line), &at); err != nil {
 		t.Fatal(err)
 	}
--- a/test/process/cut_test.go
+++ b/test/process/cut_test.go
@@ -18,25 +18,25 @@
 
 // view is one instance's way to the platform. It can be down, and shows the
 // peers at the addresses of relays, so that the test can cut them off.
-type view struct {
-	url  string
-	down atomic.Bool
+type platformProxy struct {
+	url          string
+	platformDown atomic.Bool
 	// cut makes the relays forward nothing more, in both directions, and take
 	// no new connection through.
-	cut atomic.Bool
+	peersCut atomic.Bool
 	// zone is the availability zone whose peers are shown as they are, so that
 	// a cut leaves the zone whole. Empty for none.
-	zone string
+	intactZone string
 
 	t      *testing.T
-	to     string
+	target string
 	mu     sync.Mutex
 	relays map[string]string // By the peer's own address.
 }
 
-func startView(t *testing.T, platform string) *view {
+func startPlatformProxy(t *testing.T, platform string) *platformProxy {
 	t.Helper()
-	v := &view{t: t, to: platform, relays: map[string]string{}}
+	v := &platformProxy{t: t, target: platform, relays: map[string]string{}}
 	server := httptest.NewServer(v)
 	t.Cleanup(server.Close)
 	v.url = server.URL
@@ -44,13 +44,13 @@
 }
 
 // ServeHTTP passes a call on to the platform.
-func (v *view) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if v.down.Load() {
+func (v *platformProxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	if v.platformDown.Load() {
 		http.Error(w, "out of reach", http.StatusServiceUnavailable)
 		return
 	}
 	body, _ := io.ReadAll(r.Body)
-	req, err := http.NewRequestWithContext(r.Context(), r.Method, v.to+r.URL.RequestURI(), bytes.NewReader(body))
+	req, err := http.NewRequestWithContext(r.Context(), r.Method, v.target+r.URL.RequestURI(), bytes.NewReader(body))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadGateway)
 		return
@@ -62,26 +62,26 @@
 	}
 	defer resp.Body.Close()
 	data, _ := io.ReadAll(resp.Body)
-	if v.down.Load() { // The answer to a long poll from before is lost too.
+	if v.platformDown.Load() { // The answer to a long poll from before is lost too.
 		http.Error(w, "out of reach", http.StatusServiceUnavailable)
 		return
 	}
 	if r.Method == http.MethodGet && r.URL.Path == "/instances" {
-		data = v.rewrite(data)
+		data = v.rewritePeers(data)
 	}
 	w.WriteHeader(resp.StatusCode)
 	_, _ = w.Write(data)
 }
 
-func (v *view) rewrite(data []byte) []byte {
+func (v *platformProxy) rewritePeers(data []byte) []byte {
 	var list map[string]any
 	if json.Unmarshal(data, &list) != nil {
 		return data
 	}
 	rows, _ := list["instances"].([]any)
 	for _, row := range rows {
-		if in, ok := row.(map[string]any); ok && (v.zone == "" || in["zone"] != v.zone) {
-			in["peer"] = v.relay(fmt.Sprint(in["peer"]))
+		if in, ok := row.(map[string]any); ok && (v.intactZone == "" || in["zone"] != v.intactZone) {
+			in["peer"] = v.relayAddress(fmt.Sprint(in["peer"]))
 		}
 	}
 	data, _ = json.Marshal(list)
@@ -89,7 +89,7 @@
 }
 
 // relay returns the address of the relay before a peer.
-func (v *view) relay(peer string) string {
+func (v *platformProxy) relayAddress(peer string) string {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if at, ok := v.relays[peer]; ok {
@@ -111,15 +111,15 @@
 				_ = from.Close()
 				continue
 			}
-			go v.forward(from, to)
-			go v.forward(to, from)
+			go v.copyUnlessCut(from, to)
+			go v.copyUnlessCut(to, from)
 		}
 	}()
 	v.relays[peer] = l.Addr().String()
 	return v.relays[peer]
 }
 
-func (v *view) forward(from, to net.Conn) {
+func (v *platformProxy) copyUnlessCut(from, to net.Conn) {
 	defer to.Close()
 	buf := make([]byte, 32<<10)
 	for {
@@ -127,7 +127,7 @@
 		if err != nil {
 			return
 		}
-		if v.cut.Load() {
+		if v.peersCut.Load() {
 			continue // Silent: both ends stay open.
 		}
 		if _, err := to.Write(buf[:n]); err != nil {
@@ -139,53 +139,53 @@
 // An instance that is cut off from the platform alone has a new configuration
 // in force through its peers.
 func TestConfigurationReachesAnInstanceWithoutThePlatform(t *testing.T) {
-	r := startRig(t, "a1", "a2")
-	v := startView(t, r.platform)
+	r := startCallFixture(t, "a1", "a2")
+	v := startPlatformProxy(t, r.platform)
 	cut := startInstance(t, "a3", "hall-a", v.url, "")
-	r.ready(cut)
-	v.down.Store(true)
+	r.openTeamSession(cut)
+	v.platformDown.Store(true)
 	late := "dala:late"
-	mustCall(t, http.MethodPut, r.fleet[0].operators+"/settings", operatorToken, record.Change{ID: "late", By: "test", Ops: []record.ChangeOp{
+	mustCall(t, http.MethodPut, r.instances[0].operatorsURL+"/settings", operatorToken, record.Change{ID: "late", By: "test", Ops: []record.ChangeOp{
 		{Path: config.APIKeyPath("dala", late), Value: "late key"},
 	}})
 	eventually(t, "new key in force", func() bool {
-		return call(http.MethodPost, cut.callers+"/v1/sessions", late, nil).status == http.StatusCreated
+		return call(http.MethodPost, cut.callersURL+"/v1/sessions", late, nil).status == http.StatusCreated
 	})
 }
 
 // A zone that is cut off from the other and from the platform tells the truth
 // about calls of the other zone's sessions, and loses no call of its own.
 func TestCallsAcrossACutBetweenZones(t *testing.T) {
-	r := startRig(t, "a1", "a2")
-	v := startView(t, r.platform)
+	r := startCallFixture(t, "a1", "a2")
+	v := startPlatformProxy(t, r.platform)
 	far := startInstance(t, "b1", "hall-b", v.url, "")
-	r.ready(r.fleet[0], far)
-	r.recovers("warm-", far, r.fleet[0])
+	r.openTeamSession(r.instances[0], far)
+	r.requireCallsAnswered("warm-", far, r.instances[0])
 	for n := range 6 {
-		if got := r.attempt(r.fleet[n%2], fmt.Sprint("ran-", n), nil, true); got.status != http.StatusOK {
+		if got := r.sendAttempt(r.instances[n%2], fmt.Sprint("ran-", n), nil, true); got.status != http.StatusOK {
 			t.Fatalf("before the cut: %d %s", got.status, got.body)
 		}
 	}
-	v.cut.Store(true)
-	v.down.Store(true)
+	v.peersCut.Store(true)
+	v.platformDown.Store(true)
 	for n := range 2 {
-		if got := outcome(r.attempt(far, fmt.Sprint("ran-", n), nil, false)); got != "answered" && got != "unknown" {
+		if got := reportedOutcome(r.sendAttempt(far, fmt.Sprint("ran-", n), nil, false)); got != "answered" && got != "unknown" {
 			t.Errorf("call that ran: told %q behind the cut", got)
 		}
 		name := fmt.Sprint("new-", n)
-		if got := outcome(r.attempt(far, name, nil, true)); got != "not_run" || r.runs(name) != 0 {
-			t.Errorf("first attempt: told %q, ran %d times", got, r.runs(name))
+		if got := reportedOutcome(r.sendAttempt(far, name, nil, true)); got != "not_run" || r.runCount(name) != 0 {
+			t.Errorf("first attempt: told %q, ran %d times", got, r.runCount(name))
 		}
-		if got := outcome(r.attempt(far, name, nil, false)); got != "unknown" || r.runs(name) != 0 {
-			t.Errorf("retry behind the cut: told %q, ran %d times", got, r.runs(name))
+		if got := reportedOutcome(r.sendAttempt(far, name, nil, false)); got != "unknown" || r.runCount(name) != 0 {
+			t.Errorf("retry behind the cut: told %q, ran %d times", got, r.runCount(name))
 		}
 	}
-	r.recovers("near-", r.fleet...)
-	v.cut.Store(false)
-	v.down.Store(false)
-	r.recovers("new-", far)
+	r.requireCallsAnswered("near-", r.instances...)
+	v.peersCut.Store(false)
+	v.platformDown.Store(false)
+	r.requireCallsAnswered("new-", far)
 	for n := range 6 {
-		if ran := r.runs(fmt.Sprint("ran-", n)); ran != 1 {
+		if ran := r.runCount(fmt.Sprint("ran-", n)); ran != 1 {
 			t.Errorf("call %d ran %d times", n, ran)
 		}
 	}
@@ -195,18 +195,18 @@
 // also takes the platform from one; the other one tops up meanwhile.
 func TestBudgetAcrossACutBetweenZones(t *testing.T) {
 	const prepaid, added, tokens, requests = 3_000, 500, 50, 40
-	s := startSite(t)
-	near, far := startView(t, s.platform), startView(t, s.platform)
-	near.zone, far.zone = "hall-a", "hall-b"
-	sides := map[*view][]*instance{
+	s := startDeployment(t)
+	near, far := startPlatformProxy(t, s.platform), startPlatformProxy(t, s.platform)
+	near.intactZone, far.intactZone = "hall-a", "hall-b"
+	sides := map[*platformProxy][]*instance{
 		near: {startInstance(t, "a1", "hall-a", near.url, ""), startInstance(t, "a2", "hall-a", near.url, "")},
 		far:  {startInstance(t, "b1", "hall-b", far.url, ""), startInstance(t, "b2", "hall-b", far.url, "")},
 	}
-	operators := sides[near][0].operators
+	operators := sides[near][0].operatorsURL
 	key := seedTeam(t, operators, "dala", prepaid)
 	var used, answered atomic.Int64
 	send := func(in *instance) bool {
-		got := call(http.MethodPost, in.callers+"/v1/chat/completions", key, chatBody(tokens, false))
+		got := call(http.MethodPost, in.callersURL+"/v1/chat/completions", key, chatBody(tokens, false))
 		var whole struct {
 			Usage struct {
 				Total int64 `json:"total_tokens"`
@@ -224,9 +224,9 @@
 			eventually(t, "served before the cut", func() bool { return send(in) })
 		}
 	}
-	near.cut.Store(true)
-	far.cut.Store(true)
-	far.down.Store(true)
+	near.peersCut.Store(true)
+	far.peersCut.Store(true)
+	far.platformDown.Store(true)
 	before := answered.Load()
 	topUp(t, operators, "dala", "during", added)
 	var wait sync.WaitGroup
@@ -240,13 +240,13 @@
 	if answered.Load() == before {
 		t.Fatal("nothing was served during the cut")
 	}
-	near.cut.Store(false)
-	far.cut.Store(false)
-	far.down.Store(false)
+	near.peersCut.Store(false)
+	far.peersCut.Store(false)
+	far.platformDown.Store(false)
 	for _, side := range sides {
 		for _, in := range side {
 			eventually(t, "the bills of both sides, none twice", func() bool {
-				row := budget(t, in.operators, "dala")
+				row := readBudget(t, in.operatorsURL, "dala")
 				if row.Committed > row.Prepaid || row.Billed > prepaid+added {
 					t.Fatalf("overspent: %+v", row)
 				}
--- a/test/process/drain_read_test.go
+++ b/test/process/drain_read_test.go
@@ -19,12 +19,12 @@
 func TestARequestThatIsBeingReadInADrainIsAnswered(t *testing.T) {
 	f := startFleet(t, 1, 1)
 	in := f.instances[0]
-	conn, err := net.Dial("tcp", strings.TrimPrefix(in.callers, "http://"))
+	conn, err := net.Dial("tcp", strings.TrimPrefix(in.callersURL, "http://"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	_ = conn.SetDeadline(time.Now().Add(waitLimit))
+	_ = conn.SetDeadline(time.Now().Add(waitTimeout))
 	answers := bufio.NewReader(conn)
 	send := func(text string) {
 		t.Helper()
--- a/test/process/drain_test.go
+++ b/test/process/drain_test.go
@@ -11,9 +11,9 @@
 // the budget is billed for what was used once the platform is back.
 func TestDrainDuringPlatformOutage(t *testing.T) {
 	f := startFleet(t, 1, 2)
-	got := f.ask(f.instances[0], 50, nil)
-	if !got.whole {
-		t.Fatalf("%d tokens, error %q", len(got.at), got.err)
+	got := f.streamChat(f.instances[0], 50, nil)
+	if !got.complete {
+		t.Fatalf("%d tokens, error %q", len(got.tokenTimes), got.err)
 	}
 	holder, other := f.grantHolder()
 	mustCall(t, http.MethodPut, f.platform+"/faults", "", map[string]any{"outage": true})
@@ -23,7 +23,7 @@
 	}
 	mustCall(t, http.MethodPut, f.platform+"/faults", "", map[string]any{})
 	eventually(t, "one bill of what was used", func() bool {
-		return budget(t, other.operators, "dala").Billed == got.total
+		return readBudget(t, other.operatorsURL, "dala").Billed == got.totalTokens
 	})
 }
 
@@ -37,7 +37,7 @@
 			} `json:"instance"`
 			Grants []struct{ Holder string } `json:"grants"`
 		}
-		text := mustCall(f.t, http.MethodGet, in.operators+"/state", operatorToken, nil).body
+		text := mustCall(f.t, http.MethodGet, in.operatorsURL+"/state", operatorToken, nil).body
 		if err := json.Unmarshal([]byte(text), &dump); err != nil {
 			f.t.Fatal(err)
 		}
--- a/test/process/fleet_test.go
+++ b/test/process/fleet_test.go
@@ -28,7 +28,7 @@
 	relay *relay
 }
 
-const fleetTokens = 10_000_000
+const fleetBudgetTokens = 10_000_000
 
 func startFleet(t *testing.T, engines, instances int) *fleet {
 	t.Helper()
@@ -42,36 +42,36 @@
 		_, url := startStandin(t, "service")
 		f.services = append(f.services, url)
 	}
-	f.list("")
+	f.listEndpoints("")
 	for n := range instances {
 		f.instances = append(f.instances, startInstance(t, fmt.Sprintf("a%d", n+1), "hall-a", f.platform, ""))
 	}
 	for _, in := range f.instances {
-		eventually(t, "all instances know each other", func() bool { return in.knows(t) == instances })
+		eventually(t, "all instances know each other", func() bool { return in.memberCount(t) == instances })
 	}
 	if instances > 1 {
 		for _, in := range f.instances {
-			eventually(t, "every claim shard has holder and witness", func() bool { return in.shardsSettled(t) })
+			eventually(t, "every claim shard has holder and witness", func() bool { return in.allShardsWitnessed(t) })
 		}
 	}
-	f.key = seedTeam(t, f.instances[0].operators, "dala", fleetTokens)
+	f.key = seedTeam(t, f.instances[0].operatorsURL, "dala", fleetBudgetTokens)
 	for _, in := range f.instances {
 		eventually(t, "credential in force", func() bool {
-			return call(http.MethodPost, in.callers+"/v1/chat/completions", f.key, map[string]any{}).status == http.StatusBadRequest
+			return call(http.MethodPost, in.callersURL+"/v1/chat/completions", f.key, map[string]any{}).status == http.StatusBadRequest
 		})
 	}
 	return f
 }
 
 // knows returns how many instances this one sees on the instance list.
-func (in *instance) knows(t *testing.T) int {
+func (in *instance) memberCount(t *testing.T) int {
 	t.Helper()
 	var dump struct {
 		Members struct {
 			Instances []json.RawMessage `json:"instances"`
 		} `json:"members"`
 	}
-	if err := json.Unmarshal([]byte(mustCall(t, http.MethodGet, in.operators+"/state", operatorToken, nil).body), &dump); err != nil {
+	if err := json.Unmarshal([]byte(mustCall(t, http.MethodGet, in.operatorsURL+"/state", operatorToken, nil).body), &dump); err != nil {
 		t.Fatal(err)
 	}
 	return len(dump.Members.Instances)
@@ -81,7 +81,7 @@
 // witness for every claim shard of requests without a session. The first
 // instance of a fleet holds shards without a witness; the repeatable claims of
 // such an epoch end with their holder.
-func (in *instance) shardsSettled(t *testing.T) bool {
+func (in *instance) allShardsWitnessed(t *testing.T) bool {
 	t.Helper()
 	const partitions = 8
 	var dump struct {
@@ -90,7 +90,7 @@
 			Closed        bool
 		} `json:"claims"`
 	}
-	if err := json.Unmarshal([]byte(mustCall(t, http.MethodGet, in.operators+"/state", operatorToken, nil).body), &dump); err != nil {
+	if err := json.Unmarshal([]byte(mustCall(t, http.MethodGet, in.operatorsURL+"/state", operatorToken, nil).body), &dump); err != nil {
 		t.Fatal(err)
 	}
 	settled := 0
@@ -103,12 +103,12 @@
 }
 
 // list puts the endpoints on the instance list, one of them as leaving.
-func (f *fleet) list(leaving string) {
+func (f *fleet) listEndpoints(leaving string) {
 	f.t.Helper()
-	mustCall(f.t, http.MethodPut, f.platform+"/endpoints", "", f.rows(leaving, "rig"))
+	mustCall(f.t, http.MethodPut, f.platform+"/endpoints", "", f.endpointRows(leaving, "rig"))
 }
 
-func (f *fleet) rows(leaving, service string) []map[string]any {
+func (f *fleet) endpointRows(leaving, service string) []map[string]any {
 	var rows []map[string]any
 	for n, url := range f.services {
 		rows = append(rows, map[string]any{"name": fmt.Sprintf("service-%d", n+1), "zone": "hall-a", "url": url, "service": service})
@@ -121,18 +121,18 @@
 }
 
 // calls returns how often each call ran, over all services.
-func (f *fleet) calls() map[string]int {
+func (f *fleet) callRuns() map[string]int {
 	f.t.Helper()
 	sum := map[string]int{}
 	for _, url := range f.services {
-		for run, count := range serviceRuns(f.t, url) {
+		for run, count := range serviceRunCounts(f.t, url) {
 			sum[run] += count
 		}
 	}
 	return sum
 }
 
-func (f *fleet) serviceFaults(v map[string]any) {
+func (f *fleet) setServiceFaults(v map[string]any) {
 	f.t.Helper()
 	for _, url := range f.services {
 		mustCall(f.t, http.MethodPut, url+"/faults", "", v)
@@ -159,7 +159,7 @@
 }
 
 // running returns the engine that has a run in progress.
-func (f *fleet) running() *engine {
+func (f *fleet) awaitRunningEngine() *engine {
 	f.t.Helper()
 	var found *engine
 	eventually(f.t, "a run is in progress", func() bool {
@@ -176,51 +176,51 @@
 	return found
 }
 
-func (e *engine) fault(t *testing.T, faults map[string]any) {
+func (e *engine) setFaults(t *testing.T, faults map[string]any) {
 	t.Helper()
 	mustCall(t, http.MethodPut, e.url+"/faults", "", faults)
 }
 
 // answered is a caller's stream, read to its end.
-type answered struct {
-	text  string
-	last  string // The last event's id.
-	run   string
-	whole bool
-	total int64 // Tokens by the closing usage.
-	at    []time.Time
-	err   string // The error event or status, if any.
+type streamResult struct {
+	text        string
+	lastEventID string // The last event's id.
+	runID       string
+	complete    bool
+	totalTokens int64 // Tokens by the closing usage.
+	tokenTimes  []time.Time
+	err         string // The error event or status, if any.
 }
 
 // ask streams a chat request and calls seen with the number of events so far.
-func (f *fleet) ask(in *instance, tokens int, seen func(int), headers ...string) (a answered) {
+func (f *fleet) streamChat(in *instance, tokens int, onToken func(int), headers ...string) (a streamResult) {
 	body := chatBody(tokens, true)
 	body["stream_options"] = map[string]bool{"include_usage": true}
 	data, _ := json.Marshal(body)
-	req, err := http.NewRequest(http.MethodPost, in.callers+"/v1/chat/completions", bytes.NewReader(data))
+	req, err := http.NewRequest(http.MethodPost, in.callersURL+"/v1/chat/completions", bytes.NewReader(data))
 	if err != nil {
-		return answered{err: err.Error()}
+		return streamResult{err: err.Error()}
 	}
 	req.Header.Set("Authorization", "Bearer "+f.key)
 	for i := 0; i+1 < len(headers); i += 2 {
 		req.Header.Set(headers[i], headers[i+1])
 	}
-	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: 2 * waitLimit}
+	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: 2 * waitTimeout}
 	resp, err := client.Do(req)
 	if err != nil {
-		return answered{err: err.Error()}
+		return streamResult{err: err.Error()}
 	}
 	defer resp.Body.Close()
 	lines := bufio.NewScanner(resp.Body)
 	for lines.Scan() {
-		a.line(lines.Text(), seen)
+		a.parseLine(lines.Text(), onToken)
 	}
 	return a
 }
 
-func (a *answered) line(line string, seen func(int)) {
+func (a *streamResult) parseLine(line string, onToken func(int)) {
 	if id, ok := strings.CutPrefix(line, "id: "); ok {
-		a.last = id
+		a.lastEventID = id
 		return
 	}
 	data, ok := strings.CutPrefix(line, "data: ")
@@ -231,7 +231,7 @@
 		return
 	}
 	if data == "[DONE]" {
-		a.whole = true
+		a.complete = true
 		return
 	}
 	var chunk struct {
@@ -250,25 +250,25 @@
 		a.err = data
 		return
 	}
-	a.run = chunk.ID
+	a.runID = chunk.ID
 	if chunk.Usage != nil {
-		a.total = chunk.Usage.Total
+		a.totalTokens = chunk.Usage.Total
 	}
 	if len(chunk.Choices) > 0 && chunk.Choices[0].Delta.Content != "" {
 		a.text += chunk.Choices[0].Delta.Content
-		a.at = append(a.at, time.Now())
-		if seen != nil {
-			seen(len(a.at))
+		a.tokenTimes = append(a.tokenTimes, time.Now())
+		if onToken != nil {
+			onToken(len(a.tokenTimes))
 		}
 	}
 }
 
 // audit waits for the bill and compares it with what the callers were told.
-func (f *fleet) audit(want int64) {
+func (f *fleet) awaitBilled(want int64) {
 	f.t.Helper()
 	in := f.instances[len(f.instances)-1]
-	eventually(f.t, fmt.Sprintf("billed %d", want), func() bool { return budget(f.t, in.operators, "dala").Billed == want })
-	if row := budget(f.t, in.operators, "dala"); row.Committed > row.Prepaid || row.Billed != want {
+	eventually(f.t, fmt.Sprintf("billed %d", want), func() bool { return readBudget(f.t, in.operatorsURL, "dala").Billed == want })
+	if row := readBudget(f.t, in.operatorsURL, "dala"); row.Committed > row.Prepaid || row.Billed != want {
 		f.t.Fatalf("billed %d, want %d; committed %d of %d", row.Billed, want, row.Committed, row.Prepaid)
 	}
 }
--- a/test/process/hangup_test.go
+++ b/test/process/hangup_test.go
@@ -13,11 +13,11 @@
 	in := f.instances[0]
 	in.signal(syscall.SIGHUP)
 	select {
-	case <-in.done:
+	case <-in.exited:
 		t.Fatalf("%v", in.cmd.ProcessState)
 	case <-time.After(200 * time.Millisecond):
 	}
-	if got := f.ask(in, 10, nil); !got.whole {
-		t.Errorf("%d tokens, error %q", len(got.at), got.err)
+	if got := f.streamChat(in, 10, nil); !got.complete {
+		t.Errorf("%d tokens, error %q", len(got.tokenTimes), got.err)
 	}
 }
--- a/test/process/harness_test.go
+++ b/test/process/harness_test.go
@@ -42,15 +42,15 @@
 const (
 	operatorToken = "operator-secret"
 	sessionKey    = "0123456789abcdef0123456789abcdef"
-	waitLimit     = 30 * time.Second
-	pollEvery     = 20 * time.Millisecond
+	waitTimeout   = 30 * time.Second
+	pollInterval  = 20 * time.Millisecond
 )
 
 // process is one running process of the binary.
 type process struct {
-	t    *testing.T
-	cmd  *exec.Cmd
-	done chan struct{}
+	t      *testing.T
+	cmd    *exec.Cmd
+	exited chan struct{}
 
 	mu  sync.Mutex // Guards out.
 	out bytes.Buffer
@@ -65,34 +65,34 @@
 
 // start runs the binary and returns when it has printed a line with the
 // marker; that line comes back.
-func start(t *testing.T, marker string, args ...string) (*process, string) {
+func startProcess(t *testing.T, marker string, args ...string) (*process, string) {
 	t.Helper()
-	p := &process{t: t, cmd: exec.Command(binary, args...), done: make(chan struct{})}
+	p := &process{t: t, cmd: exec.Command(binary, args...), exited: make(chan struct{})}
 	reader, writer := io.Pipe()
 	p.cmd.Stdout, p.cmd.Stderr = writer, writer
 	if err := p.cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
 	lines := make(chan string, 1)
-	go p.scan(reader, marker, lines)
+	go p.scanOutput(reader, marker, lines)
 	go func() {
 		_ = p.cmd.Wait()
 		_ = writer.Close()
-		close(p.done)
+		close(p.exited)
 	}()
 	t.Cleanup(p.kill)
 	select {
 	case line := <-lines:
 		return p, line
-	case <-p.done:
+	case <-p.exited:
 		t.Fatalf("%v ended before it was ready", args)
-	case <-time.After(waitLimit):
+	case <-time.After(waitTimeout):
 		t.Fatalf("%v was not ready in time", args)
 	}
 	return nil, ""
 }
 
-func (p *process) scan(r io.Reader, marker string, lines chan<- string) {
+func (p *process) scanOutput(r io.Reader, marker string, lines chan<- string) {
 	scanner := bufio.NewScanner(r)
 	found := false
 	for scanner.Scan() {
@@ -111,14 +111,14 @@
 func (p *process) kill() {
 	p.signal(syscall.SIGCONT)
 	p.signal(os.Kill)
-	<-p.done
+	<-p.exited
 }
 
 // exitCode waits for the process to end by itself.
 func (p *process) exitCode() int {
 	select {
-	case <-p.done:
-	case <-time.After(waitLimit):
+	case <-p.exited:
+	case <-time.After(waitTimeout):
 		p.t.Fatal("process did not end in time")
 	}
 	return p.cmd.ProcessState.ExitCode()
@@ -128,24 +128,24 @@
 func startStandin(t *testing.T, kind string, args ...string) (*process, string) {
 	t.Helper()
 	const marker = "listening on "
-	p, line := start(t, marker, append([]string{"standin", kind, "-listen", "127.0.0.1:0"}, args...)...)
+	p, line := startProcess(t, marker, append([]string{"standin", kind, "-listen", "127.0.0.1:0"}, args...)...)
 	return p, "http://" + line[strings.Index(line, marker)+len(marker):]
 }
 
 // instance is one running instance.
 type instance struct {
 	*process
-	callers   string
-	operators string
+	callersURL   string
+	operatorsURL string
 }
 
-type serving struct {
+type listenAddresses struct {
 	Callers   string `json:"callers"`
 	Operators string `json:"operators"`
 }
 
 // allPlain names every interface: the stand-ins have no certificates.
-const allPlain = `"callers", "operators", "peers", "platform", "endpoints"`
+const allInterfaces = `"callers", "operators", "peers", "platform", "endpoints"`
 
 // instanceSettings writes the settings of an instance and its secrets, and
 // returns the file. extra is TOML appended to the settings.
@@ -175,7 +175,7 @@
 token_file = %q
 [tls]
 plain = [%s]
-%s`, name, zone, platform, write("session.key", sessionKey), write("operator.token", operatorToken), allPlain, extra)
+%s`, name, zone, platform, write("session.key", sessionKey), write("operator.token", operatorToken), allInterfaces, extra)
 	return write("settings.toml", text)
 }
 
@@ -183,21 +183,21 @@
 // appended to its settings.
 func startInstance(t *testing.T, name, zone, platform, extra string) *instance {
 	t.Helper()
-	return startSettings(t, name, instanceSettings(t, name, zone, platform, extra))
+	return startInstanceFromFile(t, name, instanceSettings(t, name, zone, platform, extra))
 }
 
 // startSettings runs an instance with a settings file and waits until it is
 // ready.
-func startSettings(t *testing.T, name, settings string) *instance {
+func startInstanceFromFile(t *testing.T, name, settings string) *instance {
 	t.Helper()
-	p, line := start(t, "server: serving", "serve", "-settings", settings)
-	var at serving
+	p, line := startProcess(t, "server: serving", "serve", "-settings", settings)
+	var at listenAddresses
 	if err := json.Unmarshal([]byte(line), &at); err != nil {
 		t.Fatal(err)
 	}
-	in := &instance{process: p, callers: "http://" + at.Callers, operators: "http://" + at.Operators}
+	in := &instance{process: p, callersURL: "http://" + at.Callers, operatorsURL: "http://" + at.Operators}
 	eventually(t, name+" ready", func() bool {
-		resp, err := http.Get(in.callers + "/readyz")
+		resp, err := http.Get(in.callersURL + "/readyz")
 		if err != nil {
 			return false
 		}
@@ -209,31 +209,31 @@
 
 func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
-	deadline := time.Now().Add(waitLimit)
+	deadline := time.Now().Add(waitTimeout)
 	for !ok() {
 		if time.Now().After(deadline) {
 			t.Fatalf("not in time: %s", what)
 		}
-		time.Sleep(pollEvery)
+		time.Sleep(pollInterval)
 	}
 }
 
 // answer is an HTTP answer read whole.
-type answer struct {
+type response struct {
 	status int
 	header http.Header
 	body   string
 	err    error
 }
 
-func call(method, url, token string, body any, headers ...string) answer {
+func call(method, url, token string, body any, headers ...string) response {
 	data, err := json.Marshal(body)
 	if err != nil {
-		return answer{err: err}
+		return response{err: err}
 	}
 	req, err := http.NewRequest(method, url, bytes.NewReader(data))
 	if err != nil {
-		return answer{err: err}
+		return response{err: err}
 	}
 	req.Header.Set("Authorization", "Bearer "+token)
 	for i := 0; i+1 < len(headers); i += 2 {
@@ -241,14 +241,14 @@
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return answer{err: err}
+		return response{err: err}
 	}
 	defer resp.Body.Close()
 	text, err := io.ReadAll(resp.Body)
-	return answer{status: resp.StatusCode, header: resp.Header, body: string(text), err: err}
+	return response{status: resp.StatusCode, header: resp.Header, body: string(text), err: err}
 }
 
-func mustCall(t *testing.T, method, url, token string, body any, headers ...string) answer {
+func mustCall(t *testing.T, method, url, token string, body any, headers ...string) response {
 	t.Helper()
 	got := call(method, url, token, body, headers...)
 	if got.err != nil || got.status >= 300 {
@@ -281,7 +281,7 @@
 	Billed    int64 `json:"billed"`
 }
 
-func budget(t *testing.T, operators, team string) budgetRow {
+func readBudget(t *testing.T, operators, team string) budgetRow {
 	t.Helper()
 	var row budgetRow
 	got := mustCall(t, http.MethodGet, operators+"/budgets/"+team+"/main", operatorToken, nil)
@@ -299,7 +299,7 @@
 }
 
 // wholeText is the stand-in engine's whole answer of n tokens.
-func wholeText(n int) string {
+func expectedText(n int) string {
 	var b strings.Builder
 	for i := range n {
 		fmt.Fprintf(&b, "w%d ", i)
@@ -309,7 +309,7 @@
 
 // streamText joins the tokens of a streamed answer; whole says whether the
 // closing event came.
-func streamText(body string) (text string, whole bool) {
+func streamText(body string) (text string, complete bool) {
 	var b strings.Builder
 	for _, line := range strings.Split(body, "\n") {
 		data, ok := strings.CutPrefix(line, "data: ")
--- a/test/process/log_reader_test.go
+++ b/test/process/log_reader_test.go
@@ -15,13 +15,13 @@
 func TestAStoppedReaderOfTheLogHoldsUpNoDrain(t *testing.T) {
 	_, platform := startStandin(t, "platform")
 	file := instanceSettings(t, "entry-1", "hall-a", platform, "")
-	const callers = "127.23.45.67:8191"
+	const callersAddr = "127.23.45.67:8191"
 	text, err := os.ReadFile(file)
 	if err != nil {
 		t.Fatal(err)
 	}
-	fixed := strings.Replace(string(text), `callers = "127.0.0.1:0"`, `callers = "`+callers+`"`, 1)
-	if err := os.WriteFile(file, []byte(fixed), 0o600); err != nil {
+	withFixedAddr := strings.Replace(string(text), `callers = "127.0.0.1:0"`, `callers = "`+callersAddr+`"`, 1)
+	if err := os.WriteFile(file, []byte(withFixedAddr), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	cmd := exec.Command(binary, "serve", "-settings", file)
@@ -33,7 +33,7 @@
 	go func() { ended <- cmd.Wait() }()
 	t.Cleanup(func() { _ = cmd.Process.Kill() })
 	eventually(t, "ready", func() bool {
-		resp, err := http.Get("http://" + callers + "/readyz")
+		resp, err := http.Get("http://" + callersAddr + "/readyz")
 		if err != nil {
 			return false
 		}
@@ -48,7 +48,7 @@
 		if err != nil {
 			t.Error(err)
 		}
-	case <-time.After(waitLimit):
+	case <-time.After(waitTimeout):
 		t.Fatal("still there")
 	}
 }
--- a/test/process/measure_test.go
+++ b/test/process/measure_test.go
@@ -24,7 +24,7 @@
 //	go test -tags measure -count=1 -v -run Measure ./test/process
 
 // plainBinary replaces the binary by one without the race detector.
-func plainBinary(t *testing.T) {
+func useBinaryWithoutRaceDetector(t *testing.T) {
 	t.Helper()
 	raced := binary
 	binary = filepath.Join(t.TempDir(), "guavapier")
@@ -35,7 +35,7 @@
 }
 
 // summary formats a sample's quantiles.
-func summary(sample []time.Duration) string {
+func quantileSummary(sample []time.Duration) string {
 	if len(sample) == 0 {
 		return "no samples"
 	}
@@ -47,7 +47,7 @@
 // TestMeasureAddedLatency sends the same requests in turn straight at the
 // engine and through an instance.
 func TestMeasureAddedLatency(t *testing.T) {
-	plainBinary(t)
+	useBinaryWithoutRaceDetector(t)
 	f := startFleet(t, 1, 2)
 	const callers, each, tokens = 4, 250, 20
 	var mu sync.Mutex
@@ -57,26 +57,26 @@
 	for n := range callers {
 		wait.Go(func() {
 			for i := range each {
-				for _, way := range []string{"engine", "router"} {
-					one, all := f.timed(t, client, way, fmt.Sprintf("m-%d-%d", n, i), tokens)
+				for _, path := range []string{"engine", "router"} {
+					one, all := f.measureRequest(t, client, path, fmt.Sprintf("m-%d-%d", n, i), tokens)
 					mu.Lock()
-					first[way], whole[way] = append(first[way], one), append(whole[way], all)
+					first[path], whole[path] = append(first[path], one), append(whole[path], all)
 					mu.Unlock()
 				}
 			}
 		})
 	}
 	wait.Wait()
-	for _, way := range []string{"engine", "router"} {
-		t.Logf("first token, %s: %s", way, summary(first[way]))
-		t.Logf("whole answer of %d tokens, %s: %s", tokens, way, summary(whole[way]))
+	for _, path := range []string{"engine", "router"} {
+		t.Logf("first token, %s: %s", path, quantileSummary(first[path]))
+		t.Logf("whole answer of %d tokens, %s: %s", tokens, path, quantileSummary(whole[path]))
 	}
 }
 
-func (f *fleet) timed(t *testing.T, client *http.Client, way, id string, tokens int) (first, whole time.Duration) {
+func (f *fleet) measureRequest(t *testing.T, client *http.Client, path, id string, tokens int) (first, whole time.Duration) {
 	data, _ := json.Marshal(chatBody(tokens, true))
-	base := f.instances[0].callers
-	if way == "engine" {
+	base := f.instances[0].callersURL
+	if path == "engine" {
 		base = f.engines[0].url
 	}
 	req, _ := http.NewRequest(http.MethodPost, base+"/v1/chat/completions", bytes.NewReader(data))
@@ -98,7 +98,7 @@
 		done = done || lines.Text() == "data: [DONE]"
 	}
 	if !done {
-		t.Errorf("%s: no whole answer", way)
+		t.Errorf("%s: no whole answer", path)
 	}
 	return first, time.Since(began)
 }
@@ -112,30 +112,30 @@
 // TestMeasureFaultToNextByte brings a fault over endpoints and instances with
 // streams open, and takes the time to each struck caller's next token.
 func TestMeasureFaultToNextByte(t *testing.T) {
-	plainBinary(t)
-	for name, strike := range map[string]func(f *fleet, e *engine){
+	useBinaryWithoutRaceDetector(t)
+	for name, inject := range map[string]func(f *fleet, e *engine){
 		"engine SIGKILL":    func(_ *fleet, e *engine) { e.signal(syscall.SIGKILL) },
 		"engine SIGSTOP":    func(_ *fleet, e *engine) { e.signal(syscall.SIGSTOP) },
-		"silent connection": func(_ *fleet, e *engine) { e.relay.silence(false, true) },
+		"silent connection": func(_ *fleet, e *engine) { e.relay.setDropped(false, true) },
 	} {
 		var sample []time.Duration
 		for range faultRounds {
 			f := startFleet(t, 3, 2)
-			sample = append(sample, f.strikeEngine(t, strike)...)
-			f.stop()
+			sample = append(sample, f.measureEngineFault(t, inject)...)
+			f.killProcesses()
 		}
-		t.Logf("%s to next token: %s", name, summary(sample))
+		t.Logf("%s to next token: %s", name, quantileSummary(sample))
 	}
 	var sample []time.Duration
 	for range faultRounds {
 		f := startFleet(t, 3, 3)
-		sample = append(sample, f.strikeInstance(t)...)
-		f.stop()
+		sample = append(sample, f.measureInstanceKill(t)...)
+		f.killProcesses()
 	}
-	t.Logf("instance SIGKILL, retry elsewhere at once, to next token: %s", summary(sample))
+	t.Logf("instance SIGKILL, retry elsewhere at once, to next token: %s", quantileSummary(sample))
 }
 
-func (f *fleet) stop() {
+func (f *fleet) killProcesses() {
 	for _, e := range f.engines {
 		e.kill()
 	}
@@ -145,13 +145,13 @@
 }
 
 // openStreams starts the callers at one instance and waits until all get tokens.
-func (f *fleet) openStreams(t *testing.T, done func(n int, a answered)) *sync.WaitGroup {
+func (f *fleet) openStreams(t *testing.T, done func(n int, a streamResult)) *sync.WaitGroup {
 	var wait, begun sync.WaitGroup
 	for n := range faultCallers {
 		begun.Add(1)
 		var once sync.Once
 		wait.Go(func() {
-			a := f.ask(f.instances[0], faultTokens, func(int) { once.Do(begun.Done) }, "Idempotency-Key", fmt.Sprint("k", n))
+			a := f.streamChat(f.instances[0], faultTokens, func(int) { once.Do(begun.Done) }, "Idempotency-Key", fmt.Sprint("k", n))
 			once.Do(begun.Done)
 			done(n, a)
 		})
@@ -160,28 +160,28 @@
 	return &wait
 }
 
-func (f *fleet) strikeEngine(t *testing.T, strike func(*fleet, *engine)) (sample []time.Duration) {
+func (f *fleet) measureEngineFault(t *testing.T, inject func(*fleet, *engine)) (sample []time.Duration) {
 	var mu sync.Mutex
-	var all []answered
-	wait := f.openStreams(t, func(_ int, a answered) {
+	var all []streamResult
+	wait := f.openStreams(t, func(_ int, a streamResult) {
 		mu.Lock()
 		all = append(all, a)
 		mu.Unlock()
 	})
-	victim := f.running()
-	struck := map[string]bool{}
-	for _, row := range victim.runs(t) {
-		struck[row.ID] = !row.Done
+	faulty := f.awaitRunningEngine()
+	affected := map[string]bool{}
+	for _, row := range faulty.runs(t) {
+		affected[row.ID] = !row.Done
 	}
 	at := time.Now()
-	strike(f, victim)
+	inject(f, faulty)
 	wait.Wait()
 	for _, a := range all {
-		if a.text != wholeText(faultTokens) || !a.whole {
-			t.Errorf("%d tokens, error %q", len(a.at), a.err)
+		if a.text != expectedText(faultTokens) || !a.complete {
+			t.Errorf("%d tokens, error %q", len(a.tokenTimes), a.err)
 		}
-		if struck[a.run] {
-			sample = append(sample, f.nextByte(t, victim, a).Sub(at))
+		if affected[a.runID] {
+			sample = append(sample, f.firstTokenAfterFault(t, faulty, a).Sub(at))
 		}
 	}
 	return sample
@@ -190,22 +190,22 @@
 // nextByte returns when the first token after the fault came: the first one of
 // the engine that the run has moved to, or else the one that ended the longest
 // pause.
-func (f *fleet) nextByte(t *testing.T, victim *engine, a answered) time.Time {
+func (f *fleet) firstTokenAfterFault(t *testing.T, faulty *engine, a streamResult) time.Time {
 	for _, e := range f.engines {
-		if e == victim {
+		if e == faulty {
 			continue
 		}
 		for _, row := range e.runs(t) {
-			if row.ID == a.run && row.Prior > 0 {
-				return a.at[row.Prior]
+			if row.ID == a.runID && row.Prior > 0 {
+				return a.tokenTimes[row.Prior]
 			}
 		}
 	}
-	return afterGap(a.at)
+	return endOfLongestPause(a.tokenTimes)
 }
 
 // afterGap returns when the longest pause of a stream ended.
-func afterGap(at []time.Time) (end time.Time) {
+func endOfLongestPause(at []time.Time) (end time.Time) {
 	var longest time.Duration
 	for i := 1; i < len(at); i++ {
 		if gap := at[i].Sub(at[i-1]); gap > longest {
@@ -215,18 +215,18 @@
 	return end
 }
 
-func (f *fleet) strikeInstance(t *testing.T) (sample []time.Duration) {
+func (f *fleet) measureInstanceKill(t *testing.T) (sample []time.Duration) {
 	var mu sync.Mutex
 	var at time.Time
-	wait := f.openStreams(t, func(n int, first answered) {
-		rest := f.ask(f.instances[1], faultTokens, nil, "Idempotency-Key", fmt.Sprint("k", n), "Last-Event-ID", first.last)
+	wait := f.openStreams(t, func(n int, first streamResult) {
+		rest := f.streamChat(f.instances[1], faultTokens, nil, "Idempotency-Key", fmt.Sprint("k", n), "Last-Event-ID", first.lastEventID)
 		mu.Lock()
 		defer mu.Unlock()
-		if first.text+rest.text != wholeText(faultTokens) || !rest.whole {
-			t.Errorf("%d and %d tokens, error %q %q", len(first.at), len(rest.at), first.err, rest.err)
+		if first.text+rest.text != expectedText(faultTokens) || !rest.complete {
+			t.Errorf("%d and %d tokens, error %q %q", len(first.tokenTimes), len(rest.tokenTimes), first.err, rest.err)
 			return
 		}
-		sample = append(sample, rest.at[0].Sub(at))
+		sample = append(sample, rest.tokenTimes[0].Sub(at))
 	})
 	mu.Lock()
 	at = time.Now()
@@ -238,15 +238,15 @@
 
 // TestMeasureDrain counts the requests that a drain cuts off.
 func TestMeasureDrain(t *testing.T) {
-	plainBinary(t)
+	useBinaryWithoutRaceDetector(t)
 	var cut, whole int
 	var mu sync.Mutex
 	for range faultRounds {
 		f := startFleet(t, 3, 2)
-		wait := f.openStreams(t, func(_ int, a answered) {
+		wait := f.openStreams(t, func(_ int, a streamResult) {
 			mu.Lock()
 			defer mu.Unlock()
-			if a.text == wholeText(faultTokens) && a.whole {
+			if a.text == expectedText(faultTokens) && a.complete {
 				whole++
 			} else {
 				cut++
@@ -254,7 +254,7 @@
 		})
 		f.instances[0].signal(syscall.SIGTERM)
 		wait.Wait()
-		f.stop()
+		f.killProcesses()
 	}
 	t.Logf("drain with streams in flight: %d whole, %d cut off", whole, cut)
 }
@@ -262,19 +262,19 @@
 // TestMeasureLeaving takes the time from the sign to the last order that
 // reached the engine, under load.
 func TestMeasureLeaving(t *testing.T) {
-	plainBinary(t)
+	useBinaryWithoutRaceDetector(t)
 	for _, by := range []string{"own word", "list"} {
 		var last []time.Duration
 		for range faultRounds {
 			f := startFleet(t, 3, 2)
-			l := f.load(12, 10)
-			eventually(t, "the load runs", func() bool { return l.answers.Load() > 50 })
-			e := f.running()
+			l := f.startLoad(12, 10)
+			eventually(t, "the load runs", func() bool { return l.completed.Load() > 50 })
+			e := f.awaitRunningEngine()
 			at := time.Now()
 			if by == "list" {
-				f.list(fmt.Sprintf("engine-%d", slices.Index(f.engines, e)+1))
+				f.listEndpoints(fmt.Sprintf("engine-%d", slices.Index(f.engines, e)+1))
 			} else {
-				e.fault(t, map[string]any{"leaving": true})
+				e.setFaults(t, map[string]any{"leaving": true})
 			}
 			time.Sleep(4 * time.Second)
 			var r struct {
@@ -283,9 +283,9 @@
 			}
 			_ = json.Unmarshal([]byte(mustCall(t, http.MethodGet, e.url+"/refusals", "", nil).body), &r)
 			last = append(last, time.UnixMilli(max(r.Last, r.LastBegun)).Sub(at))
-			l.end(t)
-			f.stop()
+			l.stopAndCheck(t)
+			f.killProcesses()
 		}
-		t.Logf("leaving by %s to the last order: %s", by, summary(last))
+		t.Logf("leaving by %s to the last order: %s", by, quantileSummary(last))
 	}
 }
--- a/test/process/operators_test.go
+++ b/test/process/operators_test.go
@@ -21,23 +21,23 @@
 )
 
 const (
-	racingPaths   = 4
-	changesOfEach = 100
+	contendedPaths     = 4
+	changesPerOperator = 100
 	// inForceWithin is the letter's bound. It is looked at, not asserted on
 	// each change: the test's own faults last longer than it now and then.
-	inForceWithin = 9 * time.Second
+	maxApplyDelay = 9 * time.Second
 )
 
 // ledgerOfChanges is what the operators were told.
-type ledgerOfChanges struct {
-	mu       sync.Mutex
-	accepted []fold.ChangeResult
-	lost     int
-	unknown  int
-	times    []time.Duration
+type changeOutcomes struct {
+	mu             sync.Mutex
+	accepted       []fold.ChangeResult
+	rejected       int
+	unknownAnswers int
+	applyDelays    []time.Duration
 }
 
-func (l *ledgerOfChanges) add(f func(*ledgerOfChanges)) {
+func (l *changeOutcomes) add(f func(*changeOutcomes)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	f(l)
@@ -45,13 +45,13 @@
 
 // race makes changes through any instance, each on the version that it read,
 // and retries those whose outcome is unknown under their identity.
-func race(t *testing.T, who string, fleet []*instance, told *ledgerOfChanges, waits *sync.WaitGroup) {
+func makeConcurrentChanges(t *testing.T, who string, fleet []*instance, outcomes *changeOutcomes, applyWaits *sync.WaitGroup) {
 	random := rand.New(rand.NewPCG(7, uint64(len(who))))
-	for n := range changesOfEach {
-		path := leanPath(random.IntN(racingPaths))
+	for n := range changesPerOperator {
+		path := conservatismPath(random.IntN(contendedPaths))
 		var base uint64
 		in := fleet[random.IntN(len(fleet)-1)]
-		if got := call(http.MethodGet, in.operators+"/settings?prefix="+path, operatorToken, nil); got.status == http.StatusOK {
+		if got := call(http.MethodGet, in.operatorsURL+"/settings?prefix="+path, operatorToken, nil); got.status == http.StatusOK {
 			var rows []fold.Value
 			if json.Unmarshal([]byte(got.body), &rows) == nil && len(rows) == 1 {
 				base = rows[0].Version
@@ -59,44 +59,44 @@
 		}
 		id := fmt.Sprint(who, "-", n)
 		op := record.ChangeOp{Path: path, Base: base, Value: fmt.Sprintf("0.%s%03d", strings.Repeat("1", len(who)), n)}
-		result, ok := decide(t, random, fleet, id, op, told)
+		result, ok := retryUntilDecided(t, random, fleet, id, op, outcomes)
 		if !ok {
-			told.add(func(l *ledgerOfChanges) { l.lost++ })
+			outcomes.add(func(l *changeOutcomes) { l.rejected++ })
 			continue
 		}
 		accepted := time.Now()
-		told.add(func(l *ledgerOfChanges) { l.accepted = append(l.accepted, result) })
-		waits.Go(func() {
-			took := inForceAfter(t, fleet, result.Offset, accepted)
-			told.add(func(l *ledgerOfChanges) { l.times = append(l.times, took) })
+		outcomes.add(func(l *changeOutcomes) { l.accepted = append(l.accepted, result) })
+		applyWaits.Go(func() {
+			delay := awaitApplied(t, fleet, result.Offset, accepted)
+			outcomes.add(func(l *changeOutcomes) { l.applyDelays = append(l.applyDelays, delay) })
 		})
 	}
 }
 
 // impatience cuts some answers off while the change is on its way.
-const impatience = 30 * time.Millisecond
+const earlyAbortTimeout = 30 * time.Millisecond
 
 // putImpatiently gives up the answer early; its change may apply all the same.
-func putImpatiently(operators, id string, op record.ChangeOp) answer {
-	got := make(chan answer, 1)
-	go func() { got <- putSetting(operators, id, op) }()
+func putAbortingEarly(operators, id string, op record.ChangeOp) response {
+	got := make(chan response, 1)
+	go func() { got <- putChange(operators, id, op) }()
 	select {
 	case a := <-got:
 		return a
-	case <-time.After(impatience):
-		return answer{status: http.StatusServiceUnavailable}
+	case <-time.After(earlyAbortTimeout):
+		return response{status: http.StatusServiceUnavailable}
 	}
 }
 
 // decide retries a change, at any instance, until its outcome is known.
-func decide(t *testing.T, random *rand.Rand, fleet []*instance, id string, op record.ChangeOp, told *ledgerOfChanges) (fold.ChangeResult, bool) {
-	put := putSetting
+func retryUntilDecided(t *testing.T, random *rand.Rand, fleet []*instance, id string, op record.ChangeOp, outcomes *changeOutcomes) (fold.ChangeResult, bool) {
+	put := putChange
 	if random.IntN(2) == 0 {
-		put = putImpatiently
+		put = putAbortingEarly
 	}
-	for deadline := time.Now().Add(waitLimit); time.Now().Before(deadline); put = putSetting {
+	for deadline := time.Now().Add(waitTimeout); time.Now().Before(deadline); put = putChange {
 		in := fleet[random.IntN(len(fleet)-1)] // The last one is paused now and then.
-		got := put(in.operators, id, op)
+		got := put(in.operatorsURL, id, op)
 		switch got.status {
 		case http.StatusOK:
 			var result fold.ChangeResult
@@ -111,7 +111,7 @@
 			}
 			return fold.ChangeResult{}, false
 		case http.StatusServiceUnavailable:
-			told.add(func(l *ledgerOfChanges) { l.unknown++ })
+			outcomes.add(func(l *changeOutcomes) { l.unknownAnswers++ })
 		default:
 			t.Errorf("%s: %d %v %s", id, got.status, got.err, got.body)
 			return fold.ChangeResult{}, false
@@ -122,19 +122,19 @@
 }
 
 // inForceAfter is the time until every instance has applied an offset.
-func inForceAfter(t *testing.T, fleet []*instance, offset uint64, since time.Time) time.Duration {
+func awaitApplied(t *testing.T, fleet []*instance, offset uint64, since time.Time) time.Duration {
 	for _, in := range fleet {
 		for {
 			var row operator.AppliedRow
-			got := call(http.MethodGet, in.operators+"/applied", operatorToken, nil)
+			got := call(http.MethodGet, in.operatorsURL+"/applied", operatorToken, nil)
 			if got.status == http.StatusOK && json.Unmarshal([]byte(got.body), &row) == nil && row.Next > offset {
 				break
 			}
-			if time.Since(since) > waitLimit {
-				t.Errorf("offset %d is not in force on %s", offset, in.operators)
-				return waitLimit
+			if time.Since(since) > waitTimeout {
+				t.Errorf("offset %d is not in force on %s", offset, in.operatorsURL)
+				return waitTimeout
 			}
-			time.Sleep(pollEvery)
+			time.Sleep(pollInterval)
 		}
 	}
 	return time.Since(since)
@@ -142,7 +142,7 @@
 
 // disturb brings about outages, slowness and lost answers of the log, and
 // pauses one instance, until stop closes.
-func disturb(t *testing.T, platform string, paused *instance, stop <-chan struct{}) {
+func injectFaults(t *testing.T, platform string, paused *instance, stop <-chan struct{}) {
 	faults := []map[string]any{
 		{"lose_answers": 3}, {}, {"outage": true}, {"lose_answers": 2, "slow_ms": 50}, {},
 	}
@@ -169,43 +169,43 @@
 	for n, zone := range []string{"hall-a", "hall-a", "hall-b", "hall-b", "server-room", "server-room", "annex", "annex"} {
 		fleet = append(fleet, startInstance(t, fmt.Sprint("i", n), zone, platform, ""))
 	}
-	told := &ledgerOfChanges{}
+	outcomes := &changeOutcomes{}
 	stop := make(chan struct{})
-	var faults, operators, waits sync.WaitGroup
-	faults.Go(func() { disturb(t, platform, fleet[7], stop) })
-	operators.Go(func() { race(t, "a", fleet, told, &waits) })
-	operators.Go(func() { race(t, "bb", fleet, told, &waits) })
+	var faults, operators, applyWaits sync.WaitGroup
+	faults.Go(func() { injectFaults(t, platform, fleet[7], stop) })
+	operators.Go(func() { makeConcurrentChanges(t, "a", fleet, outcomes, &applyWaits) })
+	operators.Go(func() { makeConcurrentChanges(t, "bb", fleet, outcomes, &applyWaits) })
 	operators.Wait()
 	close(stop)
 	faults.Wait()
-	waits.Wait()
-	if len(told.accepted)+told.lost != 2*changesOfEach || len(told.accepted) == 0 || told.unknown == 0 {
-		t.Fatalf("%d accepted, %d lost, %d answers unknown of %d changes", len(told.accepted), told.lost, told.unknown, 2*changesOfEach)
+	applyWaits.Wait()
+	if len(outcomes.accepted)+outcomes.rejected != 2*changesPerOperator || len(outcomes.accepted) == 0 || outcomes.unknownAnswers == 0 {
+		t.Fatalf("%d accepted, %d lost, %d answers unknown of %d changes", len(outcomes.accepted), outcomes.rejected, outcomes.unknownAnswers, 2*changesPerOperator)
 	}
-	want := lastAccepted(t, told.accepted)
+	want := lastAccepted(t, outcomes.accepted)
 	for _, in := range fleet {
-		got := settingsOf(t, in.operators)
+		got := readSettings(t, in.operatorsURL)
 		for path, result := range want {
 			if v := got[path]; v.Change != result.ID || v.Version != result.Offset+1 || v.Value != result.Ops[0].Value {
-				t.Errorf("%s: %s is %+v, the last accepted change was %+v", in.operators, path, v, result)
+				t.Errorf("%s: %s is %+v, the last accepted change was %+v", in.operatorsURL, path, v, result)
 			}
 		}
-		if !reflect.DeepEqual(got, settingsOf(t, fleet[0].operators)) {
-			t.Errorf("%s differs", in.operators)
+		if !reflect.DeepEqual(got, readSettings(t, fleet[0].operatorsURL)) {
+			t.Errorf("%s differs", in.operatorsURL)
 		}
 	}
-	slices.Sort(told.times)
+	slices.Sort(outcomes.applyDelays)
 	at := func(q float64) time.Duration {
-		return told.times[int(q*float64(len(told.times)-1))].Round(time.Millisecond)
+		return outcomes.applyDelays[int(q*float64(len(outcomes.applyDelays)-1))].Round(time.Millisecond)
 	}
 	late := 0
-	for _, d := range told.times {
-		if d > inForceWithin {
+	for _, d := range outcomes.applyDelays {
+		if d > maxApplyDelay {
 			late++
 		}
 	}
 	t.Logf("%d accepted, %d lost, %d unknown answers; in force on %d instances after median %s, p99 %s, max %s; %d later than %s",
-		len(told.accepted), told.lost, told.unknown, len(fleet), at(0.5), at(0.99), at(1), late, inForceWithin)
+		len(outcomes.accepted), outcomes.rejected, outcomes.unknownAnswers, len(fleet), at(0.5), at(0.99), at(1), late, maxApplyDelay)
 }
 
 // lastAccepted returns the last accepted change of each path, and checks that
@@ -238,23 +238,23 @@
 	behind := startInstance(t, "b1", "hall-b", platform, "")
 	run := func(args ...string) (string, error) {
 		cmd := exec.Command(binary, args...)
-		cmd.Env = append(os.Environ(), "GUAVAPIER_TOKEN="+operatorToken, "GUAVAPIER_ADDR="+strings.TrimPrefix(in.operators, "http://"))
+		cmd.Env = append(os.Environ(), "GUAVAPIER_TOKEN="+operatorToken, "GUAVAPIER_ADDR="+strings.TrimPrefix(in.operatorsURL, "http://"))
 		out, err := cmd.CombinedOutput()
 		return string(out), err
 	}
 	eventually(t, "both are listed", func() bool {
 		var rows []json.RawMessage
-		got := call(http.MethodGet, in.operators+"/instances", operatorToken, nil)
+		got := call(http.MethodGet, in.operatorsURL+"/instances", operatorToken, nil)
 		return json.Unmarshal([]byte(got.body), &rows) == nil && len(rows) == 2
 	})
-	if out, err := run("settings", "put", "-yes", "-id", "c1", leanPath(0), "0.1"); err != nil {
+	if out, err := run("settings", "put", "-yes", "-id", "c1", conservatismPath(0), "0.1"); err != nil {
 		t.Fatal(err, out)
 	}
 	if out, err := run("settings", "wait", "c1"); err != nil || !strings.Contains(out, "in force on 2 instances") {
 		t.Fatal(err, out)
 	}
 	behind.signal(syscall.SIGSTOP)
-	if out, err := run("settings", "put", "-yes", "-id", "c2", leanPath(0), "0.2"); err != nil {
+	if out, err := run("settings", "put", "-yes", "-id", "c2", conservatismPath(0), "0.2"); err != nil {
 		t.Fatal(err, out)
 	}
 	out, err := run("settings", "wait", "-timeout", "1s", "c2")
--- a/test/process/path_test.go
+++ b/test/process/path_test.go
@@ -18,15 +18,15 @@
 const listLag = "100ms"
 
 // site is a platform, two engines and a service, listed on the platform.
-type site struct {
+type deployment struct {
 	platform string
 	engines  []string
 	service  string
 }
 
-func startSite(t *testing.T) site {
+func startDeployment(t *testing.T) deployment {
 	t.Helper()
-	var s site
+	var s deployment
 	_, s.platform = startStandin(t, "platform", "-lag", listLag)
 	endpoints := []map[string]any{}
 	for i, zone := range []string{"hall-a", "hall-b"} {
@@ -41,21 +41,21 @@
 }
 
 func TestRequestIsServedThroughEveryInstance(t *testing.T) {
-	s := startSite(t)
+	s := startDeployment(t)
 	instances := []*instance{
-		startExample(t, "hall-a", s.platform),
-		startExample(t, "hall-a", s.platform),
-		startExample(t, "hall-b", s.platform),
+		startExampleInstance(t, "hall-a", s.platform),
+		startExampleInstance(t, "hall-a", s.platform),
+		startExampleInstance(t, "hall-b", s.platform),
 	}
-	key := seedTeam(t, instances[0].operators, "dala", 1_000_000)
-	topUp(t, instances[2].operators, "dala", "second", 500_000)
+	key := seedTeam(t, instances[0].operatorsURL, "dala", 1_000_000)
+	topUp(t, instances[2].operatorsURL, "dala", "second", 500_000)
 	const tokens = 5
 	var billed int64
 	for n, in := range instances {
 		eventually(t, "credential in force", func() bool {
-			return call(http.MethodPost, in.callers+"/v1/chat/completions", key, map[string]any{}).status == http.StatusBadRequest
+			return call(http.MethodPost, in.callersURL+"/v1/chat/completions", key, map[string]any{}).status == http.StatusBadRequest
 		})
-		whole := mustCall(t, http.MethodPost, in.callers+"/v1/chat/completions", key, chatBody(tokens, false))
+		whole := mustCall(t, http.MethodPost, in.callersURL+"/v1/chat/completions", key, chatBody(tokens, false))
 		var completion struct {
 			Choices []struct {
 				Message struct {
@@ -69,30 +69,30 @@
 		if err := json.Unmarshal([]byte(whole.body), &completion); err != nil {
 			t.Fatal(err)
 		}
-		if got := completion.Choices[0].Message.Content; got != wholeText(tokens) {
+		if got := completion.Choices[0].Message.Content; got != expectedText(tokens) {
 			t.Fatalf("whole answer %q", got)
 		}
 		billed += 2 * completion.Usage.Total
-		streamed := mustCall(t, http.MethodPost, in.callers+"/v1/chat/completions", key, chatBody(tokens, true))
-		if text, done := streamText(streamed.body); text != wholeText(tokens) || !done {
+		streamed := mustCall(t, http.MethodPost, in.callersURL+"/v1/chat/completions", key, chatBody(tokens, true))
+		if text, done := streamText(streamed.body); text != expectedText(tokens) || !done {
 			t.Fatalf("streamed answer %q, closing event %v", text, done)
 		}
-		mustCall(t, http.MethodPost, in.callers+"/v1/services/rig/setpoint", key, map[string]any{"g": 0.5}, "Idempotency-Key", fmt.Sprint("call-", n))
+		mustCall(t, http.MethodPost, in.callersURL+"/v1/services/rig/setpoint", key, map[string]any{"g": 0.5}, "Idempotency-Key", fmt.Sprint("call-", n))
 	}
 	for _, in := range instances {
-		eventually(t, "same bill at every instance", func() bool { return budget(t, in.operators, "dala").Billed == billed })
+		eventually(t, "same bill at every instance", func() bool { return readBudget(t, in.operatorsURL, "dala").Billed == billed })
 	}
 	for _, in := range instances {
-		if row := budget(t, in.operators, "dala"); row.Prepaid != 1_500_000 || row.Committed > row.Prepaid {
+		if row := readBudget(t, in.operatorsURL, "dala"); row.Prepaid != 1_500_000 || row.Committed > row.Prepaid {
 			t.Fatalf("prepaid %d, committed %d", row.Prepaid, row.Committed)
 		}
-		here := mustCall(t, http.MethodGet, in.operators+"/settings", operatorToken, nil).body
-		first := mustCall(t, http.MethodGet, instances[0].operators+"/settings", operatorToken, nil).body
+		here := mustCall(t, http.MethodGet, in.operatorsURL+"/settings", operatorToken, nil).body
+		first := mustCall(t, http.MethodGet, instances[0].operatorsURL+"/settings", operatorToken, nil).body
 		if here != first || !strings.Contains(here, config.HashKey(key)) {
 			t.Fatalf("settings here %s, at the first instance %s", here, first)
 		}
 	}
-	for run, count := range serviceRuns(t, s.service) {
+	for run, count := range serviceRunCounts(t, s.service) {
 		if count != 1 {
 			t.Fatalf("call %s ran %d times", run, count)
 		}
@@ -102,7 +102,7 @@
 // startExample runs an instance with the example settings of a zone of the first
 // deployment. Only the ports, the platform's address and the secrets' places
 // are the test's own.
-func startExample(t *testing.T, zone, platform string) *instance {
+func startExampleInstance(t *testing.T, zone, platform string) *instance {
 	t.Helper()
 	text, err := os.ReadFile("../../examples/dala-vibro/" + zone + ".toml")
 	if err != nil {
@@ -125,10 +125,10 @@
 	if err := os.WriteFile(file, text, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	return startSettings(t, zone, file)
+	return startInstanceFromFile(t, zone, file)
 }
 
-func serviceRuns(t *testing.T, service string) map[string]int {
+func serviceRunCounts(t *testing.T, service string) map[string]int {
 	t.Helper()
 	var runs map[string]int
 	if err := json.Unmarshal([]byte(mustCall(t, http.MethodGet, service+"/runs", "", nil).body), &runs); err != nil {
@@ -138,22 +138,22 @@
 }
 
 func TestGracefulStopCutsOffNoStream(t *testing.T) {
-	s := startSite(t)
+	s := startDeployment(t)
 	in := startInstance(t, "a1", "hall-a", s.platform, "")
-	key := seedTeam(t, in.operators, "dala", 1_000_000)
+	key := seedTeam(t, in.operatorsURL, "dala", 1_000_000)
 	const tokens = 300
-	got := make(chan answer, 1)
+	got := make(chan response, 1)
 	go func() {
-		got <- call(http.MethodPost, in.callers+"/v1/chat/completions", key, chatBody(tokens, true))
+		got <- call(http.MethodPost, in.callersURL+"/v1/chat/completions", key, chatBody(tokens, true))
 	}()
-	eventually(t, "the engine generates", func() bool { return generated(t, s.engines) > 10 })
+	eventually(t, "the engine generates", func() bool { return generatedTokens(t, s.engines) > 10 })
 	in.signal(syscall.SIGTERM)
 	select {
 	case a := <-got:
-		if text, done := streamText(a.body); text != wholeText(tokens) || !done {
+		if text, done := streamText(a.body); text != expectedText(tokens) || !done {
 			t.Fatalf("cut off after %d bytes, closing event %v, error %v", len(text), done, a.err)
 		}
-	case <-time.After(waitLimit):
+	case <-time.After(waitTimeout):
 		t.Fatal("no answer")
 	}
 	if code := in.exitCode(); code != 0 {
@@ -162,7 +162,7 @@
 }
 
 // generated is the number of tokens that the engines have generated.
-func generated(t *testing.T, engines []string) int {
+func generatedTokens(t *testing.T, engines []string) int {
 	t.Helper()
 	sum := 0
 	for _, engine := range engines {
@@ -181,17 +181,17 @@
 
 // A second signal ends the instance at once, and it says what it cut off.
 func TestSecondSignalCutsOffAndSaysSo(t *testing.T) {
-	s := startSite(t)
+	s := startDeployment(t)
 	in := startInstance(t, "a1", "hall-a", s.platform, "")
-	key := seedTeam(t, in.operators, "dala", 1_000_000)
-	got := make(chan answer, 1)
+	key := seedTeam(t, in.operatorsURL, "dala", 1_000_000)
+	got := make(chan response, 1)
 	go func() {
-		got <- call(http.MethodPost, in.callers+"/v1/chat/completions", key, chatBody(10_000, true))
+		got <- call(http.MethodPost, in.callersURL+"/v1/chat/completions", key, chatBody(10_000, true))
 	}()
-	eventually(t, "the engine generates", func() bool { return generated(t, s.engines) > 10 })
+	eventually(t, "the engine generates", func() bool { return generatedTokens(t, s.engines) > 10 })
 	in.signal(syscall.SIGTERM)
 	eventually(t, "it drains", func() bool {
-		a := call(http.MethodGet, in.callers+"/readyz", "", nil)
+		a := call(http.MethodGet, in.callersURL+"/readyz", "", nil)
 		return a.err != nil || a.status == http.StatusServiceUnavailable
 	})
 	in.signal(syscall.SIGTERM)
--- a/test/process/relay_test.go
+++ b/test/process/relay_test.go
@@ -16,13 +16,13 @@
 	target   string
 
 	mu   sync.Mutex
-	open []*relayed
+	open []*relayedConn
 }
 
 // relayed is one connection through the relay.
-type relayed struct {
-	caller, target     net.Conn
-	toTarget, toCaller atomic.Bool // Set: nothing passes that way.
+type relayedConn struct {
+	caller, target             net.Conn
+	dropToTarget, dropToCaller atomic.Bool // Set: nothing passes that way.
 }
 
 func startRelay(t *testing.T, target string) *relay {
@@ -50,22 +50,22 @@
 			caller.Close()
 			continue
 		}
-		c := &relayed{caller: caller, target: target}
+		c := &relayedConn{caller: caller, target: target}
 		r.mu.Lock()
 		r.open = append(r.open, c)
 		r.mu.Unlock()
-		go forward(target, caller, &c.toTarget)
-		go forward(caller, target, &c.toCaller)
+		go relayBytes(target, caller, &c.dropToTarget)
+		go relayBytes(caller, target, &c.dropToCaller)
 	}
 }
 
 // forward passes bytes on until one side ends. While silent is set it reads
 // and drops them, and keeps the other side open.
-func forward(to, from net.Conn, silent *atomic.Bool) {
+func relayBytes(to, from net.Conn, drop *atomic.Bool) {
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buf)
-		if silent.Load() {
+		if drop.Load() {
 			if err != nil {
 				return
 			}
@@ -85,12 +85,12 @@
 }
 
 // silence stops the open connections in the given directions.
-func (r *relay) silence(toTarget, toCaller bool) time.Time {
+func (r *relay) setDropped(dropToTarget, dropToCaller bool) time.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, c := range r.open {
-		c.toTarget.Store(toTarget)
-		c.toCaller.Store(toCaller)
+		c.dropToTarget.Store(dropToTarget)
+		c.dropToCaller.Store(dropToCaller)
 	}
 	return time.Now()
 }
--- a/test/process/replay_test.go
+++ b/test/process/replay_test.go
@@ -18,23 +18,23 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Run(name, func(t *testing.T) { replay(t, trace, service, false) })
+		t.Run(name, func(t *testing.T) { replayTrace(t, trace, service, false) })
 		t.Run(name+", instance and engine killed", func(t *testing.T) {
 			allowUnknownCalls(trace.Classes)
-			replay(t, trace, service, true)
+			replayTrace(t, trace, service, true)
 		})
 	}
 }
 
-func replay(t *testing.T, trace load.Trace, service string, disturbed bool) {
+func replayTrace(t *testing.T, trace load.Trace, service string, withFaults bool) {
 	t.Helper()
 	f := startFleet(t, 4, 3)
-	mustCall(t, http.MethodPut, f.platform+"/endpoints", "", f.rows("", service))
+	mustCall(t, http.MethodPut, f.platform+"/endpoints", "", f.endpointRows("", service))
 	var targets []string
 	for _, in := range f.instances {
-		targets = append(targets, in.callers)
+		targets = append(targets, in.callersURL)
 	}
-	if disturbed {
+	if withFaults {
 		time.AfterFunc(3*time.Second, func() { f.instances[1].signal(syscall.SIGKILL) })
 		time.AfterFunc(4*time.Second, func() { f.engines[2].signal(syscall.SIGKILL) })
 	}
@@ -49,12 +49,12 @@
 	if len(report.Broken) > 0 {
 		t.Errorf("stated outcomes not met:\n%s", strings.Join(report.Broken, "\n"))
 	}
-	for run, count := range f.calls() {
+	for run, count := range f.callRuns() {
 		if count > 1 {
 			t.Errorf("call %s ran %d times", run, count)
 		}
 	}
-	if row := budget(t, f.instances[2].operators, "dala"); row.Committed > row.Prepaid {
+	if row := readBudget(t, f.instances[2].operatorsURL, "dala"); row.Committed > row.Prepaid {
 		t.Errorf("committed %d of %d", row.Committed, row.Prepaid)
 	}
 }
--- a/test/process/standalone_test.go
+++ b/test/process/standalone_test.go
@@ -75,7 +75,7 @@
 		if err != nil {
 			t.Errorf("ended with %v", err)
 		}
-	case <-time.After(waitLimit):
+	case <-time.After(waitTimeout):
 		t.Error("it did not end")
 	}
 }
--- a/test/process/tls_test.go
+++ b/test/process/tls_test.go
@@ -20,7 +20,7 @@
 )
 
 // selfSigned writes a certificate for 127.0.0.1 that is its own authority.
-func selfSigned(t *testing.T) (cert, key string) {
+func writeSelfSignedCert(t *testing.T) (cert, key string) {
 	t.Helper()
 	private, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -51,7 +51,7 @@
 
 // startSecured runs an instance with TLS on its own three interfaces; the
 // stand-ins stay plain.
-func startSecured(t *testing.T, name, platform, cert, key string) serving {
+func startTLSInstance(t *testing.T, name, platform, cert, key string) listenAddresses {
 	t.Helper()
 	file := instanceSettings(t, name, "hall-a", platform, "")
 	text, err := os.ReadFile(file)
@@ -59,12 +59,12 @@
 		t.Fatal(err)
 	}
 	secured := fmt.Sprintf("certificate = %q\nkey = %q\npeers_ca = %q\nplain = [\"platform\", \"endpoints\"]", cert, key, cert)
-	changed := strings.Replace(string(text), "plain = ["+allPlain+"]", secured, 1)
+	changed := strings.Replace(string(text), "plain = ["+allInterfaces+"]", secured, 1)
 	if err := os.WriteFile(file, []byte(changed), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	_, line := start(t, "server: serving", "serve", "-settings", file)
-	var at serving
+	_, line := startProcess(t, "server: serving", "serve", "-settings", file)
+	var at listenAddresses
 	if err := json.Unmarshal([]byte(line), &at); err != nil {
 		t.Fatal(err)
 	}
@@ -72,7 +72,7 @@
 }
 
 // securedCall asks over TLS and decodes the answer.
-func securedCall(t *testing.T, cert, address, path string, out any) int {
+func tlsGet(t *testing.T, cert, address, path string, out any) int {
 	t.Helper()
 	data, err := os.ReadFile(cert)
 	if err != nil {
@@ -100,14 +100,14 @@
 }
 
 // liveAt returns the zones' instances that one takes for reachable, by name.
-func liveAt(t *testing.T, cert, operators string) string {
+func reachableInstances(t *testing.T, cert, operators string) string {
 	t.Helper()
 	var state struct {
 		Live []struct {
 			ID string `json:"id"`
 		} `json:"live"`
 	}
-	securedCall(t, cert, operators, "/state", &state)
+	tlsGet(t, cert, operators, "/state", &state)
 	names := map[string]bool{}
 	for _, in := range state.Live {
 		name, _, _ := strings.Cut(in.ID, ".")
@@ -118,32 +118,32 @@
 
 func TestSecuredInterfaces(t *testing.T) {
 	_, platform := startStandin(t, "platform", "-lag", listLag)
-	cert, key := selfSigned(t)
-	otherCert, otherKey := selfSigned(t)
-	a := startSecured(t, "a1", platform, cert, key)
-	b := startSecured(t, "b1", platform, cert, key)
-	startSecured(t, "stranger", platform, otherCert, otherKey)
-	eventually(t, "ready over TLS", func() bool { return securedCall(t, cert, a.Callers, "/readyz", nil) == http.StatusOK })
+	cert, key := writeSelfSignedCert(t)
+	otherCert, otherKey := writeSelfSignedCert(t)
+	a := startTLSInstance(t, "a1", platform, cert, key)
+	b := startTLSInstance(t, "b1", platform, cert, key)
+	startTLSInstance(t, "stranger", platform, otherCert, otherKey)
+	eventually(t, "ready over TLS", func() bool { return tlsGet(t, cert, a.Callers, "/readyz", nil) == http.StatusOK })
 	for _, address := range []string{a.Callers, a.Operators} {
 		if got := call(http.MethodGet, "http://"+address+"/readyz", operatorToken, nil); got.status == http.StatusOK {
 			t.Errorf("%s answers without TLS", address)
 		}
 	}
-	if err := dialPeer(t, platform, "a1"); err == nil || !strings.Contains(err.Error(), "certificate required") {
+	if err := dialPeerWithoutCert(t, platform, "a1"); err == nil || !strings.Contains(err.Error(), "certificate required") {
 		t.Errorf("a peer without certificate: %v", err)
 	}
 	// Instances take each other for reachable, and not the one whose
 	// certificate another authority signed.
-	for _, in := range []serving{a, b} {
+	for _, in := range []listenAddresses{a, b} {
 		eventually(t, "the stranger is shut out", func() bool {
-			return liveAt(t, cert, in.Operators) == fmt.Sprint(map[string]bool{"a1": true, "b1": true})
+			return reachableInstances(t, cert, in.Operators) == fmt.Sprint(map[string]bool{"a1": true, "b1": true})
 		})
 	}
 }
 
 // dialPeer connects to an instance's peers' address without a certificate and
 // returns what the instance says to that.
-func dialPeer(t *testing.T, platform, name string) error {
+func dialPeerWithoutCert(t *testing.T, platform, name string) error {
 	t.Helper()
 	var list struct {
 		Instances []struct {
@@ -163,7 +163,7 @@
 			return err
 		}
 		defer conn.Close()
-		_ = conn.SetReadDeadline(time.Now().Add(waitLimit))
+		_ = conn.SetReadDeadline(time.Now().Add(waitTimeout))
 		_, err = conn.Read(make([]byte, 1)) // With TLS 1.3 a refusal comes with the first read.
 		return err
 	}
