--- a/test/process/capacity_measure_test.go
+++ b/test/process/capacity_measure_test.go
@@ -116,9 +116,9 @@
 		began := time.Now()
 		var completed int64
 		var mu sync.Mutex
-		var wait sync.WaitGroup
+		var wg sync.WaitGroup
 		for range streams {
-			wait.Go(func() {
+			wg.Go(func() {
 				a := call(http.MethodPost, in.callersURL+"/v1/chat/completions", key, chatBody(tokens, true))
 				_, done := streamText(a.body)
 				mu.Lock()
@@ -130,7 +130,7 @@
 		}
 		time.Sleep(tokens * 40 * time.Millisecond / 2)
 		middle := readUsage(t, in.process)
-		wait.Wait()
+		wg.Wait()
 		spent := readUsage(t, in.process).sub(before)
 		t.Logf("streams=%d: %d whole in %v, %.1f kB resident a stream, %.1f us processor time a token, %.0f B read and written a token",
 			streams, completed, time.Since(began).Round(time.Millisecond), float64(middle.rss-before.rss)/1e3/float64(streams),
@@ -180,9 +180,9 @@
 			const requestsPerCaller = 400
 			before, beforeOther, appended := readUsage(t, in.process), readUsage(t, other.process), totalAppends(t, in)
 			began := time.Now()
-			var wait sync.WaitGroup
+			var wg sync.WaitGroup
 			for n := range callers {
-				wait.Go(func() {
+				wg.Go(func() {
 					for i := range requestsPerCaller {
 						if a := send(n, i); a.status != http.StatusOK {
 							t.Errorf("%d %s", a.status, a.body)
@@ -191,7 +191,7 @@
 					}
 				})
 			}
-			wait.Wait()
+			wg.Wait()
 			total, elapsed := float64(callers*requestsPerCaller), time.Since(began).Seconds()
 			spent, spentOther := readUsage(t, in.process).sub(before), readUsage(t, other.process).sub(beforeOther)
 			t.Logf("%s, callers=%d: %.0f/s, %.0f us processor time each here, %.0f us at the other instance, %.0f and %.0f B read and written each, %.1f appends/s",
--- a/test/process/cut_test.go
+++ b/test/process/cut_test.go
@@ -141,15 +141,15 @@
 func TestConfigurationReachesAnInstanceWithoutThePlatform(t *testing.T) {
 	r := startCallFixture(t, "a1", "a2")
 	v := startPlatformProxy(t, r.platform)
-	cut := startInstance(t, "a3", "hall-a", v.url, "")
-	r.openTeamSession(cut)
+	cutOff := startInstance(t, "a3", "hall-a", v.url, "")
+	r.openTeamSession(cutOff)
 	v.platformDown.Store(true)
-	late := "dala:late"
+	newKey := "dala:late"
 	mustCall(t, http.MethodPut, r.instances[0].operatorsURL+"/settings", operatorToken, record.Change{ID: "late", By: "test", Ops: []record.ChangeOp{
-		{Path: config.APIKeyPath("dala", late), Value: "late key"},
+		{Path: config.APIKeyPath("dala", newKey), Value: "late key"},
 	}})
 	eventually(t, "new key in force", func() bool {
-		return call(http.MethodPost, cut.callersURL+"/v1/sessions", late, nil).status == http.StatusCreated
+		return call(http.MethodPost, cutOff.callersURL+"/v1/sessions", newKey, nil).status == http.StatusCreated
 	})
 }
 
@@ -158,9 +158,9 @@
 func TestCallsAcrossACutBetweenZones(t *testing.T) {
 	r := startCallFixture(t, "a1", "a2")
 	v := startPlatformProxy(t, r.platform)
-	far := startInstance(t, "b1", "hall-b", v.url, "")
-	r.openTeamSession(r.instances[0], far)
-	r.requireCallsAnswered("warm-", far, r.instances[0])
+	cutOff := startInstance(t, "b1", "hall-b", v.url, "")
+	r.openTeamSession(r.instances[0], cutOff)
+	r.requireCallsAnswered("warm-", cutOff, r.instances[0])
 	for n := range 6 {
 		if got := r.sendAttempt(r.instances[n%2], fmt.Sprint("ran-", n), nil, true); got.status != http.StatusOK {
 			t.Fatalf("before the cut: %d %s", got.status, got.body)
@@ -169,21 +169,21 @@
 	v.peersCut.Store(true)
 	v.platformDown.Store(true)
 	for n := range 2 {
-		if got := reportedOutcome(r.sendAttempt(far, fmt.Sprint("ran-", n), nil, false)); got != "answered" && got != "unknown" {
+		if got := reportedOutcome(r.sendAttempt(cutOff, fmt.Sprint("ran-", n), nil, false)); got != "answered" && got != "unknown" {
 			t.Errorf("call that ran: told %q behind the cut", got)
 		}
 		name := fmt.Sprint("new-", n)
-		if got := reportedOutcome(r.sendAttempt(far, name, nil, true)); got != "not_run" || r.runCount(name) != 0 {
+		if got := reportedOutcome(r.sendAttempt(cutOff, name, nil, true)); got != "not_run" || r.runCount(name) != 0 {
 			t.Errorf("first attempt: told %q, ran %d times", got, r.runCount(name))
 		}
-		if got := reportedOutcome(r.sendAttempt(far, name, nil, false)); got != "unknown" || r.runCount(name) != 0 {
+		if got := reportedOutcome(r.sendAttempt(cutOff, name, nil, false)); got != "unknown" || r.runCount(name) != 0 {
 			t.Errorf("retry behind the cut: told %q, ran %d times", got, r.runCount(name))
 		}
 	}
 	r.requireCallsAnswered("near-", r.instances...)
 	v.peersCut.Store(false)
 	v.platformDown.Store(false)
-	r.requireCallsAnswered("new-", far)
+	r.requireCallsAnswered("new-", cutOff)
 	for n := range 6 {
 		if ran := r.runCount(fmt.Sprint("ran-", n)); ran != 1 {
 			t.Errorf("call %d ran %d times", n, ran)
@@ -207,15 +207,15 @@
 	var used, answered atomic.Int64
 	send := func(in *instance) bool {
 		got := call(http.MethodPost, in.callersURL+"/v1/chat/completions", key, chatBody(tokens, false))
-		var whole struct {
+		var completion struct {
 			Usage struct {
 				Total int64 `json:"total_tokens"`
 			} `json:"usage"`
 		}
-		if got.status != http.StatusOK || json.Unmarshal([]byte(got.body), &whole) != nil {
+		if got.status != http.StatusOK || json.Unmarshal([]byte(got.body), &completion) != nil {
 			return false
 		}
-		used.Add(whole.Usage.Total)
+		used.Add(completion.Usage.Total)
 		answered.Add(1)
 		return true
 	}
@@ -229,13 +229,13 @@
 	far.platformDown.Store(true)
 	before := answered.Load()
 	topUp(t, operators, "dala", "during", added)
-	var wait sync.WaitGroup
+	var wg sync.WaitGroup
 	for _, side := range sides {
 		for n := range requests {
-			wait.Go(func() { send(side[n%len(side)]) })
+			wg.Go(func() { send(side[n%len(side)]) })
 		}
 	}
-	wait.Wait()
+	wg.Wait()
 	t.Logf("%d of %d requests answered during the cut, %d tokens used in all", answered.Load()-before, 2*requests, used.Load())
 	if answered.Load() == before {
 		t.Fatal("nothing was served during the cut")
--- a/test/process/leaving_test.go
+++ b/test/process/leaving_test.go
@@ -66,9 +66,9 @@
 	for _, by := range []string{"own word", "list"} {
 		t.Run(by, func(t *testing.T) {
 			f := startFleet(t, 3, 2)
-			const long = 1500
-			report := make(chan streamResult, 1)
-			go func() { report <- f.streamChat(f.instances[0], long, nil, "Idempotency-Key", "report") }()
+			const longTokens = 1500
+			longAnswer := make(chan streamResult, 1)
+			go func() { longAnswer <- f.streamChat(f.instances[0], longTokens, nil, "Idempotency-Key", "report") }()
 			leavingEngine := f.awaitRunningEngine()
 			l := f.startLoad(6, 20)
 			eventually(t, "the load runs", func() bool { return l.completed.Load() > 20 })
@@ -89,8 +89,8 @@
 				t.Errorf("%d orders reached the engine later than %v after it began to leave", now-countThen, leaveTimeout)
 			}
 			l.stopAndCheck(t)
-			got := <-report
-			if got.text != expectedText(long) || !got.complete {
+			got := <-longAnswer
+			if got.text != expectedText(longTokens) || !got.complete {
 				t.Errorf("the long run at the leaving engine gave %d tokens, error %q", len(got.tokenTimes), got.err)
 			}
 			f.awaitBilled(l.totalTokens.Load() + got.totalTokens)
@@ -114,11 +114,11 @@
 	f := startFleet(t, 2, 2)
 	in := f.instances[0]
 	f.setServiceFaults(map[string]any{"slow_ms": 2000})
-	const long, short = 1500, 300
-	report, whole, setpoint := make(chan streamResult, 1), make(chan response, 1), make(chan response, 1)
-	go func() { report <- f.streamChat(in, long, nil) }()
+	const longTokens, shortTokens = 1500, 300
+	longAnswer, nonStreaming, setpoint := make(chan streamResult, 1), make(chan response, 1), make(chan response, 1)
+	go func() { longAnswer <- f.streamChat(in, longTokens, nil) }()
 	go func() {
-		whole <- call(http.MethodPost, in.callersURL+"/v1/chat/completions", f.key, chatBody(short, false))
+		nonStreaming <- call(http.MethodPost, in.callersURL+"/v1/chat/completions", f.key, chatBody(shortTokens, false))
 	}()
 	go func() {
 		setpoint <- call(http.MethodPost, in.callersURL+"/v1/services/rig/setpoint", f.key, map[string]any{"g": 1}, "Idempotency-Key", "c")
@@ -131,10 +131,10 @@
 		return runs == 2 && len(f.callRuns()) == 1
 	})
 	in.signal(syscall.SIGTERM)
-	if got := <-report; got.text != expectedText(long) || !got.complete {
+	if got := <-longAnswer; got.text != expectedText(longTokens) || !got.complete {
 		t.Errorf("report: %d tokens, error %q", len(got.tokenTimes), got.err)
 	}
-	if got := <-whole; got.status != http.StatusOK || !strings.Contains(got.body, expectedText(short)) {
+	if got := <-nonStreaming; got.status != http.StatusOK || !strings.Contains(got.body, expectedText(shortTokens)) {
 		t.Errorf("whole answer: %d %v", got.status, got.err)
 	}
 	if got := <-setpoint; got.status != http.StatusOK {
@@ -147,7 +147,9 @@
 		t.Errorf("a stopped instance answers %d", got.status)
 	}
 	// Its grants are back and its bills are on the log.
-	eventually(t, "billed", func() bool { return readBudget(t, f.instances[1].operatorsURL, "dala").Billed >= long+short })
+	eventually(t, "billed", func() bool {
+		return readBudget(t, f.instances[1].operatorsURL, "dala").Billed >= longTokens+shortTokens
+	})
 }
 
 // TestEngineKilledDuringAPlatformOutage pairs two faults: the run moves, the
--- a/test/process/measure_test.go
+++ b/test/process/measure_test.go
@@ -51,29 +51,29 @@
 	f := startFleet(t, 1, 2)
 	const callers, each, tokens = 4, 250, 20
 	var mu sync.Mutex
-	first, whole := map[string][]time.Duration{}, map[string][]time.Duration{}
-	var wait sync.WaitGroup
+	firstToken, complete := map[string][]time.Duration{}, map[string][]time.Duration{}
+	var wg sync.WaitGroup
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: callers}}
 	for n := range callers {
-		wait.Go(func() {
+		wg.Go(func() {
 			for i := range each {
 				for _, path := range []string{"engine", "router"} {
 					one, all := f.measureRequest(t, client, path, fmt.Sprintf("m-%d-%d", n, i), tokens)
 					mu.Lock()
-					first[path], whole[path] = append(first[path], one), append(whole[path], all)
+					firstToken[path], complete[path] = append(firstToken[path], one), append(complete[path], all)
 					mu.Unlock()
 				}
 			}
 		})
 	}
-	wait.Wait()
+	wg.Wait()
 	for _, path := range []string{"engine", "router"} {
-		t.Logf("first token, %s: %s", path, quantileSummary(first[path]))
-		t.Logf("whole answer of %d tokens, %s: %s", tokens, path, quantileSummary(whole[path]))
+		t.Logf("first token, %s: %s", path, quantileSummary(firstToken[path]))
+		t.Logf("whole answer of %d tokens, %s: %s", tokens, path, quantileSummary(complete[path]))
 	}
 }
 
-func (f *fleet) measureRequest(t *testing.T, client *http.Client, path, id string, tokens int) (first, whole time.Duration) {
+func (f *fleet) measureRequest(t *testing.T, client *http.Client, path, id string, tokens int) (firstToken, complete time.Duration) {
 	data, _ := json.Marshal(chatBody(tokens, true))
 	base := f.instances[0].callersURL
 	if path == "engine" {
@@ -92,15 +92,15 @@
 	defer resp.Body.Close()
 	lines, done := bufio.NewScanner(resp.Body), false
 	for lines.Scan() {
-		if first == 0 && strings.Contains(lines.Text(), "content") {
-			first = time.Since(began)
+		if firstToken == 0 && strings.Contains(lines.Text(), "content") {
+			firstToken = time.Since(began)
 		}
 		done = done || lines.Text() == "data: [DONE]"
 	}
 	if !done {
 		t.Errorf("%s: no whole answer", path)
 	}
-	return first, time.Since(began)
+	return firstToken, time.Since(began)
 }
 
 const (
@@ -146,24 +146,24 @@
 
 // openStreams starts the callers at one instance and waits until all get tokens.
 func (f *fleet) openStreams(t *testing.T, done func(n int, a streamResult)) *sync.WaitGroup {
-	var wait, begun sync.WaitGroup
+	var wg, begun sync.WaitGroup
 	for n := range faultCallers {
 		begun.Add(1)
 		var once sync.Once
-		wait.Go(func() {
+		wg.Go(func() {
 			a := f.streamChat(f.instances[0], faultTokens, func(int) { once.Do(begun.Done) }, "Idempotency-Key", fmt.Sprint("k", n))
 			once.Do(begun.Done)
 			done(n, a)
 		})
 	}
 	begun.Wait()
-	return &wait
+	return &wg
 }
 
 func (f *fleet) measureEngineFault(t *testing.T, inject func(*fleet, *engine)) (sample []time.Duration) {
 	var mu sync.Mutex
 	var all []streamResult
-	wait := f.openStreams(t, func(_ int, a streamResult) {
+	wg := f.openStreams(t, func(_ int, a streamResult) {
 		mu.Lock()
 		all = append(all, a)
 		mu.Unlock()
@@ -175,7 +175,7 @@
 	}
 	at := time.Now()
 	inject(f, faulty)
-	wait.Wait()
+	wg.Wait()
 	for _, a := range all {
 		if a.text != expectedText(faultTokens) || !a.complete {
 			t.Errorf("%d tokens, error %q", len(a.tokenTimes), a.err)
@@ -218,7 +218,7 @@
 func (f *fleet) measureInstanceKill(t *testing.T) (sample []time.Duration) {
 	var mu sync.Mutex
 	var at time.Time
-	wait := f.openStreams(t, func(n int, first streamResult) {
+	wg := f.openStreams(t, func(n int, first streamResult) {
 		rest := f.streamChat(f.instances[1], faultTokens, nil, "Idempotency-Key", fmt.Sprint("k", n), "Last-Event-ID", first.lastEventID)
 		mu.Lock()
 		defer mu.Unlock()
@@ -232,31 +232,31 @@
 	at = time.Now()
 	mu.Unlock()
 	f.instances[0].signal(syscall.SIGKILL)
-	wait.Wait()
+	wg.Wait()
 	return sample
 }
 
 // TestMeasureDrain counts the requests that a drain cuts off.
 func TestMeasureDrain(t *testing.T) {
 	useBinaryWithoutRaceDetector(t)
-	var cut, whole int
+	var cutOff, completed int
 	var mu sync.Mutex
 	for range faultRounds {
 		f := startFleet(t, 3, 2)
-		wait := f.openStreams(t, func(_ int, a streamResult) {
+		wg := f.openStreams(t, func(_ int, a streamResult) {
 			mu.Lock()
 			defer mu.Unlock()
 			if a.text == expectedText(faultTokens) && a.complete {
-				whole++
+				completed++
 			} else {
-				cut++
+				cutOff++
 			}
 		})
 		f.instances[0].signal(syscall.SIGTERM)
-		wait.Wait()
+		wg.Wait()
 		f.killProcesses()
 	}
-	t.Logf("drain with streams in flight: %d whole, %d cut off", whole, cut)
+	t.Logf("drain with streams in flight: %d whole, %d cut off", completed, cutOff)
 }
 
 // TestMeasureLeaving takes the time from the sign to the last order that
--- a/test/process/path_test.go
+++ b/test/process/path_test.go
@@ -55,7 +55,7 @@
 		eventually(t, "credential in force", func() bool {
 			return call(http.MethodPost, in.callersURL+"/v1/chat/completions", key, map[string]any{}).status == http.StatusBadRequest
 		})
-		whole := mustCall(t, http.MethodPost, in.callersURL+"/v1/chat/completions", key, chatBody(tokens, false))
+		nonStreaming := mustCall(t, http.MethodPost, in.callersURL+"/v1/chat/completions", key, chatBody(tokens, false))
 		var completion struct {
 			Choices []struct {
 				Message struct {
@@ -66,7 +66,7 @@
 				Total int64 `json:"total_tokens"`
 			} `json:"usage"`
 		}
-		if err := json.Unmarshal([]byte(whole.body), &completion); err != nil {
+		if err := json.Unmarshal([]byte(nonStreaming.body), &completion); err != nil {
 			t.Fatal(err)
 		}
 		if got := completion.Choices[0].Message.Content; got != expectedText(tokens) {
@@ -198,7 +198,7 @@
 	if code := in.exitCode(); code != 1 {
 		t.Fatalf("exit code %d", code)
 	}
-	if _, whole := streamText((<-got).body); whole {
+	if _, complete := streamText((<-got).body); complete {
 		t.Fatal("the stream was not cut off")
 	}
 	eventually(t, "it says what it cut off", func() bool { return strings.Contains(in.output(), "with 1 requests in flight") })
--- a/test/process/standalone_test.go
+++ b/test/process/standalone_test.go
@@ -59,7 +59,7 @@
 	}
 	for _, command := range commands {
 		if body := runCurl(t, command); strings.Contains(command, `"stream":true`) {
-			if _, whole := streamText(body); !whole {
+			if _, complete := streamText(body); !complete {
 				t.Errorf("%s: %s", command, body)
 			}
 		} else if !json.Valid([]byte(body)) {
--- a/test/process/stream_test.go
+++ b/test/process/stream_test.go
@@ -127,11 +127,11 @@
 	f.engines[0].setFaults(t, map[string]any{"crossed": 1})
 	lengths := []int{40, 80}
 	got := make([]streamResult, len(lengths))
-	var wait sync.WaitGroup
+	var wg sync.WaitGroup
 	for i, n := range lengths {
-		wait.Go(func() { got[i] = f.streamChat(f.instances[0], n, nil) })
+		wg.Go(func() { got[i] = f.streamChat(f.instances[0], n, nil) })
 	}
-	wait.Wait()
+	wg.Wait()
 	var billed int64
 	for i, n := range lengths {
 		if got[i].text != expectedText(n) || !got[i].complete {
@@ -141,11 +141,11 @@
 	}
 	f.engines[0].setFaults(t, map[string]any{"answer_delay_ms": 2500})
 	time.AfterFunc(time.Second, func() { _ = call(http.MethodPut, f.engines[0].url+"/faults", "", map[string]any{}) })
-	late := f.streamChat(f.instances[0], lengths[0], nil)
-	if late.text != expectedText(lengths[0]) || !late.complete {
-		t.Fatalf("delayed: %d tokens, whole %v, error %q", len(late.tokenTimes), late.complete, late.err)
+	delayed := f.streamChat(f.instances[0], lengths[0], nil)
+	if delayed.text != expectedText(lengths[0]) || !delayed.complete {
+		t.Fatalf("delayed: %d tokens, whole %v, error %q", len(delayed.tokenTimes), delayed.complete, delayed.err)
 	}
-	f.awaitBilled(billed + late.totalTokens)
+	f.awaitBilled(billed + delayed.totalTokens)
 	if rows := f.engines[0].runs(t); len(rows) != 3 {
 		t.Fatalf("%d runs for 3 requests", len(rows))
 	}
@@ -177,9 +177,9 @@
 		t.Errorf("killed: the retry got %d %s", retry.status, retry.body)
 	}
 	faults(map[string]any{})
-	whole := setpoint(f.instances[1], "whole")
-	if retry := setpoint(f.instances[2], "whole"); whole.status != http.StatusOK || retry.body != whole.body {
-		t.Errorf("whole: %s; the retry: %s", whole.body, retry.body)
+	first := setpoint(f.instances[1], "whole")
+	if retry := setpoint(f.instances[2], "whole"); first.status != http.StatusOK || retry.body != first.body {
+		t.Errorf("whole: %s; the retry: %s", first.body, retry.body)
 	}
 	runs := f.callRuns()
 	for run, count := range runs {
