--- a/test/process/budget_test.go
+++ b/test/process/budget_test.go
@@ -16,17 +16,19 @@
 	longAnswerTokens  = 400
 )
 
-// budgetSite is a site with two instances in one zone and one in another. The
-// last one, alone in its zone, is the owner of what its callers draw; its
-// witness is one of the others.
+// budgetDeployment is a deployment with two instances in one availability zone
+// and one in another. The one alone in its zone holds the grants for the
+// requests of its own callers; one of the other two is its witness.
 type budgetDeployment struct {
 	deployment
 	witnesses  []*instance
 	holder     *instance
 	key        string
-	usedTokens int64 // Tokens of the answers that callers got.
+	usedTokens int64 // Tokens in the usage of all answers that callers received.
 }
 
+// startBudgetDeployment starts a budgetDeployment with a topped-up budget and sends
+// one request through the holder, so that it has a grant.
 func startBudgetDeployment(t *testing.T) *budgetDeployment {
 	t.Helper()
 	s := &budgetDeployment{deployment: startDeployment(t)}
@@ -40,7 +42,7 @@
 		eventually(t, "credential in force", func() bool {
 			return call(http.MethodPost, in.callersURL+"/v1/chat/completions", s.key, map[string]any{}).status == http.StatusBadRequest
 		})
-		eventually(t, "budget known", func() bool {
+		eventually(t, "budget readable at the instance", func() bool {
 			return call(http.MethodGet, in.operatorsURL+"/budgets/dala/main", operatorToken, nil).status == http.StatusOK
 		})
 	}
@@ -48,7 +50,8 @@
 	return s
 }
 
-// ask sends a short request that must be answered, and counts its tokens.
+// sendShortRequest sends a short chat request, fails the test unless it is
+// answered, and adds its tokens to usedTokens.
 func (s *budgetDeployment) sendShortRequest(t *testing.T, in *instance) {
 	t.Helper()
 	got := mustCall(t, http.MethodPost, in.callersURL+"/v1/chat/completions", s.key, chatBody(shortAnswerTokens, false))
@@ -63,7 +66,8 @@
 	s.usedTokens += completion.Usage.Total
 }
 
-// startLong starts a long answer at the holder and returns once it runs.
+// startLongRequest streams a long answer through the holder and returns once an
+// engine generates it. The channel receives the complete response.
 func (s *budgetDeployment) startLongRequest(t *testing.T) <-chan response {
 	t.Helper()
 	before := generatedTokens(t, s.engines)
@@ -71,7 +75,7 @@
 	go func() {
 		got <- call(http.MethodPost, s.holder.callersURL+"/v1/chat/completions", s.key, chatBody(longAnswerTokens, true))
 	}()
-	eventually(t, "the long answer runs", func() bool { return generatedTokens(t, s.engines) > before+10 })
+	eventually(t, "engines generate the long answer", func() bool { return generatedTokens(t, s.engines) > before+10 })
 	return got
 }
 
@@ -80,7 +84,8 @@
 	mustCall(t, http.MethodPut, s.platform+"/faults", "", f)
 }
 
-// engineTokens is what the engines count: prompts and answers.
+// engineTokens returns the prompt and completion tokens that the engines have
+// counted over all runs.
 func (s *budgetDeployment) engineTokens(t *testing.T) int64 {
 	t.Helper()
 	var sum int64
@@ -96,13 +101,14 @@
 	return sum
 }
 
-// audit waits until the log has the bills that want asks for, and compares
-// them with the engines: nothing ran unbilled, nothing was billed twice, and
-// the budget holds.
+// awaitBilling waits until the budget's totals, as one instance reads them from
+// the log, satisfy want. It then requires that engines ran no more tokens than
+// were billed, and that no more was billed than committed or committed than
+// prepaid.
 func (s *budgetDeployment) awaitBilling(t *testing.T, in *instance, want func(budgetRow) bool) budgetRow {
 	t.Helper()
 	var row budgetRow
-	eventually(t, "bills on the log", func() bool {
+	eventually(t, "expected bills read from the log", func() bool {
 		row = readBudget(t, in.operatorsURL, "dala")
 		return want(row)
 	})
@@ -113,10 +119,12 @@
 	return row
 }
 
-// exact says that callers' answers are billed, each once.
+// allAnswersBilled reports whether exactly the answers that callers received are
+// billed, each once.
 func (s *budgetDeployment) allAnswersBilled(row budgetRow) bool { return row.Billed == s.usedTokens }
 
-// closed says that every grant has been closed.
+// allGrantsClosed reports whether no open grant is left, which is when all
+// committed tokens are billed.
 func allGrantsClosed(row budgetRow) bool { return row.Billed == row.Committed }
 
 func TestKilledHolderIsBilledOnceAndReturnsItsGrant(t *testing.T) {
@@ -140,7 +148,7 @@
 	select {
 	case <-got:
 	case <-time.After(waitTimeout):
-		t.Fatal("no end of the long answer")
+		t.Fatal("the long answer did not end in time")
 	}
 	s.usedTokens = sealed.Billed
 	eventually(t, "the resumed instance serves again", func() bool {
@@ -178,6 +186,6 @@
 	}
 	row := s.awaitBilling(t, s.witnesses[0], s.allAnswersBilled)
 	if !allGrantsClosed(row) {
-		t.Fatalf("left %d tokens in grants", row.Committed-row.Billed)
+		t.Fatalf("%d tokens left in open grants after the drain", row.Committed-row.Billed)
 	}
 }
--- a/test/process/capacity_measure_test.go
+++ b/test/process/capacity_measure_test.go
@@ -16,21 +16,22 @@
 	"guavapier/internal/record"
 )
 
-// The slopes of docs/CAPACITY.md that need whole processes:
+// The measurements of docs/CAPACITY.md that need separate processes:
 //
 //	go test -tags measure -count=1 -v -run Capacity ./test/process
 
 const (
-	userHz             = 100 // Clock ticks a second in /proc/PID/stat.
+	userHz             = 100 // Clock ticks per second in /proc/PID/stat.
 	idleSampleDuration = 20 * time.Second
 	idleWarmup         = 5 * time.Second
 )
 
-// usage is what a process has taken so far.
+// processUsage holds the resources that a process has used since its start.
 type processUsage struct {
 	cpu time.Duration
-	rss int64 // Bytes now.
-	// io is the bytes read and written by system calls, sockets included.
+	rss int64 // Current resident set, in bytes.
+	// io is the number of bytes read and written by system calls, including
+	// those on sockets.
 	io int64
 }
 
@@ -67,8 +68,8 @@
 	return u
 }
 
-// TestCapacityQuietInstance takes what an instance spends without any request,
-// by the number of instances and of endpoints.
+// TestCapacityQuietInstance measures the processor time, I/O and memory of an
+// instance that serves no request, by the number of instances and of endpoints.
 func TestCapacityQuietInstance(t *testing.T) {
 	useBinaryWithoutRaceDetector(t)
 	for _, size := range []struct{ instances, endpoints int }{{1, 4}, {4, 4}, {8, 4}, {16, 4}, {4, 16}, {4, 64}} {
@@ -97,8 +98,8 @@
 	}
 }
 
-// TestCapacityOpenStreams takes an instance's memory for an open stream and
-// its processor time for a token, by the number of streams.
+// TestCapacityOpenStreams measures an instance's memory per open stream and its
+// processor time per token, by the number of streams.
 func TestCapacityOpenStreams(t *testing.T) {
 	useBinaryWithoutRaceDetector(t)
 	const slots, tokens = 4000, 200
@@ -138,8 +139,8 @@
 	}
 }
 
-// applied returns the sum of the offsets that an instance has applied: how many
-// appends the whole fleet has made.
+// totalAppends returns the sum of the offsets that an instance has applied over
+// all streams, which is the number of log appends by the whole fleet.
 func totalAppends(t *testing.T, in *instance) (sum float64) {
 	t.Helper()
 	var dump struct {
@@ -154,9 +155,9 @@
 	return sum
 }
 
-// TestCapacityRequests takes the processor time of a short request and of a
-// service call at its instance and at the other one of the zone, and the
-// fleet's appends.
+// TestCapacityRequests measures the processor time of a short chat request and
+// of a service call, both at the instance that serves it and at the other
+// instance of the zone, and the fleet's log appends.
 func TestCapacityRequests(t *testing.T) {
 	useBinaryWithoutRaceDetector(t)
 	f := startFleet(t, 0, 2)
@@ -185,7 +186,7 @@
 				wg.Go(func() {
 					for i := range requestsPerCaller {
 						if a := send(n, i); a.status != http.StatusOK {
-							t.Errorf("%d %s", a.status, a.body)
+							t.Errorf("request failed: status %d, body %s", a.status, a.body)
 							return
 						}
 					}
--- a/test/process/claim_test.go
+++ b/test/process/claim_test.go
@@ -15,8 +15,9 @@
 	"guavapier/internal/record"
 )
 
-// rig is a site with a team whose calls of the plain service may not be
-// repeated.
+// callFixture is a deployment with a team that calls a service without the
+// repeatable setting: no call may run more than once. Its methods send calls as
+// callers do and compare what callers were told with what the service ran.
 type callFixture struct {
 	deployment
 	t         *testing.T
@@ -25,6 +26,8 @@
 	session   string
 }
 
+// startCallFixture starts a deployment with one instance per name, all in one
+// availability zone.
 func startCallFixture(t *testing.T, names ...string) *callFixture {
 	t.Helper()
 	r := &callFixture{deployment: startDeployment(t), t: t}
@@ -36,7 +39,8 @@
 	return r
 }
 
-// ready waits for the team's key and opens its session.
+// openTeamSession waits until the instances accept the team's key, and opens the
+// session that later attempts use.
 func (r *callFixture) openTeamSession(fleet ...*instance) {
 	r.t.Helper()
 	for _, in := range fleet {
@@ -52,6 +56,7 @@
 	Token string `json:"token"`
 }
 
+// openSession opens a session for the team that the API key belongs to.
 func openSession(t *testing.T, in *instance, key string) openedSession {
 	t.Helper()
 	var s openedSession
@@ -61,14 +66,14 @@
 	return s
 }
 
-// attempt is one attempt of a call; each call has a path of its own, so that
-// the service counts its runs.
+// sendAttempt sends one attempt of a call. Each call has a path of its own, by
+// which the service counts its runs.
 func (r *callFixture) sendAttempt(in *instance, name string, body any, first bool) response {
 	return call(http.MethodPost, in.callersURL+"/v1/services/rig/"+name, r.key, body,
 		"Idempotency-Key", name, "X-Session", r.session, "X-First-Attempt", fmt.Sprint(first))
 }
 
-// runs is how often each call ran at the service.
+// runCount returns how many times the service ran a call.
 func (r *callFixture) runCount(name string) int {
 	r.t.Helper()
 	var paths map[string]int
@@ -78,7 +83,9 @@
 	return paths["/call/"+name]
 }
 
-// outcome is what an attempt's caller knows of the call.
+// reportedOutcome returns what an attempt's response tells the caller about the
+// call: "answered", the outcome in the error body, or "unknown" without a
+// response.
 func reportedOutcome(a response) string {
 	if a.err != nil {
 		return "unknown"
@@ -95,8 +102,9 @@
 	return body.Error.Outcome
 }
 
-// persist retries a call at one instance after the other, as a caller does,
-// until it is answered or its tries are used up.
+// retryUntilAnswered retries a call at one instance after the other, starting at
+// index from, until it is answered or all tries are used. It returns the last
+// outcome.
 func (r *callFixture) retryUntilAnswered(name string, from, tries int) string {
 	last := ""
 	for try := range tries {
@@ -109,8 +117,9 @@
 	return last
 }
 
-// storm sends many calls at once, causes a fault in their midst, and checks
-// what the service ran against what the callers were told.
+// sendCallsDuringFault sends many overlapping calls, injects a fault while they
+// run, and compares the service's run counts with the outcomes that callers were
+// told.
 func (r *callFixture) sendCallsDuringFault(prefix string, fault func()) {
 	r.t.Helper()
 	const calls, tries = 24, 12
@@ -129,6 +138,8 @@
 	r.checkRunCounts(prefix, outcomes)
 }
 
+// checkRunCounts requires that no call ran more than once, that answered calls ran
+// exactly once and that calls reported as not_run never ran.
 func (r *callFixture) checkRunCounts(prefix string, outcomes []string) {
 	r.t.Helper()
 	count := map[string]int{}
@@ -136,17 +147,18 @@
 		count[outcome]++
 		ran := r.runCount(fmt.Sprint(prefix, n))
 		if ran > 1 || outcome == "answered" && ran != 1 || outcome == "not_run" && ran != 0 {
-			r.t.Errorf("call %d was told %q and ran %d times", n, outcome, ran)
+			r.t.Errorf("call %d: outcome %q, ran %d times", n, outcome, ran)
 		}
 	}
-	r.t.Logf("%s: told %v", prefix, count)
+	r.t.Logf("%s: number of calls by outcome: %v", prefix, count)
 	if count["answered"] == 0 {
 		r.t.Error("no call was answered")
 	}
 }
 
-// recovers checks that calls of every claim shard are answered by the given
-// instances in the end.
+// requireCallsAnswered sends enough calls to reach every claim shard, requires
+// that the given instances answer each one before the timeout, and that each ran
+// once.
 func (r *callFixture) requireCallsAnswered(prefix string, fleet ...*instance) {
 	r.t.Helper()
 	for n := range 16 {
@@ -167,18 +179,18 @@
 		name := fmt.Sprint("call-", n)
 		want := r.sendAttempt(r.instances[n%3], name, "body", true)
 		if want.status != http.StatusOK {
-			t.Fatalf("first attempt: %d %s", want.status, want.body)
+			t.Fatalf("first attempt: status %d, body %s", want.status, want.body)
 		}
 		for _, in := range r.instances {
 			if got := r.sendAttempt(in, name, "body", false); got.status != http.StatusOK || got.body != want.body {
-				t.Fatalf("retry: %d %s, want %s", got.status, got.body, want.body)
+				t.Fatalf("retry: status %d, body %s, want body %s", got.status, got.body, want.body)
 			}
 			if got := r.sendAttempt(in, name, "other body", false); got.status != http.StatusUnprocessableEntity {
-				t.Fatalf("another body: %d %s", got.status, got.body)
+				t.Fatalf("same idempotency key with another body: status %d, body %s, want status 422", got.status, got.body)
 			}
 		}
 		if ran := r.runCount(name); ran != 1 {
-			t.Fatalf("ran %d times", ran)
+			t.Fatalf("call ran %d times, want 1", ran)
 		}
 	}
 }
@@ -194,10 +206,10 @@
 	})
 	stolen := call(http.MethodPost, r.instances[1].callersURL+"/v1/services/rig/x", other, nil, "Idempotency-Key", "x", "X-Session", s.Token)
 	if stolen.status != http.StatusForbidden {
-		t.Fatalf("another team used the session: %d", stolen.status)
+		t.Fatalf("request with another team's session: status %d, want 403", stolen.status)
 	}
 	if got := r.sendAttempt(r.instances[1], "after-other", nil, true); got.status != http.StatusOK {
-		t.Fatalf("another team ended the session: %d %s", got.status, got.body)
+		t.Fatalf("session unusable after another team tried to end it: status %d, body %s", got.status, got.body)
 	}
 	listed := func(in *instance, key string) bool {
 		return strings.Contains(mustCall(t, http.MethodGet, in.callersURL+"/v1/sessions", key, nil).body, s.ID)
@@ -210,7 +222,7 @@
 	}
 	mustCall(t, http.MethodDelete, r.instances[1].callersURL+"/v1/sessions/"+s.ID, r.key, nil)
 	for n, in := range r.instances {
-		eventually(t, "session off the list", func() bool { return !listed(in, r.key) })
+		eventually(t, "session no longer listed", func() bool { return !listed(in, r.key) })
 		eventually(t, "session ended", func() bool {
 			return r.sendAttempt(in, fmt.Sprint("ended-", n), nil, true).status == http.StatusForbidden
 		})
@@ -224,7 +236,8 @@
 	r.requireCallsAnswered("after-", r.instances[1:]...)
 }
 
-// A drained instance hands its claims over: no call is lost to its callers.
+// A draining instance hands its claims over to the others, so that callers lose
+// no call.
 func TestCallsGoOnWhenAnInstanceLeaves(t *testing.T) {
 	r := startCallFixture(t, "a1", "a2", "a3")
 	r.requireCallsAnswered("warm-", r.instances...)
@@ -235,7 +248,7 @@
 	}
 	r.requireCallsAnswered("after-", r.instances[1:]...)
 	if again := r.sendAttempt(r.instances[2], "before", nil, false); before.status != http.StatusOK || again.err != nil || r.runCount("before") != 1 {
-		t.Errorf("retry after the handover: %d, then %d %v, ran %d times", before.status, again.status, again.err, r.runCount("before"))
+		t.Errorf("first attempt: status %d; retry after the handover: status %d, error %v; ran %d times, want 1", before.status, again.status, again.err, r.runCount("before"))
 	}
 }
 
@@ -270,13 +283,13 @@
 	for n := range 8 {
 		in := r.instances[n%3]
 		if got := r.sendAttempt(in, fmt.Sprint("served-", n), nil, true); got.status != http.StatusOK {
-			t.Errorf("serve: %d %s", got.status, got.body)
+			t.Errorf("team that serves during the outage: status %d, body %s", got.status, got.body)
 		}
 		name := fmt.Sprint("refused-", n)
 		for _, first := range []bool{true, false} {
 			got := refusing.sendAttempt(in, name, nil, first)
 			if reportedOutcome(got) != "not_run" || got.header.Get("Retry-After") == "" || r.runCount(name) != 0 {
-				t.Errorf("refuse: %d %s, ran %d times", got.status, got.body, r.runCount(name))
+				t.Errorf("team that refuses during the outage: status %d, body %s, ran %d times", got.status, got.body, r.runCount(name))
 			}
 		}
 	}
@@ -285,8 +298,9 @@
 	r.requireCallsAnswered("served-", r.instances...)
 }
 
-// Holder and witness die at once: nobody left can say what they counted, so
-// calls are refused until an operator says that both are gone.
+// With holder and witness of a claim shard killed together, no process knows
+// which calls they had accepted. Calls of the shard are refused until an operator
+// closes it, confirming that both are gone.
 func TestShardsOfADeadPairWaitForTheOperator(t *testing.T) {
 	r := startCallFixture(t, "a1", "a2")
 	r.requireCallsAnswered("warm-", r.instances...)
@@ -304,7 +318,7 @@
 		first := reportedOutcome(r.sendAttempt(next, name, nil, true))
 		retry := reportedOutcome(r.sendAttempt(next, name, nil, false))
 		if first != "not_run" || retry != "unknown" || r.runCount(name) != 0 {
-			t.Errorf("before the close: told %q, then %q, ran %d times", first, retry, r.runCount(name))
+			t.Errorf("before the shard is closed: outcome %q, then %q on retry, ran %d times", first, retry, r.runCount(name))
 		}
 	}
 	for _, s := range claimShards(t, next) {
@@ -313,12 +327,13 @@
 	r.requireCallsAnswered("refused-", next)
 }
 
-// shardRow is one claim shard of a state dump.
+// shardRow is one claim shard in the response to GET /state.
 type shardRow struct {
 	Right, Witness string
 	Closed         bool
 }
 
+// claimShards returns the claim shards that an instance knows.
 func claimShards(t *testing.T, in *instance) []shardRow {
 	t.Helper()
 	var state struct {
--- a/test/process/config_test.go
+++ b/test/process/config_test.go
@@ -15,19 +15,22 @@
 )
 
 const (
-	// shortRetention keeps few entries, so that everything written early in a
-	// test has aged out by its end.
+	// retainedEntries is the number of entries that the log keeps per stream. It
+	// is small enough that entries written early in a test are dropped by its end.
 	retainedEntries   = 200
 	frequentSnapshots = "[snapshots]\nevery = \"1s\"\n"
 )
 
+// conservatismPath returns the settings path of the conservatism of team dala's
+// budget b<n>.
 func conservatismPath(n int) string { return fmt.Sprintf("/teams/dala/budgets/b%d/lean", n) }
 
-// putSetting sends one change of one path.
+// putChange sends a settings change with one operation.
 func putChange(operators, id string, op record.ChangeOp) response {
 	return call(http.MethodPut, operators+"/settings", operatorToken, operator.ChangeRequest{ID: id, By: "test", Ops: []record.ChangeOp{op}})
 }
 
+// readSettings returns the settings that an instance has in force, by path.
 func readSettings(t *testing.T, operators string) map[string]fold.Value {
 	t.Helper()
 	var rows []fold.Value
@@ -41,7 +44,7 @@
 	return out
 }
 
-// firstKept returns the oldest offset that the log keeps of a stream.
+// firstKeptOffset returns the oldest offset of a stream that the log still keeps.
 func firstKeptOffset(t *testing.T, operators string, stream record.Stream) uint64 {
 	t.Helper()
 	var state struct {
@@ -58,12 +61,13 @@
 			return row.First
 		}
 	}
-	t.Fatalf("no stream %s", stream)
+	t.Fatalf("stream %s is not in the state dump", stream)
 	return 0
 }
 
-// Every record of the seed ages out, all instances are replaced, and nothing
-// is lost or goes back.
+// After every record of the initial settings and top-up has aged out of the log
+// and all instances are replaced, settings and budgets are as before: neither lost
+// nor reverted to an earlier value.
 func TestNothingRevertsOverRetentionAndReplacement(t *testing.T) {
 	_, platform := startStandin(t, "platform", "-lag", listLag, "-retain", fmt.Sprint(retainedEntries))
 	old := []*instance{
@@ -72,7 +76,7 @@
 	}
 	seedTeam(t, old[0].operatorsURL, "dala", 1_000_000)
 	if got := putChange(old[0].operatorsURL, "seed-lean", record.ChangeOp{Path: conservatismPath(0), Value: "0.25"}); got.status != http.StatusOK {
-		t.Fatalf("%+v", got)
+		t.Fatalf("put the initial setting: %+v", got)
 	}
 	var fillers sync.WaitGroup
 	fillers.Go(func() { writeFillerChanges(t, old[0].operatorsURL) })
@@ -85,7 +89,7 @@
 	ledger := record.LedgerStream(record.TeamPartition("dala", 8))
 	for _, stream := range []record.Stream{record.ConfigStream, ledger} {
 		if firstKeptOffset(t, old[0].operatorsURL, stream) == 0 {
-			t.Fatalf("nothing of %s has aged out: the test shows nothing", stream)
+			t.Fatalf("no record of stream %s has aged out, so the test proves nothing", stream)
 		}
 	}
 	wantSettings, wantBudget := readSettings(t, old[0].operatorsURL), readBudget(t, old[1].operatorsURL, "dala")
@@ -99,29 +103,32 @@
 	if got := readBudget(t, replacement.operatorsURL, "dala"); got != wantBudget || got.Prepaid != 1_000_000+retainedEntries+retainedEntries/2 {
 		t.Errorf("budget %+v, want %+v", got, wantBudget)
 	}
-	// A retry of a top-up that is not on the log any more counts no second time.
+	// The retry of a top-up whose record the log no longer keeps is not applied
+	// again.
 	topUp(t, replacement.operatorsURL, "dala", fmt.Sprint("fill-", retainedEntries+retainedEntries/2-1), 1)
 	if got := readBudget(t, replacement.operatorsURL, "dala"); got != wantBudget {
-		t.Errorf("a retried top-up counted twice: %+v, want %+v", got, wantBudget)
+		t.Errorf("a retried top-up was applied twice: budget %+v, want %+v", got, wantBudget)
 	}
 }
 
-// fillConfig changes one path until the seed has aged out.
+// writeFillerChanges changes one path often enough that the first entries of the
+// configuration stream age out.
 func writeFillerChanges(t *testing.T, operators string) {
 	base := uint64(0)
 	for n := range retainedEntries + retainedEntries/2 {
 		got := putChange(operators, fmt.Sprint("fill-", n), record.ChangeOp{Path: conservatismPath(1), Value: "0.5", Base: base})
 		var result fold.ChangeResult
 		if err := json.Unmarshal([]byte(got.body), &result); err != nil || got.status != http.StatusOK {
-			t.Errorf("%+v", got)
+			t.Errorf("put filler change: %+v", got)
 			return
 		}
 		base = result.Offset + 1
 	}
 }
 
-// On a log that drops by age nothing else may happen after the last change;
-// the state outlives it all the same.
+// With retention by age, records of a stream without further writes age out too.
+// The state that they hold survives in snapshots, also when the instance is
+// replaced.
 func TestQuietStreamOutlivesTheRetention(t *testing.T) {
 	const retention = 4 * time.Second
 	_, platform := startStandin(t, "platform", "-lag", listLag, "-retain-for", retention.String())
@@ -129,7 +136,7 @@
 	seedTeam(t, in.operatorsURL, "dala", 1_000_000)
 	want := readSettings(t, in.operatorsURL)
 	ledger := record.LedgerStream(record.TeamPartition("dala", 8))
-	eventually(t, "the seed has aged out", func() bool {
+	eventually(t, "the initial records have aged out", func() bool {
 		return firstKeptOffset(t, in.operatorsURL, record.ConfigStream) > 0 && firstKeptOffset(t, in.operatorsURL, ledger) > 0
 	})
 	in.kill()
@@ -138,12 +145,13 @@
 		t.Errorf("settings differ: %v, want %v", got, want)
 	}
 	if got := readBudget(t, replacement.operatorsURL, "dala"); got.Prepaid != 1_000_000 {
-		t.Errorf("budget %+v", got)
+		t.Errorf("budget %+v, want 1000000 tokens prepaid", got)
 	}
 }
 
-// With records gone that no snapshot covers, a new instance is not ready and
-// says so, rather than serve on tables that lack something.
+// If records have aged out that no snapshot covers, a new instance's tables would
+// be incomplete. It counts the missing records in a metric and stays not ready
+// instead of serving.
 func TestInstanceWithoutAWholePastIsNotReady(t *testing.T) {
 	const retain = 3
 	_, platform := startStandin(t, "platform", "-lag", listLag, "-retain", fmt.Sprint(retain))
@@ -155,7 +163,7 @@
 	if err := json.Unmarshal([]byte(line), &at); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "the gap is seen", func() bool {
+	eventually(t, "missing records counted", func() bool {
 		var got map[string]struct {
 			Count int `json:"count"`
 		}
@@ -163,6 +171,6 @@
 		return json.Unmarshal([]byte(text), &got) == nil && got["replica.records_aged_out"].Count > 1
 	})
 	if got := call(http.MethodGet, "http://"+at.Callers+"/readyz", "", nil); got.status != http.StatusServiceUnavailable {
-		t.Fatalf("ready on tables that lack something: %+v", got)
+		t.Fatalf("readiness probe with incomplete tables: %+v, want status 503", got)
 	}
 }
--- a/test/process/cut_test.go
+++ b/test/process/cut_test.go
@@ -16,22 +16,23 @@
 	"guavapier/internal/record"
 )
 
-// view is one instance's way to the platform. It can be down, and shows the
-// peers at the addresses of relays, so that the test can cut them off.
+// platformProxy is an HTTP proxy between instances and the platform. It can
+// simulate a platform outage, and it replaces the peer addresses on the instance
+// list by those of TCP relays, so that a test can cut peer connections.
 type platformProxy struct {
 	url          string
 	platformDown atomic.Bool
-	// cut makes the relays forward nothing more, in both directions, and take
-	// no new connection through.
+	// peersCut makes the relays discard all data in both directions. Connections
+	// stay open, and new ones are accepted but carry nothing either.
 	peersCut atomic.Bool
-	// zone is the availability zone whose peers are shown as they are, so that
-	// a cut leaves the zone whole. Empty for none.
+	// intactZone is the availability zone whose peer addresses aren't replaced,
+	// so that a cut doesn't affect connections within it. Empty for none.
 	intactZone string
 
 	t      *testing.T
 	target string
 	mu     sync.Mutex
-	relays map[string]string // By the peer's own address.
+	relays map[string]string // Relay address by the peer's own address.
 }
 
 func startPlatformProxy(t *testing.T, platform string) *platformProxy {
@@ -43,7 +44,8 @@
 	return v
 }
 
-// ServeHTTP passes a call on to the platform.
+// ServeHTTP forwards a request to the platform. It answers 503 while
+// platformDown is set.
 func (v *platformProxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if v.platformDown.Load() {
 		http.Error(w, "out of reach", http.StatusServiceUnavailable)
@@ -62,7 +64,7 @@
 	}
 	defer resp.Body.Close()
 	data, _ := io.ReadAll(resp.Body)
-	if v.platformDown.Load() { // The answer to a long poll from before is lost too.
+	if v.platformDown.Load() { // Responses to long polls that began before the outage are lost too.
 		http.Error(w, "out of reach", http.StatusServiceUnavailable)
 		return
 	}
@@ -73,6 +75,7 @@
 	_, _ = w.Write(data)
 }
 
+// rewritePeers replaces the peer addresses in an instance list by those of relays.
 func (v *platformProxy) rewritePeers(data []byte) []byte {
 	var list map[string]any
 	if json.Unmarshal(data, &list) != nil {
@@ -88,7 +91,8 @@
 	return data
 }
 
-// relay returns the address of the relay before a peer.
+// relayAddress returns the address of the relay in front of a peer and starts
+// the relay at first use.
 func (v *platformProxy) relayAddress(peer string) string {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -119,6 +123,8 @@
 	return v.relays[peer]
 }
 
+// copyUnlessCut copies bytes from one connection to the other, and discards them
+// while peersCut is set.
 func (v *platformProxy) copyUnlessCut(from, to net.Conn) {
 	defer to.Close()
 	buf := make([]byte, 32<<10)
@@ -128,7 +134,7 @@
 			return
 		}
 		if v.peersCut.Load() {
-			continue // Silent: both ends stay open.
+			continue // Data is dropped without closing either connection.
 		}
 		if _, err := to.Write(buf[:n]); err != nil {
 			return
@@ -136,8 +142,8 @@
 	}
 }
 
-// An instance that is cut off from the platform alone has a new configuration
-// in force through its peers.
+// An instance that can't reach the platform, but can reach its peers, receives a
+// new configuration from them and applies it.
 func TestConfigurationReachesAnInstanceWithoutThePlatform(t *testing.T) {
 	r := startCallFixture(t, "a1", "a2")
 	v := startPlatformProxy(t, r.platform)
@@ -153,8 +159,9 @@
 	})
 }
 
-// A zone that is cut off from the other and from the platform tells the truth
-// about calls of the other zone's sessions, and loses no call of its own.
+// An availability zone that is cut off from the other zone and from the platform
+// reports no wrong outcome for calls of the other zone's sessions: it says
+// "unknown" where it can't tell. The other zone loses no call of its own.
 func TestCallsAcrossACutBetweenZones(t *testing.T) {
 	r := startCallFixture(t, "a1", "a2")
 	v := startPlatformProxy(t, r.platform)
@@ -163,21 +170,21 @@
 	r.requireCallsAnswered("warm-", cutOff, r.instances[0])
 	for n := range 6 {
 		if got := r.sendAttempt(r.instances[n%2], fmt.Sprint("ran-", n), nil, true); got.status != http.StatusOK {
-			t.Fatalf("before the cut: %d %s", got.status, got.body)
+			t.Fatalf("before the cut: status %d, body %s", got.status, got.body)
 		}
 	}
 	v.peersCut.Store(true)
 	v.platformDown.Store(true)
 	for n := range 2 {
 		if got := reportedOutcome(r.sendAttempt(cutOff, fmt.Sprint("ran-", n), nil, false)); got != "answered" && got != "unknown" {
-			t.Errorf("call that ran: told %q behind the cut", got)
+			t.Errorf("call that ran before the cut: outcome %q in the cut-off zone", got)
 		}
 		name := fmt.Sprint("new-", n)
 		if got := reportedOutcome(r.sendAttempt(cutOff, name, nil, true)); got != "not_run" || r.runCount(name) != 0 {
-			t.Errorf("first attempt: told %q, ran %d times", got, r.runCount(name))
+			t.Errorf("first attempt in the cut-off zone: outcome %q, ran %d times", got, r.runCount(name))
 		}
 		if got := reportedOutcome(r.sendAttempt(cutOff, name, nil, false)); got != "unknown" || r.runCount(name) != 0 {
-			t.Errorf("retry behind the cut: told %q, ran %d times", got, r.runCount(name))
+			t.Errorf("retry in the cut-off zone: outcome %q, ran %d times", got, r.runCount(name))
 		}
 	}
 	r.requireCallsAnswered("near-", r.instances...)
@@ -186,13 +193,15 @@
 	r.requireCallsAnswered("new-", cutOff)
 	for n := range 6 {
 		if ran := r.runCount(fmt.Sprint("ran-", n)); ran != 1 {
-			t.Errorf("call %d ran %d times", n, ran)
+			t.Errorf("call %d ran %d times, want 1", n, ran)
 		}
 	}
 }
 
-// Two availability zones draw on one budget through a cut between them, which
-// also takes the platform from one; the other one tops up meanwhile.
+// Two availability zones spend one budget while they are cut off from each other
+// and one of them also from the platform. A top-up is made in the other zone
+// meanwhile. The budget isn't overspent, and once the cut is over every answer is
+// billed once.
 func TestBudgetAcrossACutBetweenZones(t *testing.T) {
 	const prepaid, added, tokens, requests = 3_000, 500, 50, 40
 	s := startDeployment(t)
@@ -238,14 +247,14 @@
 	wg.Wait()
 	t.Logf("%d of %d requests answered during the cut, %d tokens used in all", answered.Load()-before, 2*requests, used.Load())
 	if answered.Load() == before {
-		t.Fatal("nothing was served during the cut")
+		t.Fatal("no request was answered during the cut")
 	}
 	near.peersCut.Store(false)
 	far.peersCut.Store(false)
 	far.platformDown.Store(false)
 	for _, side := range sides {
 		for _, in := range side {
-			eventually(t, "the bills of both sides, none twice", func() bool {
+			eventually(t, "answers of both zones billed, each once", func() bool {
 				row := readBudget(t, in.operatorsURL, "dala")
 				if row.Committed > row.Prepaid || row.Billed > prepaid+added {
 					t.Fatalf("overspent: %+v", row)
--- a/test/process/doc.go
+++ b/test/process/doc.go
@@ -1,3 +1,3 @@
-// Package process holds the tests that run the real binary as separate
-// processes on loopback. All of it is in test files.
+// Package process holds the end-to-end tests that run the program as separate
+// processes on loopback. All of its code is in test files.
 package process
--- a/test/process/drain_read_test.go
+++ b/test/process/drain_read_test.go
@@ -11,11 +11,11 @@
 	"time"
 )
 
-// A request whose head is on its way in as the instance is told to end is
-// answered. Callers saw the connection end under it. Cause: http.Server.Shutdown
-// takes a kept connection for idle until a whole head was read, and drops what is
-// read after its call. Evidence: the half that came before the signal was read, and
-// the end came with the drain.
+// A request whose header is only partly received when the drain starts is still
+// answered. http.Server.Shutdown treats a keep-alive connection as idle until a
+// complete header has been read, and closes it; callers then lost their connection
+// in the middle of a request. The test sends the first half of a header before the
+// signal and the rest during the drain.
 func TestARequestThatIsBeingReadInADrainIsAnswered(t *testing.T) {
 	f := startFleet(t, 1, 1)
 	in := f.instances[0]
@@ -47,13 +47,13 @@
 		t.Fatal(err)
 	}
 	send(first)
-	time.Sleep(100 * time.Millisecond) // It is read meanwhile.
+	time.Sleep(100 * time.Millisecond) // Time for the server to read the first half.
 	in.signal(syscall.SIGTERM)
-	eventually(t, "drain", func() bool { return strings.Contains(in.output(), "server: draining") })
+	eventually(t, "drain started", func() bool { return strings.Contains(in.output(), "server: draining") })
 	time.Sleep(100 * time.Millisecond)
 	send(last)
 	if err := receive(); err != nil {
-		t.Errorf("read and not answered: %v", err)
+		t.Errorf("a request received during the drain was not answered: %v", err)
 	}
 	if code := in.exitCode(); code != 0 {
 		t.Errorf("exit code %d: %s", code, in.output())
--- a/test/process/drain_test.go
+++ b/test/process/drain_test.go
@@ -7,13 +7,13 @@
 	"testing"
 )
 
-// An instance that drains while the platform is away ends all the same, and
-// the budget is billed for what was used once the platform is back.
+// An instance that drains during a platform outage exits in time all the same.
+// Once the platform is reachable again, the tokens used are billed once.
 func TestDrainDuringPlatformOutage(t *testing.T) {
 	f := startFleet(t, 1, 2)
 	got := f.streamChat(f.instances[0], 50, nil)
 	if !got.complete {
-		t.Fatalf("%d tokens, error %q", len(got.tokenTimes), got.err)
+		t.Fatalf("answer has %d tokens and is not complete, error %q", len(got.tokenTimes), got.err)
 	}
 	holder, other := f.grantHolder()
 	mustCall(t, http.MethodPut, f.platform+"/faults", "", map[string]any{"outage": true})
@@ -22,12 +22,13 @@
 		t.Fatalf("exit code %d: %s", code, holder.output())
 	}
 	mustCall(t, http.MethodPut, f.platform+"/faults", "", map[string]any{})
-	eventually(t, "one bill of what was used", func() bool {
+	eventually(t, "used tokens billed once", func() bool {
 		return readBudget(t, other.operatorsURL, "dala").Billed == got.totalTokens
 	})
 }
 
-// grantHolder returns the instance that holds an open grant, and another one.
+// grantHolder returns an instance that holds an open grant, and one other
+// instance.
 func (f *fleet) grantHolder() (holder, other *instance) {
 	f.t.Helper()
 	for n, in := range f.instances {
--- a/test/process/fleet_test.go
+++ b/test/process/fleet_test.go
@@ -11,7 +11,8 @@
 	"time"
 )
 
-// fleet is a platform with engines behind relays, a service and instances.
+// fleet is a platform, engines behind TCP relays, two services and the instances
+// of one availability zone, each a process.
 type fleet struct {
 	t         *testing.T
 	platform  string
@@ -21,15 +22,18 @@
 	key       string
 }
 
-// engine is an engine process and the relay before it.
+// engine is an engine process and the relay in front of it.
 type engine struct {
 	*process
-	url   string // Its own, past the relay.
+	url   string // Direct address, bypassing the relay.
 	relay *relay
 }
 
 const fleetBudgetTokens = 10_000_000
 
+// startFleet starts a fleet with the given numbers of engines and instances. It
+// returns once all instances list each other, every claim shard has a witness (with
+// more than one instance) and the key of team dala is accepted everywhere.
 func startFleet(t *testing.T, engines, instances int) *fleet {
 	t.Helper()
 	f := &fleet{t: t}
@@ -47,11 +51,11 @@
 		f.instances = append(f.instances, startInstance(t, fmt.Sprintf("a%d", n+1), "hall-a", f.platform, ""))
 	}
 	for _, in := range f.instances {
-		eventually(t, "all instances know each other", func() bool { return in.memberCount(t) == instances })
+		eventually(t, "every instance lists all instances", func() bool { return in.memberCount(t) == instances })
 	}
 	if instances > 1 {
 		for _, in := range f.instances {
-			eventually(t, "every claim shard has holder and witness", func() bool { return in.allShardsWitnessed(t) })
+			eventually(t, "every claim shard has a holder and a witness", func() bool { return in.allShardsWitnessed(t) })
 		}
 	}
 	f.key = seedTeam(t, f.instances[0].operatorsURL, "dala", fleetBudgetTokens)
@@ -63,7 +67,7 @@
 	return f
 }
 
-// knows returns how many instances this one sees on the instance list.
+// memberCount returns how many instances this one has on its instance list.
 func (in *instance) memberCount(t *testing.T) int {
 	t.Helper()
 	var dump struct {
@@ -77,9 +81,9 @@
 	return len(dump.Members.Instances)
 }
 
-// shardsSettled says whether the fold of this instance has a holder and a
-// witness for every claim shard of requests without a session. The first
-// instance of a fleet holds shards without a witness; the repeatable claims of
+// allShardsWitnessed reports whether this instance's folded state has a holder and
+// a witness for every claim shard of requests without a session. The first
+// instance of a fleet holds shards without a witness; repeatable claims made in
 // such an epoch end with their holder.
 func (in *instance) allShardsWitnessed(t *testing.T) bool {
 	t.Helper()
@@ -102,12 +106,15 @@
 	return settled == partitions
 }
 
-// list puts the endpoints on the instance list, one of them as leaving.
+// listEndpoints publishes the fleet's endpoints on the platform's endpoint list.
+// The one named leaving, if any, is marked as leaving.
 func (f *fleet) listEndpoints(leaving string) {
 	f.t.Helper()
 	mustCall(f.t, http.MethodPut, f.platform+"/endpoints", "", f.endpointRows(leaving, "rig"))
 }
 
+// endpointRows returns the endpoint list of the fleet, with the engines at the
+// addresses of their relays and the services under the given service name.
 func (f *fleet) endpointRows(leaving, service string) []map[string]any {
 	var rows []map[string]any
 	for n, url := range f.services {
@@ -120,7 +127,7 @@
 	return rows
 }
 
-// calls returns how often each call ran, over all services.
+// callRuns returns the number of runs of each call, summed over all services.
 func (f *fleet) callRuns() map[string]int {
 	f.t.Helper()
 	sum := map[string]int{}
@@ -139,7 +146,7 @@
 	}
 }
 
-// engineRun is one row of an engine's /runs.
+// engineRun is one row of an engine's answer to GET /runs.
 type engineRun struct {
 	ID         string `json:"id"`
 	Prompt     int64  `json:"prompt_tokens"`
@@ -158,7 +165,8 @@
 	return rows
 }
 
-// running returns the engine that has a run in progress.
+// awaitRunningEngine waits until an engine has generated more than five tokens of
+// an unfinished run, and returns that engine.
 func (f *fleet) awaitRunningEngine() *engine {
 	f.t.Helper()
 	var found *engine
@@ -181,18 +189,20 @@
 	mustCall(t, http.MethodPut, e.url+"/faults", "", faults)
 }
 
-// answered is a caller's stream, read to its end.
+// streamResult is a streamed answer as its caller received it, read to its end.
 type streamResult struct {
 	text        string
-	lastEventID string // The last event's id.
+	lastEventID string // The id of the last event.
 	runID       string
 	complete    bool
-	totalTokens int64 // Tokens by the closing usage.
-	tokenTimes  []time.Time
-	err         string // The error event or status, if any.
+	totalTokens int64       // From the usage in the last chunk.
+	tokenTimes  []time.Time // Time of arrival of each token.
+	err         string      // The error event, error body or transport error, if any.
 }
 
-// ask streams a chat request and calls seen with the number of events so far.
+// streamChat sends a streaming chat request and reads the answer to its end. It
+// calls onToken, if not nil, after each token with the number of tokens so far.
+// headers alternates names and values.
 func (f *fleet) streamChat(in *instance, tokens int, onToken func(int), headers ...string) (a streamResult) {
 	body := chatBody(tokens, true)
 	body["stream_options"] = map[string]bool{"include_usage": true}
@@ -218,6 +228,7 @@
 	return a
 }
 
+// parseLine adds one line of the event stream, or of an error body, to the result.
 func (a *streamResult) parseLine(line string, onToken func(int)) {
 	if id, ok := strings.CutPrefix(line, "id: "); ok {
 		a.lastEventID = id
@@ -263,11 +274,12 @@
 	}
 }
 
-// audit waits for the bill and compares it with what the callers were told.
+// awaitBilled waits until exactly want tokens are billed, and requires that no
+// more tokens are committed than prepaid.
 func (f *fleet) awaitBilled(want int64) {
 	f.t.Helper()
 	in := f.instances[len(f.instances)-1]
-	eventually(f.t, fmt.Sprintf("billed %d", want), func() bool { return readBudget(f.t, in.operatorsURL, "dala").Billed == want })
+	eventually(f.t, fmt.Sprintf("%d tokens billed", want), func() bool { return readBudget(f.t, in.operatorsURL, "dala").Billed == want })
 	if row := readBudget(f.t, in.operatorsURL, "dala"); row.Committed > row.Prepaid || row.Billed != want {
 		f.t.Fatalf("billed %d, want %d; committed %d of %d", row.Billed, want, row.Committed, row.Prepaid)
 	}
--- a/test/process/harness_test.go
+++ b/test/process/harness_test.go
@@ -46,7 +46,7 @@
 	pollInterval  = 20 * time.Millisecond
 )
 
-// process is one running process of the binary.
+// process is a running process of the binary, with its output collected.
 type process struct {
 	t      *testing.T
 	cmd    *exec.Cmd
@@ -63,8 +63,9 @@
 	return p.out.String()
 }
 
-// start runs the binary and returns when it has printed a line with the
-// marker; that line comes back.
+// startProcess runs the binary and waits until it prints a line that contains
+// marker. It returns the process and that line. The process is killed at the end of
+// the test.
 func startProcess(t *testing.T, marker string, args ...string) (*process, string) {
 	t.Helper()
 	p := &process{t: t, cmd: exec.Command(binary, args...), exited: make(chan struct{})}
@@ -85,13 +86,15 @@
 	case line := <-lines:
 		return p, line
 	case <-p.exited:
-		t.Fatalf("%v ended before it was ready", args)
+		t.Fatalf("%v exited before it was ready", args)
 	case <-time.After(waitTimeout):
-		t.Fatalf("%v was not ready in time", args)
+		t.Fatalf("%v was not ready before the timeout", args)
 	}
 	return nil, ""
 }
 
+// scanOutput collects the process's output and sends the first line that contains
+// marker to lines.
 func (p *process) scanOutput(r io.Reader, marker string, lines chan<- string) {
 	scanner := bufio.NewScanner(r)
 	found := false
@@ -108,23 +111,26 @@
 
 func (p *process) signal(s os.Signal) { _ = p.cmd.Process.Signal(s) }
 
+// kill ends the process, also while it is stopped by SIGSTOP, and waits for its
+// exit.
 func (p *process) kill() {
 	p.signal(syscall.SIGCONT)
 	p.signal(os.Kill)
 	<-p.exited
 }
 
-// exitCode waits for the process to end by itself.
+// exitCode waits for the process to exit by itself and returns its exit code.
 func (p *process) exitCode() int {
 	select {
 	case <-p.exited:
 	case <-time.After(waitTimeout):
-		p.t.Fatal("process did not end in time")
+		p.t.Fatal("process did not exit before the timeout")
 	}
 	return p.cmd.ProcessState.ExitCode()
 }
 
-// startStandin runs a stand-in and returns its base URL.
+// startStandin runs a stand-in for a platform, an engine or a service, and returns
+// its process and base URL.
 func startStandin(t *testing.T, kind string, args ...string) (*process, string) {
 	t.Helper()
 	const marker = "listening on "
@@ -132,23 +138,27 @@
 	return p, "http://" + line[strings.Index(line, marker)+len(marker):]
 }
 
-// instance is one running instance.
+// instance is a running instance and the base URLs of its interfaces for callers
+// and for operators.
 type instance struct {
 	*process
 	callersURL   string
 	operatorsURL string
 }
 
+// listenAddresses are the host:port addresses in the log line "server: serving".
 type listenAddresses struct {
 	Callers   string `json:"callers"`
 	Operators string `json:"operators"`
 }
 
-// allPlain names every interface: the stand-ins have no certificates.
+// allInterfaces lists every interface for the setting tls.plain, because the
+// stand-ins have no certificates.
 const allInterfaces = `"callers", "operators", "peers", "platform", "endpoints"`
 
-// instanceSettings writes the settings of an instance and its secrets, and
-// returns the file. extra is TOML appended to the settings.
+// instanceSettings writes the settings file of an instance and the files of its
+// secrets, and returns the path of the settings file. extra is TOML appended to the
+// settings.
 func instanceSettings(t *testing.T, name, zone, platform, extra string) string {
 	t.Helper()
 	dir := t.TempDir()
@@ -186,8 +196,8 @@
 	return startInstanceFromFile(t, name, instanceSettings(t, name, zone, platform, extra))
 }
 
-// startSettings runs an instance with a settings file and waits until it is
-// ready.
+// startInstanceFromFile runs an instance with the given settings file and waits
+// until its readiness probe answers 200.
 func startInstanceFromFile(t *testing.T, name, settings string) *instance {
 	t.Helper()
 	p, line := startProcess(t, "server: serving", "serve", "-settings", settings)
@@ -207,18 +217,20 @@
 	return in
 }
 
+// eventually polls ok until it returns true, and fails the test after waitTimeout.
 func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	deadline := time.Now().Add(waitTimeout)
 	for !ok() {
 		if time.Now().After(deadline) {
-			t.Fatalf("not in time: %s", what)
+			t.Fatalf("timed out waiting for: %s", what)
 		}
 		time.Sleep(pollInterval)
 	}
 }
 
-// answer is an HTTP answer read whole.
+// response is an HTTP response with its body read to the end. err is set if there
+// was none or reading it failed.
 type response struct {
 	status int
 	header http.Header
@@ -226,6 +238,8 @@
 	err    error
 }
 
+// call sends an HTTP request with a JSON body and a bearer token. headers
+// alternates names and values.
 func call(method, url, token string, body any, headers ...string) response {
 	data, err := json.Marshal(body)
 	if err != nil {
@@ -248,16 +262,19 @@
 	return response{status: resp.StatusCode, header: resp.Header, body: string(text), err: err}
 }
 
+// mustCall is call that fails the test without a response or with a status of 300
+// or more.
 func mustCall(t *testing.T, method, url, token string, body any, headers ...string) response {
 	t.Helper()
 	got := call(method, url, token, body, headers...)
 	if got.err != nil || got.status >= 300 {
-		t.Fatalf("%s %s: %d %v: %s", method, url, got.status, got.err, got.body)
+		t.Fatalf("%s %s: status %d, error %v, body %s", method, url, got.status, got.err, got.body)
 	}
 	return got
 }
 
-// seedTeam gives a team an API key (team:secret) and tops up its main budget.
+// seedTeam creates the API key "<team>:secret" for a team, tops up its main budget
+// and returns the key.
 func seedTeam(t *testing.T, operators, team string, tokens int64) string {
 	t.Helper()
 	key := team + ":secret"
@@ -268,6 +285,7 @@
 	return key
 }
 
+// topUp adds tokens to a team's main budget. The id makes retries idempotent.
 func topUp(t *testing.T, operators, team, id string, tokens int64) {
 	t.Helper()
 	mustCall(t, http.MethodPost, operators+"/topups", operatorToken, map[string]any{
@@ -275,12 +293,14 @@
 	})
 }
 
+// budgetRow holds the totals of a budget, in tokens.
 type budgetRow struct {
 	Prepaid   int64 `json:"prepaid"`
 	Committed int64 `json:"committed"`
 	Billed    int64 `json:"billed"`
 }
 
+// readBudget returns the token totals of a team's main budget at one instance.
 func readBudget(t *testing.T, operators, team string) budgetRow {
 	t.Helper()
 	var row budgetRow
@@ -291,6 +311,7 @@
 	return row
 }
 
+// chatBody returns the body of a chat completion request.
 func chatBody(maxTokens int, stream bool) map[string]any {
 	return map[string]any{
 		"model": "small", "max_tokens": maxTokens, "stream": stream,
@@ -298,7 +319,7 @@
 	}
 }
 
-// wholeText is the stand-in engine's whole answer of n tokens.
+// expectedText returns the stand-in engine's complete answer of n tokens.
 func expectedText(n int) string {
 	var b strings.Builder
 	for i := range n {
@@ -307,8 +328,8 @@
 	return b.String()
 }
 
-// streamText joins the tokens of a streamed answer; whole says whether the
-// closing event came.
+// streamText joins the tokens of a streamed answer. complete reports whether the
+// closing event was received.
 func streamText(body string) (text string, complete bool) {
 	var b strings.Builder
 	for _, line := range strings.Split(body, "\n") {
--- a/test/process/leaving_test.go
+++ b/test/process/leaving_test.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// shortLoad asks for short answers from some callers at once until stop, and
-// collects what was not answered whole.
+// backgroundLoad sends short streaming requests from several concurrent callers
+// until it is stopped, and collects those that weren't answered completely.
 type backgroundLoad struct {
 	stop        chan struct{}
 	workers     sync.WaitGroup
@@ -22,6 +22,8 @@
 	completed   atomic.Int64
 }
 
+// startLoad starts the given number of callers, each of which streams answers of
+// the given number of tokens, one after the other and from all instances in turn.
 func (f *fleet) startLoad(callers, tokens int) *backgroundLoad {
 	l := &backgroundLoad{stop: make(chan struct{})}
 	for n := range callers {
@@ -35,7 +37,7 @@
 				got := f.streamChat(f.instances[(n+i)%len(f.instances)], tokens, nil)
 				if got.text != expectedText(tokens) || !got.complete {
 					l.mu.Lock()
-					l.failures = append(l.failures, fmt.Sprintf("caller %d: %d tokens, whole %v, error %q", n, len(got.tokenTimes), got.complete, got.err))
+					l.failures = append(l.failures, fmt.Sprintf("caller %d: %d tokens, complete %v, error %q", n, len(got.tokenTimes), got.complete, got.err))
 					l.mu.Unlock()
 					continue
 				}
@@ -47,21 +49,25 @@
 	return l
 }
 
+// stopAndCheck waits for the requests in flight, and fails the test if an answer was
+// incomplete or none was received.
 func (l *backgroundLoad) stopAndCheck(t *testing.T) {
 	t.Helper()
 	close(l.stop)
 	l.workers.Wait()
 	if len(l.failures) > 0 || l.completed.Load() == 0 {
-		t.Fatalf("%d whole answers; not whole: %s", l.completed.Load(), strings.Join(l.failures, "; "))
+		t.Fatalf("%d complete answers; failed: %s", l.completed.Load(), strings.Join(l.failures, "; "))
 	}
 }
 
-// leavesWithin is the brief's "a few seconds".
+// leaveTimeout bounds how long requests may still reach an engine after it began
+// to leave.
 const leaveTimeout = 3 * time.Second
 
-// TestEndpointLeavingUnderLoad lets an engine leave by its own word and by the
-// instance list. After three seconds no order reaches it, a long run there goes
-// on to its end, and no caller notices.
+// TestEndpointLeavingUnderLoad lets an engine leave under load, once announced by
+// the engine itself and once by the endpoint list. After leaveTimeout no new
+// request reaches it, a long run on it is completed, and every caller gets its
+// complete answer.
 func TestEndpointLeavingUnderLoad(t *testing.T) {
 	for _, by := range []string{"own word", "list"} {
 		t.Run(by, func(t *testing.T) {
@@ -86,30 +92,32 @@
 			countThen, answersThen := requestCount(), l.completed.Load()
 			eventually(t, "the load goes on", func() bool { return l.completed.Load() > answersThen+50 })
 			if now := requestCount(); now != countThen {
-				t.Errorf("%d orders reached the engine later than %v after it began to leave", now-countThen, leaveTimeout)
+				t.Errorf("%d requests reached the engine more than %v after it began to leave, want 0", now-countThen, leaveTimeout)
 			}
 			l.stopAndCheck(t)
 			got := <-longAnswer
 			if got.text != expectedText(longTokens) || !got.complete {
-				t.Errorf("the long run at the leaving engine gave %d tokens, error %q", len(got.tokenTimes), got.err)
+				t.Errorf("the long run on the leaving engine delivered %d tokens, error %q", len(got.tokenTimes), got.err)
 			}
 			f.awaitBilled(l.totalTokens.Load() + got.totalTokens)
 		})
 	}
 }
 
+// refusalCount returns how many requests the engine refused because it was leaving.
 func (e *engine) refusalCount(t *testing.T) int {
 	t.Helper()
 	body := mustCall(t, http.MethodGet, e.url+"/refusals", "", nil).body
 	var count int
 	if _, err := fmt.Sscanf(body, `{"count":%d`, &count); err != nil {
-		t.Fatalf("%v: %s", err, body)
+		t.Fatalf("parse the engine's refusals: %v: %s", err, body)
 	}
 	return count
 }
 
-// TestDrainCutsOffNothing stops an instance with a long report, a whole answer
-// and a service call in flight.
+// TestDrainCutsOffNothing drains an instance with a long stream, a non-streaming
+// answer and a service call in flight. All three are completed, and then the
+// instance exits with code 0.
 func TestDrainCutsOffNothing(t *testing.T) {
 	f := startFleet(t, 2, 2)
 	in := f.instances[0]
@@ -123,7 +131,7 @@
 	go func() {
 		setpoint <- call(http.MethodPost, in.callersURL+"/v1/services/rig/setpoint", f.key, map[string]any{"g": 1}, "Idempotency-Key", "c")
 	}()
-	eventually(t, "all run", func() bool {
+	eventually(t, "all three requests are running", func() bool {
 		runs := 0
 		for _, e := range f.engines {
 			runs += len(e.runs(t))
@@ -132,28 +140,29 @@
 	})
 	in.signal(syscall.SIGTERM)
 	if got := <-longAnswer; got.text != expectedText(longTokens) || !got.complete {
-		t.Errorf("report: %d tokens, error %q", len(got.tokenTimes), got.err)
+		t.Errorf("long stream: %d tokens, error %q", len(got.tokenTimes), got.err)
 	}
 	if got := <-nonStreaming; got.status != http.StatusOK || !strings.Contains(got.body, expectedText(shortTokens)) {
-		t.Errorf("whole answer: %d %v", got.status, got.err)
+		t.Errorf("non-streaming answer: status %d, error %v", got.status, got.err)
 	}
 	if got := <-setpoint; got.status != http.StatusOK {
-		t.Errorf("service call: %d %s", got.status, got.body)
+		t.Errorf("service call: status %d, body %s", got.status, got.body)
 	}
 	if code := in.exitCode(); code != 0 {
 		t.Errorf("exit code %d", code)
 	}
 	if got := call(http.MethodGet, in.callersURL+"/readyz", "", nil); got.err == nil {
-		t.Errorf("a stopped instance answers %d", got.status)
+		t.Errorf("readiness probe of an exited instance got status %d, want a connection error", got.status)
 	}
-	// Its grants are back and its bills are on the log.
-	eventually(t, "billed", func() bool {
+	// The drained instance has written its bills to the log.
+	eventually(t, "both answers billed", func() bool {
 		return readBudget(t, f.instances[1].operatorsURL, "dala").Billed >= longTokens+shortTokens
 	})
 }
 
-// TestEngineKilledDuringAPlatformOutage pairs two faults: the run moves, the
-// caller has its whole answer, and the bill comes when the log is back.
+// TestEngineKilledDuringAPlatformOutage combines two faults: the run continues on
+// another engine, the caller gets its complete answer, and the answer is billed
+// once the log is available again.
 func TestEngineKilledDuringAPlatformOutage(t *testing.T) {
 	f := startFleet(t, 2, 2)
 	const tokens, at = 300, 100
@@ -165,7 +174,7 @@
 		}
 	}, "Idempotency-Key", "k")
 	if got.text != expectedText(tokens) || !got.complete {
-		t.Fatalf("%d tokens, whole %v, error %q", len(got.tokenTimes), got.complete, got.err)
+		t.Fatalf("%d tokens, complete %v, error %q", len(got.tokenTimes), got.complete, got.err)
 	}
 	faults(map[string]any{})
 	f.awaitBilled(got.totalTokens)
--- a/test/process/log_reader_test.go
+++ b/test/process/log_reader_test.go
@@ -10,8 +10,9 @@
 	"time"
 )
 
-// An instance whose standard error is a full pipe that nobody reads did not even
-// begin its drain: each log line waited for the reader.
+// An instance drains and exits even if its standard error is a full pipe that
+// nobody reads. With synchronous writes, each log line blocked on the pipe and the
+// drain never began.
 func TestAStoppedReaderOfTheLogHoldsUpNoDrain(t *testing.T) {
 	_, platform := startStandin(t, "platform")
 	file := instanceSettings(t, "entry-1", "hall-a", platform, "")
@@ -49,11 +50,12 @@
 			t.Error(err)
 		}
 	case <-time.After(waitTimeout):
-		t.Fatal("still there")
+		t.Fatal("the instance did not exit before the timeout")
 	}
 }
 
-// fullPipe returns a pipe's end for writing that takes no more bytes.
+// fullPipe returns the write end of a pipe whose buffer is full, so that further
+// writes block.
 func fullPipe(t *testing.T) *os.File {
 	t.Helper()
 	reader, writer, err := os.Pipe()
--- a/test/process/measure_test.go
+++ b/test/process/measure_test.go
@@ -18,12 +18,13 @@
 	"time"
 )
 
-// The measurements of docs/measurements/streams.md. They assert outcomes, never
-// times, and run apart from the tests:
+// The measurements of docs/measurements/streams.md. They assert outcomes but no
+// times, and aren't part of the ordinary test run:
 //
 //	go test -tags measure -count=1 -v -run Measure ./test/process
 
-// plainBinary replaces the binary by one without the race detector.
+// useBinaryWithoutRaceDetector replaces the binary under test, until the end of
+// the test, by one built without the race detector.
 func useBinaryWithoutRaceDetector(t *testing.T) {
 	t.Helper()
 	raced := binary
@@ -34,7 +35,8 @@
 	t.Cleanup(func() { binary = raced })
 }
 
-// summary formats a sample's quantiles.
+// quantileSummary formats the size, median, 99th percentile and maximum of a
+// sample. It sorts the sample.
 func quantileSummary(sample []time.Duration) string {
 	if len(sample) == 0 {
 		return "no samples"
@@ -44,8 +46,8 @@
 	return fmt.Sprintf("n=%d median=%v p99=%v max=%v", len(sample), at(0.5).Round(10*time.Microsecond), at(0.99).Round(10*time.Microsecond), at(1).Round(10*time.Microsecond))
 }
 
-// TestMeasureAddedLatency sends the same requests in turn straight at the
-// engine and through an instance.
+// TestMeasureAddedLatency sends the same requests alternately to the engine
+// directly and through an instance, and compares their latencies.
 func TestMeasureAddedLatency(t *testing.T) {
 	useBinaryWithoutRaceDetector(t)
 	f := startFleet(t, 1, 2)
@@ -73,6 +75,9 @@
 	}
 }
 
+// measureRequest streams one chat request, directly to the first engine if path is
+// "engine" and through the first instance otherwise. It returns the time to the
+// first token and to the end of the answer.
 func (f *fleet) measureRequest(t *testing.T, client *http.Client, path, id string, tokens int) (firstToken, complete time.Duration) {
 	data, _ := json.Marshal(chatBody(tokens, true))
 	base := f.instances[0].callersURL
@@ -98,7 +103,7 @@
 		done = done || lines.Text() == "data: [DONE]"
 	}
 	if !done {
-		t.Errorf("%s: no whole answer", path)
+		t.Errorf("%s: incomplete answer", path)
 	}
 	return firstToken, time.Since(began)
 }
@@ -109,8 +114,9 @@
 	faultTokens  = 900
 )
 
-// TestMeasureFaultToNextByte brings a fault over endpoints and instances with
-// streams open, and takes the time to each struck caller's next token.
+// TestMeasureFaultToNextByte injects faults into engines, connections and
+// instances while streams are open, and measures the time until each affected
+// caller's next token.
 func TestMeasureFaultToNextByte(t *testing.T) {
 	useBinaryWithoutRaceDetector(t)
 	for name, inject := range map[string]func(f *fleet, e *engine){
@@ -135,6 +141,8 @@
 	t.Logf("instance SIGKILL, retry elsewhere at once, to next token: %s", quantileSummary(sample))
 }
 
+// killProcesses kills the engines and instances, so that the next round starts
+// with a new fleet.
 func (f *fleet) killProcesses() {
 	for _, e := range f.engines {
 		e.kill()
@@ -144,7 +152,9 @@
 	}
 }
 
-// openStreams starts the callers at one instance and waits until all get tokens.
+// openStreams starts faultCallers streams through one instance and returns once
+// each of them has received a token or ended. It calls done with the index and the
+// result of each stream. The wait group waits for all of them to end.
 func (f *fleet) openStreams(t *testing.T, done func(n int, a streamResult)) *sync.WaitGroup {
 	var wg, begun sync.WaitGroup
 	for n := range faultCallers {
@@ -160,6 +170,8 @@
 	return &wg
 }
 
+// measureEngineFault injects a fault into an engine that generates streams. It
+// returns, for each stream on that engine, the time until the next token.
 func (f *fleet) measureEngineFault(t *testing.T, inject func(*fleet, *engine)) (sample []time.Duration) {
 	var mu sync.Mutex
 	var all []streamResult
@@ -187,9 +199,9 @@
 	return sample
 }
 
-// nextByte returns when the first token after the fault came: the first one of
-// the engine that the run has moved to, or else the one that ended the longest
-// pause.
+// firstTokenAfterFault returns the arrival time of the first token after the fault:
+// the first one from the engine that the run was moved to, or else the one that
+// ended the longest pause.
 func (f *fleet) firstTokenAfterFault(t *testing.T, faulty *engine, a streamResult) time.Time {
 	for _, e := range f.engines {
 		if e == faulty {
@@ -204,7 +216,8 @@
 	return endOfLongestPause(a.tokenTimes)
 }
 
-// afterGap returns when the longest pause of a stream ended.
+// endOfLongestPause returns the arrival time of the token after a stream's longest
+// pause.
 func endOfLongestPause(at []time.Time) (end time.Time) {
 	var longest time.Duration
 	for i := 1; i < len(at); i++ {
@@ -215,6 +228,9 @@
 	return end
 }
 
+// measureInstanceKill kills the instance that serves the streams. Each caller
+// resumes at another instance at once; the sample holds the times until their next
+// tokens.
 func (f *fleet) measureInstanceKill(t *testing.T) (sample []time.Duration) {
 	var mu sync.Mutex
 	var at time.Time
@@ -236,7 +252,7 @@
 	return sample
 }
 
-// TestMeasureDrain counts the requests that a drain cuts off.
+// TestMeasureDrain counts the streams that a drain completes and cuts off.
 func TestMeasureDrain(t *testing.T) {
 	useBinaryWithoutRaceDetector(t)
 	var cutOff, completed int
@@ -259,8 +275,8 @@
 	t.Logf("drain with streams in flight: %d whole, %d cut off", completed, cutOff)
 }
 
-// TestMeasureLeaving takes the time from the sign to the last order that
-// reached the engine, under load.
+// TestMeasureLeaving measures, under load, the time from an engine's announcement
+// that it leaves until the last request that reaches it.
 func TestMeasureLeaving(t *testing.T) {
 	useBinaryWithoutRaceDetector(t)
 	for _, by := range []string{"own word", "list"} {
@@ -286,6 +302,6 @@
 			l.stopAndCheck(t)
 			f.killProcesses()
 		}
-		t.Logf("leaving by %s to the last order: %s", by, quantileSummary(last))
+		t.Logf("time from leaving by %s to the last request: %s", by, quantileSummary(last))
 	}
 }
--- a/test/process/operators_test.go
+++ b/test/process/operators_test.go
@@ -23,12 +23,14 @@
 const (
 	contendedPaths     = 4
 	changesPerOperator = 100
-	// inForceWithin is the letter's bound. It is looked at, not asserted on
-	// each change: the test's own faults last longer than it now and then.
+	// maxApplyDelay bounds the time from a change's acceptance until every
+	// instance has applied it. Slower changes are counted and logged, but don't
+	// fail the test: faults that it injects itself occasionally last longer.
 	maxApplyDelay = 9 * time.Second
 )
 
-// ledgerOfChanges is what the operators were told.
+// changeOutcomes collects the outcomes of settings changes as the operators were
+// told them.
 type changeOutcomes struct {
 	mu             sync.Mutex
 	accepted       []fold.ChangeResult
@@ -43,8 +45,9 @@
 	f(l)
 }
 
-// race makes changes through any instance, each on the version that it read,
-// and retries those whose outcome is unknown under their identity.
+// makeConcurrentChanges makes changes through random instances, each based on the
+// version that it read before. Changes with an unknown outcome are retried with the
+// same change ID.
 func makeConcurrentChanges(t *testing.T, who string, fleet []*instance, outcomes *changeOutcomes, applyWaits *sync.WaitGroup) {
 	random := rand.New(rand.NewPCG(7, uint64(len(who))))
 	for n := range changesPerOperator {
@@ -73,10 +76,12 @@
 	}
 }
 
-// impatience cuts some answers off while the change is on its way.
+// earlyAbortTimeout is short enough that some changes are still in progress when
+// the client gives up.
 const earlyAbortTimeout = 30 * time.Millisecond
 
-// putImpatiently gives up the answer early; its change may apply all the same.
+// putAbortingEarly stops waiting for the response after earlyAbortTimeout and then
+// reports status 503. The change may still be applied.
 func putAbortingEarly(operators, id string, op record.ChangeOp) response {
 	got := make(chan response, 1)
 	go func() { got <- putChange(operators, id, op) }()
@@ -88,14 +93,16 @@
 	}
 }
 
-// decide retries a change, at any instance, until its outcome is known.
+// retryUntilDecided sends a change to random instances until its outcome is known.
+// It returns the result and true for an accepted change, and false for one that lost
+// to a concurrent change or failed.
 func retryUntilDecided(t *testing.T, random *rand.Rand, fleet []*instance, id string, op record.ChangeOp, outcomes *changeOutcomes) (fold.ChangeResult, bool) {
 	put := putChange
 	if random.IntN(2) == 0 {
 		put = putAbortingEarly
 	}
 	for deadline := time.Now().Add(waitTimeout); time.Now().Before(deadline); put = putChange {
-		in := fleet[random.IntN(len(fleet)-1)] // The last one is paused now and then.
+		in := fleet[random.IntN(len(fleet)-1)] // The last one is suspended at times.
 		got := put(in.operatorsURL, id, op)
 		switch got.status {
 		case http.StatusOK:
@@ -107,21 +114,22 @@
 		case http.StatusConflict:
 			var p operator.Problem
 			if err := json.Unmarshal([]byte(got.body), &p); err != nil || p.Error.Result == nil || p.Error.Result.Lost[0].By == "" {
-				t.Errorf("%s lost and was not told to whom: %s", id, got.body)
+				t.Errorf("change %s was rejected without naming the change that won: %s", id, got.body)
 			}
 			return fold.ChangeResult{}, false
 		case http.StatusServiceUnavailable:
 			outcomes.add(func(l *changeOutcomes) { l.unknownAnswers++ })
 		default:
-			t.Errorf("%s: %d %v %s", id, got.status, got.err, got.body)
+			t.Errorf("change %s: status %d, error %v, body %s", id, got.status, got.err, got.body)
 			return fold.ChangeResult{}, false
 		}
 	}
-	t.Errorf("%s has no outcome in time", id)
+	t.Errorf("the outcome of change %s was not known before the timeout", id)
 	return fold.ChangeResult{}, false
 }
 
-// inForceAfter is the time until every instance has applied an offset.
+// awaitApplied waits until every instance has applied an offset of the
+// configuration stream, and returns the time passed since the given one.
 func awaitApplied(t *testing.T, fleet []*instance, offset uint64, since time.Time) time.Duration {
 	for _, in := range fleet {
 		for {
@@ -140,8 +148,9 @@
 	return time.Since(since)
 }
 
-// disturb brings about outages, slowness and lost answers of the log, and
-// pauses one instance, until stop closes.
+// injectFaults cycles through lost answers, outages and slowness of the log, and
+// suspends one instance during each outage, until stop is closed. It then clears all
+// faults.
 func injectFaults(t *testing.T, platform string, paused *instance, stop <-chan struct{}) {
 	faults := []map[string]any{
 		{"lose_answers": 3}, {}, {"outage": true}, {"lose_answers": 2, "slow_ms": 50}, {},
@@ -180,7 +189,7 @@
 	faults.Wait()
 	applyWaits.Wait()
 	if len(outcomes.accepted)+outcomes.rejected != 2*changesPerOperator || len(outcomes.accepted) == 0 || outcomes.unknownAnswers == 0 {
-		t.Fatalf("%d accepted, %d lost, %d answers unknown of %d changes", len(outcomes.accepted), outcomes.rejected, outcomes.unknownAnswers, 2*changesPerOperator)
+		t.Fatalf("%d accepted, %d rejected, %d unknown answers for %d changes", len(outcomes.accepted), outcomes.rejected, outcomes.unknownAnswers, 2*changesPerOperator)
 	}
 	want := lastAccepted(t, outcomes.accepted)
 	for _, in := range fleet {
@@ -191,7 +200,7 @@
 			}
 		}
 		if !reflect.DeepEqual(got, readSettings(t, fleet[0].operatorsURL)) {
-			t.Errorf("%s differs", in.operatorsURL)
+			t.Errorf("settings at %s differ from those at the first instance", in.operatorsURL)
 		}
 	}
 	slices.Sort(outcomes.applyDelays)
@@ -204,12 +213,13 @@
 			late++
 		}
 	}
-	t.Logf("%d accepted, %d lost, %d unknown answers; in force on %d instances after median %s, p99 %s, max %s; %d later than %s",
+	t.Logf("%d accepted, %d rejected, %d unknown answers; in force on %d instances after median %s, p99 %s, max %s; %d later than %s",
 		len(outcomes.accepted), outcomes.rejected, outcomes.unknownAnswers, len(fleet), at(0.5), at(0.99), at(1), late, maxApplyDelay)
 }
 
-// lastAccepted returns the last accepted change of each path, and checks that
-// each was made on the version of the one before.
+// lastAccepted returns the last accepted change of each path. It requires that no
+// change was accepted twice and that each is based on the version of the one
+// before.
 func lastAccepted(t *testing.T, accepted []fold.ChangeResult) map[string]fold.ChangeResult {
 	t.Helper()
 	slices.SortFunc(accepted, func(a, b fold.ChangeResult) int { return int(a.Offset) - int(b.Offset) })
@@ -230,8 +240,8 @@
 	return last
 }
 
-// The command line waits for a change on all instances, and names those that
-// do not have it.
+// "settings wait" waits until a change is in force on all instances, and on timeout
+// names the instances that haven't applied it.
 func TestSettingsWaitNamesWhoIsBehind(t *testing.T) {
 	_, platform := startStandin(t, "platform", "-lag", listLag)
 	in := startInstance(t, "a1", "hall-a", platform, "")
@@ -242,7 +252,7 @@
 		out, err := cmd.CombinedOutput()
 		return string(out), err
 	}
-	eventually(t, "both are listed", func() bool {
+	eventually(t, "both instances are listed", func() bool {
 		var rows []json.RawMessage
 		got := call(http.MethodGet, in.operatorsURL+"/instances", operatorToken, nil)
 		return json.Unmarshal([]byte(got.body), &rows) == nil && len(rows) == 2
--- a/test/process/path_test.go
+++ b/test/process/path_test.go
@@ -15,15 +15,18 @@
 	"guavapier/internal/config"
 )
 
+// listLag is how far the stand-in platform's instance list lags behind changes.
 const listLag = "100ms"
 
-// site is a platform, two engines and a service, listed on the platform.
+// deployment is a platform with two engines, in different availability zones, and
+// one service on its endpoint list. Each is a process; the fields are base URLs.
 type deployment struct {
 	platform string
 	engines  []string
 	service  string
 }
 
+// startDeployment starts a deployment without instances.
 func startDeployment(t *testing.T) deployment {
 	t.Helper()
 	var s deployment
@@ -70,12 +73,12 @@
 			t.Fatal(err)
 		}
 		if got := completion.Choices[0].Message.Content; got != expectedText(tokens) {
-			t.Fatalf("whole answer %q", got)
+			t.Fatalf("non-streaming answer %q", got)
 		}
 		billed += 2 * completion.Usage.Total
 		streamed := mustCall(t, http.MethodPost, in.callersURL+"/v1/chat/completions", key, chatBody(tokens, true))
 		if text, done := streamText(streamed.body); text != expectedText(tokens) || !done {
-			t.Fatalf("streamed answer %q, closing event %v", text, done)
+			t.Fatalf("streamed answer %q, closing event received: %v", text, done)
 		}
 		mustCall(t, http.MethodPost, in.callersURL+"/v1/services/rig/setpoint", key, map[string]any{"g": 0.5}, "Idempotency-Key", fmt.Sprint("call-", n))
 	}
@@ -94,14 +97,14 @@
 	}
 	for run, count := range serviceRunCounts(t, s.service) {
 		if count != 1 {
-			t.Fatalf("call %s ran %d times", run, count)
+			t.Fatalf("call %s ran %d times, want 1", run, count)
 		}
 	}
 }
 
-// startExample runs an instance with the example settings of a zone of the first
-// deployment. Only the ports, the platform's address and the secrets' places
-// are the test's own.
+// startExampleInstance runs an instance with the example settings of an
+// availability zone, from examples/dala-vibro. It replaces only the listen
+// addresses, the platform's URL and the paths of the secrets.
 func startExampleInstance(t *testing.T, zone, platform string) *instance {
 	t.Helper()
 	text, err := os.ReadFile("../../examples/dala-vibro/" + zone + ".toml")
@@ -128,6 +131,7 @@
 	return startInstanceFromFile(t, zone, file)
 }
 
+// serviceRunCounts returns the number of runs of each call at a service, by run ID.
 func serviceRunCounts(t *testing.T, service string) map[string]int {
 	t.Helper()
 	var runs map[string]int
@@ -151,17 +155,17 @@
 	select {
 	case a := <-got:
 		if text, done := streamText(a.body); text != expectedText(tokens) || !done {
-			t.Fatalf("cut off after %d bytes, closing event %v, error %v", len(text), done, a.err)
+			t.Fatalf("stream cut off after %d bytes, closing event received: %v, error %v", len(text), done, a.err)
 		}
 	case <-time.After(waitTimeout):
-		t.Fatal("no answer")
+		t.Fatal("no response to the stream before the timeout")
 	}
 	if code := in.exitCode(); code != 0 {
 		t.Fatalf("exit code %d", code)
 	}
 }
 
-// generated is the number of tokens that the engines have generated.
+// generatedTokens returns the number of tokens that the engines have generated.
 func generatedTokens(t *testing.T, engines []string) int {
 	t.Helper()
 	sum := 0
@@ -179,7 +183,8 @@
 	return sum
 }
 
-// A second signal ends the instance at once, and it says what it cut off.
+// A second SIGTERM during the drain ends the instance at once with exit code 1, and
+// it logs the number of requests that it cut off.
 func TestSecondSignalCutsOffAndSaysSo(t *testing.T) {
 	s := startDeployment(t)
 	in := startInstance(t, "a1", "hall-a", s.platform, "")
@@ -190,7 +195,7 @@
 	}()
 	eventually(t, "the engine generates", func() bool { return generatedTokens(t, s.engines) > 10 })
 	in.signal(syscall.SIGTERM)
-	eventually(t, "it drains", func() bool {
+	eventually(t, "the instance drains", func() bool {
 		a := call(http.MethodGet, in.callersURL+"/readyz", "", nil)
 		return a.err != nil || a.status == http.StatusServiceUnavailable
 	})
@@ -201,5 +206,5 @@
 	if _, complete := streamText((<-got).body); complete {
 		t.Fatal("the stream was not cut off")
 	}
-	eventually(t, "it says what it cut off", func() bool { return strings.Contains(in.output(), "with 1 requests in flight") })
+	eventually(t, "the number of cut-off requests is logged", func() bool { return strings.Contains(in.output(), "with 1 requests in flight") })
 }
--- a/test/process/relay_test.go
+++ b/test/process/relay_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// relay forwards TCP connections to an endpoint and can go silent on those
-// that are open, in either direction, as a middlebox that has lost track of
-// them. New connections work.
+// relay forwards TCP connections to an endpoint. It can drop the data of open
+// connections in either direction without closing them, like a middlebox that has
+// lost its connection state. New connections work normally.
 type relay struct {
 	listener net.Listener
 	target   string
@@ -19,12 +19,13 @@
 	open []*relayedConn
 }
 
-// relayed is one connection through the relay.
+// relayedConn is one connection through the relay.
 type relayedConn struct {
 	caller, target             net.Conn
-	dropToTarget, dropToCaller atomic.Bool // Set: nothing passes that way.
+	dropToTarget, dropToCaller atomic.Bool // While set, data in that direction is discarded.
 }
 
+// startRelay starts a relay to the target address on a free port.
 func startRelay(t *testing.T, target string) *relay {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -59,8 +60,9 @@
 	}
 }
 
-// forward passes bytes on until one side ends. While silent is set it reads
-// and drops them, and keeps the other side open.
+// relayBytes copies bytes until one side closes, and then closes both. While drop is
+// set it reads and discards them, and if from closes it leaves both connections
+// open.
 func relayBytes(to, from net.Conn, drop *atomic.Bool) {
 	buf := make([]byte, 32<<10)
 	for {
@@ -84,7 +86,8 @@
 	from.Close()
 }
 
-// silence stops the open connections in the given directions.
+// setDropped sets for the open connections in which directions data is dropped, and
+// returns the current time.
 func (r *relay) setDropped(dropToTarget, dropToCaller bool) time.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/test/process/replay_test.go
+++ b/test/process/replay_test.go
@@ -10,8 +10,9 @@
 	"guavapier/internal/load"
 )
 
-// TestReplayOfEachDeployment replays both traces against their stated outcomes,
-// undisturbed and with an instance and an engine killed in the middle.
+// TestReplayOfEachDeployment replays the trace of each example deployment and
+// checks the outcomes that the trace states, once without faults and once with an
+// instance and an engine killed during the replay.
 func TestReplayOfEachDeployment(t *testing.T) {
 	for name, service := range map[string]string{"dala-vibro": "rig", "agenda-quispe": "scheduling"} {
 		trace, err := load.ReadTrace("../../examples/traces/" + name + ".jsonl")
@@ -26,6 +27,9 @@
 	}
 }
 
+// replayTrace replays a trace through a new fleet and requires the stated outcomes,
+// no call run twice and no more tokens committed than prepaid. With withFaults it
+// kills an instance and an engine during the replay.
 func replayTrace(t *testing.T, trace load.Trace, service string, withFaults bool) {
 	t.Helper()
 	f := startFleet(t, 4, 3)
@@ -38,7 +42,7 @@
 		time.AfterFunc(3*time.Second, func() { f.instances[1].signal(syscall.SIGKILL) })
 		time.AfterFunc(4*time.Second, func() { f.engines[2].signal(syscall.SIGKILL) })
 	}
-	time.Sleep(time.Second) // The list with the new service's name.
+	time.Sleep(time.Second) // Time for the instances to read the endpoint list with the new service name.
 	report, err := load.Replay(t.Context(), trace, load.Options{Targets: targets, Key: f.key, StandIn: true})
 	if err != nil {
 		t.Fatal(err)
@@ -51,17 +55,17 @@
 	}
 	for run, count := range f.callRuns() {
 		if count > 1 {
-			t.Errorf("call %s ran %d times", run, count)
+			t.Errorf("call %s ran %d times, want at most 1", run, count)
 		}
 	}
 	if row := readBudget(t, f.instances[2].operatorsURL, "dala"); row.Committed > row.Prepaid {
-		t.Errorf("committed %d of %d", row.Committed, row.Prepaid)
+		t.Errorf("committed %d tokens of %d prepaid", row.Committed, row.Prepaid)
 	}
 }
 
-// allowUnknownCalls states what a killed instance may do to calls that may not
-// be repeated: those that were under way there have an unknown outcome. Times
-// are stated for the undisturbed replay only.
+// allowUnknownCalls relaxes the stated outcomes for a replay in which an instance
+// is killed: calls that may not be repeated and were in flight there may end with an
+// unknown outcome. Latency bounds apply to the replay without faults only.
 func allowUnknownCalls(classes []load.ClassSpec) {
 	for i := range classes {
 		classes[i].Late = 1
--- a/test/process/standalone_test.go
+++ b/test/process/standalone_test.go
@@ -18,7 +18,8 @@
 	curlBody   = regexp.MustCompile(`-d '([^']*)'`)
 )
 
-// startStandalone returns the process and the curl commands that it prints.
+// startStandalone runs "serve --standalone" and returns the process and the curl
+// commands that it prints.
 func startStandalone(t *testing.T) (*exec.Cmd, []string) {
 	t.Helper()
 	cmd := exec.Command(binary, "serve", "--standalone")
@@ -47,15 +48,15 @@
 			return cmd, commands
 		}
 	}
-	t.Fatalf("no whole list of commands: %q", commands)
+	t.Fatalf("the output ended before the list of commands was complete: %q", commands)
 	return nil, nil
 }
 
 func TestStandalonePrintsCommandsThatWork(t *testing.T) {
 	cmd, commands := startStandalone(t)
-	const want = 4 // A whole answer, a stream, a service call, the budget.
+	const want = 4 // A non-streaming answer, a stream, a service call, the budget.
 	if len(commands) != want {
-		t.Fatalf("%d commands: %q", len(commands), commands)
+		t.Fatalf("%d commands printed: %q", len(commands), commands)
 	}
 	for _, command := range commands {
 		if body := runCurl(t, command); strings.Contains(command, `"stream":true`) {
@@ -66,21 +67,22 @@
 			t.Errorf("%s: %s", command, body)
 		}
 	}
-	// It holds grants now, and ends by one signal all the same.
+	// The process holds grants at this point. One SIGINT must still end it.
 	ended := make(chan error, 1)
 	_ = cmd.Process.Signal(os.Interrupt)
 	go func() { ended <- cmd.Wait() }()
 	select {
 	case err := <-ended:
 		if err != nil {
-			t.Errorf("ended with %v", err)
+			t.Errorf("exit after SIGINT: %v", err)
 		}
 	case <-time.After(waitTimeout):
-		t.Error("it did not end")
+		t.Error("the process did not exit after SIGINT before the timeout")
 	}
 }
 
-// runCurl does what a printed curl command would.
+// runCurl sends the request of a printed curl command and returns the response
+// body.
 func runCurl(t *testing.T, command string) string {
 	t.Helper()
 	url := curlURL.FindStringSubmatch(command)
--- a/test/process/stream_test.go
+++ b/test/process/stream_test.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// TestEngineFaultInMidStream brings each fault over the engine that generates.
-// The caller gets one whole answer and notices nothing but a pause; the bill is
-// the answer's, once.
+// TestEngineFaultInMidStream injects each fault into the engine that generates a
+// stream, or into its connection. The caller gets one complete answer, with a pause
+// at most, and is billed for it once.
 func TestEngineFaultInMidStream(t *testing.T) {
 	const tokens, at = 300, 100
 	for name, c := range map[string]struct {
@@ -35,7 +35,7 @@
 				}
 			}, "Idempotency-Key", "k")
 			if got.text != expectedText(tokens) || !got.complete {
-				t.Fatalf("whole %v, %d tokens, error %q", got.complete, len(got.tokenTimes), got.err)
+				t.Fatalf("complete %v, %d tokens, error %q", got.complete, len(got.tokenTimes), got.err)
 			}
 			f.awaitBilled(got.totalTokens)
 			f.checkOtherEngines(faulty, c.moved, at, tokens)
@@ -43,8 +43,8 @@
 	}
 }
 
-// checkOthers wants the engines but one to have run nothing or, if the run has
-// moved, only the rest of the answer.
+// checkOtherEngines requires that the engines other than the faulty one ran nothing
+// or, if the run was rerouted, only the rest of the answer after token at.
 func (f *fleet) checkOtherEngines(faulty *engine, rerouted bool, at, tokens int64) {
 	f.t.Helper()
 	for _, e := range f.engines {
@@ -53,16 +53,17 @@
 		}
 		rows := e.runs(f.t)
 		if rerouted != (len(rows) == 1) {
-			f.t.Fatalf("moved %v, but the other engine ran %+v", rerouted, rows)
+			f.t.Fatalf("rerouted %v, but the other engine ran %+v", rerouted, rows)
 		}
 		if rerouted && (rows[0].Prior < at || rows[0].Completion+rows[0].Prior != tokens) {
-			f.t.Fatalf("the other engine ran %+v", rows[0])
+			f.t.Fatalf("the other engine ran %+v, want only the rest of the answer", rows[0])
 		}
 	}
 }
 
-// TestInstanceKilledInMidStream retries at another instance from the last
-// event: no gap, no repeat, nothing generated anew, one bill.
+// TestInstanceKilledInMidStream kills the instance that serves a stream and
+// resumes at another one from the last received event. The answer has no gap and no
+// duplicate, no token is generated twice, and it is billed once.
 func TestInstanceKilledInMidStream(t *testing.T) {
 	const tokens, at = 600, 100
 	f := startFleet(t, 2, 3)
@@ -72,11 +73,11 @@
 		}
 	}, "Idempotency-Key", "k")
 	if first.complete || first.lastEventID == "" {
-		t.Fatalf("the killed instance gave %d tokens, whole %v", len(first.tokenTimes), first.complete)
+		t.Fatalf("the killed instance delivered %d tokens, complete %v", len(first.tokenTimes), first.complete)
 	}
 	rest := f.streamChat(f.instances[1], tokens, nil, "Idempotency-Key", "k", "Last-Event-ID", first.lastEventID)
 	if first.text+rest.text != expectedText(tokens) || !rest.complete || rest.runID != first.runID {
-		t.Fatalf("%d tokens, then %d, whole %v, run %s then %s, error %q", len(first.tokenTimes), len(rest.tokenTimes), rest.complete, first.runID, rest.runID, rest.err)
+		t.Fatalf("%d tokens, then %d, complete %v, run %s then %s, error %q", len(first.tokenTimes), len(rest.tokenTimes), rest.complete, first.runID, rest.runID, rest.err)
 	}
 	var ran int64
 	for _, e := range f.engines {
@@ -85,30 +86,31 @@
 		}
 	}
 	if ran != tokens {
-		t.Fatalf("%d tokens generated", ran)
+		t.Fatalf("%d tokens generated over all engines, want each token generated once", ran)
 	}
 	billed := f.awaitBillOfDeadInstance(rest.totalTokens)
-	// While the claim's shard has no holder, a request that may be repeated runs
-	// again; once it has, the key stands for the first run. The bill is the same.
-	eventually(t, "asked again, the key stands for the first run", func() bool {
+	// While the claim's shard has no holder, a repeatable request runs again. Once
+	// it has one, the idempotency key refers to the first run. The bill doesn't
+	// change.
+	eventually(t, "a repeated request returns the first run", func() bool {
 		again := f.streamChat(f.instances[2], tokens, nil, "Idempotency-Key", "k")
 		if again.text != expectedText(tokens) {
-			t.Fatalf("asked again: %d tokens, error %q", len(again.tokenTimes), again.err)
+			t.Fatalf("repeated request: %d tokens, error %q", len(again.tokenTimes), again.err)
 		}
 		return again.runID == first.runID
 	})
 	if now := f.awaitBillOfDeadInstance(rest.totalTokens); now != billed {
-		t.Fatalf("billed %d, then %d", billed, now)
+		t.Fatalf("billed %d tokens, then %d after the repeated request", billed, now)
 	}
 }
 
-// promptSlack is how much larger the worst case of chatBody's prompt is than
-// what the engine counts.
+// promptReservationMargin bounds by how many tokens the amount reserved for
+// chatBody's prompt exceeds what the engine counts.
 const promptReservationMargin = 20
 
-// auditDead waits for the bill of a run whose instance is gone: what the engine
-// says that it used or, if the run still went on when it was billed, what was
-// reserved for it.
+// awaitBillOfDeadInstance waits for the bill of a run whose instance was killed and
+// returns the billed tokens. The bill is what the engine reports as used or, if the
+// run was still in progress at the time of billing, what was reserved for it.
 func (f *fleet) awaitBillOfDeadInstance(used int64) (billed int64) {
 	f.t.Helper()
 	in := f.instances[len(f.instances)-1]
@@ -120,8 +122,9 @@
 	return row.Billed
 }
 
-// TestAnswersDelayedAndCrossed swaps the answers of two requests, then delays
-// an answer past the moment at which it was asked for again.
+// TestAnswersDelayedAndCrossed lets an engine swap the answers of two requests, and
+// then delay an answer until after the instance has requested it again. Each caller
+// gets its own answer, and each request is run and billed once.
 func TestAnswersDelayedAndCrossed(t *testing.T) {
 	f := startFleet(t, 1, 1)
 	f.engines[0].setFaults(t, map[string]any{"crossed": 1})
@@ -135,7 +138,7 @@
 	var billed int64
 	for i, n := range lengths {
 		if got[i].text != expectedText(n) || !got[i].complete {
-			t.Fatalf("%d tokens asked, %d came, whole %v, error %q", n, len(got[i].tokenTimes), got[i].complete, got[i].err)
+			t.Fatalf("%d tokens requested, %d received, complete %v, error %q", n, len(got[i].tokenTimes), got[i].complete, got[i].err)
 		}
 		billed += got[i].totalTokens
 	}
@@ -143,7 +146,7 @@
 	time.AfterFunc(time.Second, func() { _ = call(http.MethodPut, f.engines[0].url+"/faults", "", map[string]any{}) })
 	delayed := f.streamChat(f.instances[0], lengths[0], nil)
 	if delayed.text != expectedText(lengths[0]) || !delayed.complete {
-		t.Fatalf("delayed: %d tokens, whole %v, error %q", len(delayed.tokenTimes), delayed.complete, delayed.err)
+		t.Fatalf("delayed answer: %d tokens, complete %v, error %q", len(delayed.tokenTimes), delayed.complete, delayed.err)
 	}
 	f.awaitBilled(billed + delayed.totalTokens)
 	if rows := f.engines[0].runs(t); len(rows) != 3 {
@@ -151,8 +154,9 @@
 	}
 }
 
-// TestCallsThatMayNotBeRepeated kills the instance that sent one, loses an
-// answer and masks one; the retry elsewhere never runs the call again.
+// TestCallsThatMayNotBeRepeated retries non-repeatable calls at another instance
+// after the response was lost, after it was masked, and after the instance that
+// sent the call was killed. The retry never runs the call again.
 func TestCallsThatMayNotBeRepeated(t *testing.T) {
 	f := startFleet(t, 1, 3)
 	setpoint := func(in *instance, key string) response {
@@ -164,7 +168,7 @@
 		first := setpoint(f.instances[1], key)
 		retry := setpoint(f.instances[2], key)
 		if !strings.Contains(first.body, `"outcome":"unknown"`) || !strings.Contains(retry.body, `"outcome":"unknown"`) {
-			t.Errorf("%s: %s; the retry: %s", key, first.body, retry.body)
+			t.Errorf("fault %q: first response %s, retry %s, want outcome unknown in both", key, first.body, retry.body)
 		}
 	}
 	faults(map[string]any{"slow_ms": 1500})
@@ -174,17 +178,17 @@
 	f.instances[0].signal(syscall.SIGKILL)
 	<-sent
 	if retry := setpoint(f.instances[1], "killed"); strings.Contains(retry.body, `"outcome":"not_run"`) || retry.status == http.StatusOK {
-		t.Errorf("killed: the retry got %d %s", retry.status, retry.body)
+		t.Errorf("retry after the instance was killed: status %d, body %s", retry.status, retry.body)
 	}
 	faults(map[string]any{})
 	first := setpoint(f.instances[1], "whole")
 	if retry := setpoint(f.instances[2], "whole"); first.status != http.StatusOK || retry.body != first.body {
-		t.Errorf("whole: %s; the retry: %s", first.body, retry.body)
+		t.Errorf("without faults: first response %s, retry %s", first.body, retry.body)
 	}
 	runs := f.callRuns()
 	for run, count := range runs {
 		if count != 1 {
-			t.Errorf("call %s ran %d times", run, count)
+			t.Errorf("call %s ran %d times, want 1", run, count)
 		}
 	}
 	if len(runs) != 4 {
--- a/test/process/team_test.go
+++ b/test/process/team_test.go
@@ -7,8 +7,8 @@
 	"guavapier/internal/record"
 )
 
-// A team's operators add an endpoint under the team's path. It serves that
-// team and no other.
+// An endpoint that is configured under a team's settings path serves requests of
+// that team and of no other.
 func TestTeamEndpointServesItsTeamAlone(t *testing.T) {
 	s := startDeployment(t)
 	in := startInstance(t, "a1", "hall-a", s.platform, "")
@@ -25,7 +25,7 @@
 		return call(http.MethodPost, in.callersURL+"/v1/chat/completions", dala, body).status == http.StatusOK
 	})
 	if got := call(http.MethodPost, in.callersURL+"/v1/chat/completions", agenda, body); got.status < 400 {
-		t.Fatalf("another team: %d %s", got.status, got.body)
+		t.Fatalf("request of another team: status %d, body %s", got.status, got.body)
 	}
 	if n := generatedTokens(t, []string{url}); n != 3 {
 		t.Fatalf("the endpoint generated %d tokens, want 3", n)
--- a/test/process/tls_test.go
+++ b/test/process/tls_test.go
@@ -19,7 +19,8 @@
 	"time"
 )
 
-// selfSigned writes a certificate for 127.0.0.1 that is its own authority.
+// writeSelfSignedCert creates a self-signed certificate for 127.0.0.1 that is also
+// its own CA, and returns the paths of its PEM files.
 func writeSelfSignedCert(t *testing.T) (cert, key string) {
 	t.Helper()
 	private, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -49,8 +50,8 @@
 	return cert, key
 }
 
-// startSecured runs an instance with TLS on its own three interfaces; the
-// stand-ins stay plain.
+// startTLSInstance runs an instance with TLS on its own three interfaces, for
+// callers, operators and peers. Connections to the stand-ins remain without TLS.
 func startTLSInstance(t *testing.T, name, platform, cert, key string) listenAddresses {
 	t.Helper()
 	file := instanceSettings(t, name, "hall-a", platform, "")
@@ -71,7 +72,8 @@
 	return at
 }
 
-// securedCall asks over TLS and decodes the answer.
+// tlsGet sends a GET request over TLS, with cert as the only trusted CA. It decodes
+// the JSON body into out, if not nil, and returns the status.
 func tlsGet(t *testing.T, cert, address, path string, out any) int {
 	t.Helper()
 	data, err := os.ReadFile(cert)
@@ -99,7 +101,8 @@
 	return resp.StatusCode
 }
 
-// liveAt returns the zones' instances that one takes for reachable, by name.
+// reachableInstances returns the names of the instances that the given one regards
+// as reachable, as a formatted set.
 func reachableInstances(t *testing.T, cert, operators string) string {
 	t.Helper()
 	var state struct {
@@ -126,23 +129,24 @@
 	eventually(t, "ready over TLS", func() bool { return tlsGet(t, cert, a.Callers, "/readyz", nil) == http.StatusOK })
 	for _, address := range []string{a.Callers, a.Operators} {
 		if got := call(http.MethodGet, "http://"+address+"/readyz", operatorToken, nil); got.status == http.StatusOK {
-			t.Errorf("%s answers without TLS", address)
+			t.Errorf("%s answers requests without TLS", address)
 		}
 	}
 	if err := dialPeerWithoutCert(t, platform, "a1"); err == nil || !strings.Contains(err.Error(), "certificate required") {
-		t.Errorf("a peer without certificate: %v", err)
+		t.Errorf("peer connection without a certificate: error %v, want certificate required", err)
 	}
-	// Instances take each other for reachable, and not the one whose
-	// certificate another authority signed.
+	// Instances regard each other as reachable, but not the one whose certificate
+	// was signed by another CA.
 	for _, in := range []listenAddresses{a, b} {
-		eventually(t, "the stranger is shut out", func() bool {
+		eventually(t, "the instance with a foreign certificate is not reachable", func() bool {
 			return reachableInstances(t, cert, in.Operators) == fmt.Sprint(map[string]bool{"a1": true, "b1": true})
 		})
 	}
 }
 
-// dialPeer connects to an instance's peers' address without a certificate and
-// returns what the instance says to that.
+// dialPeerWithoutCert connects to an instance's peer address without a client
+// certificate and returns the resulting error, which is nil if the instance
+// accepts the connection and sends data.
 func dialPeerWithoutCert(t *testing.T, platform, name string) error {
 	t.Helper()
 	var list struct {
@@ -164,9 +168,9 @@
 		}
 		defer conn.Close()
 		_ = conn.SetReadDeadline(time.Now().Add(waitTimeout))
-		_, err = conn.Read(make([]byte, 1)) // With TLS 1.3 a refusal comes with the first read.
+		_, err = conn.Read(make([]byte, 1)) // With TLS 1.3 a rejected client certificate shows up at the first read.
 		return err
 	}
-	t.Fatalf("%s is not listed", name)
+	t.Fatalf("instance %s is not on the instance list", name)
 	return nil
 }
