--- a/test/process/log_reader_test.go
+++ b/test/process/log_reader_test.go
@@ -10,18 +10,19 @@
 	"time"
 )
 
-// An instance whose standard error is a full pipe that nobody reads did not even
-// begin its drain: each log line waited for the reader.
+// An instance drains and exits even if its standard error is a full pipe that
+// nobody reads. With synchronous writes, each log line blocked on the pipe and the
+// drain never began.
 func TestAStoppedReaderOfTheLogHoldsUpNoDrain(t *testing.T) {
 	_, platform := startStandin(t, "platform")
 	file := instanceSettings(t, "entry-1", "hall-a", platform, "")
-	const callers = "127.23.45.67:8191"
+	const callersAddr = "127.23.45.67:8191"
 	text, err := os.ReadFile(file)
 	if err != nil {
 		t.Fatal(err)
 	}
-	fixed := strings.Replace(string(text), `callers = "127.0.0.1:0"`, `callers = "`+callers+`"`, 1)
-	if err := os.WriteFile(file, []byte(fixed), 0o600); err != nil {
+	withFixedAddr := strings.Replace(string(text), `callers = "127.0.0.1:0"`, `callers = "`+callersAddr+`"`, 1)
+	if err := os.WriteFile(file, []byte(withFixedAddr), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	cmd := exec.Command(binary, "serve", "-settings", file)
@@ -33,7 +34,7 @@
 	go func() { ended <- cmd.Wait() }()
 	t.Cleanup(func() { _ = cmd.Process.Kill() })
 	eventually(t, "ready", func() bool {
-		resp, err := http.Get("http://" + callers + "/readyz")
+		resp, err := http.Get("http://" + callersAddr + "/readyz")
 		if err != nil {
 			return false
 		}
@@ -48,12 +49,13 @@
 		if err != nil {
 			t.Error(err)
 		}
-	case <-time.After(waitLimit):
-		t.Fatal("still there")
+	case <-time.After(waitTimeout):
+		t.Fatal("the instance did not exit before the timeout")
 	}
 }
 
-// fullPipe returns a pipe's end for writing that takes no more bytes.
+// fullPipe returns the write end of a pipe whose buffer is full, so that further
+// writes block.
 func fullPipe(t *testing.T) *os.File {
 	t.Helper()
 	reader, writer, err := os.Pipe()
--- a/test/process/relay_test.go
+++ b/test/process/relay_test.go
@@ -8,23 +8,24 @@
 	"time"
 )
 
-// relay forwards TCP connections to an endpoint and can go silent on those
-// that are open, in either direction, as a middlebox that has lost track of
-// them. New connections work.
+// relay forwards TCP connections to an endpoint. It can drop the data of open
+// connections in either direction without closing them, like a middlebox that has
+// lost its connection state. New connections work normally.
 type relay struct {
 	listener net.Listener
 	target   string
 
 	mu   sync.Mutex
-	open []*relayed
+	open []*relayedConn
 }
 
-// relayed is one connection through the relay.
-type relayed struct {
-	caller, target     net.Conn
-	toTarget, toCaller atomic.Bool // Set: nothing passes that way.
+// relayedConn is one connection through the relay.
+type relayedConn struct {
+	caller, target             net.Conn
+	dropToTarget, dropToCaller atomic.Bool // While set, data in that direction is discarded.
 }
 
+// startRelay starts a relay to the target address on a free port.
 func startRelay(t *testing.T, target string) *relay {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -50,22 +51,23 @@
 			caller.Close()
 			continue
 		}
-		c := &relayed{caller: caller, target: target}
+		c := &relayedConn{caller: caller, target: target}
 		r.mu.Lock()
 		r.open = append(r.open, c)
 		r.mu.Unlock()
-		go forward(target, caller, &c.toTarget)
-		go forward(caller, target, &c.toCaller)
+		go relayBytes(target, caller, &c.dropToTarget)
+		go relayBytes(caller, target, &c.dropToCaller)
 	}
 }
 
-// forward passes bytes on until one side ends. While silent is set it reads
-// and drops them, and keeps the other side open.
-func forward(to, from net.Conn, silent *atomic.Bool) {
+// relayBytes copies bytes until one side closes, and then closes both. While drop is
+// set it reads and discards them, and if from closes it leaves both connections
+// open.
+func relayBytes(to, from net.Conn, drop *atomic.Bool) {
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buf)
-		if silent.Load() {
+		if drop.Load() {
 			if err != nil {
 				return
 			}
@@ -84,13 +86,14 @@
 	from.Close()
 }
 
-// silence stops the open connections in the given directions.
-func (r *relay) silence(toTarget, toCaller bool) time.Time {
+// setDropped sets for the open connections in which directions data is dropped, and
+// returns the current time.
+func (r *relay) setDropped(dropToTarget, dropToCaller bool) time.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, c := range r.open {
-		c.toTarget.Store(toTarget)
-		c.toCaller.Store(toCaller)
+		c.dropToTarget.Store(dropToTarget)
+		c.dropToCaller.Store(dropToCaller)
 	}
 	return time.Now()
 }
--- a/test/process/tls_test.go
+++ b/test/process/tls_test.go
@@ -19,8 +19,9 @@
 	"time"
 )
 
-// selfSigned writes a certificate for 127.0.0.1 that is its own authority.
-func selfSigned(t *testing.T) (cert, key string) {
+// writeSelfSignedCert creates a self-signed certificate for 127.0.0.1 that is also
+// its own CA, and returns the paths of its PEM files.
+func writeSelfSignedCert(t *testing.T) (cert, key string) {
 	t.Helper()
 	private, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -49,9 +50,9 @@
 	return cert, key
 }
 
-// startSecured runs an instance with TLS on its own three interfaces; the
-// stand-ins stay plain.
-func startSecured(t *testing.T, name, platform, cert, key string) serving {
+// startTLSInstance runs an instance with TLS on its own three interfaces, for
+// callers, operators and peers. Connections to the stand-ins remain without TLS.
+func startTLSInstance(t *testing.T, name, platform, cert, key string) listenAddresses {
 	t.Helper()
 	file := instanceSettings(t, name, "hall-a", platform, "")
 	text, err := os.ReadFile(file)
@@ -59,20 +60,21 @@
 		t.Fatal(err)
 	}
 	secured := fmt.Sprintf("certificate = %q\nkey = %q\npeers_ca = %q\nplain = [\"platform\", \"endpoints\"]", cert, key, cert)
-	changed := strings.Replace(string(text), "plain = ["+allPlain+"]", secured, 1)
+	changed := strings.Replace(string(text), "plain = ["+allInterfaces+"]", secured, 1)
 	if err := os.WriteFile(file, []byte(changed), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	_, line := start(t, "server: serving", "serve", "-settings", file)
-	var at serving
+	_, line := startProcess(t, "server: serving", "serve", "-settings", file)
+	var at listenAddresses
 	if err := json.Unmarshal([]byte(line), &at); err != nil {
 		t.Fatal(err)
 	}
 	return at
 }
 
-// securedCall asks over TLS and decodes the answer.
-func securedCall(t *testing.T, cert, address, path string, out any) int {
+// tlsGet sends a GET request over TLS, with cert as the only trusted CA. It decodes
+// the JSON body into out, if not nil, and returns the status.
+func tlsGet(t *testing.T, cert, address, path string, out any) int {
 	t.Helper()
 	data, err := os.ReadFile(cert)
 	if err != nil {
@@ -99,15 +101,16 @@
 	return resp.StatusCode
 }
 
-// liveAt returns the zones' instances that one takes for reachable, by name.
-func liveAt(t *testing.T, cert, operators string) string {
+// reachableInstances returns the names of the instances that the given one regards
+// as reachable, as a formatted set.
+func reachableInstances(t *testing.T, cert, operators string) string {
 	t.Helper()
 	var state struct {
 		Live []struct {
 			ID string `json:"id"`
 		} `json:"live"`
 	}
-	securedCall(t, cert, operators, "/state", &state)
+	tlsGet(t, cert, operators, "/state", &state)
 	names := map[string]bool{}
 	for _, in := range state.Live {
 		name, _, _ := strings.Cut(in.ID, ".")
@@ -118,32 +121,33 @@
 
 func TestSecuredInterfaces(t *testing.T) {
 	_, platform := startStandin(t, "platform", "-lag", listLag)
-	cert, key := selfSigned(t)
-	otherCert, otherKey := selfSigned(t)
-	a := startSecured(t, "a1", platform, cert, key)
-	b := startSecured(t, "b1", platform, cert, key)
-	startSecured(t, "stranger", platform, otherCert, otherKey)
-	eventually(t, "ready over TLS", func() bool { return securedCall(t, cert, a.Callers, "/readyz", nil) == http.StatusOK })
+	cert, key := writeSelfSignedCert(t)
+	otherCert, otherKey := writeSelfSignedCert(t)
+	a := startTLSInstance(t, "a1", platform, cert, key)
+	b := startTLSInstance(t, "b1", platform, cert, key)
+	startTLSInstance(t, "stranger", platform, otherCert, otherKey)
+	eventually(t, "ready over TLS", func() bool { return tlsGet(t, cert, a.Callers, "/readyz", nil) == http.StatusOK })
 	for _, address := range []string{a.Callers, a.Operators} {
 		if got := call(http.MethodGet, "http://"+address+"/readyz", operatorToken, nil); got.status == http.StatusOK {
-			t.Errorf("%s answers without TLS", address)
+			t.Errorf("%s answers requests without TLS", address)
 		}
 	}
-	if err := dialPeer(t, platform, "a1"); err == nil || !strings.Contains(err.Error(), "certificate required") {
-		t.Errorf("a peer without certificate: %v", err)
+	if err := dialPeerWithoutCert(t, platform, "a1"); err == nil || !strings.Contains(err.Error(), "certificate required") {
+		t.Errorf("peer connection without a certificate: error %v, want certificate required", err)
 	}
-	// Instances take each other for reachable, and not the one whose
-	// certificate another authority signed.
-	for _, in := range []serving{a, b} {
-		eventually(t, "the stranger is shut out", func() bool {
-			return liveAt(t, cert, in.Operators) == fmt.Sprint(map[string]bool{"a1": true, "b1": true})
+	// Instances regard each other as reachable, but not the one whose certificate
+	// was signed by another CA.
+	for _, in := range []listenAddresses{a, b} {
+		eventually(t, "the instance with a foreign certificate is not reachable", func() bool {
+			return reachableInstances(t, cert, in.Operators) == fmt.Sprint(map[string]bool{"a1": true, "b1": true})
 		})
 	}
 }
 
-// dialPeer connects to an instance's peers' address without a certificate and
-// returns what the instance says to that.
-func dialPeer(t *testing.T, platform, name string) error {
+// dialPeerWithoutCert connects to an instance's peer address without a client
+// certificate and returns the resulting error, which is nil if the instance
+// accepts the connection and sends data.
+func dialPeerWithoutCert(t *testing.T, platform, name string) error {
 	t.Helper()
 	var list struct {
 		Instances []struct {
@@ -163,10 +167,10 @@
 			return err
 		}
 		defer conn.Close()
-		_ = conn.SetReadDeadline(time.Now().Add(waitLimit))
-		_, err = conn.Read(make([]byte, 1)) // With TLS 1.3 a refusal comes with the first read.
+		_ = conn.SetReadDeadline(time.Now().Add(waitTimeout))
+		_, err = conn.Read(make([]byte, 1)) // With TLS 1.3 a rejected client certificate shows up at the first read.
 		return err
 	}
-	t.Fatalf("%s is not listed", name)
+	t.Fatalf("instance %s is not on the instance list", name)
 	return nil
 }
