--- a/internal/ledger/watch.go
+++ b/internal/ledger/watch.go
@@ -172,7 +172,7 @@
 // forgetClosedRights removes rights that the fold has closed from the witness.
 func (l *Ledger) forgetClosedRights() {
 	var adopted []right.Terms
-	l.witness.WithWitness(func(w *right.Witness[record.Outstanding]) { adopted = w.Rights() })
+	l.witness.WithLockedWitness(func(w *right.Witness[record.Outstanding]) { adopted = w.Rights() })
 	for _, t := range adopted {
 		part, ok := l.Partitions.ByStream(t.Stream)
 		if !ok || !isOpen(part, t.Right) {
--- a/internal/right/right_test.go
+++ b/internal/right/right_test.go
@@ -23,12 +23,12 @@
 	lastID    int                  // ID of the newest use.
 }
 
-func (a *adversary) put(*rapid.T) {
+func (a *adversary) putUse(*rapid.T) {
 	a.lastID++
 	_ = a.holder.Put(right.Use[int]{ID: right.UseID(fmt.Sprint(a.lastID)), Body: a.lastID})
 }
 
-func (a *adversary) drop(t *rapid.T) {
+func (a *adversary) dropUse(t *rapid.T) {
 	id := right.UseID(fmt.Sprint(rapid.IntRange(1, a.lastID+1).Draw(t, "use")))
 	if a.confirmed[id] {
 		a.holder.Drop(id)
@@ -36,7 +36,7 @@
 	}
 }
 
-func (a *adversary) send(t *rapid.T) {
+func (a *adversary) sendBatch(t *rapid.T) {
 	b, ok := a.holder.NextBatch()
 	if !ok {
 		return
@@ -59,7 +59,7 @@
 	}
 }
 
-func (a *adversary) lateCopy(t *rapid.T) {
+func (a *adversary) deliverLateDuplicate(t *rapid.T) {
 	if len(a.sent) > 0 {
 		_ = a.witness.Acknowledge(rapid.SampledFrom(a.sent).Draw(t, "copy"))
 	}
@@ -97,7 +97,7 @@
 			t.Fatal(err)
 		}
 		t.Repeat(map[string]func(*rapid.T){
-			"put": a.put, "drop": a.drop, "send": a.send, "late copy": a.lateCopy, "seal": a.seal, "": a.check,
+			"put": a.putUse, "drop": a.dropUse, "send": a.sendBatch, "late copy": a.deliverLateDuplicate, "seal": a.seal, "": a.check,
 		})
 	})
 }
--- a/internal/right/service.go
+++ b/internal/right/service.go
@@ -148,7 +148,7 @@
 // Forget removes a right that the fold has closed. The caller must have read
 // the close from the fold, so that no later Adopt adopts the right again.
 func (s *Service[U]) Forget(id record.RightID) {
-	s.WithWitness(func(w *Witness[U]) { w.Forget(id) })
+	s.WithLockedWitness(func(w *Witness[U]) { w.Forget(id) })
 }
 
 // Seal is the net/rpc method that seals a right. It adopts the right first if
--- a/internal/right/service_local.go
+++ b/internal/right/service_local.go
@@ -22,9 +22,9 @@
 	return s.witness.Seal(t.Right)
 }
 
-// WithWitness calls fn with the witness while holding the lock. fn must not
+// WithLockedWitness calls fn with the witness while holding the lock. fn must not
 // keep the witness or call the service.
-func (s *Service[U]) WithWitness(fn func(*Witness[U])) {
+func (s *Service[U]) WithLockedWitness(fn func(*Witness[U])) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	fn(s.witness)
