--- a/internal/forward/drain_test.go
+++ b/internal/forward/drain_test.go
@@ -63,7 +63,7 @@
 // grant tokens after tokensDelay.
 func newDrainingForwarder(tokensDelay time.Duration) *forward.Forwarder {
 	prepaidTokens := int64(1000)
-	config := route.Compile(route.State{
+	config := route.Compile(route.DesiredState{
 		Routes:        []route.Route{{Name: "reports", Host: "h", Prefix: "/", Backends: []route.Backend{{Service: "s", Weight: 1}}}},
 		Services:      []route.Service{{Name: "s"}},
 		Organisations: []route.Organisation{{Name: "org", Keys: []string{"key"}, PrepaidTotal: &prepaidTokens}},
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -36,7 +36,7 @@
 // Platform is what the adapter of the outside platform provides.
 type Platform struct {
 	Store          logstore.KeyedLog
-	DecodeState    func(value []byte) (route.State, error)
+	DecodeState    func(value []byte) (route.DesiredState, error)
 	DecodeEndpoint func(id string, value []byte) (discovery.Endpoint, error)
 	Codec          forward.Codec
 	// LinesDropped returns how many log lines were dropped or rate limited since the start.
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -83,7 +83,7 @@
 }
 
 // callerIdleTimeout returns how long a keep-alive connection of a caller may be idle.
-func callerIdleTimeout(state route.State) time.Duration {
+func callerIdleTimeout(state route.DesiredState) time.Duration {
 	if state.Limits.IdleTimeout <= 0 {
 		return defaultCallerIdleTimeout
 	}
@@ -91,7 +91,7 @@
 }
 
 // prepaidTotals returns the prepaid total of each organisation that has one, in tokens.
-func prepaidTotals(s route.State) map[record.Team]int64 {
+func prepaidTotals(s route.DesiredState) map[record.Team]int64 {
 	totals := map[record.Team]int64{}
 	for _, org := range s.Organisations {
 		if org.PrepaidTotal != nil {
--- a/internal/route/config.go
+++ b/internal/route/config.go
@@ -9,9 +9,9 @@
 	"guavapier/internal/record"
 )
 
-// Config is a State with indexes for look-ups. It is immutable.
+// Config is a DesiredState with indexes for look-ups. It is immutable.
 type Config struct {
-	State
+	DesiredState
 	routesByHost        map[string][]*Route // By host in lower case, the longest path prefix first.
 	servicesByName      map[string]*Service
 	organisationsByKey  map[string]*Organisation
@@ -20,10 +20,10 @@
 	priorities []int
 }
 
-// Compile returns the Config of a State. The State's slices must not be changed afterwards.
-func Compile(s State) *Config {
+// Compile returns the Config of a DesiredState, whose slices must not be changed afterwards.
+func Compile(s DesiredState) *Config {
 	c := &Config{
-		State: s, routesByHost: map[string][]*Route{}, servicesByName: map[string]*Service{},
+		DesiredState: s, routesByHost: map[string][]*Route{}, servicesByName: map[string]*Service{},
 		organisationsByKey: map[string]*Organisation{}, organisationsByName: map[record.Team]*Organisation{}, priorities: distinctPriorities(s),
 	}
 	for i := range c.Routes {
--- a/internal/route/config_test.go
+++ b/internal/route/config_test.go
@@ -10,7 +10,7 @@
 // first of which has a priority.
 func newTestConfig() *route.Config {
 	priority := 0
-	return route.Compile(route.State{
+	return route.Compile(route.DesiredState{
 		Version: 1,
 		Routes: []route.Route{
 			{Name: "all", Host: "a.example", Prefix: "/", Priority: 2, Backends: []route.Backend{{Service: "s", Weight: 1}}},
@@ -54,14 +54,14 @@
 	}
 }
 
-func TestKeysAndPriorities(t *testing.T) {
+func TestKeysSelectOrganisationsWhosePriorityOverridesTheRoutes(t *testing.T) {
 	c := newTestConfig()
 	o, p := c.OrganisationByKey("k2"), c.OrganisationByKey("k3")
 	if o.Name != "o" || p.Name != "p" || c.OrganisationByKey("") != nil || c.OrganisationByKey("k4") != nil {
 		t.Error("a key is mapped to the wrong organisation, or an unknown key to any")
 	}
 	all, x := c.Match("a.example", "/"), c.Match("a.example", "/x/")
-	if !c.NeedsKey(all) || c.NeedsKey(x) || route.Compile(route.State{}).NeedsKey(all) {
+	if !c.NeedsKey(all) || c.NeedsKey(x) || route.Compile(route.DesiredState{}).NeedsKey(all) {
 		t.Error("NeedsKey is wrong for a private route, a public route or a state without organisations")
 	}
 	if route.EffectivePriority(all, o) != 0 || route.EffectivePriority(all, p) != 2 || route.EffectivePriority(all, nil) != 2 {
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -88,8 +88,8 @@
 	IdleTimeout    time.Duration
 }
 
-// State is one version of the desired state.
-type State struct {
+// DesiredState is one version of the desired state.
+type DesiredState struct {
 	Version       int64
 	Routes        []Route
 	Services      []Service
--- a/internal/route/urgency.go
+++ b/internal/route/urgency.go
@@ -8,7 +8,7 @@
 
 // distinctPriorities returns the priorities of a state's routes and organisations, sorted
 // and without duplicates.
-func distinctPriorities(s State) []int {
+func distinctPriorities(s DesiredState) []int {
 	var list []int
 	for i := range s.Routes {
 		list = append(list, s.Routes[i].Priority)
--- a/internal/route/urgency_test.go
+++ b/internal/route/urgency_test.go
@@ -8,9 +8,9 @@
 	"guavapier/internal/route"
 )
 
-// newState returns a State with one route and one organisation for each given priority.
-func newState(routes []int, organisations []int) route.State {
-	var s route.State
+// newDesiredState returns a desired state with one route and one organisation for each given priority.
+func newDesiredState(routes []int, organisations []int) route.DesiredState {
+	var s route.DesiredState
 	for _, p := range routes {
 		s.Routes = append(s.Routes, route.Route{Priority: p})
 	}
@@ -23,12 +23,12 @@
 // Checks for random priorities that a size class never puts a request at or behind the level
 // of the next priority, that levels are in range, and that with up to three priorities the
 // three size classes have different levels.
-func TestPrioritiesGoBeforeSizes(t *testing.T) {
+func TestPriorityOutranksSizeClass(t *testing.T) {
 	priority := rapid.IntRange(0, 9)
 	rapid.Check(t, func(t *rapid.T) {
 		routes := rapid.SliceOfN(priority, 1, 12).Draw(t, "routes")
 		organisations := rapid.SliceOfN(priority, 0, 4).Draw(t, "organisations")
-		c := route.Compile(newState(routes, organisations))
+		c := route.Compile(newDesiredState(routes, organisations))
 		distinct := map[int]bool{}
 		for _, p := range append(routes, organisations...) {
 			distinct[p] = true
@@ -53,7 +53,7 @@
 }
 
 func TestAnOrganisationsPriorityGoesBeforeItsRoutes(t *testing.T) {
-	c := route.Compile(newState([]int{4, 7}, []int{2}))
+	c := route.Compile(newDesiredState([]int{4, 7}, []int{2}))
 	org := &c.Organisations[0]
 	if got, want := c.Urgency(&c.Routes[1], org, 0), 0; got != want {
 		t.Errorf("with the organisation's priority: level %d, want %d", got, want)
