--- a/internal/run/chat.go
+++ b/internal/run/chat.go
@@ -23,7 +23,7 @@
 	if ticket.Join {
 		return r.joinChat(ctx, c, ticket, sink, r.locateByClaim(c))
 	}
-	result, err := r.executeChat(ctx, c, ticket.Run, &joinedRun{order: c.newOrder(ticket.Run), sink: sink})
+	result, err := r.executeChat(ctx, c, ticket.Run, &joinedRun{runRequest: c.newRunRequest(ticket.Run), sink: sink})
 	return result, c.retractNotRun(ticket, err)
 }
 
@@ -32,16 +32,16 @@
 // while another instance owned the run. It returns when the run has its final
 // outcome, which may be after the caller has disconnected.
 func (r *Runner) executeChat(ctx context.Context, c Chat, run record.RunID, joined *joinedRun) (ChatResult, error) {
-	binding := r.bindCaller(ctx, c.Request, joined.sink)
-	defer binding.stop()
+	caller := r.attachCaller(ctx, c.Request, joined.sink)
+	defer caller.stop()
 	worstCaseTokens := int64(c.PromptTokens + c.MaxTokens)
-	reserved, err := r.Budgets.Reserve(binding.workCtx, c.Key, run, c.Team.Budget, worstCaseTokens)
+	reserved, err := r.Budgets.Reserve(caller.workCtx, c.Key, run, c.Team.Budget, worstCaseTokens)
 	if err != nil {
-		return ChatResult{}, r.endRun(ctx, c.Key, binding.withCause(err), joined.takenOver, nil)
+		return ChatResult{}, r.endRun(ctx, c.Key, caller.withCause(err), joined.takenOver, nil)
 	}
-	g := newGeneration(c, run, binding)
+	g := newGeneration(c, run, caller)
 	g.continueFrom(joined)
-	err = binding.withCause(r.generate(binding.workCtx, g))
+	err = caller.withCause(r.generate(caller.workCtx, g))
 	r.settleInBackground(ctx, g, reserved, err)
 	return g.result, r.endRun(ctx, c.Key, err, g.mayHaveRun, nil)
 }
@@ -66,11 +66,11 @@
 
 // generation is the state of one chat run while endpoints generate its answer.
 type generation struct {
-	chat    Chat
-	binding *callerBinding
-	order   endpoint.RunRequest
-	text    answerText
-	result  ChatResult
+	chat       Chat
+	caller     *attachedCaller
+	runRequest endpoint.RunRequest
+	text       answerText
+	result     ChatResult
 	// excluded names the endpoints that failed, which are not tried again.
 	excluded []string
 	lastBase string // Base URL of the last endpoint that may have accepted an order.
@@ -82,8 +82,8 @@
 }
 
 // newGeneration returns the state of a run that has no tokens yet.
-func newGeneration(c Chat, run record.RunID, b *callerBinding) *generation {
-	return &generation{chat: c, binding: b, order: c.newOrder(run), result: ChatResult{Run: run}}
+func newGeneration(c Chat, run record.RunID, caller *attachedCaller) *generation {
+	return &generation{chat: c, caller: caller, runRequest: c.newRunRequest(run), result: ChatResult{Run: run}}
 }
 
 // continueFrom sets the generation to continue after the tokens that joined has
@@ -91,26 +91,26 @@
 // then, so the limit on the wait for it is lifted.
 func (g *generation) continueFrom(joined *joinedRun) {
 	g.mayHaveRun = joined.takenOver
-	if joined.order.ResumeFrom == 0 {
+	if joined.runRequest.ResumeFrom == 0 {
 		return
 	}
-	g.order.ResumeFrom, g.order.Attempt = joined.order.ResumeFrom, joined.order.Attempt
+	g.runRequest.ResumeFrom, g.runRequest.Attempt = joined.runRequest.ResumeFrom, joined.runRequest.Attempt
 	g.text.add(endpoint.Token{Text: joined.text.String()})
 	g.lastTokenTime = time.Now()
-	g.binding.firstTokenTimer.Stop()
+	g.caller.firstTokenTimer.Stop()
 }
 
 // deliver passes a token to the caller and advances the order's offset past it.
 func (g *generation) deliver(t endpoint.Token) {
-	g.order.ResumeFrom = t.Index + 1
+	g.runRequest.ResumeFrom = t.Index + 1
 	g.lastTokenTime = time.Now()
 	g.text.add(t)
-	g.binding.deliver(g.order.Run, t)
+	g.caller.deliver(g.runRequest.Run, t)
 }
 
 // setResult sets the usage and finish reason of the completed answer. Completion
 // counts the tokens of the whole answer, whichever endpoints generated them.
 func (g *generation) setResult(u endpoint.Usage, reason string) {
-	g.result.Usage = endpoint.Usage{Prompt: u.Prompt, Cached: u.Cached, Completion: int64(g.order.ResumeFrom)}
+	g.result.Usage = endpoint.Usage{Prompt: u.Prompt, Cached: u.Cached, Completion: int64(g.runRequest.ResumeFrom)}
 	g.result.FinishReason = reason
 }
--- a/internal/run/chat_test.go
+++ b/internal/run/chat_test.go
@@ -94,9 +94,9 @@
 	}
 }
 
-// TestCrossedAnswersAreDroppedAndReadAgain has e1 swap the answers of two requests.
+// TestSwappedAnswersAreDroppedAndReadAgain has e1 swap the answers of two requests.
 // The swap must be detected, and each caller must get its own answer.
-func TestCrossedAnswersAreDroppedAndReadAgain(t *testing.T) {
+func TestSwappedAnswersAreDroppedAndReadAgain(t *testing.T) {
 	b := newTestBench(t)
 	b.engines[0].SetFaults(standin.EngineFaults{SwapPairs: 1})
 	var wait sync.WaitGroup
--- a/internal/run/generate.go
+++ b/internal/run/generate.go
@@ -28,13 +28,13 @@
 			tries = -1
 			continue
 		}
-		before := g.order.ResumeFrom
+		before := g.runRequest.ResumeFrom
 		lastErr = r.generateAt(ctx, placement, g)
 		if lastErr == nil || ctx.Err() != nil || errors.Is(lastErr, endpoint.ErrRejected) {
 			return lastErr
 		}
 		g.excluded = append(g.excluded, placement.Endpoint)
-		if g.order.ResumeFrom > before {
+		if g.runRequest.ResumeFrom > before {
 			tries = -1
 		}
 	}
@@ -48,7 +48,7 @@
 // answer without tokens is refused at once.
 func (r *Runner) awaitEndpoint(ctx context.Context, g *generation, err error) bool {
 	var refusal *dispatch.Refusal
-	if g.order.ResumeFrom == 0 || !errors.As(err, &refusal) {
+	if g.runRequest.ResumeFrom == 0 || !errors.As(err, &refusal) {
 		return false
 	}
 	pause := max(refusal.RetryAfter, minPlacementRetryInterval)
@@ -84,7 +84,7 @@
 // and 0 for an answer without tokens: MaxWait counts from the start of the
 // request only until the first token.
 func (g *generation) continuationTimeout() time.Duration {
-	if g.order.ResumeFrom == 0 {
+	if g.runRequest.ResumeFrom == 0 {
 		return 0
 	}
 	return g.chat.MaxWait
@@ -104,7 +104,7 @@
 	r.Claims.Place(ctx, g.chat.Key, p.Endpoint)
 	mayBeRunning := false
 	for emptyConnections := 0; emptyConnections <= r.Limits.MaxResumes; emptyConnections++ {
-		before := g.order.ResumeFrom
+		before := g.runRequest.ResumeFrom
 		err = r.streamFrom(ctx, base, g, meter)
 		if errors.Is(err, endpoint.ErrRefused) {
 			r.reportLeaving(p.Endpoint, err)
@@ -114,12 +114,12 @@
 		if err == nil || ctx.Err() != nil || errors.Is(err, errStalled) {
 			break
 		}
-		if g.order.ResumeFrom > before {
+		if g.runRequest.ResumeFrom > before {
 			emptyConnections = 0
 		}
 	}
 	if mayBeRunning {
-		g.openAttempts = append(g.openAttempts, attempt{base: base, number: g.order.Attempt})
+		g.openAttempts = append(g.openAttempts, attempt{base: base, number: g.runRequest.Attempt})
 	}
 	return err
 }
@@ -141,7 +141,7 @@
 			remaining = append(remaining, a)
 			continue
 		}
-		r.cancelInBackground(ctx, a.base, g.order.Run, a.number)
+		r.cancelInBackground(ctx, a.base, g.runRequest.Run, a.number)
 	}
 	g.openAttempts = remaining
 }
@@ -149,11 +149,11 @@
 // streamFrom reads the answer over one connection to the endpoint at base,
 // starting after the tokens that the caller has.
 func (r *Runner) streamFrom(ctx context.Context, base string, g *generation, m *attemptMeter) error {
-	ctx, progress := r.watchProgress(ctx, g.order.ResumeFrom > 0)
+	ctx, progress := r.watchProgress(ctx, g.runRequest.ResumeFrom > 0)
 	defer progress.stop()
-	g.order.Attempt++
-	g.order.PriorText = g.text.String()
-	stream, err := r.Engines.Start(ctx, base, g.order)
+	g.runRequest.Attempt++
+	g.runRequest.PriorText = g.text.String()
+	stream, err := r.Engines.Start(ctx, base, g.runRequest)
 	if !errors.Is(err, endpoint.ErrRefused) {
 		g.lastBase, g.mayHaveRun = base, true
 	}
@@ -189,7 +189,7 @@
 // answer from the engine, the usage is the worst case of the prompt.
 func (r *Runner) truncate(ctx context.Context, base string, g *generation) error {
 	usage := endpoint.Usage{Prompt: int64(g.chat.PromptTokens)}
-	if state, err := r.Engines.State(ctx, base, g.order.Run); err == nil {
+	if state, err := r.Engines.State(ctx, base, g.runRequest.Run); err == nil {
 		usage = state.Usage
 	}
 	g.setResult(usage, finishReasonLength)
--- a/internal/run/join.go
+++ b/internal/run/join.go
@@ -33,9 +33,9 @@
 
 // joinedRun is the state of reading a run that another request owns.
 type joinedRun struct {
-	order  endpoint.RunRequest
-	sink   TokenSink
-	result ChatResult
+	runRequest endpoint.RunRequest
+	sink       TokenSink
+	result     ChatResult
 	// text is the answer's text as read so far. It starts at the position that the
 	// caller resumes from.
 	text answerText
@@ -98,8 +98,8 @@
 // started the run. It neither reserves nor bills tokens: the run's owner does, or
 // the reservation's witness if the owner is gone.
 func (r *Runner) joinChat(ctx context.Context, c Chat, ticket claim.Ticket, sink TokenSink, locate locator) (ChatResult, error) {
-	j := &joinedRun{order: c.newOrder(ticket.Run), sink: sink, result: ChatResult{Run: ticket.Run}}
-	j.order.ResumeOnly, j.order.ResumeFrom = true, c.ResumeFrom.Tokens
+	j := &joinedRun{runRequest: c.newRunRequest(ticket.Run), sink: sink, result: ChatResult{Run: ticket.Run}}
+	j.runRequest.ResumeOnly, j.runRequest.ResumeFrom = true, c.ResumeFrom.Tokens
 	return r.followRun(ctx, c, ticket, j, locate)
 }
 
@@ -108,7 +108,7 @@
 func (r *Runner) followRun(ctx context.Context, c Chat, ticket claim.Ticket, j *joinedRun, locate locator) (ChatResult, error) {
 	deadline, lastSearch := time.Now().Add(c.MaxWait), time.Now()
 	for {
-		before := j.order.ResumeFrom
+		before := j.runRequest.ResumeFrom
 		err := r.streamJoined(ctx, ticket, j)
 		if err == nil {
 			return j.result, nil
@@ -119,14 +119,14 @@
 		if ticket.Outcome == record.OutcomeUnknown {
 			return j.result, newFailure(claim.ErrUnknown, true)
 		}
-		if j.order.ResumeFrom > before {
+		if j.runRequest.ResumeFrom > before {
 			deadline, lastSearch = time.Now().Add(c.MaxWait), time.Now()
 		}
 		if time.Now().After(deadline) {
 			return j.result, newFailure(errors.Join(errNoAnswerInTime, err), true)
 		}
 		followErr := err
-		if ticket, err = r.relocate(ctx, c, j.order, locate); err != nil {
+		if ticket, err = r.relocate(ctx, c, j.runRequest, locate); err != nil {
 			return j.result, newFailure(err, true)
 		}
 		if ticket.RunnerGone || ticket.Outcome == record.OutcomeAnswered || time.Since(lastSearch) > searchInterval {
@@ -136,7 +136,7 @@
 			}
 		}
 		if !ticket.Join {
-			j.takenOver = ticket.Run == j.order.Run
+			j.takenOver = ticket.Run == j.runRequest.Run
 			result, err := r.executeChat(ctx, c, ticket.Run, j)
 			return result, c.retractNotRun(ticket, err)
 		}
@@ -176,7 +176,7 @@
 	request := c.claimRequest(true)
 	request.Lost = ticket.Run
 	newTicket, err := r.Claims.Begin(ctx, request)
-	if err == nil && newTicket.Run != ticket.Run && j.order.ResumeFrom > 0 {
+	if err == nil && newTicket.Run != ticket.Run && j.runRequest.ResumeFrom > 0 {
 		if !newTicket.Join {
 			r.Claims.End(ctx, c.Key, claim.End{Outcome: record.OutcomeNotRun})
 		}
@@ -187,7 +187,7 @@
 
 // relocate looks up the run again after locateInterval. The error is errRunGone if
 // the key belongs to another run by then and tokens of this one have been read.
-func (r *Runner) relocate(ctx context.Context, c Chat, order endpoint.RunRequest, locate locator) (claim.Ticket, error) {
+func (r *Runner) relocate(ctx context.Context, c Chat, runRequest endpoint.RunRequest, locate locator) (claim.Ticket, error) {
 	timer := time.NewTimer(locateInterval)
 	defer timer.Stop()
 	select {
@@ -199,7 +199,7 @@
 	if err != nil {
 		return ticket, err
 	}
-	if order.ResumeFrom > 0 && ticket.Run != order.Run {
+	if runRequest.ResumeFrom > 0 && ticket.Run != runRequest.Run {
 		if !ticket.Join {
 			r.Claims.End(ctx, c.Key, claim.End{Outcome: record.OutcomeNotRun})
 		}
@@ -220,8 +220,8 @@
 	}
 	ctx, progress := r.watchProgress(ctx, true)
 	defer progress.stop()
-	j.order.Attempt++
-	stream, err := r.Engines.Start(ctx, base, j.order)
+	j.runRequest.Attempt++
+	stream, err := r.Engines.Start(ctx, base, j.runRequest)
 	if err != nil {
 		return progress.withCause(err)
 	}
@@ -238,9 +238,9 @@
 			return progress.withCause(err)
 		}
 		progress.onToken()
-		j.order.ResumeFrom = token.Index + 1
+		j.runRequest.ResumeFrom = token.Index + 1
 		j.text.add(token)
-		if err := j.sink(j.order.Run, token); err != nil {
+		if err := j.sink(j.runRequest.Run, token); err != nil {
 			j.callerLeft = true
 			return err
 		}
--- a/internal/run/presence.go
+++ b/internal/run/presence.go
@@ -18,11 +18,11 @@
 	errNoAnswerInTime = eris.New("run: no answer within the caller's maximum wait")
 )
 
-// callerBinding ties the execution of a run to its caller's connection. When the
+// attachedCaller ties the execution of a run to its caller's connection. When the
 // caller of a request without an Idempotency-Key disconnects, the run is
 // cancelled at once, since no retry can refer to it. With a key the run goes on
 // for Limits.LingerTimeout, so that a retry finds it.
-type callerBinding struct {
+type attachedCaller struct {
 	workCtx         context.Context // The run executes under it, not under the caller's context.
 	cancel          context.CancelCauseFunc
 	sink            TokenSink
@@ -31,10 +31,10 @@
 	callerLeft      bool        // The sink failed; no further token is passed to it.
 }
 
-// bindCaller returns the binding for a run of q's caller, whose connection ctx
+// attachCaller returns the binding for a run of q's caller, whose connection ctx
 // stands for. The run is cancelled with errNoAnswerInTime unless its first token
 // comes within q.MaxWait. stop must be called.
-func (r *Runner) bindCaller(ctx context.Context, q Request, sink TokenSink) *callerBinding {
+func (r *Runner) attachCaller(ctx context.Context, q Request, sink TokenSink) *attachedCaller {
 	callerCtx, markLeft := context.WithCancel(ctx)
 	workCtx, cancel := context.WithCancelCause(context.WithoutCancel(ctx))
 	lingerTimeout := time.Duration(0)
@@ -51,35 +51,35 @@
 		}
 	})
 	firstTokenTimer := time.AfterFunc(q.MaxWait, func() { cancel(errNoAnswerInTime) })
-	return &callerBinding{workCtx: workCtx, cancel: cancel, sink: sink, firstTokenTimer: firstTokenTimer, markLeft: markLeft}
+	return &attachedCaller{workCtx: workCtx, cancel: cancel, sink: sink, firstTokenTimer: firstTokenTimer, markLeft: markLeft}
 }
 
 // deliver passes a token to the caller, unless the sink has failed before.
-func (b *callerBinding) deliver(run record.RunID, t endpoint.Token) {
-	b.firstTokenTimer.Stop()
-	if b.callerLeft {
+func (c *attachedCaller) deliver(run record.RunID, t endpoint.Token) {
+	c.firstTokenTimer.Stop()
+	if c.callerLeft {
 		return
 	}
-	if err := b.sink(run, t); err != nil {
-		b.callerLeft = true
-		b.markLeft()
+	if err := c.sink(run, t); err != nil {
+		c.callerLeft = true
+		c.markLeft()
 	}
 }
 
 // stop releases the binding's timers and contexts at the end of the run.
-func (b *callerBinding) stop() {
-	b.firstTokenTimer.Stop()
-	b.cancel(context.Canceled)
-	b.markLeft()
+func (c *attachedCaller) stop() {
+	c.firstTokenTimer.Stop()
+	c.cancel(context.Canceled)
+	c.markLeft()
 }
 
 // withCause returns err, joined with the cause of the run's cancellation if it was
 // cancelled.
-func (b *callerBinding) withCause(err error) error {
+func (c *attachedCaller) withCause(err error) error {
 	if err == nil {
 		return nil
 	}
-	if cause := context.Cause(b.workCtx); cause != nil {
+	if cause := context.Cause(c.workCtx); cause != nil {
 		return errors.Join(cause, err)
 	}
 	return err
--- a/internal/run/run.go
+++ b/internal/run/run.go
@@ -149,8 +149,8 @@
 	ResumeFrom ResumePosition
 }
 
-// newOrder returns the order for an engine, from the start of the answer.
-func (c Chat) newOrder(run record.RunID) endpoint.RunRequest {
+// newRunRequest returns the order for an engine, from the start of the answer.
+func (c Chat) newRunRequest(run record.RunID) endpoint.RunRequest {
 	return endpoint.RunRequest{
 		Run: run, Priority: int(c.Priority), Model: c.Model, Messages: c.Messages, ExtraFields: c.Params, MaxTokens: c.MaxTokens,
 	}
--- a/internal/run/settle.go
+++ b/internal/run/settle.go
@@ -37,12 +37,12 @@
 func (r *Runner) usageWithoutAnswer(ctx context.Context, g *generation, reserved ledger.Reservation) int64 {
 	ctx, stop := context.WithTimeout(ctx, r.Limits.ControlTimeout)
 	defer stop()
-	if err := r.Engines.Cancel(ctx, g.lastBase, g.order.Run, g.order.Attempt); err != nil {
+	if err := r.Engines.Cancel(ctx, g.lastBase, g.runRequest.Run, g.runRequest.Attempt); err != nil {
 		return reserved.Tokens
 	}
-	state, err := r.Engines.State(ctx, g.lastBase, g.order.Run)
+	state, err := r.Engines.State(ctx, g.lastBase, g.runRequest.Run)
 	if err != nil {
 		return reserved.Tokens
 	}
-	return state.Prompt + max(state.AnswerTokens(), int64(g.order.ResumeFrom))
+	return state.Prompt + max(state.AnswerTokens(), int64(g.runRequest.ResumeFrom))
 }
--- a/internal/run/takeover_test.go
+++ b/internal/run/takeover_test.go
@@ -22,13 +22,13 @@
 	return ticket.Run
 }
 
-// startOrder starts a run at an endpoint, as the failed instance did, and closes the
+// startRunAt starts a run at an endpoint, as the failed instance did, and closes the
 // connection after the first token.
-func (b *testBench) startOrder(c Chat, run record.RunID, at string) {
+func (b *testBench) startRunAt(c Chat, run record.RunID, at string) {
 	b.t.Helper()
-	order := c.newOrder(run)
-	order.Attempt = 1
-	stream, err := b.Engines.Start(context.Background(), b.urls[at], order)
+	runRequest := c.newRunRequest(run)
+	runRequest.Attempt = 1
+	stream, err := b.Engines.Start(context.Background(), b.urls[at], runRequest)
 	if err != nil {
 		b.t.Fatal(err)
 	}
@@ -58,7 +58,7 @@
 			chat := newChat("k", true)
 			run := b.claimForGoneInstance(chat, c.placed)
 			if c.begun {
-				b.startOrder(chat, run, c.placed)
+				b.startRunAt(chat, run, c.placed)
 			}
 			got := b.chat(t.Context(), chat, func(i int) {
 				if c.kill != nil {
@@ -102,7 +102,7 @@
 	b := newTestBench(t)
 	chat := newChat("k", true)
 	run := b.claimForGoneInstance(chat, "e1")
-	b.startOrder(chat, run, "e1")
+	b.startRunAt(chat, run, "e1")
 	if err := b.Engines.Cancel(t.Context(), b.urls["e1"], run, 1); err != nil {
 		t.Fatal(err)
 	}
