--- a/internal/session/session_test.go
+++ b/internal/session/session_test.go
@@ -25,7 +25,7 @@
 
 // A token verifies as the identity that it was issued for, and no altered,
 // shortened or extended token verifies at all.
-func TestOnlyOpenedTokensVerify(t *testing.T) {
+func TestOnlyIssuedTokensVerify(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		team := record.Team(rapid.StringMatching(`[a-z.:/é]{1,12}`).Draw(t, "team"))
 		zone := record.Zone(rapid.String().Draw(t, "zone"))
