--- a/internal/right/right.go
+++ b/internal/right/right.go
@@ -24,8 +24,8 @@
 	// ErrSealed means that the witness has sealed the right. Neither this use
 	// nor any later one is confirmed.
 	ErrSealed = eris.New("right: sealed by its witness")
-	// ErrNotAdopted means that the witness hasn't adopted the right, or not
-	// yet. The use isn't confirmed.
+	// ErrNotAdopted means that the witness doesn't know the right, for instance
+	// because its adoption timed out. The use isn't confirmed.
 	ErrNotAdopted = eris.New("right: not adopted by the witness")
 	// ErrClosed means that the holder has stopped using the right.
 	ErrClosed = eris.New("right: no longer used by its holder")
--- a/internal/right/service_local.go
+++ b/internal/right/service_local.go
@@ -22,8 +22,8 @@
 	return s.witness.Seal(t.Right)
 }
 
-// WithLockedWitness calls fn with the witness while holding the lock. fn must not
-// keep the witness or call the service.
+// WithLockedWitness calls fn with the witness while holding the lock. fn must
+// not keep the witness or call the service.
 func (s *Service[U]) WithLockedWitness(fn func(*Witness[U])) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/right/witness.go
+++ b/internal/right/witness.go
@@ -17,7 +17,8 @@
 	rights map[record.RightID]*adoptedRight[U]
 }
 
-// adoptedRight is the state of one witnessed right.
+// adoptedRight is what the witness stores for one right that it has adopted:
+// the terms and the uses that it has acknowledged.
 type adoptedRight[U any] struct {
 	terms   Terms
 	lastSeq uint64 // Seq of the last applied batch.
