--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -88,7 +88,7 @@
 	IdleTimeout    time.Duration
 }
 
-// DesiredState is one version of the desired state.
+// DesiredState is one version of the fleet's configuration as its operators want it.
 type DesiredState struct {
 	Version       int64
 	Routes        []Route
--- a/internal/route/urgency_test.go
+++ b/internal/route/urgency_test.go
@@ -20,9 +20,9 @@
 	return s
 }
 
-// Checks for random priorities that a size class never puts a request at or behind the level
-// of the next priority, that levels are in range, and that with up to three priorities the
-// three size classes have different levels.
+// For random priorities, every request of a more urgent priority has a lower level than every
+// request of a less urgent one, whatever their size classes. All levels are in range. With up
+// to three distinct priorities, the three size classes of a priority have different levels.
 func TestPriorityOutranksSizeClass(t *testing.T) {
 	priority := rapid.IntRange(0, 9)
 	rapid.Check(t, func(t *rapid.T) {
