--- a/internal/run/chat.go
+++ b/internal/run/chat.go
@@ -73,8 +73,8 @@
 	result     ChatResult
 	// excluded names the endpoints that failed, which are not tried again.
 	excluded []string
-	lastBase string // Base URL of the last endpoint that may have accepted an order.
-	// mayHaveRun says that an endpoint may have executed an order.
+	lastBase string // Base URL of the last endpoint that may have accepted a request.
+	// mayHaveRun says that an endpoint may have executed the run.
 	mayHaveRun     bool
 	openAttempts   []attempt // Attempts that may still be running.
 	completingBase string    // Base URL of the endpoint that completed the answer.
@@ -100,7 +100,8 @@
 	g.caller.firstTokenTimer.Stop()
 }
 
-// deliver passes a token to the caller and advances the order's offset past it.
+// deliver passes a token to the caller and sets the position from which the next
+// endpoint continues to the token after it.
 func (g *generation) deliver(t endpoint.Token) {
 	g.runRequest.ResumeFrom = t.Index + 1
 	g.lastTokenTime = time.Now()
--- a/internal/run/chat_test.go
+++ b/internal/run/chat_test.go
@@ -111,8 +111,8 @@
 		})
 	}
 	wait.Wait()
-	if crossed := b.counts.WrongRun.Load(); crossed != 2 {
-		t.Fatalf("%d answers counted as crossed, want 2", crossed)
+	if wrongRun := b.counts.WrongRun.Load(); wrongRun != 2 {
+		t.Fatalf("%d answers counted as answers of another run, want 2", wrongRun)
 	}
 }
 
@@ -254,12 +254,12 @@
 	}
 }
 
-// unboundedEngines has engines generate 100 times the ordered maximum.
+// unboundedEngines has engines generate 100 times the requested maximum.
 type unboundedEngines struct{ endpoint.Engines }
 
-func (e unboundedEngines) Start(ctx context.Context, base string, o endpoint.RunRequest) (endpoint.Stream, error) {
-	o.MaxTokens *= 100
-	return e.Engines.Start(ctx, base, o)
+func (e unboundedEngines) Start(ctx context.Context, base string, runRequest endpoint.RunRequest) (endpoint.Stream, error) {
+	runRequest.MaxTokens *= 100
+	return e.Engines.Start(ctx, base, runRequest)
 }
 
 func TestOutputPastTheMaximumIsCutAndNotBilled(t *testing.T) {
--- a/internal/run/generate.go
+++ b/internal/run/generate.go
@@ -185,7 +185,7 @@
 const finishReasonLength = "length"
 
 // truncate completes an answer whose engine generates more than MaxTokens. The
-// surplus was not ordered, so it is neither delivered nor billed. Without an
+// surplus was not requested, so it is neither delivered nor billed. Without an
 // answer from the engine, the usage is the worst case of the prompt.
 func (r *Runner) truncate(ctx context.Context, base string, g *generation) error {
 	usage := endpoint.Usage{Prompt: int64(g.chat.PromptTokens)}
--- a/internal/run/presence.go
+++ b/internal/run/presence.go
@@ -18,10 +18,10 @@
 	errNoAnswerInTime = eris.New("run: no answer within the caller's maximum wait")
 )
 
-// attachedCaller ties the execution of a run to its caller's connection. When the
-// caller of a request without an Idempotency-Key disconnects, the run is
-// cancelled at once, since no retry can refer to it. With a key the run goes on
-// for Limits.LingerTimeout, so that a retry finds it.
+// attachedCaller is the caller that receives a run's tokens. The run depends on the
+// caller's connection: when the caller of a request without an Idempotency-Key
+// disconnects, the run is cancelled at once, since no retry can refer to it. With a
+// key the run goes on for Limits.LingerTimeout, so that a retry finds it.
 type attachedCaller struct {
 	workCtx         context.Context // The run executes under it, not under the caller's context.
 	cancel          context.CancelCauseFunc
@@ -31,9 +31,9 @@
 	callerLeft      bool        // The sink failed; no further token is passed to it.
 }
 
-// attachCaller returns the binding for a run of q's caller, whose connection ctx
-// stands for. The run is cancelled with errNoAnswerInTime unless its first token
-// comes within q.MaxWait. stop must be called.
+// attachCaller attaches q's caller to a run. ctx ends when the caller disconnects.
+// The run is cancelled with errNoAnswerInTime unless its first token comes within
+// q.MaxWait. stop must be called.
 func (r *Runner) attachCaller(ctx context.Context, q Request, sink TokenSink) *attachedCaller {
 	callerCtx, markLeft := context.WithCancel(ctx)
 	workCtx, cancel := context.WithCancelCause(context.WithoutCancel(ctx))
@@ -66,7 +66,7 @@
 	}
 }
 
-// stop releases the binding's timers and contexts at the end of the run.
+// stop releases the timers and contexts at the end of the run.
 func (c *attachedCaller) stop() {
 	c.firstTokenTimer.Stop()
 	c.cancel(context.Canceled)
--- a/internal/run/run.go
+++ b/internal/run/run.go
@@ -47,7 +47,8 @@
 	Find(ctx context.Context, run record.RunID) (endpoint string, ok bool)
 }
 
-// RepeatRules reports which calls of a plain service may run more than once.
+// RepeatRules reports which calls of a plain service, that is one without a model,
+// may run more than once.
 type RepeatRules interface {
 	Repeatable(service, method, path string) bool
 }
@@ -149,7 +150,8 @@
 	ResumeFrom ResumePosition
 }
 
-// newRunRequest returns the order for an engine, from the start of the answer.
+// newRunRequest returns the request that starts the run at an engine, from the
+// first token of the answer.
 func (c Chat) newRunRequest(run record.RunID) endpoint.RunRequest {
 	return endpoint.RunRequest{
 		Run: run, Priority: int(c.Priority), Model: c.Model, Messages: c.Messages, ExtraFields: c.Params, MaxTokens: c.MaxTokens,
--- a/internal/run/service.go
+++ b/internal/run/service.go
@@ -11,7 +11,7 @@
 	"guavapier/internal/record"
 )
 
-// Call is a request for one call of a plain service.
+// Call is a request for one call of a plain service, that is one without a model.
 type Call struct {
 	Request
 	Service     string
--- a/internal/run/takeover_test.go
+++ b/internal/run/takeover_test.go
@@ -48,7 +48,7 @@
 		kill   func(b *testBench, index int)
 	}{
 		"before it was placed":     {},
-		"placed, never ordered":    {placed: "e2"},
+		"placed, never started":    {placed: "e2"},
 		"endpoint left the list":   {placed: "e9"},
 		"endpoint dies meanwhile":  {placed: "e1", begun: true, kill: func(b *testBench, i int) { b.killAt(i, testTokens/2, 0) }},
 		"endpoint refuses already": {placed: "e1", begun: true, kill: func(b *testBench, i int) { b.killAt(i, 0, 0) }},
