--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -173,7 +173,8 @@
 // JSON text of messages: one for each four bytes, plus one.
 func PromptTokens(messages []byte) int { return len(messages)/4 + 1 }
 
-// TokenText returns the text of token i, from 0 on, of every answer.
+// TokenText returns the text of the token at index i of an answer, counted from 0.
+// It is the same in all answers.
 func TokenText(i int) string { return "w" + strconv.Itoa(i) + " " }
 
 // tokenRangeText returns the text of the tokens from to to-1.
--- a/internal/standin/engine_load.go
+++ b/internal/standin/engine_load.go
@@ -18,7 +18,8 @@
 	AgeMs int64 `json:"age_ms"`
 }
 
-// lagged caches a sample of a value for lag.
+// lagged holds a sample of a value, which is replaced by the current value once it
+// is lag old, so that readers see the value with a delay.
 type lagged[T any] struct {
 	lag       time.Duration
 	sample    T
@@ -70,20 +71,20 @@
 
 // apply applies a command and reports whether it did: a fencing token below the
 // highest one seen is rejected, unless ignoreFencingToken is set.
-func (o *commandState) apply(command EngineCommand, fencingToken uint64) bool {
-	if fencingToken < o.fencingToken && !o.ignoreFencingToken {
+func (s *commandState) apply(command EngineCommand, fencingToken uint64) bool {
+	if fencingToken < s.fencingToken && !s.ignoreFencingToken {
 		return false
 	}
-	o.fencingToken = max(o.fencingToken, fencingToken)
-	o.applied = append(o.applied, command)
-	if command.Kind == "model" && !slices.Contains(o.loadedModels, command.Name) {
-		o.loadedModels = append(o.loadedModels, command.Name)
+	s.fencingToken = max(s.fencingToken, fencingToken)
+	s.applied = append(s.applied, command)
+	if command.Kind == "model" && !slices.Contains(s.loadedModels, command.Name) {
+		s.loadedModels = append(s.loadedModels, command.Name)
 	}
 	return true
 }
 
-func (o *commandState) snapshot() EngineCommands {
-	return EngineCommands{FencingToken: o.fencingToken, LoadedModels: slices.Clone(o.loadedModels), Applied: slices.Clone(o.applied)}
+func (s *commandState) snapshot() EngineCommands {
+	return EngineCommands{FencingToken: s.fencingToken, LoadedModels: slices.Clone(s.loadedModels), Applied: slices.Clone(s.applied)}
 }
 
 func (e *Engine) handleListCommands(w http.ResponseWriter, _ *http.Request) {
--- a/internal/standin/engine_test.go
+++ b/internal/standin/engine_test.go
@@ -59,11 +59,11 @@
 }
 
 // postChat sends a chat request for a run. headers alternates names and values.
-func postChat(ctx context.Context, url, run string, order map[string]any, headers ...string) response {
-	if order["messages"] == nil {
-		order["messages"] = []string{"hello"}
+func postChat(ctx context.Context, url, run string, requestBody map[string]any, headers ...string) response {
+	if requestBody["messages"] == nil {
+		requestBody["messages"] = []string{"hello"}
 	}
-	data, _ := json.Marshal(order)
+	data, _ := json.Marshal(requestBody)
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url+"/v1/chat/completions", bytes.NewReader(data))
 	if err != nil {
 		return response{err: err}
@@ -132,16 +132,16 @@
 
 func TestEngineGoesOnFromPriorTokens(t *testing.T) {
 	_, url := startEngine(t, EngineOptions{})
-	order := func(prior string) map[string]any {
+	requestBody := func(prior string) map[string]any {
 		return map[string]any{"max_tokens": 10, "stream": true, "prior": prior}
 	}
-	if wrong := postChat(t.Context(), url, "r1", order("else"), headerResumeFrom, "4"); wrong.status != http.StatusBadRequest {
+	if wrong := postChat(t.Context(), url, "r1", requestBody("else"), headerResumeFrom, "4"); wrong.status != http.StatusBadRequest {
 		t.Fatalf("wrong prior text: status %d", wrong.status)
 	}
-	if missing := postChat(t.Context(), url, "r1", order(""), headerResumeFrom, "4", headerResumeOnly, "true"); missing.status != http.StatusNotFound {
+	if missing := postChat(t.Context(), url, "r1", requestBody(""), headerResumeFrom, "4", headerResumeOnly, "true"); missing.status != http.StatusNotFound {
 		t.Fatalf("X-Resume-Only for an unknown run: status %d", missing.status)
 	}
-	text, usage, done := parseStream(postChat(t.Context(), url, "r1", order(tokenRangeText(0, 4)), headerResumeFrom, "4").body)
+	text, usage, done := parseStream(postChat(t.Context(), url, "r1", requestBody(tokenRangeText(0, 4)), headerResumeFrom, "4").body)
 	if !done || text != tokenRangeText(4, 10) || usage.CompletionTokens != 6 || usage.PriorTokens != 4 {
 		t.Fatalf("text %q, usage %+v, done %v", text, usage, done)
 	}
