--- a/internal/server/budgets.go
+++ b/internal/server/budgets.go
@@ -29,11 +29,11 @@
 	return s.peerServer.Register(ledger.ServiceName, ledger.NewService(s.budgets))
 }
 
-// grantReturnTimeout bounds one attempt to return all grants. After a failed attempt
-// without unsettled reservations the shutdown continues, so that instances can be
-// replaced during an outage of the platform. A few appends with lost responses
-// take less. Grants that are not returned are closed by their witnesses, which
-// know every use.
+// grantReturnTimeout bounds one attempt to return all grants. It is longer than an
+// attempt takes in which the responses to a few appends to the log are lost. After a
+// failed attempt without unsettled reservations the shutdown continues, so that
+// instances can be replaced during an outage of the platform. Grants that are not
+// returned are closed by their witnesses, which know every use.
 const grantReturnTimeout = 10 * time.Second
 
 // returnGrants returns all grants to their budgets. It waits up to drainTimeout for
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -68,8 +68,8 @@
 	}
 }
 
-// problemUnless returns "" if the value is valid, and otherwise "is" with the
-// value.
+// problemUnless returns "" if ok, and otherwise a text that names the field's
+// value, such as "is 5s".
 func problemUnless(ok bool, field reflect.Value) string {
 	if ok {
 		return ""
--- a/internal/tlsconf/tlsconf_test.go
+++ b/internal/tlsconf/tlsconf_test.go
@@ -83,8 +83,8 @@
 	writePEM(t, files.Key, "EC PRIVATE KEY", keyDER)
 }
 
-// newFiles returns paths in a new directory, with the CA file of the authority. No
-// certificate is written.
+// newFiles returns the path of the authority's CA file and, in a new directory, paths
+// for a certificate and a key, which don't exist yet.
 func newFiles(t *testing.T, a authority) tlsconf.Files {
 	dir := t.TempDir()
 	return tlsconf.Files{Certificate: filepath.Join(dir, "cert.pem"), Key: filepath.Join(dir, "key.pem"), CA: a.file}
--- a/internal/upstream/dial.go
+++ b/internal/upstream/dial.go
@@ -59,7 +59,7 @@
 }
 
 // detachDial counts one more detached dial to the endpoint and reports whether it may
-// continue. Each call needs one of finishDetachedDial, also after false.
+// continue. After each call, whatever its result, finishDetachedDial must be called once.
 func (p *Pool) detachDial(endpoint string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
