--- a/internal/run/chat.go
+++ b/internal/run/chat.go
@@ -32,16 +32,16 @@
 // while another instance owned the run. It returns when the run has its final
 // outcome, which may be after the caller has disconnected.
 func (r *Runner) executeChat(ctx context.Context, c Chat, run record.RunID, joined *joinedRun) (ChatResult, error) {
-	binding := r.bindCaller(ctx, c.Request, joined.sink)
-	defer binding.stop()
+	caller := r.attachCaller(ctx, c.Request, joined.sink)
+	defer caller.stop()
 	worstCaseTokens := int64(c.PromptTokens + c.MaxTokens)
-	reserved, err := r.Budgets.Reserve(binding.workCtx, c.Key, run, c.Team.Budget, worstCaseTokens)
+	reserved, err := r.Budgets.Reserve(caller.workCtx, c.Key, run, c.Team.Budget, worstCaseTokens)
 	if err != nil {
-		return ChatResult{}, r.endRun(ctx, c.Key, binding.withCause(err), joined.takenOver, nil)
+		return ChatResult{}, r.endRun(ctx, c.Key, caller.withCause(err), joined.takenOver, nil)
 	}
-	g := newGeneration(c, run, binding)
+	g := newGeneration(c, run, caller)
 	g.continueFrom(joined)
-	err = binding.withCause(r.generate(binding.workCtx, g))
+	err = caller.withCause(r.generate(caller.workCtx, g))
 	r.settleInBackground(ctx, g, reserved, err)
 	return g.result, r.endRun(ctx, c.Key, err, g.mayHaveRun, nil)
 }
@@ -67,14 +67,14 @@
 // generation is the state of one chat run while endpoints generate its answer.
 type generation struct {
 	chat       Chat
-	binding    *callerBinding
+	caller     *attachedCaller
 	runRequest endpoint.RunRequest
 	text       answerText
 	result     ChatResult
 	// excluded names the endpoints that failed, which are not tried again.
 	excluded []string
-	lastBase string // Base URL of the last endpoint that may have accepted the run request.
-	// mayHaveRun records that an endpoint may have executed the run request.
+	lastBase string // Base URL of the last endpoint that may have accepted a request.
+	// mayHaveRun says that an endpoint may have executed the run.
 	mayHaveRun     bool
 	openAttempts   []attempt // Attempts that may still be running.
 	completingBase string    // Base URL of the endpoint that completed the answer.
@@ -82,8 +82,8 @@
 }
 
 // newGeneration returns the state of a run that has no tokens yet.
-func newGeneration(c Chat, run record.RunID, b *callerBinding) *generation {
-	return &generation{chat: c, binding: b, runRequest: c.newRunRequest(run), result: ChatResult{Run: run}}
+func newGeneration(c Chat, run record.RunID, caller *attachedCaller) *generation {
+	return &generation{chat: c, caller: caller, runRequest: c.newRunRequest(run), result: ChatResult{Run: run}}
 }
 
 // continueFrom sets the generation to continue after the tokens that joined has
@@ -97,16 +97,16 @@
 	g.runRequest.ResumeFrom, g.runRequest.Attempt = joined.runRequest.ResumeFrom, joined.runRequest.Attempt
 	g.text.add(endpoint.Token{Text: joined.text.String()})
 	g.lastTokenTime = time.Now()
-	g.binding.firstTokenTimer.Stop()
+	g.caller.firstTokenTimer.Stop()
 }
 
-// deliver passes a token to the caller and advances the run request's
-// ResumeFrom past it.
+// deliver passes a token to the caller and sets the position from which the next
+// endpoint continues to the token after it.
 func (g *generation) deliver(t endpoint.Token) {
 	g.runRequest.ResumeFrom = t.Index + 1
 	g.lastTokenTime = time.Now()
 	g.text.add(t)
-	g.binding.deliver(g.runRequest.Run, t)
+	g.caller.deliver(g.runRequest.Run, t)
 }
 
 // setResult sets the usage and finish reason of the completed answer. Completion
--- a/internal/run/chat_test.go
+++ b/internal/run/chat_test.go
@@ -94,9 +94,9 @@
 	}
 }
 
-// TestCrossedAnswersAreDroppedAndReadAgain has e1 swap the answers of two requests.
+// TestSwappedAnswersAreDroppedAndReadAgain has e1 swap the answers of two requests.
 // The swap must be detected, and each caller must get its own answer.
-func TestCrossedAnswersAreDroppedAndReadAgain(t *testing.T) {
+func TestSwappedAnswersAreDroppedAndReadAgain(t *testing.T) {
 	b := newTestBench(t)
 	b.engines[0].SetFaults(standin.EngineFaults{SwapPairs: 1})
 	var wait sync.WaitGroup
@@ -111,8 +111,8 @@
 		})
 	}
 	wait.Wait()
-	if crossed := b.counts.WrongRun.Load(); crossed != 2 {
-		t.Fatalf("%d answers counted as crossed, want 2", crossed)
+	if wrongRun := b.counts.WrongRun.Load(); wrongRun != 2 {
+		t.Fatalf("%d answers counted as answers of another run, want 2", wrongRun)
 	}
 }
 
@@ -257,9 +257,9 @@
 // unboundedEngines has engines generate 100 times the requested maximum.
 type unboundedEngines struct{ endpoint.Engines }
 
-func (e unboundedEngines) Start(ctx context.Context, base string, o endpoint.RunRequest) (endpoint.Stream, error) {
-	o.MaxTokens *= 100
-	return e.Engines.Start(ctx, base, o)
+func (e unboundedEngines) Start(ctx context.Context, base string, runRequest endpoint.RunRequest) (endpoint.Stream, error) {
+	runRequest.MaxTokens *= 100
+	return e.Engines.Start(ctx, base, runRequest)
 }
 
 func TestOutputPastTheMaximumIsCutAndNotBilled(t *testing.T) {
--- a/internal/run/takeover_test.go
+++ b/internal/run/takeover_test.go
@@ -22,9 +22,9 @@
 	return ticket.Run
 }
 
-// startOrder starts a run at an endpoint, as the failed instance did, and closes the
+// startRunAt starts a run at an endpoint, as the failed instance did, and closes the
 // connection after the first token.
-func (b *testBench) startOrder(c Chat, run record.RunID, at string) {
+func (b *testBench) startRunAt(c Chat, run record.RunID, at string) {
 	b.t.Helper()
 	runRequest := c.newRunRequest(run)
 	runRequest.Attempt = 1
@@ -48,7 +48,7 @@
 		kill   func(b *testBench, index int)
 	}{
 		"before it was placed":     {},
-		"placed, never ordered":    {placed: "e2"},
+		"placed, never started":    {placed: "e2"},
 		"endpoint left the list":   {placed: "e9"},
 		"endpoint dies meanwhile":  {placed: "e1", begun: true, kill: func(b *testBench, i int) { b.killAt(i, testTokens/2, 0) }},
 		"endpoint refuses already": {placed: "e1", begun: true, kill: func(b *testBench, i int) { b.killAt(i, 0, 0) }},
@@ -58,7 +58,7 @@
 			chat := newChat("k", true)
 			run := b.claimForGoneInstance(chat, c.placed)
 			if c.begun {
-				b.startOrder(chat, run, c.placed)
+				b.startRunAt(chat, run, c.placed)
 			}
 			got := b.chat(t.Context(), chat, func(i int) {
 				if c.kill != nil {
@@ -102,7 +102,7 @@
 	b := newTestBench(t)
 	chat := newChat("k", true)
 	run := b.claimForGoneInstance(chat, "e1")
-	b.startOrder(chat, run, "e1")
+	b.startRunAt(chat, run, "e1")
 	if err := b.Engines.Cancel(t.Context(), b.urls["e1"], run, 1); err != nil {
 		t.Fatal(err)
 	}
