--- a/internal/allocator/allocator.go
+++ b/internal/allocator/allocator.go
@@ -230,7 +230,7 @@
 func (d *Directory) Role(useAllocators bool, now time.Duration) Role {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if len(d.usable()) > 0 {
+	if len(d.listReachable()) > 0 {
 		d.noneUsableSince = now
 	}
 	switch {
@@ -261,28 +261,28 @@
 	return d.loaded
 }
 
-// Usable lists the allocators that tokens can be withdrawn from: those that answered
+// ListReachable lists the allocators that tokens can be withdrawn from: those that answered
 // their last call, this instance's preferred one first.
-func (d *Directory) Usable() []Announcement {
+func (d *Directory) ListReachable() []Announcement {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.usable()
+	return d.listReachable()
 }
 
-func (d *Directory) usable() []Announcement {
+func (d *Directory) listReachable() []Announcement {
 	return d.listOthers(func(s *slot) bool { return s.reachable })
 }
 
-// Announced lists all announced allocators except this instance.
-func (d *Directory) Announced() []Announcement {
+// ListAnnounced lists all announced allocators except this instance.
+func (d *Directory) ListAnnounced() []Announcement {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.listOthers(func(*slot) bool { return true })
 }
 
-// NotReachable lists the allocators whose last call failed or that have not been called.
+// ListUnreachable lists the allocators whose last call failed or that have not been called.
 // An announcement outlives its process, so an allocator is usable only after an answer.
-func (d *Directory) NotReachable() []Announcement {
+func (d *Directory) ListUnreachable() []Announcement {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.listOthers(func(s *slot) bool { return !s.reachable })
--- a/internal/allocator/allocator_test.go
+++ b/internal/allocator/allocator_test.go
@@ -131,7 +131,7 @@
 		if i == holders[0] || i == holders[1] {
 			continue
 		}
-		if usable := d.Usable(); len(usable) != 1 || usable[0].Key != key(holders[1]) {
+		if usable := d.ListReachable(); len(usable) != 1 || usable[0].Key != key(holders[1]) {
 			t.Errorf("instance %d can withdraw from %v, want only the allocator that answers", i, usable)
 		}
 	}
@@ -174,7 +174,7 @@
 	if err := d.Observe(allocator.SlotKey("z", 0), old, 0); err != nil {
 		t.Fatal(err)
 	}
-	if usable := d.Usable(); len(usable) > 0 || !d.HasAllocators() {
+	if usable := d.ListReachable(); len(usable) > 0 || !d.HasAllocators() {
 		t.Errorf("can withdraw from %v, want none before an answer", usable)
 	}
 	for at, want := range map[time.Duration]allocator.Role{
--- a/internal/callers/look_test.go
+++ b/internal/callers/look_test.go
@@ -35,7 +35,7 @@
 // A request arrives while the process has no CPU time, and its connection is expired before
 // anything was read. The request must be read all the same, and the connection must continue
 // with the deadline that net/http had set.
-func TestBytesThatCameBeforeTheEndAreRead(t *testing.T) {
+func TestBytesReceivedBeforeExpiryAreRead(t *testing.T) {
 	cs := newConnections(t)
 	client := dial(t, cs)
 	accepted, err := cs.Accept()
--- a/internal/claim/holder.go
+++ b/internal/claim/holder.go
@@ -163,7 +163,7 @@
 		return
 	}
 	if latest.Holder == self {
-		h.startUsing(id, partition, latest.Shard)
+		h.startShard(id, partition, latest.Shard)
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -223,15 +223,15 @@
 	}
 	offset, err := h.deps.Log.Append(ctx, partition.Stream(), r)
 	if err == nil && partition.AwaitOffset(ctx, offset) == nil {
-		h.startUsing(id, partition, r)
+		h.startShard(id, partition, r)
 	}
 	// After an error the record may still reach the log; a later tick then finds
 	// it.
 }
 
-// startUsing starts using an epoch of which the fold names this instance the
+// startShard starts using an epoch of which the fold names this instance the
 // holder.
-func (h *Holder) startUsing(id shardID, partition *Replica, r record.Shard) {
+func (h *Holder) startShard(id shardID, partition *Replica, r record.Shard) {
 	latest, ok := latestEpoch(partition, id)
 	if !ok || latest.Closed || latest.Right != r.Right || latest.Holder != h.deps.Self.ID {
 		return
--- a/internal/claim/service.go
+++ b/internal/claim/service.go
@@ -172,7 +172,7 @@
 	for _, partition := range v.partitions {
 		partition.View(func(f *fold.Ledger) {
 			s, ok = f.ShardByRight(t.Right)
-			allPast = allPast && f.Next() > t.Offset
+			allPast = allPast && f.NextOffset() > t.Offset
 		})
 		if ok {
 			return s, true, allPast
--- a/internal/claim/world_test.go
+++ b/internal/claim/world_test.go
@@ -213,7 +213,7 @@
 // the platform.
 func (n *simInstance) followLog(ctx context.Context) {
 	for ctx.Err() == nil {
-		page, err := n.Read(ctx, "", n.partition.Next(), 0)
+		page, err := n.Read(ctx, "", n.partition.NextOffset(), 0)
 		for _, entry := range page.Entries {
 			if err == nil {
 				_ = n.partition.Apply(entry)
--- a/internal/decide/decider.go
+++ b/internal/decide/decider.go
@@ -157,7 +157,7 @@
 	e := row.endpoint
 	firstTokenSeen := row.firstTokenSeen
 	e.endFirstTokenWait(row)
-	e.updateOwnLagged(d.now)
+	e.updateLaggedOwnLoad(d.now)
 	e.inFlight--
 	e.startTimeSum -= row.startedAt
 	e.expectedDurationSum -= row.expectedDuration
--- a/internal/decide/endpoints.go
+++ b/internal/decide/endpoints.go
@@ -18,8 +18,8 @@
 
 	inFlight        int // Started here by this Decider, at most Slots.
 	inFlightByClass [classCount]int
-	ownLagged       float64 // inFlight as a report of now would show it.
-	ownLaggedAt     Time    // When ownLagged was updated.
+	laggedOwnLoad   float64 // inFlight as a report of now would show it.
+	laggedOwnLoadAt Time    // When ownLagged was updated.
 
 	report         LoadReport // The last one.
 	reported       bool
@@ -173,13 +173,13 @@
 	if e.reported && r.At < e.report.At {
 		return
 	}
-	e.updateOwnLagged(now)
-	sample := max(0, float64(r.Running+r.Queued)-e.ownLagged)
+	e.updateLaggedOwnLoad(now)
+	sample := max(0, float64(r.Running+r.Queued)-e.laggedOwnLoad)
 	if !e.reported {
-		e.othersLoad, e.othersLoadMean, e.ownLoadMean = sample, sample, e.ownLagged
+		e.othersLoad, e.othersLoadMean, e.ownLoadMean = sample, sample, e.laggedOwnLoad
 	}
 	e.othersLoadMean += loadMeanGain * (sample - e.othersLoadMean)
-	e.ownLoadMean += loadMeanGain * (e.ownLagged - e.ownLoadMean)
+	e.ownLoadMean += loadMeanGain * (e.laggedOwnLoad - e.ownLoadMean)
 	e.othersLoad += reportGain * (sample - e.othersLoad)
 	e.report, e.reported, e.reportedAt = r, true, now
 	free := max(0, float64(e.Slots)-e.load(now))
@@ -193,12 +193,12 @@
 	return e.reported && now-e.reportedAt <= reportStaleAge && e.startQuota < 1
 }
 
-// updateOwnLagged moves ownLagged towards inFlight with the time constant
+// updateLaggedOwnLoad moves ownLagged towards inFlight with the time constant
 // reportLag. It must be called before inFlight changes.
-func (e *endpointRow) updateOwnLagged(now Time) {
-	elapsed := float64(now - e.ownLaggedAt)
-	e.ownLagged += (float64(e.inFlight) - e.ownLagged) * (1 - math.Exp(-elapsed/float64(reportLag)))
-	e.ownLaggedAt = now
+func (e *endpointRow) updateLaggedOwnLoad(now Time) {
+	elapsed := float64(now - e.laggedOwnLoadAt)
+	e.laggedOwnLoad += (float64(e.inFlight) - e.laggedOwnLoad) * (1 - math.Exp(-elapsed/float64(reportLag)))
+	e.laggedOwnLoadAt = now
 }
 
 // load returns the number of requests at the endpoint: the own as they are,
@@ -292,7 +292,7 @@
 // addRequest counts a started row and records on it what was predicted, to
 // compare the result with.
 func (e *endpointRow) addRequest(row *requestRow, d *Decider) {
-	e.updateOwnLagged(d.now)
+	e.updateLaggedOwnLoad(d.now)
 	e.inFlight++
 	e.startQuota--
 	e.inFlightByClass[row.class]++
--- a/internal/decide/scenario_test.go
+++ b/internal/decide/scenario_test.go
@@ -67,13 +67,13 @@
 var classNames = map[string]Priority{"batch": PriorityBatch, "interactive": PriorityInteractive, "call": PriorityCall}
 
 func (p *scenarioRun) run() {
-	sizes, load := p.arg("sizes", "equal"), p.number(p.arg("load", "0"))
+	sizes, load := p.arg("sizes", "equal"), p.parseNumber(p.arg("load", "0"))
 	from, until, name := p.arg("from", "20s"), p.arg("until", "60s"), p.arg("name", "")
 	gpus := map[string][]int{"equal": {2, 2, 2, 2, 2, 2, 2, 2}, "mixed": {1, 1, 2, 2, 3, 3, 4}, "small": {2, 2, 2, 2}, "few": {1, 1}}[sizes]
 	p.sim = newSim(p.seed, gpus, instances, func(i int) router {
 		return New(Options{Seed: p.seed*100 + uint64(i), Zone: record.Zone(fmt.Sprintf("z%d", i%4))})
 	})
-	p.sim.windowStart, p.until = p.duration(from), p.duration(until)
+	p.sim.windowStart, p.until = p.parseDuration(from), p.parseDuration(until)
 	p.sim.windowEnd = p.until
 	if load > 0 {
 		total := 0
@@ -118,7 +118,7 @@
 	return def
 }
 
-func (p *scenarioRun) duration(s string) time.Duration {
+func (p *scenarioRun) parseDuration(s string) time.Duration {
 	v, err := time.ParseDuration(s)
 	if err != nil {
 		p.malformed("%v", err)
@@ -126,7 +126,7 @@
 	return v
 }
 
-func (p *scenarioRun) number(s string) float64 {
+func (p *scenarioRun) parseNumber(s string) float64 {
 	v, err := strconv.ParseFloat(s, 64)
 	if err != nil {
 		p.malformed("%v", err)
@@ -140,24 +140,24 @@
 	switch f[0] {
 	case "weight": // weight TEAM WEIGHT
 		for _, r := range p.sim.routers {
-			r.(*Decider).SetTeamWeight(record.Team(f[1]), p.number(f[2]))
+			r.(*Decider).SetTeamWeight(record.Team(f[1]), p.parseNumber(f[2]))
 		}
 	case "stream", "hot": // stream CLASS TEAM RATE PROMPT OUTPUT WAIT [FROM UNTIL]; hot: all in one session.
-		p.stream(f)
+		p.startStream(f)
 	case "at": // at TIME slow|leave|cut ENDPOINT|ZONE [FACTOR]
-		p.sim.after(p.duration(f[1]), func() { p.injectFault(f[2:]) })
+		p.sim.after(p.parseDuration(f[1]), func() { p.injectFault(f[2:]) })
 	default:
 		p.malformed("unknown line %v", f)
 	}
 }
 
-func (p *scenarioRun) stream(f []string) {
+func (p *scenarioRun) startStream(f []string) {
 	from, until := Time(0), p.until
 	if len(f) > 7 {
-		from, until = p.duration(f[7]), p.duration(f[8])
+		from, until = p.parseDuration(f[7]), p.parseDuration(f[8])
 	}
-	prompt, output, wait := int(p.number(f[4])), int(p.number(f[5])), p.duration(f[6])
-	p.sim.startStream(p.number(f[3]), from, until, func() *call {
+	prompt, output, wait := int(p.parseNumber(f[4])), int(p.parseNumber(f[5])), p.parseDuration(f[6])
+	p.sim.startStream(p.parseNumber(f[3]), from, until, func() *call {
 		c := &call{wait: wait, done: func(bool) {}}
 		c.Request = Request{
 			Team: record.Team(f[2]), Model: "m", Priority: classNames[f[1]], Repeatable: f[1] != "call",
@@ -177,7 +177,7 @@
 		}
 		switch f[0] {
 		case "slow":
-			e.slowdown = p.number(f[2])
+			e.slowdown = p.parseNumber(f[2])
 		case "leave":
 			e.leaving = true
 		case "cut":
@@ -195,7 +195,7 @@
 // which multiplies the measure of an earlier case.
 func (p *scenarioRun) expect(f []string) {
 	got := p.measure(p.sim, f[0], f[1])
-	want := p.number(f[3])
+	want := p.parseNumber(f[3])
 	if len(f) > 4 {
 		want *= p.measure(p.earlier[f[5]], f[0], f[1])
 	}
--- a/internal/decide/shift.go
+++ b/internal/decide/shift.go
@@ -106,8 +106,8 @@
 // ejectSlow ejects the endpoints of a pool whose time per token or whose
 // running requests' age is far above the median of their peers.
 func (d *Decider) ejectSlow(p *pool) {
-	medianTime := p.median((*endpointRow).comparableTimePerToken, d.now)
-	medianAge := p.median((*endpointRow).comparableAgeRatio, d.now)
+	medianTime := p.medianOfEndpoints((*endpointRow).comparableTimePerToken, d.now)
+	medianAge := p.medianOfEndpoints((*endpointRow).comparableAgeRatio, d.now)
 	ejectedCount := 0
 	for _, e := range p.endpoints {
 		if e.health.state == ejected {
@@ -131,9 +131,9 @@
 	}
 }
 
-// median returns the median of a measure over the endpoints that are neither
+// medianOfEndpoints returns the medianOfEndpoints of a measure over the endpoints that are neither
 // ejected nor closed and have a value, or 0 if these are too few to compare.
-func (p *pool) median(measure func(*endpointRow, Time) float64, now Time) float64 {
+func (p *pool) medianOfEndpoints(measure func(*endpointRow, Time) float64, now Time) float64 {
 	values := p.medianScratch[:0]
 	for _, e := range p.endpoints {
 		if v := measure(e, now); v > 0 && e.health.state != ejected && !e.isClosed() {
@@ -211,7 +211,7 @@
 // ejected for being slow must also be about as fast as its peers.
 func (d *Decider) evaluateProbe(row *requestRow, timePerToken float64) {
 	e := row.endpoint
-	median := row.pool.median((*endpointRow).comparableTimePerToken, d.now)
+	median := row.pool.medianOfEndpoints((*endpointRow).comparableTimePerToken, d.now)
 	if e.health.reason == reasonSlow && median > 0 && timePerToken > slowFactor*median {
 		d.eject(e, reasonSlow)
 		return
--- a/internal/endpoint/engine_test.go
+++ b/internal/endpoint/engine_test.go
@@ -81,10 +81,10 @@
 
 func TestEngineAnswersAreChecked(t *testing.T) {
 	for name, c := range map[string]struct {
-		handler http.HandlerFunc
-		text    string
-		is, not error // The error must be is, and must not be not.
-		counts  CounterValues
+		handler              http.HandlerFunc
+		text                 string
+		wantErr, unwantedErr error // The error must be is, and must not be not.
+		counts               CounterValues
 	}{
 		"whole": {respondWith(contentEvent(1, "a"), ": ping\n\n", contentEvent(2, "b"), closingEvents("stop", 2)), "ab", io.EOF, ErrLost, CounterValues{}},
 		"wrong run in the header": {func(w http.ResponseWriter, _ *http.Request) {
@@ -134,7 +134,7 @@
 			defer server.Close()
 			var counts Counters
 			text, err := readAnswer(server.URL, &counts)
-			if text != c.text || !errors.Is(err, c.is) || errors.Is(err, c.not) || counts.Snapshot() != c.counts {
+			if text != c.text || !errors.Is(err, c.wantErr) || errors.Is(err, c.unwantedErr) || counts.Snapshot() != c.counts {
 				t.Fatalf("text %q, error %v, counts %+v", text, err, counts.Snapshot())
 			}
 		})
@@ -212,7 +212,7 @@
 // net/http resends a request by itself if a reused connection fails. A call must
 // not be sent twice that way: calls use separate connections, and a request made
 // with setNonReplayableBody isn't resent on a reused one either.
-func TestNothingIsReplayed(t *testing.T) {
+func TestCallsAreNotResentWhenConnectionsFail(t *testing.T) {
 	pooled := &http.Client{Transport: &http.Transport{}}
 	defer pooled.CloseIdleConnections()
 	get := func(base string, nonReplayable bool) error {
--- a/internal/endpoint/service_test.go
+++ b/internal/endpoint/service_test.go
@@ -12,8 +12,8 @@
 
 func TestServiceAnswersAreChecked(t *testing.T) {
 	for name, c := range map[string]struct {
-		handler http.HandlerFunc
-		is, not error
+		handler              http.HandlerFunc
+		wantErr, unwantedErr error
 	}{
 		"complete":                             {respondWith("ok"), nil, ErrLost},
 		"wrong run":                            {func(w http.ResponseWriter, _ *http.Request) { w.Header().Set(HeaderRunID, "r2") }, ErrMismatch, ErrRefused},
@@ -29,7 +29,7 @@
 			ctx, cancel := context.WithTimeout(t.Context(), testIdleTimeout)
 			defer cancel()
 			_, err := NewHTTPServices(testOptions(), &Counters{}).Call(ctx, server.URL, Call{Run: "r1", Attempt: 1, Method: http.MethodPost, Path: "/call/x"})
-			if !errors.Is(err, c.is) || errors.Is(err, c.not) {
+			if !errors.Is(err, c.wantErr) || errors.Is(err, c.unwantedErr) {
 				t.Fatalf("error %v", err)
 			}
 		})
--- a/internal/fold/claims_test.go
+++ b/internal/fold/claims_test.go
@@ -14,7 +14,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		offset := l.Next()
+		offset := l.NextOffset()
 		if err := l.Apply(offset, record.Batch{Writer: "w", Seq: offset + 1, Records: []record.Envelope{env}}); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/fold/config.go
+++ b/internal/fold/config.go
@@ -82,8 +82,8 @@
 	}
 }
 
-// Next returns the offset after the last applied batch.
-func (c *Config) Next() uint64 { return c.next }
+// NextOffset returns the offset after the last applied batch.
+func (c *Config) NextOffset() uint64 { return c.next }
 
 // Len returns the number of paths that have a value.
 func (c *Config) Len() int { return len(c.values) }
--- a/internal/fold/config_test.go
+++ b/internal/fold/config_test.go
@@ -26,7 +26,7 @@
 		v, _ := c.Get(path)
 		base := v.Version
 		if rapid.IntRange(0, 4).Draw(t, "stale") == 0 {
-			base = rapid.Uint64Range(0, c.Next()+1).Draw(t, "base")
+			base = rapid.Uint64Range(0, c.NextOffset()+1).Draw(t, "base")
 		}
 		op := record.ChangeOp{Path: path, Base: base, Value: change.ID, Delete: rapid.IntRange(0, 5).Draw(t, "delete") == 0}
 		change.Ops = append(change.Ops, op)
--- a/internal/fold/ledger.go
+++ b/internal/fold/ledger.go
@@ -68,8 +68,8 @@
 	}
 }
 
-// Next returns the offset after the last applied batch.
-func (l *Ledger) Next() uint64 { return l.next }
+// NextOffset returns the offset after the last applied batch.
+func (l *Ledger) NextOffset() uint64 { return l.next }
 
 // Apply applies the batch at an offset. Offsets that were applied before, and
 // copies of a batch by the same writer, have no effect. A record that cannot be
--- a/internal/fold/ledger_bench_test.go
+++ b/internal/fold/ledger_bench_test.go
@@ -65,7 +65,7 @@
 				for n := range benchmarkBills / billsPerBatch {
 					batches = append(batches, billBatch(b, budgets, n))
 				}
-				next := l.Next()
+				next := l.NextOffset()
 				began := time.Now()
 				for n, batch := range batches {
 					_ = l.Apply(next+uint64(n), batch)
@@ -103,7 +103,7 @@
 	l := newFilledLedger(b, rows, true)
 	before := heapBytes()
 	for i := range rows / billsPerBatch {
-		_ = l.Apply(l.Next(), billBatch(b, rows, i))
+		_ = l.Apply(l.NextOffset(), billBatch(b, rows, i))
 	}
 	after := heapBytes()
 	runtime.KeepAlive(l)
--- a/internal/forward/log.go
+++ b/internal/forward/log.go
@@ -26,7 +26,7 @@
 // the most and are logged at debug level only.
 func (c *call) logAttempt(assignment *placement.Assignment, result attemptResult, status int, start time.Time) {
 	level := zerolog.InfoLevel
-	if result.final && !c.isLate() {
+	if result.final && !c.missedLatencyTarget() {
 		level = zerolog.DebugLevel
 	}
 	line := c.f.Log.WithLevel(level)
@@ -58,8 +58,8 @@
 		Int("ends", quarantined.Crashes).Dur("after", quarantined.RetryAfter).Msg("forward: request held back")
 }
 
-// isLate reports whether the answer began later than its route's latency target.
-func (c *call) isLate() bool {
+// missedLatencyTarget reports whether the answer began later than its route's latency target.
+func (c *call) missedLatencyTarget() bool {
 	return c.route != nil && c.route.LatencyTarget > 0 && c.timeToHeader > c.route.LatencyTarget
 }
 
@@ -82,7 +82,7 @@
 	}
 	line.Str("request", c.ID).Str("route", name).Str("team", string(c.team())).Int("status", status).
 		Str("reason", string(c.reason)).Str("endpoint", c.endpoint).Str("zone", c.f.Zone).Int("attempts", c.attempts).
-		Bool("late", c.isLate()).Str("phase", string(c.phase)).
+		Bool("late", c.missedLatencyTarget()).Str("phase", string(c.phase)).
 		Dur("took", took).Dur("first", c.timeToHeader).Int64("events", c.events).
 		Int64("prompt", c.PromptTokens).Int64("state", c.stateVersion()).Msg("forward: request ended")
 }
--- a/internal/gateway/observe.go
+++ b/internal/gateway/observe.go
@@ -49,7 +49,7 @@
 	zone := g.budgets.Directory
 	return zoneView{
 		Role: g.budgets.Accounts.Role().String(), Instances: g.budgets.Accounts.Instances(),
-		Allocators: zone.Announced(), Reached: zone.Usable(),
+		Allocators: zone.ListAnnounced(), Reached: zone.ListReachable(),
 	}
 }
 
--- a/internal/ledger/oracle_test.go
+++ b/internal/ledger/oracle_test.go
@@ -97,7 +97,7 @@
 		fleet.reference = &referenceModel{topUps: map[string]int64{}, grants: map[record.RightID]*referenceGrant{}, bills: map[string]int{}, billed: map[record.RequestKey]bool{}}
 		fleet.fold = fold.NewLedger()
 	}
-	for _, e := range fleet.entries[fleet.fold.Next():] {
+	for _, e := range fleet.entries[fleet.fold.NextOffset():] {
 		b, err := record.DecodeBatch(e.Data)
 		if err != nil {
 			panic(err)
--- a/internal/ledger/world_test.go
+++ b/internal/ledger/world_test.go
@@ -195,7 +195,7 @@
 	if n.logLagging || n.stopped {
 		return
 	}
-	for next := n.partition.Next(); next < uint64(len(n.fleet.entries)); next = n.partition.Next() {
+	for next := n.partition.NextOffset(); next < uint64(len(n.fleet.entries)); next = n.partition.NextOffset() {
 		if err := n.partition.Apply(n.fleet.entries[next]); err != nil {
 			panic(err)
 		}
@@ -246,7 +246,7 @@
 // applyLocally applies a batch at this instance only.
 func (n *simInstance) applyLocally(b record.Batch) (uint64, error) {
 	data, _ := record.EncodeBatch(b)
-	offset := n.partition.Next()
+	offset := n.partition.NextOffset()
 	return offset, n.partition.Apply(logstore.Entry{Offset: offset, Data: data})
 }
 
--- a/internal/operator/changes.go
+++ b/internal/operator/changes.go
@@ -127,7 +127,7 @@
 	id := chi.URLParam(r, "id")
 	result, known := a.changeResult(id)
 	if !known || !mayReadPaths(authenticatedOperator(r), result.Ops) {
-		nextOffset := strconv.FormatUint(a.Config.Next(), 10)
+		nextOffset := strconv.FormatUint(a.Config.NextOffset(), 10)
 		writeProblem(w, http.StatusNotFound, problem{
 			Code: "no_such_change", ID: id,
 			Message: "Up to offset " + nextOffset + " the log has no such change; it may come yet, or be older than what is remembered.",
--- a/internal/operator/instances.go
+++ b/internal/operator/instances.go
@@ -14,7 +14,7 @@
 }
 
 func (a *API) handleGetApplied(w http.ResponseWriter, _ *http.Request) {
-	writeJSON(w, http.StatusOK, AppliedRow{Next: a.Config.Next()})
+	writeJSON(w, http.StatusOK, AppliedRow{Next: a.Config.NextOffset()})
 }
 
 // handleListInstances lists the instances with the offsets that each has applied. The list
--- a/internal/prepaid/keeper.go
+++ b/internal/prepaid/keeper.go
@@ -303,5 +303,5 @@
 
 // IsLoaded reports whether the log has been read, or an allocator that reads it is reachable.
 func (c *Controller) IsLoaded() bool {
-	return c.lastReadAt.Load() != 0 || len(c.Directory.Usable()) > 0
+	return c.lastReadAt.Load() != 0 || len(c.Directory.ListReachable()) > 0
 }
--- a/internal/prepaid/predecessors.go
+++ b/internal/prepaid/predecessors.go
@@ -25,7 +25,7 @@
 func (c *Controller) findPredecessors(ctx context.Context) {
 	for ctx.Err() == nil && c.lastReadAt.Load() == 0 {
 		logstore.Pause(ctx, predecessorsInterval, nil)
-		usable := c.Directory.Usable()
+		usable := c.Directory.ListReachable()
 		if c.Accounts.Role() != allocator.Member || len(usable) == 0 {
 			continue
 		}
--- a/internal/prepaid/roles.go
+++ b/internal/prepaid/roles.go
@@ -83,7 +83,7 @@
 	for ctx.Err() == nil {
 		logstore.Pause(ctx, roleCheckInterval, nil)
 		useAllocators := c.Accounts.NeedsAllocators() && c.IsLoaded()
-		c.Accounts.SetAllocators(c.Directory.Announced())
+		c.Accounts.SetAllocators(c.Directory.ListAnnounced())
 		if was, is := c.Accounts.Role(), c.Directory.Role(useAllocators, c.Clock()); was != is {
 			c.Logger.Info().Stringer("was", was).Stringer("is", is).Int("instances", c.Accounts.Instances()).Msg("prepaid: part in the zone changed")
 			stop = c.switchRole(ctx, is, stop)
@@ -171,7 +171,7 @@
 	replyLost := map[record.InstanceID]bool{}
 	for ctx.Err() == nil {
 		logstore.Pause(ctx, returnInterval, nil)
-		usable := c.Directory.Usable()
+		usable := c.Directory.ListReachable()
 		if c.Accounts.Role() != allocator.Member || len(usable) == 0 {
 			continue
 		}
@@ -187,7 +187,7 @@
 		if !c.Accounts.NeedsAllocators() && !c.Directory.HasAllocators() {
 			continue
 		}
-		for _, unreached := range c.Directory.NotReachable() {
+		for _, unreached := range c.Directory.ListUnreachable() {
 			c.callReturn(ctx, unreached.Key, nil)
 		}
 	}
@@ -243,7 +243,7 @@
 func (c *Controller) withdrawOnce(ctx context.Context, team record.Team, tokens int64) DrawReply {
 	shared, _, _ := c.Peers.inFlight.Do("draw/"+string(team), func() (any, error) {
 		need := c.Accounts.WithdrawalNeed(team, tokens, c.Clock())
-		for _, a := range c.Directory.Usable() {
+		for _, a := range c.Directory.ListReachable() {
 			if reply, ok := c.withdrawFrom(ctx, a.Key, team, need); ok {
 				return reply, nil
 			}
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -23,8 +23,8 @@
 	// Apply applies the batch at an offset; it ignores offsets that were
 	// applied before.
 	Apply(offset uint64, batch record.Batch) error
-	// Next returns the offset after the last applied one.
-	Next() uint64
+	// NextOffset returns the offset after the last applied one.
+	NextOffset() uint64
 	// Snapshot returns the encoded state.
 	Snapshot() ([]byte, error)
 	// Restore replaces the state with an encoded one; after an error the state
@@ -54,11 +54,11 @@
 // Stream returns the stream's name.
 func (r *Replica[F]) Stream() record.Stream { return r.stream }
 
-// Next returns the offset after the last applied one.
-func (r *Replica[F]) Next() uint64 {
+// NextOffset returns the offset after the last applied one.
+func (r *Replica[F]) NextOffset() uint64 {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
-	return r.fold.Next()
+	return r.fold.NextOffset()
 }
 
 // View calls read with the tables and holds a read lock meanwhile. read must
@@ -82,7 +82,7 @@
 func (r *Replica[F]) AwaitOffset(ctx context.Context, offset uint64) error {
 	for {
 		changed := r.Changed()
-		if r.Next() > offset {
+		if r.NextOffset() > offset {
 			return nil
 		}
 		select {
--- a/internal/replica/snapshot.go
+++ b/internal/replica/snapshot.go
@@ -50,7 +50,7 @@
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	state, err = r.fold.Snapshot()
-	return r.fold.Next(), state, err
+	return r.fold.NextOffset(), state, err
 }
 
 // Restore replaces the tables with those of a newer snapshot. It returns
@@ -59,7 +59,7 @@
 func (r *Replica[F]) Restore(assembled snapshot.Assembled) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if assembled.Covers <= r.fold.Next() {
+	if assembled.Covers <= r.fold.NextOffset() {
 		return ErrSnapshotNotNewer
 	}
 	if err := r.fold.Restore(assembled.State); err != nil {
--- a/internal/server/operators.go
+++ b/internal/server/operators.go
@@ -83,7 +83,7 @@
 	rows := []streamRow{}
 	for _, st := range s.followedStreams() {
 		rows = append(rows, streamRow{
-			Stream: st.Stream(), Next: st.Next(), First: s.subscriber.OldestOffset(st.Stream()),
+			Stream: st.Stream(), Next: st.NextOffset(), First: s.subscriber.OldestOffset(st.Stream()),
 			Current: s.subscriber.IsCaughtUp(st.Stream()), Gap: st.HasGap(), Snapshot: st.NewestSnapshot(),
 		})
 	}
@@ -93,14 +93,14 @@
 // registerMetrics registers the gauges of this package and creates the counters, so
 // that they are published before their first event.
 func (s *Server) registerMetrics() {
-	s.metrics.Gauge(metrics.ConfigNext, func() int64 { return int64(s.config.Next()) })
+	s.metrics.Gauge(metrics.ConfigNext, func() int64 { return int64(s.config.NextOffset()) })
 	s.metrics.Gauge(metrics.ConfigValues, func() (n int64) {
 		s.config.View(func(f *fold.Config) { n = int64(f.Len()) })
 		return n
 	})
 	s.metrics.Gauge(metrics.LedgerNext, func() (sum int64) {
 		for _, p := range s.partitions {
-			sum += int64(p.Next())
+			sum += int64(p.NextOffset())
 		}
 		return sum
 	})
@@ -116,9 +116,9 @@
 // appliedOffsets returns, for each stream, the offset after the last applied
 // entry.
 func (s *Server) appliedOffsets() map[record.Stream]uint64 {
-	next := map[record.Stream]uint64{record.ConfigStream: s.config.Next()}
+	next := map[record.Stream]uint64{record.ConfigStream: s.config.NextOffset()}
 	for _, p := range s.partitions {
-		next[p.Stream()] = p.Next()
+		next[p.Stream()] = p.NextOffset()
 	}
 	return next
 }
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -207,7 +207,7 @@
 func (s *Server) self() logstore.Instance {
 	return logstore.Instance{
 		ID: s.id, Zone: record.Zone(s.settings.Instance.Zone), Peer: s.PeersAddr(), Leaving: s.draining.Load(),
-		Applied: s.config.Next(),
+		Applied: s.config.NextOffset(),
 	}
 }
 
--- a/internal/server/streams.go
+++ b/internal/server/streams.go
@@ -76,9 +76,9 @@
 // and returns the first offset that the snapshot does not cover. It returns an
 // error if the log can't be read or no snapshot is usable.
 func (s *Server) resumeOrRestore(ctx context.Context, st followedStream) (uint64, error) {
-	_, err := s.client.Read(ctx, st.Stream(), st.Next(), 0)
+	_, err := s.client.Read(ctx, st.Stream(), st.NextOffset(), 0)
 	if err == nil && !st.HasGap() {
-		return st.Next(), nil
+		return st.NextOffset(), nil
 	}
 	if err != nil && !errors.Is(err, logstore.ErrTrimmed) {
 		return 0, err
@@ -91,7 +91,7 @@
 		err = st.Restore(found)
 	}
 	if err != nil {
-		s.log.Error().Err(err).Str("stream", string(st.Stream())).Uint64("applied", st.Next()).Msg("snapshot: records aged out unread and none can be used, not ready")
+		s.log.Error().Err(err).Str("stream", string(st.Stream())).Uint64("applied", st.NextOffset()).Msg("snapshot: records aged out unread and none can be used, not ready")
 		return 0, err
 	}
 	s.metrics.Counter(metrics.SnapshotsRestored).Inc(1)
--- a/internal/server/table.go
+++ b/internal/server/table.go
@@ -69,10 +69,10 @@
 
 // refreshTeams reads the teams' settings again if the config stream has advanced.
 func (t *endpointTable) refreshTeams(f *fold.Config) {
-	if t.teams.Weights != nil && f.Next() == t.teamsOffset {
+	if t.teams.Weights != nil && f.NextOffset() == t.teamsOffset {
 		return
 	}
-	t.teams, t.teamsOffset = config.ReadPlacementSettings(f), f.Next()
+	t.teams, t.teamsOffset = config.ReadPlacementSettings(f), f.NextOffset()
 }
 
 // applyTeamWeights passes the team weights to the Decider. A team whose weight was
--- a/internal/session/session_test.go
+++ b/internal/session/session_test.go
@@ -96,7 +96,7 @@
 	if err != nil {
 		return 0, err
 	}
-	offset := m.partition.Next()
+	offset := m.partition.NextOffset()
 	return offset, m.partition.Apply(logstore.Entry{Offset: offset, Data: data})
 }
 
--- a/internal/snapshot/writer.go
+++ b/internal/snapshot/writer.go
@@ -12,7 +12,7 @@
 // implements it.
 type Source interface {
 	Stream() record.Stream
-	Next() uint64
+	NextOffset() uint64
 	// NewestSnapshot returns the newest complete snapshot that was read from
 	// the stream, or the zero value if there was none.
 	NewestSnapshot() Summary
@@ -90,7 +90,7 @@
 
 func (w *Writer) isDue(s Source) bool {
 	newest := s.NewestSnapshot()
-	status := StreamStatus{First: w.FirstOffset(s.Stream()), Next: s.Next(), Covers: newest.Covers, Age: newest.Age(time.Now())}
+	status := StreamStatus{First: w.FirstOffset(s.Stream()), Next: s.NextOffset(), Covers: newest.Covers, Age: newest.Age(time.Now())}
 	return s.IsComplete() && IsDue(status, w.MaxAge)
 }
 
