--- a/internal/allocator/allocator.go
+++ b/internal/allocator/allocator.go
@@ -95,7 +95,7 @@
 	LinkMbps float64
 }
 
-// slot is the state of one allocator slot of the own zone. A holder that has not been
+// slot is the state of one allocator slot of the instance's zone. A holder that has not been
 // called since its announcement is neither reachable nor failing.
 type slot struct {
 	Announcement
@@ -109,7 +109,7 @@
 
 func (s *slot) isOccupied() bool { return s.Key != "" }
 
-// Directory tracks the allocator slots of the own zone and decides the instance's
+// Directory tracks the allocator slots of the instance's zone and decides the instance's
 // role. It is safe for concurrent use. All times are measured from one arbitrary origin.
 type Directory struct {
 	mu              sync.Mutex
@@ -261,8 +261,8 @@
 	return d.loaded
 }
 
-// ListReachable lists the allocators that tokens can be withdrawn from: those that answered
-// their last call, this instance's preferred one first.
+// ListReachable returns the allocators that tokens can be withdrawn from: those that
+// answered their last call, this instance's preferred one first.
 func (d *Directory) ListReachable() []Announcement {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -273,23 +273,25 @@
 	return d.listOthers(func(s *slot) bool { return s.reachable })
 }
 
-// ListAnnounced lists all announced allocators except this instance.
+// ListAnnounced returns all announced allocators except this instance.
 func (d *Directory) ListAnnounced() []Announcement {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.listOthers(func(*slot) bool { return true })
 }
 
-// ListUnreachable lists the allocators whose last call failed or that have not been called.
-// An announcement outlives its process, so an allocator is usable only after an answer.
+// ListUnreachable returns the allocators whose last call failed or that have not been
+// called. An announcement outlives its process, so an allocator counts as reachable only
+// after an answer.
 func (d *Directory) ListUnreachable() []Announcement {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.listOthers(func(s *slot) bool { return !s.reachable })
 }
 
-// listOthers returns the holders of the included slots except this instance. A hash of
-// the instance's key decides which slot comes first, which spreads members over slots.
+// listOthers returns the announcements of the occupied slots for which include returns
+// true, except this instance's own. The list begins at the slot that a hash of the
+// instance's key selects, which spreads the members of a zone over its allocators.
 func (d *Directory) listOthers(include func(*slot) bool) []Announcement {
 	var list []Announcement
 	preferred := int(xxhash.Sum64String(string(d.self.Key)) % SlotsPerZone)
--- a/internal/claim/holder.go
+++ b/internal/claim/holder.go
@@ -229,8 +229,9 @@
 	// it.
 }
 
-// startShard starts using an epoch of which the fold names this instance the
-// holder.
+// startShard starts to serve a shard if this instance is the holder of its
+// latest epoch in the fold and that epoch is r. It does nothing if the shard is
+// served already.
 func (h *Holder) startShard(id shardID, partition *Replica, r record.Shard) {
 	latest, ok := latestEpoch(partition, id)
 	if !ok || latest.Closed || latest.Right != r.Right || latest.Holder != h.deps.Self.ID {
--- a/internal/decide/endpoints.go
+++ b/internal/decide/endpoints.go
@@ -18,15 +18,15 @@
 
 	inFlight        int // Started here by this Decider, at most Slots.
 	inFlightByClass [classCount]int
-	laggedOwnLoad   float64 // inFlight as a report of now would show it.
-	laggedOwnLoadAt Time    // When ownLagged was updated.
+	laggedOwnLoad   float64 // inFlight, delayed by about reportLag: what a report that arrives now counts.
+	laggedOwnLoadAt Time    // When laggedOwnLoad was updated.
 
 	report         LoadReport // The last one.
 	reported       bool
 	reportedAt     Time    // When the last report arrived.
 	othersLoad     float64 // Requests of other instances, smoothed.
 	othersLoadMean float64 // The others' load, averaged over many reports.
-	ownLoadMean    float64 // ownLagged, averaged over the same reports.
+	ownLoadMean    float64 // laggedOwnLoad, averaged over the same reports.
 
 	// startQuota is how many batch requests and cold prompts this instance may
 	// still start here until the next report: its part of the free slots, and
@@ -39,11 +39,11 @@
 	blockedRows         rowHeap // Rows that wait for this endpoint, out of the order.
 	markedChanged       bool    // It is in Decider.changedEndpoints.
 	queuedPreferring    int     // Queued rows whose preferred endpoint this is.
-	startTimeSum        Time    // Sum of the start times of the own running requests.
+	startTimeSum        Time    // Sum of the start times of this instance's running requests.
 	expectedDurationSum float64 // Sum of their expected durations in seconds.
-	awaitingFirstToken  int     // Own requests without a first token yet.
+	awaitingFirstToken  int     // This instance's requests without a first token yet.
 	awaitingStartSum    Time    // Sum of their start times.
-	pendingPrefill      float64 // Own prompt tokens not computed yet at pendingPrefillAt.
+	pendingPrefill      float64 // Prompt tokens of this instance not computed yet at pendingPrefillAt.
 	pendingPrefillAt    Time
 	firstTokenDelay     float64 // Seconds that first tokens came later than predicted.
 	firstTokenDelayAt   Time
@@ -66,8 +66,8 @@
 	// keep the endpoint empty for ever.
 	reportStaleAge = 2 * time.Second
 	reportHalfLife = 5 * time.Second
-	// loadMeanGain makes long averages of the own and the others' load, whose
-	// ratio changes only when instances come and go.
+	// loadMeanGain makes long averages of this instance's and the others' load,
+	// whose ratio changes only when instances come and go.
 	loadMeanGain = 0.02
 	// minOwnLoadMean keeps the ratio finite at an endpoint that this instance
 	// hardly uses.
@@ -164,11 +164,11 @@
 // or leaves.
 func (e *endpointRow) isClosed() bool { return e.removed || e.Leaving || e.selfLeaving }
 
-// applyLoadReport derives the others' load from a report: what it counts less
-// the own requests. The own ones started after the report was made are not in
-// it, so the own load is taken as it was then. rounding, from 0 to 1, rounds
-// the start quota at random, so that small parts of the instances add up to
-// the free slots.
+// applyLoadReport derives the others' load from a report: the requests that it
+// counts, less those of this instance. It does not count those that this
+// instance started after it was made, so laggedOwnLoad is subtracted and not
+// inFlight. rounding, from 0 to 1, rounds the start quota at random, so that
+// small parts of the instances add up to the free slots.
 func (e *endpointRow) applyLoadReport(r LoadReport, now Time, rounding float64) {
 	if e.reported && r.At < e.report.At {
 		return
@@ -193,7 +193,7 @@
 	return e.reported && now-e.reportedAt <= reportStaleAge && e.startQuota < 1
 }
 
-// updateLaggedOwnLoad moves ownLagged towards inFlight with the time constant
+// updateLaggedOwnLoad moves laggedOwnLoad towards inFlight with the time constant
 // reportLag. It must be called before inFlight changes.
 func (e *endpointRow) updateLaggedOwnLoad(now Time) {
 	elapsed := float64(now - e.laggedOwnLoadAt)
@@ -201,8 +201,8 @@
 	e.laggedOwnLoadAt = now
 }
 
-// load returns the number of requests at the endpoint: the own as they are,
-// the others' as last reported.
+// load returns the number of requests at the endpoint: this instance's own,
+// counted exactly, and the others', estimated from the last report.
 func (e *endpointRow) load(now Time) float64 {
 	return float64(e.inFlight) + e.currentOthersLoad(now)
 }
@@ -227,16 +227,17 @@
 	return e.reported && e.report.Queued > bound && now-e.reportedAt <= reportStaleAge
 }
 
-// remainingPrefill returns how many own prompt tokens the endpoint still has
-// to compute, if it computes them steadily at the estimated rate.
+// remainingPrefill returns how many prompt tokens of this instance's requests
+// the endpoint still has to compute, if it computes them steadily at the
+// estimated rate.
 func (e *endpointRow) remainingPrefill(now Time) float64 {
 	drained := (now - e.pendingPrefillAt).Seconds() / e.estimates.prefillPerTokenOrDefault()
 	return max(0, e.pendingPrefill-drained)
 }
 
 // fleetFactor estimates how many requests the whole fleet sends to the
-// endpoint for each one of this instance, from the ratio of the others' load
-// to the own.
+// endpoint for each one that this instance sends, from the ratio of the
+// others' load to this instance's.
 func (e *endpointRow) fleetFactor(now Time) float64 {
 	if now-e.reportedAt > reportStaleAge {
 		return 1
@@ -260,10 +261,10 @@
 	return max(observed, age-e.estimates.baseFirstToken)
 }
 
-// ageRatio returns the age of the own running requests as a multiple of their
-// expected duration, on average. At a steady endpoint it stays near one half.
-// At an endpoint that becomes slow it rises long before the first slow
-// request ends.
+// ageRatio returns the age of this instance's running requests as a multiple
+// of their expected duration, on average. At a steady endpoint it stays near
+// one half. At an endpoint that becomes slow it rises long before the first
+// slow request ends.
 func (e *endpointRow) ageRatio(now Time) float64 {
 	if e.inFlight == 0 || e.expectedDurationSum <= 0 {
 		return 0
--- a/internal/decide/place.go
+++ b/internal/decide/place.go
@@ -187,7 +187,7 @@
 // token, and that prediction in seconds, among the one that last held the
 // prefix, the session's other ranked endpoints and some random ones. Only
 // endpoints where the row can start and may move to count; one more random
-// endpoint is from the own zone.
+// endpoint is from the instance's zone.
 func (d *Decider) bestAlternative(p *pool, row *requestRow, preferred *endpointRow, byAging bool) (*endpointRow, float64) {
 	var best *endpointRow
 	bestCost := 0.0
--- a/internal/decide/refuse.go
+++ b/internal/decide/refuse.go
@@ -54,7 +54,8 @@
 	return CodeOverloaded, tooLate && wait > 0
 }
 
-// refuseRow refuses a queued or incoming row.
+// refuseRow refuses a request that is queued, or was submitted since the last
+// tick, and removes it from its pool's queue.
 func (d *Decider) refuseRow(row *requestRow, code Code) {
 	p := row.pool
 	wait := time.Duration(0)
@@ -65,7 +66,7 @@
 	d.refuseUnqueued(row, p, code, wait)
 }
 
-// refuseUnqueued refuses a row that is in no queue. wait is the predicted
+// refuseUnqueued refuses a request that is in no queue. wait is the predicted
 // wait for a slot.
 func (d *Decider) refuseUnqueued(row *requestRow, p *pool, code Code, wait time.Duration) {
 	d.decisions = append(d.decisions, Decision{Kind: Refuse, Request: row.ID, Code: code, RetryAfter: d.scheduleRetry(p, wait)})
--- a/internal/decide/shift.go
+++ b/internal/decide/shift.go
@@ -131,8 +131,9 @@
 	}
 }
 
-// medianOfEndpoints returns the medianOfEndpoints of a measure over the endpoints that are neither
-// ejected nor closed and have a value, or 0 if these are too few to compare.
+// medianOfEndpoints returns the median of a measure over the endpoints that are
+// neither ejected nor closed and have a value, or 0 if these are too few to
+// compare.
 func (p *pool) medianOfEndpoints(measure func(*endpointRow, Time) float64, now Time) float64 {
 	values := p.medianScratch[:0]
 	for _, e := range p.endpoints {
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -62,7 +62,7 @@
 
 	storeFailing bool          // The last call to the store has failed.
 	hasFailed    bool          // Any call has ever failed.
-	recoveredAt  time.Duration // When the store first answered after the last failure, in the caller's time.
+	recoveredAt  time.Duration // When the store first answered after the last failure, by the clock of the now arguments.
 }
 
 // New returns an empty table.
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -15,13 +15,13 @@
 const (
 	// TickInterval is the time between two ticks while requests wait. Submit,
 	// Done and Update tick at once in addition, so the interval matters only for
-	// what time alone changes: deadlines, and the wait for a session's preferred
-	// endpoint.
+	// what becomes due without such a call: deadlines, and the end of the wait
+	// for a session's preferred endpoint.
 	TickInterval = 2 * time.Millisecond
 	// IdleTickInterval is the time between two ticks while no request waits.
-	// Then time alone only lets endpoints return that were ejected. TickInterval
-	// would wake an idle instance 500 times a second and use a good part of the
-	// CPU time allotted to its control work.
+	// The only change that depends on time alone then is the return of ejected
+	// endpoints to use. TickInterval would wake an idle instance 500 times a
+	// second and use a good part of the CPU time allotted to its control work.
 	IdleTickInterval = 100 * time.Millisecond
 )
 
--- a/internal/endpoint/engine.go
+++ b/internal/endpoint/engine.go
@@ -126,8 +126,9 @@
 
 func (h *HTTPEngines) countError(err error) { h.counts.countError(err) }
 
-// countError increments the counter for a request's error, if it has one. Mismatches
-// and gaps are counted where they are detected.
+// countError increments the counter for the class of a request's error. Responses for
+// another run or attempt (ErrMismatch) and missing tokens (ErrGap) have counters of their
+// own, which are incremented where they are detected.
 func (c *Counters) countError(err error) {
 	switch {
 	case errors.Is(err, ErrNoProgress):
--- a/internal/endpoint/engine_test.go
+++ b/internal/endpoint/engine_test.go
@@ -83,7 +83,7 @@
 	for name, c := range map[string]struct {
 		handler              http.HandlerFunc
 		text                 string
-		wantErr, unwantedErr error // The error must be is, and must not be not.
+		wantErr, unwantedErr error // errors.Is must hold for the first and not for the second.
 		counts               CounterValues
 	}{
 		"whole": {respondWith(contentEvent(1, "a"), ": ping\n\n", contentEvent(2, "b"), closingEvents("stop", 2)), "ab", io.EOF, ErrLost, CounterValues{}},
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -13,8 +13,9 @@
 	statePollPause = 50 * time.Millisecond
 	// minStatePollTimeout limits the call rate if store.state_within is short.
 	minStatePollTimeout = 800 * time.Millisecond
-	// readDeadlineMargin is how long before its deadline a change of the desired state or a
-	// leaving endpoint is noticed after two reads in a row whose connections went silent.
+	// readDeadlineMargin is subtracted from the time within which a change of the desired
+	// state or a leaving endpoint must be noticed. It is the time that remains when the
+	// connections of two reads in a row have gone silent and both reads have timed out.
 	readDeadlineMargin = 200 * time.Millisecond
 )
 
--- a/internal/ledger/remote.go
+++ b/internal/ledger/remote.go
@@ -73,8 +73,7 @@
 // It prevents refusals at a holder whose witness failed while the log is
 // unreachable: its own grants are unusable and it can't get a new one, but
 // other holders can still pay. It is the last resort, since each request
-// crosses zones, and pauses for fruitlessRequestPause after it found no
-// holder.
+// crosses zones, and pauses for requestBackoff after it found no holder.
 func (l *Ledger) reserveAtOtherHolder(ctx context.Context, budget record.BudgetID, use record.Outstanding) (Reservation, bool) {
 	a := l.acquire(budget)
 	defer l.release(a)
