--- a/internal/claim/shard.go
+++ b/internal/claim/shard.go
@@ -142,7 +142,7 @@
 // admit counts the claim of a new entry and returns its ticket, or removes the
 // entry if the claim does not count.
 func (s *shard) admit(ctx context.Context, r Request, entry *claimEntry) (Ticket, error) {
-	err := s.count(ctx, r, entry)
+	err := s.countClaim(ctx, r, entry)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	defer close(entry.countingDone)
@@ -158,9 +158,9 @@
 	return entry.ticket(false), nil
 }
 
-// count stores a claim in a second place. A repeatable request does not wait
-// for that: its bill is idempotent, so a duplicate run does no harm.
-func (s *shard) count(ctx context.Context, r Request, entry *claimEntry) error {
+// countClaim stores a claim in a second place. A repeatable request does not
+// wait for that: its bill is idempotent, so a duplicate run does no harm.
+func (s *shard) countClaim(ctx context.Context, r Request, entry *claimEntry) error {
 	if r.Repeatable {
 		s.heldRight.Update(newUse(entry.claim, 0))
 		s.heldRight.Flush()
@@ -388,7 +388,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var out []Use
-	for _, entry := range s.table.unlogged() {
+	for _, entry := range s.table.unloggedClaims() {
 		out = append(out, Use{Claim: entry.claim, Outcome: entry.outcome})
 	}
 	return out
--- a/internal/claim/table.go
+++ b/internal/claim/table.go
@@ -170,8 +170,8 @@
 	}
 }
 
-// unlogged returns the counted claims that may not be on the log.
-func (t *claimTable) unlogged() []*claimEntry {
+// unloggedClaims returns the counted claims that may not be on the log.
+func (t *claimTable) unloggedClaims() []*claimEntry {
 	var out []*claimEntry
 	for _, entry := range t.entries {
 		if entry.counted && !entry.logged {
--- a/internal/decide/baselines_test.go
+++ b/internal/decide/baselines_test.go
@@ -65,9 +65,9 @@
 	return out
 }
 
-// lowest returns the index of the endpoint with room that has the lowest
-// value, or -1.
-func (b *baseline) lowest(r *Request, value func(i int) float64) int {
+// lowestEndpoint returns the index of the endpoint with room that has the
+// lowest value, or -1.
+func (b *baseline) lowestEndpoint(r *Request, value func(i int) float64) int {
 	best, bestValue := -1, 0.0
 	for i := range b.endpoints {
 		if !b.hasRoom(i, r) {
@@ -82,16 +82,16 @@
 
 func roundRobin(b *baseline, r *Request) int {
 	b.nextIndex++
-	return b.lowest(r, func(i int) float64 {
+	return b.lowestEndpoint(r, func(i int) float64 {
 		return float64((i - b.nextIndex%len(b.endpoints) + len(b.endpoints)) % len(b.endpoints))
 	})
 }
 
-func leastInFlight(b *baseline, r *Request) int { return b.lowest(r, b.load) }
+func leastInFlight(b *baseline, r *Request) int { return b.lowestEndpoint(r, b.load) }
 
 func powerOfTwo(b *baseline, r *Request) int {
 	one, two := b.rng.IntN(len(b.endpoints)), b.rng.IntN(len(b.endpoints))
-	return b.lowest(r, func(i int) float64 {
+	return b.lowestEndpoint(r, func(i int) float64 {
 		if i == one || i == two {
 			return b.load(i)
 		}
@@ -101,12 +101,12 @@
 
 func plainAffinity(b *baseline, r *Request) int {
 	key := hashString(string(r.Session))
-	return b.lowest(r, func(i int) float64 { return -rendezvous(key, hashString(b.endpoints[i].Name), 1) })
+	return b.lowestEndpoint(r, func(i int) float64 { return -rendezvous(key, hashString(b.endpoints[i].Name), 1) })
 }
 
 func weightedAffinity(b *baseline, r *Request) int {
 	key := hashString(string(r.Session))
-	return b.lowest(r, func(i int) float64 {
+	return b.lowestEndpoint(r, func(i int) float64 {
 		return -rendezvous(key, hashString(b.endpoints[i].Name), b.endpoints[i].Weight)
 	})
 }
--- a/internal/decide/policies_test.go
+++ b/internal/decide/policies_test.go
@@ -161,7 +161,7 @@
 	return sum / float64(len(c.runs))
 }
 
-func (c *cell) span(of func(*sim) float64) string {
+func (c *cell) formatRange(of func(*sim) float64) string {
 	lo, hi := of(c.runs[0]), of(c.runs[0])
 	for _, s := range c.runs {
 		lo, hi = min(lo, of(s)), max(hi, of(s))
@@ -176,7 +176,7 @@
 		t := func(s *sim) *tally { return &s.classes[PriorityInteractive] }
 		per := policyWindow.Seconds()
 		fmt.Fprintf(w, "%s\t| %.0f\t| %s\t| %.1f\t| %s\t| %.1f\t| %.0f\t| %.0f\t| %.0f\t| %.1f\t| %.1f\t| %.2f\n",
-			c.shape, c.load*100, c.policy, c.mean(goodput), c.span(goodput),
+			c.shape, c.load*100, c.policy, c.mean(goodput), c.formatRange(goodput),
 			c.mean(func(s *sim) float64 { return 100 * float64(t(s).cached) / float64(max(1, t(s).prompt)) }),
 			c.mean(func(s *sim) float64 { return 1e3 * quantile(t(s).firstTokens, 0.5) }),
 			c.mean(func(s *sim) float64 { return 1e3 * quantile(t(s).firstTokens, 0.95) }),
--- a/internal/decide/usage.go
+++ b/internal/decide/usage.go
@@ -34,8 +34,9 @@
 	teamUsageTTL = 12 * usageHalfLife
 )
 
-// decayed returns what is left of v after the given time.
-func decayed(v float64, since time.Duration) float64 {
+// decayedUsage returns what is left of the usage v after the given time, which
+// halves it every usageHalfLife.
+func decayedUsage(v float64, since time.Duration) float64 {
 	return v * math.Exp2(-float64(since)/float64(usageHalfLife))
 }
 
@@ -50,9 +51,9 @@
 	row := &t.rows[i]
 	t.weightSum += weight - row.weight
 	row.weight = weight
-	row.cost = decayed(row.cost, now-row.updatedAt) + cost
+	row.cost = decayedUsage(row.cost, now-row.updatedAt) + cost
 	row.updatedAt = now
-	t.costSum = decayed(t.costSum, now-t.costSumAt) + cost
+	t.costSum = decayedUsage(t.costSum, now-t.costSumAt) + cost
 	t.costSumAt = now
 }
 
@@ -78,10 +79,10 @@
 // nothing.
 func (t *usageTable) fairShareRatio(team record.Team, weight float64, now Time) float64 {
 	i, ok := t.rowByTeam[team]
-	total := decayed(t.costSum, now-t.costSumAt)
+	total := decayedUsage(t.costSum, now-t.costSumAt)
 	if !ok || total <= 0 {
 		return 0
 	}
-	share := decayed(t.rows[i].cost, now-t.rows[i].updatedAt) / total
+	share := decayedUsage(t.rows[i].cost, now-t.rows[i].updatedAt) / total
 	return share * max(t.weightSum, weight) / weight
 }
--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -71,7 +71,7 @@
 	defer func() { assignment.Done(outcome, c.f.Clock()) }()
 	ctx, cancel := c.withAttemptTimeout(ctx)
 	defer cancel()
-	answer, err := c.f.Pool.Send(ctx, assignment.Endpoint.ID, assignment.Endpoint.Address, c.outgoing(assignment))
+	answer, err := c.f.Pool.Send(ctx, assignment.Endpoint.ID, assignment.Endpoint.Address, c.outgoingRequest(assignment))
 	if err != nil {
 		result := c.handleSendError(ctx, err, &outcome)
 		c.logAttempt(assignment, result, 0, start)
@@ -115,8 +115,8 @@
 	return context.WithTimeout(ctx, max(attemptTimeoutFactor*c.route.LatencyTarget, minAttemptTimeout))
 }
 
-// outgoing builds the request for the assigned endpoint.
-func (c *call) outgoing(assignment *placement.Assignment) *upstream.Outgoing {
+// outgoingRequest builds the request for the assigned endpoint.
+func (c *call) outgoingRequest(assignment *placement.Assignment) *upstream.Outgoing {
 	lastEventID := c.lastEventID
 	if lastEventID == "" {
 		lastEventID = c.LastEventID
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -153,7 +153,7 @@
 // couldn't be reached.
 func (l *Ledger) suspectWitness(g *grant, err error) {
 	if witness := g.held.Terms().Witness; isWitnessUnavailable(err) && witness != "" {
-		l.suspect(witness)
+		l.markSuspected(witness)
 	}
 }
 
--- a/internal/ledger/machine_test.go
+++ b/internal/ledger/machine_test.go
@@ -92,7 +92,7 @@
 		"topUp": m.topUp, "reserve": m.reserve, "reserve more": m.reserve, "reserve still more": m.reserve,
 		"settle": m.settle, "settle more": m.settle, "tick": m.tick, "tick more": m.tick, "heal": m.heal,
 		"log mode": m.logMode, "lag": m.lag, "link": m.link, "pause": m.pause, "resume": m.resume, "restart": m.restart,
-		"late copy": m.lateCopy, "late append": m.lateAppend, "late call": m.lateCall, "list": m.list, "time": m.time,
+		"late copy": m.lateCopy, "late append": m.lateAppend, "late call": m.lateCall, "list": m.updateMembership, "time": m.advanceClock,
 		"background": func(*rapid.T) { m.fleet.runQueued() },
 		"":           m.check,
 	}
@@ -241,15 +241,16 @@
 	}
 }
 
-// list updates the membership.
-func (m *modelTest) list(*rapid.T) {
+// updateMembership makes the membership list hold exactly the instances that
+// have not stopped.
+func (m *modelTest) updateMembership(*rapid.T) {
 	m.fleet.mu.Lock()
 	defer m.fleet.mu.Unlock()
 	m.fleet.updateListed()
 }
 
-// time advances the clock.
-func (m *modelTest) time(t *rapid.T) {
+// advanceClock advances the simulated clock by a second, a minute or an hour.
+func (m *modelTest) advanceClock(t *rapid.T) {
 	m.fleet.mu.Lock()
 	defer m.fleet.mu.Unlock()
 	m.fleet.now = m.fleet.now.Add(rapid.SampledFrom([]time.Duration{time.Second, time.Minute, time.Hour}).Draw(t, "passed"))
--- a/internal/ledger/reclaim.go
+++ b/internal/ledger/reclaim.go
@@ -21,7 +21,7 @@
 // top-up, while another holder has unused tokens. It returns nil even if it
 // found no tokens; the caller reads the fold again.
 func (l *Ledger) reclaim(ctx context.Context, a *account, need int64, view budgetView) error {
-	shortfall := need - view.ungranted()
+	shortfall := need - view.ungrantedTokens()
 	now := l.Now()
 	a.mu.Lock()
 	isPaused := now.Before(a.refillPausedUntil)
--- a/internal/ledger/renew.go
+++ b/internal/ledger/renew.go
@@ -137,7 +137,7 @@
 		if view, err = l.viewBudget(a); err != nil {
 			return err
 		}
-		if view.ungranted() < need {
+		if view.ungrantedTokens() < need {
 			if err = l.reclaim(ctx, a, need, view); err != nil {
 				return err
 			}
@@ -172,11 +172,11 @@
 	witnessMissing := kind.unwitnessed && len(l.liveInstances()) > 1
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if need > 0 && view.ungranted() < need {
+	if need > 0 && view.ungrantedTokens() < need {
 		return 0, l.refusalError(a, need, view)
 	}
 	d := l.sizingInput(a, now)
-	d.UngrantedTokens, d.OtherHolders = view.ungranted(), view.otherHolders(l.Self)
+	d.UngrantedTokens, d.OtherHolders = view.ungrantedTokens(), view.otherHolders(l.Self)
 	if kind.keepsRemote {
 		d.FreeTokens = a.freeTokensBy(kind.remoteWitness)
 	}
--- a/internal/ledger/service.go
+++ b/internal/ledger/service.go
@@ -225,7 +225,7 @@
 	defer cancel()
 	err := callerOrNone(l.Peers).Call(ctx, to, ServiceName+"."+method, args, reply)
 	if errors.Is(err, peer.ErrUnreachable) {
-		l.suspect(to)
+		l.markSuspected(to)
 	}
 	return eris.Wrap(err, "ledger: "+method)
 }
--- a/internal/ledger/view.go
+++ b/internal/ledger/view.go
@@ -35,8 +35,8 @@
 	return v, nil
 }
 
-// ungranted returns the budget's tokens that are in no grant.
-func (v budgetView) ungranted() int64 { return v.budget.Prepaid - v.budget.Committed }
+// ungrantedTokens returns the budget's tokens that are in no grant.
+func (v budgetView) ungrantedTokens() int64 { return v.budget.Prepaid - v.budget.Committed }
 
 // otherHolders returns the number of other instances with unbilled tokens in
 // open grants.
@@ -97,8 +97,8 @@
 	return false
 }
 
-// suspect excludes an instance as witness and owner for SuspicionTTL.
-func (l *Ledger) suspect(id record.InstanceID) {
+// markSuspected excludes an instance as witness and owner for SuspicionTTL.
+func (l *Ledger) markSuspected(id record.InstanceID) {
 	l.peersMu.Lock()
 	defer l.peersMu.Unlock()
 	l.suspectedUntil[id] = l.Now().Add(l.Options.SuspicionTTL)
