--- a/internal/allocator/allocator.go
+++ b/internal/allocator/allocator.go
@@ -95,7 +95,7 @@
 	LinkMbps float64
 }
 
-// slot is the state of one allocator slot of the own zone. A holder that has not been
+// slot is the state of one allocator slot of the instance's zone. A holder that has not been
 // called since its announcement is neither reachable nor failing.
 type slot struct {
 	Announcement
@@ -109,7 +109,7 @@
 
 func (s *slot) isOccupied() bool { return s.Key != "" }
 
-// Directory tracks the allocator slots of the own zone and decides the instance's
+// Directory tracks the allocator slots of the instance's zone and decides the instance's
 // role. It is safe for concurrent use. All times are measured from one arbitrary origin.
 type Directory struct {
 	mu              sync.Mutex
@@ -230,7 +230,7 @@
 func (d *Directory) Role(useAllocators bool, now time.Duration) Role {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if len(d.usable()) > 0 {
+	if len(d.listReachable()) > 0 {
 		d.noneUsableSince = now
 	}
 	switch {
@@ -261,35 +261,37 @@
 	return d.loaded
 }
 
-// Usable lists the allocators that tokens can be withdrawn from: those that answered
-// their last call, this instance's preferred one first.
-func (d *Directory) Usable() []Announcement {
+// ListReachable returns the allocators that tokens can be withdrawn from: those that
+// answered their last call, this instance's preferred one first.
+func (d *Directory) ListReachable() []Announcement {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.usable()
+	return d.listReachable()
 }
 
-func (d *Directory) usable() []Announcement {
+func (d *Directory) listReachable() []Announcement {
 	return d.listOthers(func(s *slot) bool { return s.reachable })
 }
 
-// Announced lists all announced allocators except this instance.
-func (d *Directory) Announced() []Announcement {
+// ListAnnounced returns all announced allocators except this instance.
+func (d *Directory) ListAnnounced() []Announcement {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.listOthers(func(*slot) bool { return true })
 }
 
-// NotReachable lists the allocators whose last call failed or that have not been called.
-// An announcement outlives its process, so an allocator is usable only after an answer.
-func (d *Directory) NotReachable() []Announcement {
+// ListUnreachable returns the allocators whose last call failed or that have not been
+// called. An announcement outlives its process, so an allocator counts as reachable only
+// after an answer.
+func (d *Directory) ListUnreachable() []Announcement {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.listOthers(func(s *slot) bool { return !s.reachable })
 }
 
-// listOthers returns the holders of the included slots except this instance. A hash of
-// the instance's key decides which slot comes first, which spreads members over slots.
+// listOthers returns the announcements of the occupied slots for which include returns
+// true, except this instance's own. The list begins at the slot that a hash of the
+// instance's key selects, which spreads the members of a zone over its allocators.
 func (d *Directory) listOthers(include func(*slot) bool) []Announcement {
 	var list []Announcement
 	preferred := int(xxhash.Sum64String(string(d.self.Key)) % SlotsPerZone)
