--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -92,7 +92,7 @@
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	got, err := readValuesFile(file)
+	got, err := readDesiredValues(file)
 	want := "[{/fleet/engines/e1/slots 8 false} {/teams/dala/budgets/main/lean 0.5 false} {/teams/dala/default_budget main false}]"
 	if err != nil || fmt.Sprint(got) != want {
 		t.Errorf("values %v, error %v; want %s", got, err, want)
--- a/internal/cli/client.go
+++ b/internal/cli/client.go
@@ -123,7 +123,7 @@
 	}
 	if details.Result != nil {
 		for _, v := range details.Result.Lost {
-			lines = append(lines, v.Path+": "+v.describeCurrent())
+			lines = append(lines, v.Path+": "+v.describeCurrentValue())
 		}
 	}
 	if details.ID != "" {
--- a/internal/cli/load.go
+++ b/internal/cli/load.go
@@ -75,7 +75,7 @@
 	err := c.print(r, header, func(add func(...any)) {
 		for _, k := range r.Classes {
 			add(k.Name, k.Sent, k.Answered, k.NotRun, k.Unknown, k.Partial, k.Wrong, k.Late,
-				round(k.FirstP50), round(k.FirstP99), round(k.WholeP50), round(k.WholeP99))
+				roundLatency(k.FirstP50), roundLatency(k.FirstP99), roundLatency(k.WholeP50), roundLatency(k.WholeP99))
 		}
 	})
 	if err == nil && len(r.Violations) > 0 {
@@ -84,4 +84,4 @@
 	return err
 }
 
-func round(d time.Duration) time.Duration { return d.Round(100 * time.Microsecond) }
+func roundLatency(d time.Duration) time.Duration { return d.Round(100 * time.Microsecond) }
--- a/internal/cli/settings.go
+++ b/internal/cli/settings.go
@@ -27,9 +27,9 @@
 	Change  string `json:"change"`
 }
 
-// describeCurrent describes a path's value for an operator whose change it
+// describeCurrentValue describes a path's value for an operator whose change it
 // conflicts with: the value, who set it and by which change.
-func (v valueRow) describeCurrent() string {
+func (v valueRow) describeCurrentValue() string {
 	if v.Version == 0 {
 		return "no longer has a value"
 	}
@@ -189,7 +189,7 @@
 func (p putOptions) desiredValues(args []string) ([]desiredValue, error) {
 	switch {
 	case *p.file != "" && *p.deletePath == "" && len(args) == 0:
-		return readValuesFile(*p.file)
+		return readDesiredValues(*p.file)
 	case *p.deletePath != "" && *p.file == "" && len(args) == 0:
 		return []desiredValue{{path: *p.deletePath, isDelete: true}}, nil
 	case len(args) == 2 && *p.file == "" && *p.deletePath == "" && !strings.HasPrefix(args[0], "-"):
--- a/internal/cli/standin.go
+++ b/internal/cli/standin.go
@@ -28,7 +28,7 @@
 	retain := fs.Int("retain", 0, "entries kept in each stream; 0 keeps all")
 	retainFor := fs.Duration("retain-for", 0, "how long each entry is kept; 0 keeps all")
 	lag := fs.Duration("lag", time.Second, "lag of the instance list")
-	return standinLeaf(fs, "platform", "Run the log and the instance list.", func(ctx context.Context) error {
+	return standinSubcommand(fs, "platform", "Run the log and the instance list.", func(ctx context.Context) error {
 		p := standin.NewPlatform(standin.PlatformOptions{
 			AppendsPerSecond: *rate, MaxEntries: *retain, EntryTTL: *retainFor, ListLag: *lag, InstanceTTL: 5 * time.Second,
 		})
@@ -45,7 +45,7 @@
 	cache := fs.Int("cache", 64_000, "tokens in the prefix cache")
 	heartbeat := fs.Duration("heartbeat", 500*time.Millisecond, "time between comments on a stream without tokens")
 	ignoreFence := fs.Bool("ignore-fence", false, "obey orders with an old fencing number")
-	return standinLeaf(fs, "engine", "Run a model engine.", func(ctx context.Context) error {
+	return standinSubcommand(fs, "engine", "Run a model engine.", func(ctx context.Context) error {
 		return serveHTTP(ctx, std, *listen, standin.NewEngine(standin.EngineOptions{
 			Model: *model, Step: *step, Slots: *slots, CacheTokens: *cache, Heartbeat: *heartbeat, IgnoreFencingToken: *ignoreFence,
 		}).Handler())
@@ -56,15 +56,15 @@
 	fs := newFlagSet("service")
 	listen := fs.String("listen", "127.0.0.1:9200", "`IP:port` to listen on; port 0 lets the kernel choose")
 	leaving := fs.Bool("leaving", false, "refuse all calls from the start")
-	return standinLeaf(fs, "service", "Run a plain service.", func(ctx context.Context) error {
+	return standinSubcommand(fs, "service", "Run a plain service.", func(ctx context.Context) error {
 		s := standin.NewService()
 		s.SetFaults(standin.ServiceFaults{Leaving: *leaving})
 		return serveHTTP(ctx, std, *listen, s.Handler())
 	})
 }
 
-// standinLeaf returns a command that runs a stand-in until ctx ends.
-func standinLeaf(fs *flag.FlagSet, name, help string, run func(context.Context) error) *ffcli.Command {
+// standinSubcommand returns a command that runs a stand-in until ctx ends.
+func standinSubcommand(fs *flag.FlagSet, name, help string, run func(context.Context) error) *ffcli.Command {
 	return leafCommand{
 		usage: "guavapier standin " + name + " [flags]", help: help,
 		example: "guavapier standin " + name + " -listen 127.0.0.1:0",
--- a/internal/cli/wishes.go
+++ b/internal/cli/wishes.go
@@ -40,10 +40,10 @@
 	return op, diff, current.Version == 0 || current.Value != d.value
 }
 
-// readValuesFile reads a TOML file whose tables are named after paths: the key lean in
-// [teams.dala.budgets.main] is /teams/dala/budgets/main/lean. It returns the values
-// sorted by path.
-func readValuesFile(file string) ([]desiredValue, error) {
+// readDesiredValues reads a TOML file whose tables are named after paths: the key
+// lean in [teams.dala.budgets.main] is /teams/dala/budgets/main/lean. It returns the
+// values sorted by path.
+func readDesiredValues(file string) ([]desiredValue, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
 		return nil, eris.Wrap(err, "read the settings file")
