--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -59,9 +59,9 @@
 	}
 }
 
-// Reference returns Prefixes as a Markdown table, as it is in the operators'
-// manual.
-func Reference() string {
+// PrefixTable returns Prefixes as a Markdown table. The operators' manual contains
+// this table.
+func PrefixTable() string {
 	var b strings.Builder
 	b.WriteString("| prefix | part |\n| --- | --- |\n")
 	for _, p := range Prefixes() {
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -51,7 +51,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !strings.Contains(string(page), logging.Reference()) {
-		t.Errorf("docs/OPERATIONS.md lacks this table:\n%s", logging.Reference())
+	if !strings.Contains(string(page), logging.PrefixTable()) {
+		t.Errorf("docs/OPERATIONS.md lacks this table:\n%s", logging.PrefixTable())
 	}
 }
--- a/internal/metrics/catalogue.go
+++ b/internal/metrics/catalogue.go
@@ -73,13 +73,13 @@
 	}
 }
 
-// Reference returns Catalogue as a Markdown table, as it is in the operators'
-// manual.
-func Reference() string { return markdownTable(Catalogue()) }
+// CatalogueTable returns Catalogue as a Markdown table. The operators' manual
+// contains this table.
+func CatalogueTable() string { return markdownTable(Catalogue()) }
 
-// GatewayReference returns GatewayCatalogue as a Markdown table, as it is in
-// the operators' manual.
-func GatewayReference() string { return markdownTable(GatewayCatalogue()) }
+// GatewayCatalogueTable returns GatewayCatalogue as a Markdown table. The operators'
+// manual contains this table.
+func GatewayCatalogueTable() string { return markdownTable(GatewayCatalogue()) }
 
 func markdownTable(catalogue []Metric) string {
 	var b strings.Builder
--- a/internal/server/operators_test.go
+++ b/internal/server/operators_test.go
@@ -97,8 +97,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !strings.Contains(string(page), metrics.Reference()) {
-		t.Errorf("docs/OPERATIONS.md lacks this table:\n%s", metrics.Reference())
+	if !strings.Contains(string(page), metrics.CatalogueTable()) {
+		t.Errorf("docs/OPERATIONS.md lacks this table:\n%s", metrics.CatalogueTable())
 	}
 }
 
