--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -19,8 +19,8 @@
 // read fast enough.
 const logBufferLines = 4096
 
-// settingsEnvVar is the environment variable with the settings file, used if
-// -settings is not given.
+// settingsEnvVar is the environment variable that holds the path of the settings
+// file, used if -settings is not given.
 const settingsEnvVar = "GUAVAPIER_CONFIG"
 
 func serveCommand(std stdio) *ffcli.Command {
--- a/internal/logging/limit_test.go
+++ b/internal/logging/limit_test.go
@@ -8,7 +8,8 @@
 	"github.com/rs/zerolog"
 )
 
-// Each level has its own limit a second, and errors have none.
+// Each level below error has its own limit of lines per second; errors are never
+// suppressed.
 func TestAFloodOfLinesIsThinnedByLevel(t *testing.T) {
 	now := time.Unix(100, 0)
 	limiter := newRateLimiter(50, func() time.Time { return now })
--- a/internal/logging/ring.go
+++ b/internal/logging/ring.go
@@ -26,8 +26,8 @@
 	dropped atomic.Int64
 }
 
-// NewRingWriter returns a RingWriter that buffers up to capacity lines for w. It
-// writes a line to w whenever it has dropped some.
+// NewRingWriter returns a RingWriter that buffers up to capacity lines for w. When
+// lines have been dropped, it writes a warning with their number to w.
 func NewRingWriter(w io.Writer, capacity int) *RingWriter {
 	r := &RingWriter{}
 	// diode.Writer closes an output that implements io.Closer. This one must stay
