--- a/test/process/config_test.go
+++ b/test/process/config_test.go
@@ -153,9 +153,9 @@
 // be incomplete. It counts the missing records in a metric and stays not ready
 // instead of serving.
 func TestInstanceWithoutAWholePastIsNotReady(t *testing.T) {
-	const retain = 3
-	_, platform := startStandin(t, "platform", "-lag", listLag, "-retain", fmt.Sprint(retain))
-	for range retain + 1 {
+	const retainedRecords = 3
+	_, platform := startStandin(t, "platform", "-lag", listLag, "-retain", fmt.Sprint(retainedRecords))
+	for range retainedRecords + 1 {
 		mustCall(t, http.MethodPost, platform+"/log/"+string(record.ConfigStream), "", "no batch")
 	}
 	_, line := startProcess(t, "server: serving", "serve", "-settings", instanceSettings(t, "a1", "hall-a", platform, ""))
--- a/test/process/cut_test.go
+++ b/test/process/cut_test.go
@@ -203,7 +203,7 @@
 // meanwhile. The budget isn't overspent, and once the cut is over every answer is
 // billed once.
 func TestBudgetAcrossACutBetweenZones(t *testing.T) {
-	const prepaid, added, tokens, requests = 3_000, 500, 50, 40
+	const prepaidTokens, addedTokens, tokens, requests = 3_000, 500, 50, 40
 	s := startDeployment(t)
 	near, far := startPlatformProxy(t, s.platform), startPlatformProxy(t, s.platform)
 	near.intactZone, far.intactZone = "hall-a", "hall-b"
@@ -212,7 +212,7 @@
 		far:  {startInstance(t, "b1", "hall-b", far.url, ""), startInstance(t, "b2", "hall-b", far.url, "")},
 	}
 	operators := sides[near][0].operatorsURL
-	key := seedTeam(t, operators, "dala", prepaid)
+	key := seedTeam(t, operators, "dala", prepaidTokens)
 	var used, answered atomic.Int64
 	send := func(in *instance) bool {
 		got := call(http.MethodPost, in.callersURL+"/v1/chat/completions", key, chatBody(tokens, false))
@@ -237,7 +237,7 @@
 	far.peersCut.Store(true)
 	far.platformDown.Store(true)
 	before := answered.Load()
-	topUp(t, operators, "dala", "during", added)
+	topUp(t, operators, "dala", "during", addedTokens)
 	var wg sync.WaitGroup
 	for _, side := range sides {
 		for n := range requests {
@@ -256,10 +256,10 @@
 		for _, in := range side {
 			eventually(t, "answers of both zones billed, each once", func() bool {
 				row := readBudget(t, in.operatorsURL, "dala")
-				if row.Committed > row.Prepaid || row.Billed > prepaid+added {
+				if row.Committed > row.Prepaid || row.Billed > prepaidTokens+addedTokens {
 					t.Fatalf("overspent: %+v", row)
 				}
-				return row.Prepaid == prepaid+added && row.Billed == used.Load()
+				return row.Prepaid == prepaidTokens+addedTokens && row.Billed == used.Load()
 			})
 		}
 	}
--- a/test/process/leaving_test.go
+++ b/test/process/leaving_test.go
@@ -165,10 +165,10 @@
 // once the log is available again.
 func TestEngineKilledDuringAPlatformOutage(t *testing.T) {
 	f := startFleet(t, 2, 2)
-	const tokens, at = 300, 100
+	const tokens, faultAfterTokens = 300, 100
 	faults := func(v map[string]any) { mustCall(t, http.MethodPut, f.platform+"/faults", "", v) }
 	got := f.streamChat(f.instances[0], tokens, func(n int) {
-		if n == at {
+		if n == faultAfterTokens {
 			faults(map[string]any{"outage": true})
 			f.awaitRunningEngine().signal(syscall.SIGKILL)
 		}
--- a/test/process/measure_test.go
+++ b/test/process/measure_test.go
@@ -51,14 +51,14 @@
 func TestMeasureAddedLatency(t *testing.T) {
 	useBinaryWithoutRaceDetector(t)
 	f := startFleet(t, 1, 2)
-	const callers, each, tokens = 4, 250, 20
+	const callers, requestsPerCaller, tokens = 4, 250, 20
 	var mu sync.Mutex
 	firstToken, complete := map[string][]time.Duration{}, map[string][]time.Duration{}
 	var wg sync.WaitGroup
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: callers}}
 	for n := range callers {
 		wg.Go(func() {
-			for i := range each {
+			for i := range requestsPerCaller {
 				for _, path := range []string{"engine", "router"} {
 					one, all := f.measureRequest(t, client, path, fmt.Sprintf("m-%d-%d", n, i), tokens)
 					mu.Lock()
--- a/test/process/stream_test.go
+++ b/test/process/stream_test.go
@@ -13,7 +13,7 @@
 // stream, or into its connection. The caller gets one complete answer, with a pause
 // at most, and is billed for it once.
 func TestEngineFaultInMidStream(t *testing.T) {
-	const tokens, at = 300, 100
+	const tokens, faultAfterTokens = 300, 100
 	for name, c := range map[string]struct {
 		fault func(e *engine)
 		moved bool
@@ -29,7 +29,7 @@
 			f := startFleet(t, 2, 1)
 			var faulty *engine
 			got := f.streamChat(f.instances[0], tokens, func(n int) {
-				if n == at {
+				if n == faultAfterTokens {
 					faulty = f.awaitRunningEngine()
 					c.fault(faulty)
 				}
@@ -38,14 +38,15 @@
 				t.Fatalf("complete %v, %d tokens, error %q", got.complete, len(got.tokenTimes), got.err)
 			}
 			f.awaitBilled(got.totalTokens)
-			f.checkOtherEngines(faulty, c.moved, at, tokens)
+			f.checkOtherEngines(faulty, c.moved, faultAfterTokens, tokens)
 		})
 	}
 }
 
 // checkOtherEngines requires that the engines other than the faulty one ran nothing
-// or, if the run was rerouted, only the rest of the answer after token at.
-func (f *fleet) checkOtherEngines(faulty *engine, rerouted bool, at, tokens int64) {
+// or, if the run was rerouted, only the rest of the answer after the first
+// faultAfterTokens tokens.
+func (f *fleet) checkOtherEngines(faulty *engine, rerouted bool, faultAfterTokens, tokens int64) {
 	f.t.Helper()
 	for _, e := range f.engines {
 		if e == faulty {
@@ -55,7 +56,7 @@
 		if rerouted != (len(rows) == 1) {
 			f.t.Fatalf("rerouted %v, but the other engine ran %+v", rerouted, rows)
 		}
-		if rerouted && (rows[0].Prior < at || rows[0].Completion+rows[0].Prior != tokens) {
+		if rerouted && (rows[0].Prior < faultAfterTokens || rows[0].Completion+rows[0].Prior != tokens) {
 			f.t.Fatalf("the other engine ran %+v, want only the rest of the answer", rows[0])
 		}
 	}
@@ -65,10 +66,10 @@
 // resumes at another one from the last received event. The answer has no gap and no
 // duplicate, no token is generated twice, and it is billed once.
 func TestInstanceKilledInMidStream(t *testing.T) {
-	const tokens, at = 600, 100
+	const tokens, killAfterTokens = 600, 100
 	f := startFleet(t, 2, 3)
 	first := f.streamChat(f.instances[0], tokens, func(n int) {
-		if n == at {
+		if n == killAfterTokens {
 			f.instances[0].signal(syscall.SIGKILL)
 		}
 	}, "Idempotency-Key", "k")
