--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -1,3 +1,11 @@
+// Package forward serves one caller's request from its arrival to the final answer: it
+// matches the route, checks the key, reserves tokens, selects an endpoint, retries and
+// streams the answer. The request's content is opaque to it, and a Codec translates the
+// header fields that HTTP does not define.
+//
+// A request has one of three outcomes. Answered: the caller receives the endpoint's answer
+// unchanged. Not run: the status promises that the request has not run and never will.
+// Unknown: the request may have run. "Not run" is reported only if no attempt can have run.
 package forward
 
 import (
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -1,3 +1,13 @@
+// Package ledger spends prepaid token budgets. An instance holds grants, which
+// are rights on the log to part of a budget. It reserves the maximum number of
+// tokens of a request in a grant before the request runs, and bills the tokens
+// that the request used.
+//
+// Two mechanisms alone keep budgets from being overspent: the fold voids a
+// grant that would exceed its budget, and package right allows a witnessed
+// grant to be used only with its witness's acknowledgement. Everything else in
+// this package (sizes, owners, reachability) only affects how often requests
+// are refused.
 package ledger
 
 import (
